--- a/cmd/micaline/main.go
+++ b/cmd/agent/main.go
@@ -1,4 +1,4 @@
-// Command micaline is the agent that spreads an application's requests over its backends.
+// Command agent is the agent that spreads an application's requests over its backends.
 package main
 
 import (
@@ -11,8 +11,8 @@
 	"runtime"
 	"syscall"
 
-	"example.org/grebefork/internal/agent"
-	"example.org/grebefork/internal/config"
+	"example.org/ryeloft/internal/agent"
+	"example.org/ryeloft/internal/config"
 )
 
 func main() {
@@ -24,7 +24,7 @@
 	err := run(ctx, hangups, log)
 	stop()
 	if err != nil {
-		log.Error("micaline ends", "error", err)
+		log.Error("agent ends", "error", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/micaline/main_test.go
+++ b/cmd/agent/main_test.go
@@ -36,8 +36,8 @@
 
 // The agent is made of the standard library and this module.
 func TestDependencies(t *testing.T) {
-	const module = "example.org/grebefork"
-	cmd := exec.CommandContext(t.Context(), "go", "list", "-deps", "-f", `{{.ImportPath}} {{.Standard}}{{range .Imports}} {{.}}{{end}}`, module+"/cmd/micaline")
+	const module = "example.org/ryeloft"
+	cmd := exec.CommandContext(t.Context(), "go", "list", "-deps", "-f", `{{.ImportPath}} {{.Standard}}{{range .Imports}} {{.}}{{end}}`, module+"/cmd/agent")
 	var stderr bytes.Buffer
 	cmd.Stderr = &stderr
 	out, err := cmd.Output()
--- a/cmd/micaline/reloads_test.go
+++ b/cmd/agent/reloads_test.go
@@ -20,8 +20,8 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/lists"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/lists"
 )
 
 const (
@@ -381,7 +381,7 @@
 			}
 			for _, a := range fleet {
 				a.end(t)
-				log := a.log.about("msg=reloaded", "msg=list", "discovery failed", "wall clock", "micaline ends")
+				log := a.log.about("msg=reloaded", "msg=list", "discovery failed", "wall clock", "agent ends")
 				if t.Failed() {
 					t.Logf("agent %d:\n%s", a.rank, log)
 				}
--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"example.org/grebefork/internal/relay"
+	"example.org/ryeloft/internal/relay"
 )
 
 // figuresGrace is how long a reader of the figures may take.
--- a/cmd/relay/main_test.go
+++ b/cmd/relay/main_test.go
@@ -17,10 +17,10 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/lists"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/lists"
+	"example.org/ryeloft/internal/settings"
 )
 
 // asRelay has this binary be the program itself.
@@ -189,7 +189,7 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
 	t.Cleanup(func() { stop(); ended.Wait() })
-	set := &settings.Settings{Module: grebefork.Settings{Agents: 1}}
+	set := &settings.Settings{Module: balancer.Settings{Agents: 1}}
 	for i := range n {
 		a.heard[i] = map[uint64]time.Time{}
 		d := discovery.New(discovery.Options{
@@ -200,7 +200,7 @@
 				if _, ok := a.heard[i][n.Revision]; !ok {
 					a.heard[i][n.Revision] = time.Now()
 				}
-				if n.Mode == grebefork.ListFull {
+				if n.Mode == balancer.ListFull {
 					a.whole[i]++
 				}
 				a.mu.Unlock()
@@ -259,7 +259,7 @@
 	if err := s.Apply(8, []discovery.Member{member("x", "Terminating")}); err != nil {
 		t.Fatal(err)
 	}
-	if took := a.all(t, 8).Sub(changed); took > grebefork.ToldFailed {
+	if took := a.all(t, 8).Sub(changed); took > balancer.ToldFailed {
 		t.Errorf("the last agent hears %v after the change", took)
 	}
 	for i, n := range a.whole {
--- a/cmd/scale/bend.go
+++ b/cmd/scale/bend.go
@@ -4,7 +4,7 @@
 	"fmt"
 	"slices"
 
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // bend makes what the file says, and no flag does, go with the flags: fewer servers carry fewer services, which are less
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -19,13 +19,13 @@
 
 	"github.com/alecthomas/kong"
 
-	"example.org/grebefork/internal/scale/control"
-	"example.org/grebefork/internal/scale/hollow"
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/role"
-	"example.org/grebefork/internal/scale/run"
-	"example.org/grebefork/internal/scale/scenario"
-	"example.org/grebefork/internal/scale/sweep"
+	"example.org/ryeloft/internal/scale/control"
+	"example.org/ryeloft/internal/scale/hollow"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/role"
+	"example.org/ryeloft/internal/scale/run"
+	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/sweep"
 )
 
 // Exit codes: 0 all budgets held, 1 one did not or the run failed, 2 a flag or a file cannot be used.
@@ -226,7 +226,7 @@
 		return "", err
 	}
 	for {
-		if text, err := os.ReadFile(filepath.Join(dir, "go.mod")); err == nil && strings.HasPrefix(string(text), "module example.org/grebefork\n") {
+		if text, err := os.ReadFile(filepath.Join(dir, "go.mod")); err == nil && strings.HasPrefix(string(text), "module example.org/ryeloft\n") {
 			return dir, nil
 		}
 		up := filepath.Dir(dir)
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -19,8 +19,8 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/sweep"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/sweep"
 )
 
 const tiny = "../../deploy/scale/tiny.toml"
@@ -33,7 +33,7 @@
 		return "", err
 	}
 	built = dir
-	for _, name := range []string{"scale", "micaline"} {
+	for _, name := range []string{"scale", "agent"} {
 		cmd := exec.Command("go", "build", "-buildvcs=false", "-o", filepath.Join(dir, name), "./cmd/"+name)
 		cmd.Dir = "../.."
 		if said, err := cmd.CombinedOutput(); err != nil {
@@ -77,7 +77,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return append([]string{"run", tiny, "--agent-binary", filepath.Join(dir, "micaline")}, args...)
+	return append([]string{"run", tiny, "--agent-binary", filepath.Join(dir, "agent")}, args...)
 }
 
 // TestTiny plays the tiny scenario whole. It fails when a budget's line is missing or OVER, when a hollow figure is off the
--- a/cmd/benchlink/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command benchlink hosts instances of the decision module behind the bench's wire on stdin and stdout.
+// Command simadapter hosts instances of the decision module behind the bench's wire on stdin and stdout.
 package main
 
 import (
@@ -9,21 +9,21 @@
 	"os"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/wire"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/simwire"
 )
 
 func main() {
 	if err := run(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "benchlink:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
 
 // run answers batches until the input ends. A reply is written whole or not at all.
 func run(in io.Reader, out io.Writer) error {
-	dec := wire.NewDecoder(bufio.NewReaderSize(in, 1<<20))
-	h := host{instances: map[uint32]*grebefork.Balancer{}}
+	dec := simwire.NewDecoder(bufio.NewReaderSize(in, 1<<20))
+	h := host{instances: map[uint32]*balancer.Balancer{}}
 	for {
 		batch, now, err := dec.Batch()
 		if errors.Is(err, io.EOF) {
@@ -53,22 +53,22 @@
 
 // host keeps the instances of this process apart: each has its own Balancer and nothing else.
 type host struct {
-	instances map[uint32]*grebefork.Balancer
-	enc       wire.Encoder
-	actions   []grebefork.Action
+	instances map[uint32]*balancer.Balancer
+	enc       simwire.Encoder
+	actions   []balancer.Action
 }
 
-func (h *host) handle(now time.Duration, rec *wire.Record) error {
+func (h *host) handle(now time.Duration, rec *simwire.Record) error {
 	switch rec.Kind {
-	case wire.Create:
-		b, err := grebefork.New(rec.Settings, rec.Seed)
+	case simwire.Create:
+		b, err := balancer.New(rec.Settings, rec.Seed)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", rec.Instance, err)
 		}
 		h.instances[rec.Instance] = b
-	case wire.Detach:
+	case simwire.Detach:
 		delete(h.instances, rec.Instance)
-	case wire.Deliver:
+	case simwire.Deliver:
 		b := h.instances[rec.Instance]
 		if b == nil {
 			return nil
@@ -81,7 +81,7 @@
 }
 
 // deliver hands one event to the module. A panic comes back as text, so that it ends as the wire's own fault.
-func (h *host) deliver(b *grebefork.Balancer, now time.Duration, rec *wire.Record) (fault string) {
+func (h *host) deliver(b *balancer.Balancer, now time.Duration, rec *simwire.Record) (fault string) {
 	defer func() {
 		if p := recover(); p != nil {
 			fault = fmt.Sprint("panic: ", p)
--- a/cmd/benchlink/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -7,8 +7,8 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/wire"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/simwire"
 )
 
 func frame(batch uint32, count int, records ...byte) []byte {
@@ -62,7 +62,7 @@
 // A panic in the module becomes text for the wire's fault action.
 func TestPanicBecomesAFault(t *testing.T) {
 	var h host
-	rec := wire.Record{Kind: wire.Deliver, Event: grebefork.Event{Kind: grebefork.EventHangup}}
+	rec := simwire.Record{Kind: simwire.Deliver, Event: balancer.Event{Kind: balancer.EventHangup}}
 	if fault := h.deliver(nil, time.Second, &rec); !strings.HasPrefix(fault, "panic: ") {
 		t.Errorf("fault %q", fault)
 	}
--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -15,7 +15,7 @@
 	"time"
 	"unsafe"
 
-	"example.org/grebefork/internal/clock"
+	"example.org/ryeloft/internal/clock"
 )
 
 const (
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -11,9 +11,9 @@
 	"syscall"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/config"
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/discovery"
 )
 
 const (
@@ -111,7 +111,7 @@
 	}
 	moves := make(chan discovery.Place)
 	go l.run(work)
-	tell(discovery.News{Mode: grebefork.ListCached, Members: cfg.Known.Members})
+	tell(discovery.News{Mode: balancer.ListCached, Members: cfg.Known.Members})
 	go d.Run(work, moves)
 	go l.follows(work, reloads, moves)
 
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -15,7 +15,7 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/config"
+	"example.org/ryeloft/internal/config"
 )
 
 // The classes: a keyed one dropped by all, a keyed one dropped by its cell, an unsafe one and a safe one.
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -14,8 +14,8 @@
 	"strings"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/settings"
 )
 
 const (
@@ -68,8 +68,8 @@
 
 // result is how an attempt or a probe ended.
 type result struct {
-	outcome grebefork.Outcome
-	load    grebefork.Load
+	outcome balancer.Outcome
+	load    balancer.Load
 	answer  answer // a whole one, if the outcome is OK
 	gone    bool   // nobody waits for it
 }
@@ -93,40 +93,40 @@
 	case err == nil:
 		r.load = parseLoad(resp.Header.Get(loadHeader), on.fields)
 		r.outcome = outcomeOf(resp)
-		if r.outcome == grebefork.OK {
+		if r.outcome == balancer.OK {
 			r.answer = answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), body: body}
 		}
 	case errors.Is(err, errOver):
-		r.outcome, r.gone = grebefork.Moot, true
+		r.outcome, r.gone = balancer.Moot, true
 	case errors.Is(cause, context.Canceled) && sent == nothing:
-		r.outcome = grebefork.Moot
+		r.outcome = balancer.Moot
 	case errors.Is(cause, context.Canceled), errors.Is(err, errNotTaken):
-		r.outcome = grebefork.Cancelled
+		r.outcome = balancer.Cancelled
 	case errors.Is(err, errLeft):
-		r.outcome = grebefork.Leaving
+		r.outcome = balancer.Leaving
 	case errors.Is(err, errTooLate), errors.Is(err, errNotSent), ownShortage(err):
-		r.outcome = grebefork.Moot // it never ran, and the backend is not to blame
+		r.outcome = balancer.Moot // it never ran, and the backend is not to blame
 	case sent != all: // it cannot have run
-		r.outcome = grebefork.ConnectFailed
+		r.outcome = balancer.ConnectFailed
 	case cause != nil, errors.Is(err, context.DeadlineExceeded):
-		r.outcome = grebefork.Timeout
+		r.outcome = balancer.Timeout
 	default:
-		r.outcome = grebefork.Reset
+		r.outcome = balancer.Reset
 	}
 	return r
 }
 
 // outcomeOf reads a whole answer's meaning. What the protocol does not name may have run.
-func outcomeOf(resp *http.Response) grebefork.Outcome {
+func outcomeOf(resp *http.Response) balancer.Outcome {
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return grebefork.OK
+		return balancer.OK
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get(rejectedHeader) == "1" {
-			return grebefork.Full
+			return balancer.Full
 		}
 	}
-	return grebefork.Error
+	return balancer.Error
 }
 
 // extent is how much of a request has been written: whether it can have run hangs on its last byte.
@@ -220,7 +220,7 @@
 
 // stream passes on an answer that is too long to be held; its first bytes were in time, and no deadline holds from here.
 func (p *pool) stream(c *conn, resp *http.Response, first []byte, rest io.Reader, on *terms) error {
-	if outcomeOf(resp) != grebefork.OK {
+	if outcomeOf(resp) != balancer.OK {
 		resp.Close = true // nobody wants the rest
 		return nil
 	}
@@ -313,7 +313,7 @@
 
 // probe asks a backend how it does: for its load where probes bring reports, else whether it is alive.
 func (p *pool) probe(ctx context.Context, t *target, s *settings.Settings) result {
-	path, reports := alivePath, s.Module.Reports != grebefork.ReportsOff
+	path, reports := alivePath, s.Module.Reports != balancer.ReportsOff
 	if reports {
 		path = loadPath
 	}
@@ -323,7 +323,7 @@
 	defer cancel()
 	deadline, _ := ctx.Deadline()
 	r := p.exchange(ctx, t, &m, &terms{deadline: deadline, fields: s.ReportFields})
-	if r.outcome == grebefork.OK && reports {
+	if r.outcome == balancer.OK && reports {
 		r.load = parseLoad(string(r.answer.body), s.ReportFields)
 	}
 	return r
@@ -331,7 +331,7 @@
 
 // parseLoad reads a report such as inflight=7,queue=2. Names that the settings do not list, and what is no
 // number, are left out: a bad report is an absent one.
-func parseLoad(text string, fields []string) grebefork.Load {
+func parseLoad(text string, fields []string) balancer.Load {
 	load := settings.NoLoad()
 	for pair := range strings.SplitSeq(strings.TrimSpace(text), ",") {
 		name, value, _ := strings.Cut(pair, "=")
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/config"
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/discovery"
 )
 
 // lists is a discovery service: it answers the whole list at once and each watch with the next that is told.
@@ -264,7 +264,7 @@
 					}
 					begun := time.Now()
 					receive(t, "call", next.calls)
-					if took := time.Since(begun); took > grebefork.ToldMoved {
+					if took := time.Since(begun); took > balancer.ToldMoved {
 						t.Errorf("asked after %v", took)
 					}
 				})
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -11,8 +11,8 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
 )
 
 const (
@@ -65,20 +65,20 @@
 
 // tally counts since the log's last line.
 type tally struct {
-	taken, gone          int                             // requests
-	turnedAway           int                             // of the refused: the agent held too many
-	attempts             [int(grebefork.Leaving) + 1]int // by outcome
-	dialed, reused       int                             // connections that attempts and probes used
-	brokenReused         int                             // of the reused: no whole answer came
-	probes, probesFailed int                             //
-	reports              int                             // answers that told a load
-	lastBreak            string                          // why the last answer did not come whole
-	badRequests          int                             // turned down before they were taken
-	lastBad              string                          // why the last of them was
-	halfHeads            int                             // connections that ended within a request's head
-	listCalls, listFails int                             // calls of discovery
-	slowestList          time.Duration                   // longest that a call took beyond what it may wait
-	slowestLoop          time.Duration                   // longest that one input kept the loop
+	taken, gone          int                            // requests
+	turnedAway           int                            // of the refused: the agent held too many
+	attempts             [int(balancer.Leaving) + 1]int // by outcome
+	dialed, reused       int                            // connections that attempts and probes used
+	brokenReused         int                            // of the reused: no whole answer came
+	probes, probesFailed int                            //
+	reports              int                            // answers that told a load
+	lastBreak            string                         // why the last answer did not come whole
+	badRequests          int                            // turned down before they were taken
+	lastBad              string                         // why the last of them was
+	halfHeads            int                            // connections that ended within a request's head
+	listCalls, listFails int                            // calls of discovery
+	slowestList          time.Duration                  // longest that a call took beyond what it may wait
+	slowestLoop          time.Duration                  // longest that one input kept the loop
 }
 
 // count changes the tally.
@@ -163,10 +163,10 @@
 // reportAttempts logs what became of attempts, connections and probes. Each line is short: what collects the log may cut
 // lines at 400 bytes, and did so before the calls of discovery when all counters stood in one.
 func (t *tally) reportAttempts(log *slog.Logger) {
-	of := func(o grebefork.Outcome) int { return t.attempts[o] }
-	log.Info("attempts", "ok", of(grebefork.OK), "error", of(grebefork.Error), "full", of(grebefork.Full),
-		"timeout", of(grebefork.Timeout), "connect", of(grebefork.ConnectFailed), "reset", of(grebefork.Reset),
-		"cancelled", of(grebefork.Cancelled), "moot", of(grebefork.Moot), "leaving", of(grebefork.Leaving),
+	of := func(o balancer.Outcome) int { return t.attempts[o] }
+	log.Info("attempts", "ok", of(balancer.OK), "error", of(balancer.Error), "full", of(balancer.Full),
+		"timeout", of(balancer.Timeout), "connect", of(balancer.ConnectFailed), "reset", of(balancer.Reset),
+		"cancelled", of(balancer.Cancelled), "moot", of(balancer.Moot), "leaving", of(balancer.Leaving),
 		slog.Group("connections", "dialed", t.dialed, "reused", t.reused, "broken_reused", t.brokenReused),
 		slog.Group("probes", "sent", t.probes, "failed", t.probesFailed), "reports", t.reports)
 	if t.lastBreak != "" {
@@ -186,15 +186,15 @@
 }
 
 // ended notes how an attempt or a probe ended.
-func (t *tally) ended(ev *grebefork.Event) {
+func (t *tally) ended(ev *balancer.Event) {
 	if ev.Load.Known {
 		t.reports++
 	}
-	if ev.Kind == grebefork.EventOutcome {
+	if ev.Kind == balancer.EventOutcome {
 		t.attempts[ev.Outcome]++
 		return
 	}
-	if t.probes++; ev.Outcome != grebefork.OK {
+	if t.probes++; ev.Outcome != balancer.OK {
 		t.probesFailed++
 	}
 }
--- a/internal/agent/figures_test.go
+++ b/internal/agent/figures_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/discovery"
 )
 
 // The figures tell each end of a request by class, every class from 0, and the tries and servers behind them.
--- a/internal/agent/large_test.go
+++ b/internal/agent/large_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/discovery"
 )
 
 // An agent of 1,024 follows lists of 1,024 backends with the longest ids, indented, whole and as changes, within the
--- a/internal/agent/limits.go
+++ b/internal/agent/limits.go
@@ -3,7 +3,7 @@
 import (
 	"runtime/debug"
 
-	"example.org/grebefork/internal/config"
+	"example.org/ryeloft/internal/config"
 )
 
 const (
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/config"
+	"example.org/ryeloft/internal/config"
 )
 
 // process is one of several that run one agent.
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -8,11 +8,11 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/clock"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/membership"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/clock"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/membership"
+	"example.org/ryeloft/internal/settings"
 )
 
 const (
@@ -23,7 +23,7 @@
 
 // input is what has happened, on its way to the loop: an event for the module and what it has no use for.
 type input struct {
-	event   grebefork.Event
+	event   balancer.Event
 	call    *call              // of EventRequest and EventHangup
 	answer  answer             // of EventOutcome, if it is OK
 	gone    bool               // of EventOutcome: the attempt found the client gone
@@ -43,8 +43,8 @@
 	answered      chan answer // holds one, so that the loop never waits for a handler
 	gone          func() bool // says whether the client has gone
 
-	id    grebefork.RequestID // the loop's
-	ended atomic.Bool         // answered, or its client is gone; only the loop says so
+	id    balancer.RequestID // the loop's
+	ended atomic.Bool        // answered, or its client is gone; only the loop says so
 }
 
 // over says that nothing may be begun for a call any more.
@@ -72,7 +72,7 @@
 type loop struct {
 	set      atomic.Pointer[settings.Settings] // the loop swaps it; handlers read requests by it
 	clock    clock.Anchored
-	balancer *grebefork.Balancer
+	balancer *balancer.Balancer
 	pool     *pool
 	follow   func() // asks discovery for the list
 	log      *slog.Logger
@@ -83,27 +83,27 @@
 	shown    bool          // the figures are read: the loop publishes its own
 
 	servers  *membership.Table // as discovery last told
-	targets  map[grebefork.ServerID]*target
-	requests map[grebefork.RequestID]*request
+	targets  map[balancer.ServerID]*target
+	requests map[balancer.RequestID]*request
 	callIDs  callIDs
-	lastID   grebefork.RequestID
+	lastID   balancer.RequestID
 	timers   timers
 	steps    clock.StepDetector // of the wall clock, for the log
-	events   []grebefork.Event  // to be handed to the module
-	actions  []grebefork.Action
+	events   []balancer.Event   // to be handed to the module
+	actions  []balancer.Action
 }
 
 func newLoop(set *settings.Settings, seed uint64, pool *pool, log *slog.Logger) (*loop, error) {
-	balancer, err := grebefork.New(set.Module, seed)
+	decisions, err := balancer.New(set.Module, seed)
 	if err != nil {
 		return nil, err
 	}
 	l := &loop{
-		clock: clock.Anchor(), balancer: balancer, pool: pool, log: log,
+		clock: clock.Anchor(), balancer: decisions, pool: pool, log: log,
 		inputs:   make(chan input, inputQueue),
 		done:     make(chan struct{}),
-		targets:  map[grebefork.ServerID]*target{},
-		requests: map[grebefork.RequestID]*request{},
+		targets:  map[balancer.ServerID]*target{},
+		requests: map[balancer.RequestID]*request{},
 		callIDs:  callIDs{open: map[string]struct{}{}, recent: map[string]struct{}{}},
 	}
 	l.servers = membership.New(l.clock.Now)
@@ -168,7 +168,7 @@
 			l.pool.counts.listed.Store(int64(l.servers.Len()))
 			l.pool.counts.avoidedNow.Store(int64(l.balancer.Avoided(l.clock.Now())))
 		case <-report.C:
-			l.pool.counts.report(l.log, l.servers.Count(grebefork.Ready), l.servers.Count(grebefork.Draining))
+			l.pool.counts.report(l.log, l.servers.Count(balancer.Ready), l.servers.Count(balancer.Draining))
 			if step := l.steps.Observe(clock.Wall(), l.clock.Elapsed()); step != 0 {
 				l.log.Warn("the wall clock was stepped", "by", step)
 			}
@@ -177,7 +177,7 @@
 		}
 		for now := l.clock.Now(); len(l.timers) > 0 && l.timers[0].due <= now; {
 			t := heap.Pop(&l.timers).(timer)
-			l.handle(ctx, grebefork.Event{Kind: grebefork.EventTimer, Token: t.token})
+			l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, Token: t.token})
 		}
 	}
 }
@@ -190,15 +190,15 @@
 	}
 	ev := in.event
 	switch ev.Kind {
-	case grebefork.EventList:
+	case balancer.EventList:
 		ev.Servers = l.entries(in.members)
 		l.handle(ctx, ev)
 		if !ev.ListMode.Keeps() {
 			l.forgetGone(ev.ListMode, ev.Servers)
 			l.ready.Store(len(l.targets) > 0 || l.ready.Load())
-			l.heard.Store(l.ready.Load() && ev.ListMode != grebefork.ListCached || l.heard.Load())
+			l.heard.Store(l.ready.Load() && ev.ListMode != balancer.ListCached || l.heard.Load())
 		}
-	case grebefork.EventRequest:
+	case balancer.EventRequest:
 		if !l.callIDs.take(in.call.callID) {
 			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(callIDHeader + " is in use\n")}
 			return
@@ -214,7 +214,7 @@
 		ev.Request, ev.Class, ev.Tenant, ev.Retry = in.call.id, in.call.class, in.call.tenant, in.call.retry
 		ev.Left = in.call.deadline - l.clock.Now()
 		l.handle(ctx, ev)
-	case grebefork.EventHangup:
+	case balancer.EventHangup:
 		r := l.requests[in.call.id]
 		if r == nil || r.ended.Load() { // it crossed the answer, if there was one
 			select {
@@ -227,7 +227,7 @@
 			return
 		}
 		l.hangUp(ctx, r)
-	case grebefork.EventBegun:
+	case balancer.EventBegun:
 		r := l.requests[ev.Request]
 		if flows := in.answer.rest; flows != nil {
 			if !r.end(in.answer) { // another attempt's answer was first
@@ -237,7 +237,7 @@
 			r.passing = 1 + ev.Attempt
 		}
 		l.handle(ctx, ev)
-	case grebefork.EventOutcome:
+	case balancer.EventOutcome:
 		l.pool.counts.count(func(t *tally) { t.ended(&ev) })
 		r := l.requests[ev.Request]
 		r.attempts[ev.Attempt]()
@@ -245,14 +245,14 @@
 		if in.gone && !r.ended.Load() {
 			l.hangUp(ctx, r)
 		}
-		if ev.Outcome == grebefork.OK {
+		if ev.Outcome == balancer.OK {
 			r.end(in.answer)
 		}
 		ev.Closed = r.ended.Load()
 		l.handle(ctx, ev)
 		l.forget(r)
 	default:
-		if ev.Kind == grebefork.EventProbed {
+		if ev.Kind == balancer.EventProbed {
 			l.pool.counts.count(func(t *tally) { t.ended(&ev) })
 		}
 		l.handle(ctx, ev)
@@ -263,11 +263,11 @@
 func (l *loop) hangUp(ctx context.Context, r *request) {
 	r.end(answer{})
 	l.pool.counts.count(func(t *tally) { t.gone++ })
-	l.handle(ctx, grebefork.Event{Kind: grebefork.EventHangup, Request: r.id})
+	l.handle(ctx, balancer.Event{Kind: balancer.EventHangup, Request: r.id})
 	l.forget(r)
 }
 
-func (l *loop) newID() grebefork.RequestID {
+func (l *loop) newID() balancer.RequestID {
 	for {
 		l.lastID++
 		if l.requests[l.lastID] == nil {
@@ -323,22 +323,22 @@
 func (c *callIDs) age() { c.recent, c.older = map[string]struct{}{}, c.recent }
 
 // entries notes where the members of a list are and turns them into the module's terms.
-func (l *loop) entries(members []discovery.Member) []grebefork.ServerEntry {
+func (l *loop) entries(members []discovery.Member) []balancer.ServerEntry {
 	entries := l.servers.Entries(l.set.Load(), members)
 	for i, e := range entries {
-		if e.State == grebefork.Gone {
+		if e.State == balancer.Gone {
 			continue // forgotten once the module has heard of it
 		}
 		addr, t := members[i].HostPort, l.targets[e.ID]
 		same := t != nil && t.addr == addr && t.start == e.Start
-		if !same || e.State == grebefork.Ready && t.left.Err() != nil { // one that stays after all may be sent to again
+		if !same || e.State == balancer.Ready && t.left.Err() != nil { // one that stays after all may be sent to again
 			if t != nil {
 				l.pool.retire(t)
 			}
 			t = l.pool.target(addr, e.Start)
 			l.targets[e.ID] = t
 		}
-		if e.State != grebefork.Ready {
+		if e.State != balancer.Ready {
 			t.leave()
 		}
 	}
@@ -346,7 +346,7 @@
 }
 
 // forgetGone drops the addresses and idle connections of the backends that a list has shown to be gone.
-func (l *loop) forgetGone(mode grebefork.ListMode, entries []grebefork.ServerEntry) {
+func (l *loop) forgetGone(mode balancer.ListMode, entries []balancer.ServerEntry) {
 	for _, id := range l.servers.Forget(mode, entries) {
 		if t := l.targets[id]; t != nil {
 			l.pool.retire(t)
@@ -356,7 +356,7 @@
 }
 
 // handle hands an event to the module and carries out what it answers, and so on with the events that come of it.
-func (l *loop) handle(ctx context.Context, ev grebefork.Event) {
+func (l *loop) handle(ctx context.Context, ev balancer.Event) {
 	l.events = append(l.events, ev)
 	for i := 0; i < len(l.events); i++ { // act may add to them
 		l.actions = l.balancer.Handle(l.clock.Now(), l.events[i], l.actions[:0])
@@ -368,41 +368,41 @@
 }
 
 // act carries out one action.
-func (l *loop) act(ctx context.Context, a *grebefork.Action) {
+func (l *loop) act(ctx context.Context, a *balancer.Action) {
 	r := l.requests[a.Request]
 	switch a.Kind {
-	case grebefork.ActSend:
+	case balancer.ActSend:
 		if r != nil {
 			l.attempt(ctx, r, a)
 		}
-	case grebefork.ActRefuse:
+	case balancer.ActRefuse:
 		if r != nil {
 			r.end(answer{status: statusRefused, retryAfter: a.Wait})
 			l.forget(r)
 		}
-	case grebefork.ActFail:
+	case balancer.ActFail:
 		if r != nil {
 			r.end(answer{status: statusFailed})
 			l.forget(r)
 		}
-	case grebefork.ActCancel:
+	case balancer.ActCancel:
 		// Another attempt's end must not cut off the answer that the client is getting.
 		if r != nil && a.Attempt < len(r.attempts) && r.passing != 1+a.Attempt {
 			r.attempts[a.Attempt]()
 		}
-	case grebefork.ActTimer:
+	case balancer.ActTimer:
 		heap.Push(&l.timers, timer{due: l.clock.Now() + a.Wait, token: a.Token})
-	case grebefork.ActProbe:
+	case balancer.ActProbe:
 		l.probe(ctx, a.Server)
-	case grebefork.ActFollow:
+	case balancer.ActFollow:
 		l.follow()
-	case grebefork.ActLog:
+	case balancer.ActLog:
 		l.log.Info(a.Text)
 	}
 }
 
 // attempt sends a request to a backend. What cannot be sent any more ends as moot.
-func (l *loop) attempt(ctx context.Context, r *request, a *grebefork.Action) {
+func (l *loop) attempt(ctx context.Context, r *request, a *balancer.Action) {
 	n := len(r.attempts)
 	left := r.deadline - l.clock.Now()
 	if a.Wait != 0 {
@@ -411,9 +411,9 @@
 	t := l.targets[a.Server]
 	if r.ended.Load() || left <= 0 || t == nil {
 		r.attempts = append(r.attempts, func() {})
-		l.events = append(l.events, grebefork.Event{
-			Kind: grebefork.EventOutcome, Request: r.id, Attempt: n, Server: a.Server,
-			Outcome: grebefork.Moot, Closed: r.ended.Load(), Load: settings.NoLoad(),
+		l.events = append(l.events, balancer.Event{
+			Kind: balancer.EventOutcome, Request: r.id, Attempt: n, Server: a.Server,
+			Outcome: balancer.Moot, Closed: r.ended.Load(), Load: settings.NoLoad(),
 		})
 		return
 	}
@@ -426,7 +426,7 @@
 	r.attempts = append(r.attempts, func() { cancel(context.Canceled) })
 	r.out++
 	id, server, msg := r.id, a.Server, &r.message
-	begun := grebefork.Event{Kind: grebefork.EventBegun, Request: id, Attempt: n, Server: server}
+	begun := balancer.Event{Kind: balancer.EventBegun, Request: id, Attempt: n, Server: server}
 	on.begun = func() { l.send(input{event: begun}) }
 	on.pass = func(a answer) error {
 		l.send(input{event: begun, answer: a})
@@ -440,26 +440,26 @@
 	go func() {
 		res := l.pool.exchange(attemptCtx, t, msg, on)
 		on.timer.Stop()
-		l.send(input{answer: res.answer, gone: res.gone, event: grebefork.Event{
-			Kind: grebefork.EventOutcome, Request: id, Attempt: n, Server: server,
+		l.send(input{answer: res.answer, gone: res.gone, event: balancer.Event{
+			Kind: balancer.EventOutcome, Request: id, Attempt: n, Server: server,
 			Outcome: res.outcome, Load: res.load,
 		}})
 	}()
 }
 
-func (l *loop) probe(ctx context.Context, server grebefork.ServerID) {
+func (l *loop) probe(ctx context.Context, server balancer.ServerID) {
 	t := l.targets[server]
 	if t == nil {
-		l.events = append(l.events, grebefork.Event{
-			Kind: grebefork.EventProbed, Server: server, Outcome: grebefork.Moot, Load: settings.NoLoad(),
+		l.events = append(l.events, balancer.Event{
+			Kind: balancer.EventProbed, Server: server, Outcome: balancer.Moot, Load: settings.NoLoad(),
 		})
 		return
 	}
 	set := l.set.Load()
 	go func() {
 		res := l.pool.probe(ctx, t, set)
-		l.send(input{event: grebefork.Event{
-			Kind: grebefork.EventProbed, Server: server,
+		l.send(input{event: balancer.Event{
+			Kind: balancer.EventProbed, Server: server,
 			Outcome: res.outcome, Load: res.load,
 		}})
 	}()
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
 )
 
 // The id of a request that is open, or was a moment ago, is no other's: the second is refused and the first served.
@@ -81,7 +81,7 @@
 }
 
 // idOf is the number of the backend with a name.
-func idOf(t *testing.T, l *loop, name string) grebefork.ServerID {
+func idOf(t *testing.T, l *loop, name string) balancer.ServerID {
 	t.Helper()
 	for id := range l.targets {
 		if m, known := l.servers.Member(id); known && m.ID == name {
@@ -101,33 +101,33 @@
 		t.Fatal(err)
 	}
 	ctx := t.Context()
-	list := func(mode grebefork.ListMode, phase string) {
-		l.take(ctx, input{event: grebefork.Event{Kind: grebefork.EventList, ListMode: mode},
+	list := func(mode balancer.ListMode, phase string) {
+		l.take(ctx, input{event: balancer.Event{Kind: balancer.EventList, ListMode: mode},
 			members: []discovery.Member{{ID: "x", HostPort: b.addr, Phase: phase}}})
 	}
-	list(grebefork.ListFull, "Ready")
+	list(balancer.ListFull, "Ready")
 	x := idOf(t, l, "x")
 	r := &request{call: &call{id: 7, deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays,
 		message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}}
 	l.requests[r.id] = r
-	send := grebefork.Action{Kind: grebefork.ActSend, Request: r.id, Server: x, Wait: wait}
+	send := balancer.Action{Kind: balancer.ActSend, Request: r.id, Server: x, Wait: wait}
 	l.act(ctx, &send)
-	if in := receive(t, "outcome", l.inputs); in.event.Outcome != grebefork.OK {
+	if in := receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OK {
 		t.Fatalf("outcome %d", in.event.Outcome)
 	}
 	send.Within = 1 // a nanosecond, which is over before a connection can be had
 	l.act(ctx, &send)
-	if in := receive(t, "outcome", l.inputs); in.event.Outcome != grebefork.Moot {
+	if in := receive(t, "outcome", l.inputs); in.event.Outcome != balancer.Moot {
 		t.Errorf("sent too late: outcome %d", in.event.Outcome)
 	}
-	list(grebefork.ListDelta, "Gone")
+	list(balancer.ListDelta, "Gone")
 	receive(t, "close of the idle connection", b.ended)
 	if len(l.targets) > 0 || len(l.pool.targets) > 0 || l.servers.Len() > 0 {
 		t.Errorf("still known: %v %v", l.targets, l.servers.Members())
 	}
 	send.Within = 0
 	l.act(ctx, &send)
-	if n := len(l.events); n != 1 || l.events[0].Outcome != grebefork.Moot {
+	if n := len(l.events); n != 1 || l.events[0].Outcome != balancer.Moot {
 		t.Errorf("to a backend that is gone: %+v", l.events)
 	}
 }
@@ -140,16 +140,16 @@
 		t.Fatal(err)
 	}
 	ctx := t.Context()
-	l.take(ctx, input{event: grebefork.Event{Kind: grebefork.EventList, ListMode: grebefork.ListFull},
+	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull},
 		members: []discovery.Member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
 	c := &call{set: l.set.Load(), class: 2, deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/", "x", nil, nil, nil)}
-	l.take(ctx, input{event: grebefork.Event{Kind: grebefork.EventRequest}, call: c})
+	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 	if len(l.requests) != 1 || l.requests[c.id].out != 1 {
 		t.Fatalf("after the request: %+v", l.requests)
 	}
-	hangup := input{event: grebefork.Event{Kind: grebefork.EventHangup}, call: c}
+	hangup := input{event: balancer.Event{Kind: balancer.EventHangup}, call: c}
 	l.take(ctx, hangup)
-	l.take(ctx, input{answer: answer{status: 200}, event: grebefork.Event{Kind: grebefork.EventOutcome, Request: c.id}})
+	l.take(ctx, input{answer: answer{status: 200}, event: balancer.Event{Kind: balancer.EventOutcome, Request: c.id}})
 	l.take(ctx, hangup)
 	if len(c.answered) != 0 || len(l.requests) != 0 {
 		t.Errorf("%d answers, %d requests left", len(c.answered), len(l.requests))
@@ -248,10 +248,10 @@
 		t.Fatal(err)
 	}
 	ctx := t.Context()
-	l.take(ctx, input{event: grebefork.Event{Kind: grebefork.EventList, ListMode: grebefork.ListFull},
+	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull},
 		members: []discovery.Member{{ID: "x", HostPort: x.addr, Phase: "Ready"}, {ID: "y", HostPort: y.addr, Phase: "Ready"}}})
 	c := &call{set: l.set.Load(), deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
-	l.take(ctx, input{event: grebefork.Event{Kind: grebefork.EventRequest}, call: c})
+	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 	select {
 	case <-x.got:
 	case <-y.got:
@@ -260,7 +260,7 @@
 	}
 	for range 2 { // the module's looks at the silent attempt, due or not
 		look := heap.Pop(&l.timers).(timer)
-		l.handle(ctx, grebefork.Event{Kind: grebefork.EventTimer, Token: look.token})
+		l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, Token: look.token})
 	}
 	for range 2 { // the copy's answer, and the end of the first attempt
 		l.take(ctx, receive(t, "outcome", l.inputs))
@@ -286,8 +286,8 @@
 func TestEveryOrderOfEnds(t *testing.T) {
 	orders := [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
 	for _, order := range orders {
-		for _, first := range []grebefork.Outcome{grebefork.OK, grebefork.Timeout, grebefork.Reset, grebefork.Moot} {
-			for _, second := range []grebefork.Outcome{grebefork.OK, grebefork.Timeout, grebefork.Cancelled} {
+		for _, first := range []balancer.Outcome{balancer.OK, balancer.Timeout, balancer.Reset, balancer.Moot} {
+			for _, second := range []balancer.Outcome{balancer.OK, balancer.Timeout, balancer.Cancelled} {
 				for _, gone := range []bool{false, true} { // an attempt may find the client gone before its handler does
 					cfg := configFor(t, "127.0.0.1:1", strings.Replace(testSettings, `"maxAttempts":3`, `"maxAttempts":2`, 1))
 					l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4), discard)
@@ -295,19 +295,19 @@
 						t.Fatal(err)
 					}
 					ctx := t.Context()
-					l.take(ctx, input{event: grebefork.Event{Kind: grebefork.EventList, ListMode: grebefork.ListFull},
+					l.take(ctx, input{event: balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull},
 						members: []discovery.Member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}, {ID: "y", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
 					c := &call{set: l.set.Load(), deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
-					l.take(ctx, input{event: grebefork.Event{Kind: grebefork.EventRequest}, call: c})
+					l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 					for l.requests[c.id].out < 2 { // the module's looks at the silent attempt, due or not
 						look := heap.Pop(&l.timers).(timer)
-						l.handle(ctx, grebefork.Event{Kind: grebefork.EventTimer, Token: look.token})
+						l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, Token: look.token})
 					}
-					ended := func(n int, how grebefork.Outcome) input {
-						return input{answer: answer{status: http.StatusOK}, gone: gone && how == grebefork.Moot,
-							event: grebefork.Event{Kind: grebefork.EventOutcome, Request: c.id, Attempt: n, Outcome: how}}
+					ended := func(n int, how balancer.Outcome) input {
+						return input{answer: answer{status: http.StatusOK}, gone: gone && how == balancer.Moot,
+							event: balancer.Event{Kind: balancer.EventOutcome, Request: c.id, Attempt: n, Outcome: how}}
 					}
-					ends := []input{ended(0, first), ended(1, second), {event: grebefork.Event{Kind: grebefork.EventHangup}, call: c}}
+					ends := []input{ended(0, first), ended(1, second), {event: balancer.Event{Kind: balancer.EventHangup}, call: c}}
 					answers := 0
 					for _, i := range order {
 						l.take(ctx, ends[i])
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -12,7 +12,7 @@
 	"syscall"
 	"time"
 
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/settings"
 )
 
 // idleMargin is how long before a backend may close an idle connection it is no longer used: a request that
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -6,8 +6,8 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
 )
 
 // A backend at the address of one that has gone has connections of its own: those of the old one close, the one in
@@ -23,11 +23,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := func(mode grebefork.ListMode, members ...discovery.Member) {
-		l.take(t.Context(), input{event: grebefork.Event{Kind: grebefork.EventList, ListMode: mode}, members: members})
+	list := func(mode balancer.ListMode, members ...discovery.Member) {
+		l.take(t.Context(), input{event: balancer.Event{Kind: balancer.EventList, ListMode: mode}, members: members})
 	}
 	old, next := discovery.Member{ID: "old", HostPort: b.addr, Phase: "Ready"}, discovery.Member{ID: "next", HostPort: b.addr, Phase: "Ready"}
-	list(grebefork.ListFull, old)
+	list(balancer.ListFull, old)
 	ctx, cancel := context.WithTimeout(t.Context(), wait)
 	defer cancel()
 	m := newMessage("GET", "/", "x", nil, nil, nil)
@@ -35,7 +35,7 @@
 	first := l.targets[idOf(t, l, "old")]
 	go func() { inUse <- exchangeBy(l.pool, ctx, first, &m, time.Time{}) }()
 	receive(t, "request", b.got)
-	list(grebefork.ListDelta, next)
+	list(balancer.ListDelta, next)
 	goOn <- struct{}{}
 	second := l.targets[idOf(t, l, "next")]
 	inUse2 := make(chan result, 1)
@@ -48,7 +48,7 @@
 	goOn <- struct{}{}
 	receive(t, "answer of the new one", inUse2)
 	old.Phase = "Gone"
-	list(grebefork.ListDelta, old)
+	list(balancer.ListDelta, old)
 	if len(first.idle) != 0 || len(second.idle) != 1 || l.pool.open != 1 {
 		t.Errorf("%d idle to the old one, %d to the new one, %d open", len(first.idle), len(second.idle), l.pool.open)
 	}
@@ -56,7 +56,7 @@
 	go func() { inUse2 <- exchangeBy(l.pool, ctx, second, &m, time.Time{}) }()
 	receive(t, "request", b.got)
 	next.UpSince = 5
-	list(grebefork.ListDelta, next)
+	list(balancer.ListDelta, next)
 	goOn <- struct{}{}
 	receive(t, "late answer", inUse2)
 	if len(second.idle) != 0 || l.pool.open != 0 {
@@ -98,7 +98,7 @@
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != grebefork.OK {
+	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.OK {
 		t.Fatalf("outcome %d", r.outcome)
 	}
 	silent := make(chan result, 1)
@@ -106,14 +106,14 @@
 	go func() { silent <- exchangeBy(p, held, toY, &m, time.Time{}) }()
 	receive(t, "close of the idle connection", x.ended)
 	receive(t, "request", y.got)
-	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != grebefork.Moot {
+	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.Moot {
 		t.Errorf("with the only socket in use: outcome %d", r.outcome)
 	}
 	giveUp()
-	if r := receive(t, "cancelled attempt", silent); r.outcome != grebefork.Cancelled {
+	if r := receive(t, "cancelled attempt", silent); r.outcome != balancer.Cancelled {
 		t.Errorf("given up: outcome %d", r.outcome)
 	}
-	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != grebefork.OK {
+	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.OK {
 		t.Errorf("with the socket free again: outcome %d", r.outcome)
 	}
 }
@@ -143,7 +143,7 @@
 		},
 		func(*conn) {},
 	} {
-		if r := exchangeBy(p, ctx, to, &m, time.Time{}); r.outcome != grebefork.OK {
+		if r := exchangeBy(p, ctx, to, &m, time.Time{}); r.outcome != balancer.OK {
 			t.Fatalf("exchange %d: outcome %d", i, r.outcome)
 		}
 		if n := len(b.accepted); n != i+1 {
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -4,10 +4,10 @@
 	"context"
 	"slices"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/config"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/settings"
 )
 
 // follows puts each configuration in force that comes, until the context ends.
@@ -60,7 +60,7 @@
 		return nil
 	}
 	// Danger: zones and kinds are positions in the settings' lists, and those have changed under the servers.
-	l.handle(ctx, grebefork.Event{Kind: grebefork.EventList, ListMode: grebefork.ListFull, Servers: l.entries(l.servers.Members())})
+	l.handle(ctx, balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull, Servers: l.entries(l.servers.Members())})
 	return nil
 }
 
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -7,7 +7,7 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/config"
+	"example.org/ryeloft/internal/config"
 )
 
 // Classes appear, vanish and become stricter; what is under way is answered as what it was taken for, and a broken
--- a/internal/agent/rooms_test.go
+++ b/internal/agent/rooms_test.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/config"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/settings"
 )
 
 // roomsFor makes the rooms of a process that does nothing else.
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -14,8 +14,8 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/clock"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/clock"
 )
 
 const (
@@ -124,7 +124,7 @@
 		s.answer(w, r, c, answer{status: statusRefused, retryAfter: s.fullAdvice()})
 		return
 	}
-	s.loop.send(input{event: grebefork.Event{Kind: grebefork.EventRequest}, call: c})
+	s.loop.send(input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 	var late <-chan time.Time
 	if left, bounded := s.drain.late(); bounded {
 		late = time.After(left)
@@ -147,7 +147,7 @@
 	case <-s.hurry:
 		s.giveUp(w, r, c)
 	case <-r.Context().Done():
-		s.loop.send(input{event: grebefork.Event{Kind: grebefork.EventHangup}, call: c})
+		s.loop.send(input{event: balancer.Event{Kind: balancer.EventHangup}, call: c})
 		// Danger: a handler that returns without a word answers 200, and a client that has closed only its own
 		// side would take that for what a backend made.
 		panic(http.ErrAbortHandler)
@@ -167,7 +167,7 @@
 
 // giveUp answers a request as failed whose answer can be waited for no longer.
 func (s *server) giveUp(w http.ResponseWriter, r *http.Request, c *call) {
-	s.loop.send(input{event: grebefork.Event{Kind: grebefork.EventHangup}, call: c})
+	s.loop.send(input{event: balancer.Event{Kind: balancer.EventHangup}, call: c})
 	s.answer(w, r, c, answer{status: statusFailed})
 }
 
@@ -378,9 +378,9 @@
 
 // checkEffect checks that a request is sent as its class's effect asks. Danger: a keyed request without its
 // key would be repeated as if backends could tell.
-func checkEffect(effect grebefork.Effect, r *http.Request) error {
-	method, keyed := http.MethodPost, effect == grebefork.Token
-	if effect == grebefork.Pure {
+func checkEffect(effect balancer.Effect, r *http.Request) error {
+	method, keyed := http.MethodPost, effect == balancer.Token
+	if effect == balancer.Pure {
 		method = http.MethodGet
 	}
 	if r.Method != method {
--- a/internal/agent/stream.go
+++ b/internal/agent/stream.go
@@ -12,7 +12,7 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/grebefork/internal/clock"
+	"example.org/ryeloft/internal/clock"
 )
 
 const (
--- a/balancer.go
+++ b/internal/balancer/balancer.go
@@ -1,4 +1,4 @@
-package grebefork
+package balancer
 
 // All decisions, in the order a request lives; vocabulary in types.go, state in state.go. The ordinary path
 // is He and Down's line variant; docs/design.md lists the exceptions and when each acts.
--- a/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -1,4 +1,4 @@
-package grebefork
+package balancer
 
 import (
 	"math"
@@ -137,7 +137,7 @@
 // policyFiles are the files of decisions that the deploy file names, which have to be all of this package.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
-	text, err := os.ReadFile("deploy/balancer.toml")
+	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -145,7 +145,7 @@
 	list, _, _ = strings.Cut(list, "]")
 	var named []string
 	for part := range strings.SplitSeq(list, ",") {
-		named = append(named, strings.Trim(part, " \""))
+		named = append(named, strings.TrimPrefix(strings.Trim(part, " \""), "internal/balancer/"))
 	}
 	all, err := filepath.Glob("*.go")
 	if err != nil {
--- a/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -1,4 +1,4 @@
-package grebefork
+package balancer
 
 import (
 	"container/heap"
--- a/listcalls.go
+++ b/internal/balancer/listcalls.go
@@ -1,4 +1,4 @@
-package grebefork
+package balancer
 
 // When the agent asks for the list of servers. All agents share one list service, which works through calls in
 // turn, and each has to have a change by the time that the platform gives for it.
--- a/state.go
+++ b/internal/balancer/state.go
@@ -1,4 +1,4 @@
-package grebefork
+package balancer
 
 import (
 	"cmp"
@@ -179,7 +179,7 @@
 // their names; a request under way keeps the class it was taken with.
 func (b *Balancer) Adopt(s Settings) error {
 	if err := s.check(); err != nil {
-		return fmt.Errorf("grebefork: %w", err)
+		return fmt.Errorf("balancer: %w", err)
 	}
 	if s.ExtraWindow == 0 {
 		s.ExtraWindow, s.ExtraFloor, s.ExtraRatio = seconds(retrySpan), retryFloor, retryRatio
--- a/trace_amd64_test.go
+++ b/internal/balancer/trace_amd64_test.go
@@ -1,4 +1,4 @@
-package grebefork_test
+package balancer_test
 
 import (
 	"container/heap"
@@ -11,7 +11,7 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
+	"example.org/ryeloft/internal/balancer"
 )
 
 // traceStart is the time of a trace's first event, far from zero so that differences and absolute times are told apart.
@@ -21,7 +21,7 @@
 type scheduledEvent struct {
 	at       time.Duration
 	sequence int
-	event    grebefork.Event
+	event    balancer.Event
 }
 
 type eventQueue []scheduledEvent
@@ -48,44 +48,44 @@
 // traceDriver drives one balancer by random events and hashes every action that it returns.
 type traceDriver struct {
 	t        *testing.T
-	balancer *grebefork.Balancer
-	settings grebefork.Settings
+	balancer *balancer.Balancer
+	settings balancer.Settings
 	rng      *rand.Rand
 	now      time.Duration
 	queue    eventQueue
 	sequence int
-	servers  []grebefork.ServerEntry
-	requests map[grebefork.RequestID]*traceRequest
-	recent   []grebefork.RequestID
-	nextID   grebefork.RequestID
+	servers  []balancer.ServerEntry
+	requests map[balancer.RequestID]*traceRequest
+	recent   []balancer.RequestID
+	nextID   balancer.RequestID
 	hash     hash.Hash64
-	actions  map[grebefork.ActionKind]int
+	actions  map[balancer.ActionKind]int
 }
 
 // traceSettings draws settings with classes of every effect and scope, tenants, zones and kinds.
-func traceSettings(rng *rand.Rand) grebefork.Settings {
+func traceSettings(rng *rand.Rand) balancer.Settings {
 	const ms = time.Millisecond
 	objective := time.Duration(50+rng.IntN(400)) * ms
-	class := func(name string, effect grebefork.Effect, scope grebefork.Scope) grebefork.Class {
-		return grebefork.Class{
+	class := func(name string, effect balancer.Effect, scope balancer.Scope) balancer.Class {
+		return balancer.Class{
 			Name: name, Aim: objective, Deadline: objective * time.Duration(2+rng.IntN(3)), Worth: 0.5 + rng.Float64(),
 			LateWorth: float64(rng.IntN(2)) / 2, Effect: effect, Scope: scope, Window: time.Duration(100+rng.IntN(900)) * ms,
 		}
 	}
-	classes := []grebefork.Class{
-		class("read", grebefork.Pure, 0),
-		class("write", grebefork.SideEffect, 0),
-		class("keyed", grebefork.Token, grebefork.ScopeAll),
-		class("keyed-by-zone", grebefork.Token, grebefork.ScopeZone),
-		class("keyed-by-cell", grebefork.Token, grebefork.ScopeCell),
-		class("placed", grebefork.Pure, 0),
+	classes := []balancer.Class{
+		class("read", balancer.Pure, 0),
+		class("write", balancer.SideEffect, 0),
+		class("keyed", balancer.Token, balancer.ScopeAll),
+		class("keyed-by-zone", balancer.Token, balancer.ScopeZone),
+		class("keyed-by-cell", balancer.Token, balancer.ScopeCell),
+		class("placed", balancer.Pure, 0),
 	}
 	classes[5].Zones, classes[5].Kinds = []int{0, 1}, []int{0}
 	agents := 1 + rng.IntN(40)
-	return grebefork.Settings{
+	return balancer.Settings{
 		Rank: rng.IntN(agents), Agents: agents, Zone: rng.IntN(4) - 1, Classes: classes,
-		Tenants: []grebefork.Tenant{{Portion: 0.6}, {Portion: 0.3}, {Portion: 0}},
-		Kinds:   []string{"small", "large"}, Reports: grebefork.ReportMode(rng.IntN(3)),
+		Tenants: []balancer.Tenant{{Portion: 0.6}, {Portion: 0.3}, {Portion: 0}},
+		Kinds:   []string{"small", "large"}, Reports: balancer.ReportMode(rng.IntN(3)),
 		AskList: rng.IntN(2) == 0, MustAskIn: time.Duration(3+rng.IntN(5)) * time.Second, Tick: ms,
 		MaxAttempts: 2 + rng.IntN(4), Probes: rng.IntN(2) == 0, Cancel: rng.IntN(2) == 0,
 		SecondCopies: rng.IntN(3) > 0, RetryAfter: rng.IntN(2) == 0, MaxRetryAfter: time.Duration(rng.IntN(2)) * time.Second,
@@ -98,24 +98,24 @@
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
 	settings := traceSettings(rng)
-	balancer, err := grebefork.New(settings, seed)
+	decisions, err := balancer.New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	driver := &traceDriver{
-		t: t, balancer: balancer, settings: settings, rng: rng, now: traceStart,
-		requests: map[grebefork.RequestID]*traceRequest{}, hash: fnv.New64a(), actions: map[grebefork.ActionKind]int{},
+		t: t, balancer: decisions, settings: settings, rng: rng, now: traceStart,
+		requests: map[balancer.RequestID]*traceRequest{}, hash: fnv.New64a(), actions: map[balancer.ActionKind]int{},
 	}
 	for id := range 4 + rng.IntN(40) {
-		driver.servers = append(driver.servers, driver.drawServer(grebefork.ServerID(id+1)))
+		driver.servers = append(driver.servers, driver.drawServer(balancer.ServerID(id+1)))
 	}
-	driver.handle(grebefork.Event{Kind: grebefork.EventList, ListMode: grebefork.ListFull, Servers: slices.Clone(driver.servers)})
+	driver.handle(balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull, Servers: slices.Clone(driver.servers)})
 	return driver
 }
 
-func (d *traceDriver) drawServer(id grebefork.ServerID) grebefork.ServerEntry {
-	entry := grebefork.ServerEntry{
-		ID: id, Zone: int(id) % 3, Kind: int(id) % 2, Cell: int(id) % 4, State: grebefork.Ready, Weight: float64(d.rng.IntN(5)),
+func (d *traceDriver) drawServer(id balancer.ServerID) balancer.ServerEntry {
+	entry := balancer.ServerEntry{
+		ID: id, Zone: int(id) % 3, Kind: int(id) % 2, Cell: int(id) % 4, State: balancer.Ready, Weight: float64(d.rng.IntN(5)),
 	}
 	if d.rng.IntN(3) == 0 {
 		entry.Start = d.now
@@ -123,7 +123,7 @@
 	return entry
 }
 
-func (d *traceDriver) schedule(wait time.Duration, event grebefork.Event) {
+func (d *traceDriver) schedule(wait time.Duration, event balancer.Event) {
 	d.sequence++
 	heap.Push(&d.queue, scheduledEvent{at: d.now + wait, sequence: d.sequence, event: event})
 }
@@ -138,39 +138,39 @@
 
 // handle hands one event to the balancer, hashes the actions and carries them out. The text of log lines is no decision
 // and has no part in the hash.
-func (d *traceDriver) handle(event grebefork.Event) {
+func (d *traceDriver) handle(event balancer.Event) {
 	for _, action := range d.balancer.Handle(d.now, event, nil) {
 		d.actions[action.Kind]++
 		d.record(uint64(d.now), uint64(action.Kind), uint64(action.Request), uint64(action.Server),
 			uint64(action.Attempt), uint64(action.Wait), uint64(action.Within), action.Token)
 		switch action.Kind {
-		case grebefork.ActSend:
+		case balancer.ActSend:
 			d.answerAttempt(action)
-		case grebefork.ActRefuse, grebefork.ActFail:
+		case balancer.ActRefuse, balancer.ActFail:
 			d.requests[action.Request].answered = true
-		case grebefork.ActCancel:
+		case balancer.ActCancel:
 			if d.rng.IntN(2) == 0 {
-				d.schedule(time.Duration(d.rng.IntN(3))*time.Millisecond, grebefork.Event{
-					Kind: grebefork.EventOutcome, Request: action.Request, Attempt: action.Attempt, Outcome: grebefork.Cancelled, Closed: true,
+				d.schedule(time.Duration(d.rng.IntN(3))*time.Millisecond, balancer.Event{
+					Kind: balancer.EventOutcome, Request: action.Request, Attempt: action.Attempt, Outcome: balancer.Cancelled, Closed: true,
 				})
 			}
-		case grebefork.ActTimer:
-			d.schedule(action.Wait, grebefork.Event{Kind: grebefork.EventTimer, Token: action.Token})
-		case grebefork.ActProbe:
-			d.schedule(time.Duration(d.rng.IntN(20))*time.Millisecond, grebefork.Event{
-				Kind: grebefork.EventProbed, Server: action.Server, Outcome: grebefork.Outcome(d.rng.IntN(3)), Load: d.drawLoad(),
+		case balancer.ActTimer:
+			d.schedule(action.Wait, balancer.Event{Kind: balancer.EventTimer, Token: action.Token})
+		case balancer.ActProbe:
+			d.schedule(time.Duration(d.rng.IntN(20))*time.Millisecond, balancer.Event{
+				Kind: balancer.EventProbed, Server: action.Server, Outcome: balancer.Outcome(d.rng.IntN(3)), Load: d.drawLoad(),
 			})
-		case grebefork.ActFollow:
+		case balancer.ActFollow:
 			d.answerPoll()
 		}
 	}
 }
 
 // answerAttempt draws how and when an attempt ends. One server in seven fails often.
-func (d *traceDriver) answerAttempt(action grebefork.Action) {
+func (d *traceDriver) answerAttempt(action balancer.Action) {
 	request := d.requests[action.Request]
-	event := grebefork.Event{
-		Kind: grebefork.EventOutcome, Request: action.Request, Attempt: request.attempts, Server: action.Server, Load: d.drawLoad(),
+	event := balancer.Event{
+		Kind: balancer.EventOutcome, Request: action.Request, Attempt: request.attempts, Server: action.Server, Load: d.drawLoad(),
 	}
 	request.attempts++
 	latency := time.Duration(d.rng.ExpFloat64() * float64(20+5*int(action.Server%7)) * float64(time.Millisecond))
@@ -179,15 +179,15 @@
 		failures = 0.6
 	}
 	if d.rng.Float64() < failures {
-		event.Outcome = grebefork.Outcome(1 + d.rng.IntN(int(grebefork.Leaving)))
+		event.Outcome = balancer.Outcome(1 + d.rng.IntN(int(balancer.Leaving)))
 	}
 	switch {
-	case event.Outcome == grebefork.Timeout || latency > action.Wait:
-		event.Outcome, latency = grebefork.Timeout, action.Wait
-	case event.Outcome != grebefork.OK:
+	case event.Outcome == balancer.Timeout || latency > action.Wait:
+		event.Outcome, latency = balancer.Timeout, action.Wait
+	case event.Outcome != balancer.OK:
 		latency /= 10
 	case d.rng.IntN(20) == 0:
-		d.schedule(latency/2, grebefork.Event{Kind: grebefork.EventBegun, Request: action.Request})
+		d.schedule(latency/2, balancer.Event{Kind: balancer.EventBegun, Request: action.Request})
 	}
 	d.schedule(latency, event)
 }
@@ -195,18 +195,18 @@
 // answerPoll fails a third of the polls and answers the others by the endpoint list as it stands.
 func (d *traceDriver) answerPoll() {
 	took := time.Duration(d.rng.IntN(300)) * time.Millisecond
-	event := grebefork.Event{Kind: grebefork.EventList, ListMode: grebefork.ListFull, Servers: slices.Clone(d.servers)}
+	event := balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull, Servers: slices.Clone(d.servers)}
 	if d.rng.IntN(3) == 0 {
-		event = grebefork.Event{
-			Kind: grebefork.EventList, ListMode: grebefork.ListFailed, Left: time.Duration(d.rng.IntN(6000)) * time.Millisecond,
-			Answer: time.Duration(d.rng.IntN(2)) * took, Outcome: grebefork.Outcome(d.rng.IntN(3)),
+		event = balancer.Event{
+			Kind: balancer.EventList, ListMode: balancer.ListFailed, Left: time.Duration(d.rng.IntN(6000)) * time.Millisecond,
+			Answer: time.Duration(d.rng.IntN(2)) * took, Outcome: balancer.Outcome(d.rng.IntN(3)),
 		}
 	}
 	d.schedule(took, event)
 }
 
-func (d *traceDriver) drawLoad() grebefork.Load {
-	return grebefork.Load{
+func (d *traceDriver) drawLoad() balancer.Load {
+	return balancer.Load{
 		Known: d.rng.IntN(3) > 0, InFlight: float64(d.rng.IntN(12) - 2), Queue: float64(d.rng.IntN(8) - 2),
 		Recent: time.Duration(d.rng.IntN(40)) * time.Millisecond,
 	}
@@ -218,9 +218,9 @@
 	for len(d.queue) > 0 && d.queue[0].at <= end {
 		next := heap.Pop(&d.queue).(scheduledEvent)
 		d.now = next.at
-		if next.event.Kind == grebefork.EventOutcome {
+		if next.event.Kind == balancer.EventOutcome {
 			request := d.requests[next.event.Request]
-			if next.event.Outcome == grebefork.OK {
+			if next.event.Outcome == balancer.OK {
 				request.answered = true
 			}
 			next.event.Closed = next.event.Closed || request.answered
@@ -240,10 +240,10 @@
 	case choice < 980:
 		d.changeServer()
 	case choice < 990:
-		d.handle(grebefork.Event{Kind: grebefork.EventList, ListMode: grebefork.ListMoved, Left: 4 * time.Second,
+		d.handle(balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListMoved, Left: 4 * time.Second,
 			Answer: time.Duration(d.rng.IntN(2)) * 100 * time.Millisecond})
 	case choice < 995:
-		d.handle(grebefork.Event{Kind: grebefork.EventList, ListMode: grebefork.ListCached, Servers: slices.Clone(d.servers)})
+		d.handle(balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListCached, Servers: slices.Clone(d.servers)})
 	default:
 		d.reload()
 	}
@@ -260,8 +260,8 @@
 	}
 	d.requests[d.nextID] = &traceRequest{deadline: d.now + left}
 	d.recent = append(d.recent, d.nextID)
-	d.handle(grebefork.Event{
-		Kind: grebefork.EventRequest, Request: d.nextID, Class: class, Tenant: d.rng.IntN(5) - 1, Left: left, Retry: retry,
+	d.handle(balancer.Event{
+		Kind: balancer.EventRequest, Request: d.nextID, Class: class, Tenant: d.rng.IntN(5) - 1, Left: left, Retry: retry,
 	})
 }
 
@@ -272,7 +272,7 @@
 	id := d.recent[max(0, len(d.recent)-1-d.rng.IntN(30))]
 	if request := d.requests[id]; !request.answered {
 		request.answered = true
-		d.handle(grebefork.Event{Kind: grebefork.EventHangup, Request: id})
+		d.handle(balancer.Event{Kind: balancer.EventHangup, Request: id})
 	}
 }
 
@@ -280,16 +280,16 @@
 	i := d.rng.IntN(len(d.servers))
 	switch d.rng.IntN(4) {
 	case 0:
-		d.servers[i].State = grebefork.Draining
+		d.servers[i].State = balancer.Draining
 	case 1:
-		d.servers[i].State = grebefork.Gone
+		d.servers[i].State = balancer.Gone
 	case 2:
 		d.servers[i] = d.drawServer(d.servers[i].ID)
 	default:
-		d.servers = append(d.servers, d.drawServer(grebefork.ServerID(len(d.servers)+1)))
+		d.servers = append(d.servers, d.drawServer(balancer.ServerID(len(d.servers)+1)))
 		i = len(d.servers) - 1
 	}
-	d.handle(grebefork.Event{Kind: grebefork.EventList, ListMode: grebefork.ListDelta, Servers: []grebefork.ServerEntry{d.servers[i]}})
+	d.handle(balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListDelta, Servers: []balancer.ServerEntry{d.servers[i]}})
 }
 
 // reload adopts new settings; every other time the kinds change places, and what was learnt of them is dropped.
--- a/types.go
+++ b/internal/balancer/types.go
@@ -1,11 +1,11 @@
-// Package grebefork decides, for one agent of a service mesh, where each request goes: which server,
+// Package balancer decides, for one agent of a service mesh, where each request goes: which server,
 // with what time-out, whether to try again, refuse or fail.
 //
 // A Balancer is a deterministic state machine. It has no clock, no goroutines and does no I/O: the caller
 // hands it events with the time they happened and carries out the actions it returns, in order. Use one
 // Balancer for each agent and never call it from two goroutines at once. Times are durations since any fixed
 // start and must not run backwards; timers are the caller's to keep.
-package grebefork
+package balancer
 
 import "time"
 
--- a/internal/clock/source_test.go
+++ b/internal/clock/source_test.go
@@ -23,13 +23,10 @@
 // The agent and the relay read the wall clock in this package only. Where they did elsewhere, a step of it let clients trickle on
 // for an hour, and turned good ones down.
 func TestWallClockIsReadHereOnly(t *testing.T) {
-	const root = "../.."
-	sources := []string{".", "cmd/micaline", "cmd/relay", "internal/agent", "internal/config", "internal/discovery", "internal/lists",
-		"internal/membership", "internal/relay", "internal/settings"}
 	files := 0
-	for _, folder := range sources {
+	for _, folder := range agentSources(t) {
 		set := token.NewFileSet()
-		packages, err := parser.ParseDir(set, filepath.Join(root, folder), func(f fs.FileInfo) bool { return !strings.HasSuffix(f.Name(), "_test.go") }, 0)
+		packages, err := parser.ParseDir(set, folder, func(f fs.FileInfo) bool { return !strings.HasSuffix(f.Name(), "_test.go") }, 0)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -54,7 +51,34 @@
 			}
 		}
 	}
-	if files < len(sources) {
+	if files < minSources {
 		t.Errorf("%d files are looked at", files)
 	}
 }
+
+// minSources is fewer files than the agent and the relay have.
+const minSources = 30
+
+// agentSources returns the folders of the programs that run beside a client, and of all packages but clock itself and those of
+// the scale run.
+func agentSources(t *testing.T) []string {
+	t.Helper()
+	const root = "../.."
+	folders := []string{filepath.Join(root, "cmd/agent"), filepath.Join(root, "cmd/relay")}
+	err := filepath.WalkDir(filepath.Join(root, "internal"), func(path string, entry fs.DirEntry, err error) error {
+		switch {
+		case err != nil:
+			return err
+		case !entry.IsDir():
+			return nil
+		case entry.Name() == "clock", entry.Name() == "scale", entry.Name() == "testdata":
+			return fs.SkipDir
+		}
+		folders = append(folders, path)
+		return nil
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	return folders
+}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -12,9 +12,9 @@
 	"strconv"
 	"strings"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/settings"
 )
 
 const (
@@ -240,7 +240,7 @@
 	return file, nil
 }
 
-// checkSettings checks what the agent needs beside the module, whose own check is grebefork.New.
+// checkSettings checks what the agent needs beside the module, whose own check is balancer.New.
 func checkSettings(s *settings.Settings) error {
 	if s.ConnectTimeout <= 0 {
 		return errors.New("settings: limits.connectTimeout must be above 0")
@@ -255,7 +255,7 @@
 			}
 		}
 	}
-	if _, err := grebefork.New(s.Module, 0); err != nil {
+	if _, err := balancer.New(s.Module, 0); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	return nil
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -16,9 +16,9 @@
 	"net/netip"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/clock"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/clock"
+	"example.org/ryeloft/internal/settings"
 )
 
 const (
@@ -31,20 +31,20 @@
 	// in askTurn, each in its agent's own turn, or one turn later if that were within leastWait. Silence shows only then,
 	// and ToldFailed counts from the watch's begin: what is left of it is for the calls that make up for the watch.
 	pushWatch = 2 * time.Second
-	askTurn   = grebefork.ToldFailed / 2
+	askTurn   = balancer.ToldFailed / 2
 	leastWait = askTurn / 6
 	// watchGrace is how long an answer may come after a watch's wait.
-	watchGrace = grebefork.ToldFailed / 15
+	watchGrace = balancer.ToldFailed / 15
 	// pushTimeout and askTimeout are how long a call may take that does not wait; asked, calls are worked through in turn.
 	// Both are up in time for another call before what a hanging one misses counts as told.
-	pushTimeout  = grebefork.ToldFailed / 6
-	askTimeout   = grebefork.ToldFailed / 2
+	pushTimeout  = balancer.ToldFailed / 6
+	askTimeout   = balancer.ToldFailed / 2
 	leastTimeout = 300 * time.Millisecond // of a call that has to make up for others
 	// jamShows is for how long calls have to fail in a row, all after a wait for the service, to say that it cannot answer
 	// all agents within the bound. Danger: a service that is down may refuse late as well. What is left of the bound makes
 	// calls follow each other fast at its end, so their number says little; over two bounds an outage that agents are to
 	// make up for has ended.
-	jamShows = 2 * grebefork.ToldFailed
+	jamShows = 2 * balancer.ToldFailed
 	// crowdedCalls of them are enough where the answers that there were say that the service cannot answer each agent once
 	// within the bound.
 	crowdedCalls = 4
@@ -63,11 +63,11 @@
 type Member struct {
 	ID       string
 	HostPort string `json:"host_port"`
-	Locality string
-	Flavor   string
+	Locality string `json:"locality"`
+	Flavor   string `json:"flavor"`
 	Cell     int
-	Phase    string
-	Size     float64
+	Phase    string  `json:"phase"`
+	Size     float64 `json:"size"`
 	UpSince  float64 `json:"up_since_ms"` // Unix time, milliseconds
 }
 
@@ -79,8 +79,8 @@
 }
 
 // Phases are the names that discovery has for the states of a backend.
-var Phases = map[string]grebefork.ServerState{
-	"Ready": grebefork.Ready, "Terminating": grebefork.Draining, "Gone": grebefork.Gone,
+var Phases = map[string]balancer.ServerState{
+	"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Gone,
 }
 
 // Parse takes a list whole or not at all: half of one would take backends for gone that are not. Its errors are ErrBadList
@@ -104,7 +104,7 @@
 		case !(m.UpSince >= 0 && m.UpSince < 9e12): // what a time.Duration can hold
 			return List{}, fmt.Errorf("%w: members[%d].up_since_ms %v", ErrBadList, i, m.UpSince)
 		}
-		if _, err := netip.ParseAddrPort(m.HostPort); err != nil && state != grebefork.Gone {
+		if _, err := netip.ParseAddrPort(m.HostPort); err != nil && state != balancer.Gone {
 			return List{}, fmt.Errorf("%w: members[%d].host_port: %w", ErrBadList, i, err)
 		}
 		seen[m.ID] = true
@@ -115,7 +115,7 @@
 // News is what the owner of a client is told: a list or changes of it, or that a call failed and how long there is to make
 // up for it.
 type News struct {
-	Mode          grebefork.ListMode
+	Mode          balancer.ListMode
 	Members       []Member
 	Left          time.Duration // of ListFailed: until what it missed counts as told; 0 if that is not known
 	RefusedAtOnce bool          // of ListFailed: the service refused the call at once, without work
@@ -124,10 +124,10 @@
 }
 
 // Event is the news in the terms of the module, with the members as the owner has numbered them.
-func (n News) Event(servers []grebefork.ServerEntry) grebefork.Event {
-	ev := grebefork.Event{Kind: grebefork.EventList, ListMode: n.Mode, Left: n.Left, Answer: n.Answer, Servers: servers}
+func (n News) Event(servers []balancer.ServerEntry) balancer.Event {
+	ev := balancer.Event{Kind: balancer.EventList, ListMode: n.Mode, Left: n.Left, Answer: n.Answer, Servers: servers}
 	if n.RefusedAtOnce {
-		ev.Outcome = grebefork.Full
+		ev.Outcome = balancer.Full
 	}
 	return ev
 }
@@ -240,7 +240,7 @@
 		<-left
 		d.failures = 0
 		if place.Addr == d.place.Addr {
-			d.missed(time.Now().Add(grebefork.ToldFailed)) // until then the watch would have told
+			d.missed(time.Now().Add(balancer.ToldFailed)) // until then the watch would have told
 		} else {
 			// The new service counts revisions of its own, so its whole list comes first.
 			d.revision = nil
@@ -252,7 +252,7 @@
 			d.client.CloseIdleConnections()
 		}
 		if d.ask() {
-			d.askAgain(grebefork.ListMoved, d.left())
+			d.askAgain(balancer.ListMoved, d.left())
 		}
 	}
 }
@@ -308,9 +308,9 @@
 			// Without relays calls are paced by what the service can answer, and a rest would outlast an outage's end.
 			if d.route.hasRelays() && d.jammed() {
 				d.rests = min(d.rests+1, 4)
-				d.route.rest(time.Now().Add(grebefork.ToldFailed << d.rests))
+				d.route.rest(time.Now().Add(balancer.ToldFailed << d.rests))
 			}
-			d.askAgain(grebefork.ListFailed, left)
+			d.askAgain(balancer.ListFailed, left)
 			continue
 		}
 		// Agents that lost discovery together must not come back together. Danger: where lists are pushed, what discovery
@@ -340,12 +340,12 @@
 
 // jammed says that calls fail because the service cannot answer all agents within the bound.
 func (d *Client) jammed() bool {
-	tooSlow := !d.assumed && d.answer*time.Duration(d.set().Module.Agents) >= grebefork.ToldFailed
+	tooSlow := !d.assumed && d.answer*time.Duration(d.set().Module.Agents) >= balancer.ToldFailed
 	return tooSlow && d.vain >= crowdedCalls || !d.crowded.IsZero() && time.Since(d.crowded) >= jamShows
 }
 
 // askAgain has the module decide when to ask again, by how long there is.
-func (d *Client) askAgain(mode grebefork.ListMode, left time.Duration) {
+func (d *Client) askAgain(mode balancer.ListMode, left time.Duration) {
 	select { // what was asked before is part of the failure
 	case <-d.follow:
 	default:
@@ -372,9 +372,9 @@
 // last followed within ToldFailed: in a series of moves the first bounds all.
 func (d *Client) missedMove(now time.Time) {
 	if d.notifiedBy.IsZero() {
-		d.notifiedBy = now.Add(grebefork.ToldFailed)
+		d.notifiedBy = now.Add(balancer.ToldFailed)
 	}
-	d.notifiedAt = now.Add(grebefork.ToldMoved)
+	d.notifiedAt = now.Add(balancer.ToldMoved)
 	if d.notifiedBy.Before(d.notifiedAt) {
 		d.notifiedAt = d.notifiedBy
 	}
@@ -430,9 +430,9 @@
 		}
 		switch {
 		case l.Complete:
-			d.tell(News{Mode: grebefork.ListFull, Members: l.Members, Revision: *l.Revision})
+			d.tell(News{Mode: balancer.ListFull, Members: l.Members, Revision: *l.Revision})
 		case len(l.Members) > 0 || !heard: // which tells the module that calls are answered again
-			d.tell(News{Mode: grebefork.ListDelta, Members: l.Members, Revision: *l.Revision})
+			d.tell(News{Mode: balancer.ListDelta, Members: l.Members, Revision: *l.Revision})
 		}
 		heard, d.revision, d.failures, d.notifiedAt, d.notifiedBy = true, l.Revision, 0, time.Time{}, time.Time{}
 		d.crowded, d.vain, d.rests = time.Time{}, 0, 0
@@ -475,7 +475,7 @@
 	if relayed {
 		began = began.Add(-RelayStale) // what the relay itself has missed
 	}
-	d.missed(began.Add(grebefork.ToldFailed))
+	d.missed(began.Add(balancer.ToldFailed))
 }
 
 // call is one call of discovery as it is to be made.
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/settings"
 )
 
 // wait bounds what a test waits for; nothing passes by it.
@@ -46,7 +46,7 @@
 		{true, nil, 4 * time.Second}, {false, nil, 4 * time.Second},
 		{true, &revision, 4 * time.Second}, {false, &revision, 4 * time.Second},
 	} {
-		set := &settings.Settings{Module: grebefork.Settings{Agents: 1, AskList: c.ask}}
+		set := &settings.Settings{Module: balancer.Settings{Agents: 1, AskList: c.ask}}
 		d := New(Options{Addr: "127.0.0.1:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
 		d.revision = c.revision
 		d.client.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
@@ -109,7 +109,7 @@
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
 	dialed, calls, told := make(chan string, 100), make(chan Call, 100), make(chan News, 100)
-	set := &settings.Settings{Module: grebefork.Settings{Agents: 1}}
+	set := &settings.Settings{Module: balancer.Settings{Agents: 1}}
 	d := New(Options{
 		Addr: "127.0.0.1:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler),
 		Tell: func(n News) {
@@ -130,13 +130,13 @@
 		text     string
 		wait     time.Duration
 		fails    bool
-		mode     grebefork.ListMode // told, if it does not fail
+		mode     balancer.ListMode // told, if it does not fail
 		revision uint64
 	}{
-		{`{"revision":4,"complete":true,"members":[{"id":"x","host_port":"10.0.0.1:80","phase":"Ready"}]}`, 0, false, grebefork.ListFull, 4},
-		{`{"revision":6,"complete":false,"members":[{"id":"x","phase":"Gone"}]}`, pushWatch, false, grebefork.ListDelta, 6},
+		{`{"revision":4,"complete":true,"members":[{"id":"x","host_port":"10.0.0.1:80","phase":"Ready"}]}`, 0, false, balancer.ListFull, 4},
+		{`{"revision":6,"complete":false,"members":[{"id":"x","phase":"Gone"}]}`, pushWatch, false, balancer.ListDelta, 6},
 		{`no list`, pushWatch, true, 0, 0},
-		{`{"revision":9,"complete":true,"members":[]}`, 0, false, grebefork.ListFull, 9},
+		{`{"revision":9,"complete":true,"members":[]}`, 0, false, balancer.ListFull, 9},
 	} {
 		select {
 		case answers <- c.text:
--- a/internal/discovery/inquiry.go
+++ b/internal/discovery/inquiry.go
@@ -5,7 +5,7 @@
 	"errors"
 	"time"
 
-	"example.org/grebefork"
+	"example.org/ryeloft/internal/balancer"
 )
 
 const (
@@ -15,9 +15,9 @@
 	// callsBeside is how many calls one inquiry has open at a time.
 	callsBeside = 2
 	// assumedAnswer is how long a service takes for a call that has not answered yet.
-	assumedAnswer = grebefork.ToldFailed / 20
+	assumedAnswer = balancer.ToldFailed / 20
 	// leastPatience is how long a call is out at least before another is made beside it.
-	leastPatience = grebefork.ToldFailed / 20
+	leastPatience = balancer.ToldFailed / 20
 )
 
 // ended is how one call of an inquiry ended.
@@ -89,13 +89,13 @@
 // round is the time in which the service can answer each agent once, as far as is known: by its answers, and by calls that
 // waited for nothing. Half of the bound is the most, as a service that is back has to be asked in time.
 func (d *Client) round() time.Duration {
-	return min(max(d.answer*time.Duration(d.set().Module.Agents), d.inVain), grebefork.ToldFailed/2)
+	return min(max(d.answer*time.Duration(d.set().Module.Agents), d.inVain), balancer.ToldFailed/2)
 }
 
 // learnVain takes in that a call was out for so long and brought nothing: the service has more callers than it answers. Each
 // such call in a row doubles the round.
 func (d *Client) learnVain(took time.Duration) {
-	d.inVain = min(max(2*d.inVain, took), grebefork.ToldFailed/2)
+	d.inVain = min(max(2*d.inVain, took), balancer.ToldFailed/2)
 }
 
 // learnAnswer takes in how long the service took for a call. The shortest times tell of its work, the others of its queue, so
--- a/internal/discovery/moves_test.go
+++ b/internal/discovery/moves_test.go
@@ -14,8 +14,8 @@
 	"testing/synctest"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/settings"
 )
 
 // watched answers watches with the revision that it has, and notes what each call asked.
@@ -96,7 +96,7 @@
 				w := &watched{revision: 1, changed: make(chan struct{})}
 				var set atomic.Pointer[settings.Settings]
 				have := func(asked bool) {
-					set.Store(&settings.Settings{Module: grebefork.Settings{Agents: 1, AskList: asked}})
+					set.Store(&settings.Settings{Module: balancer.Settings{Agents: 1, AskList: asked}})
 				}
 				have(c.before)
 				var mu sync.Mutex
--- a/internal/discovery/relays.go
+++ b/internal/discovery/relays.go
@@ -12,7 +12,7 @@
 	"strconv"
 	"time"
 
-	"example.org/grebefork"
+	"example.org/ryeloft/internal/balancer"
 )
 
 const (
@@ -21,19 +21,19 @@
 	// still answers. Danger: a watch at a relay that falls silent shows after relayWatch and watchGrace, and what it missed
 	// may be older by RelayStale; what is left of ToldFailed is for the calls that make up for it: a dial to each relay that
 	// is just as silent, and one call.
-	RelayTimeout = grebefork.ToldFailed / 6
-	RelayWhole   = grebefork.ToldFailed / 3
-	RelayStale   = grebefork.ToldFailed / 3
-	relayWatch   = grebefork.ToldFailed / 3
-	relayDial    = grebefork.ToldFailed / 20
+	RelayTimeout = balancer.ToldFailed / 6
+	RelayWhole   = balancer.ToldFailed / 3
+	RelayStale   = balancer.ToldFailed / 3
+	relayWatch   = balancer.ToldFailed / 3
+	relayDial    = balancer.ToldFailed / 20
 
 	// mostTried is how many relays that say nothing an agent can go through in what a silent watch leaves of ToldFailed: it
 	// knows the first so many of its own order.
 	mostTried = 5
 	// silentRest is for how long a relay that said nothing, not even that it refuses, is passed over.
-	silentRest = grebefork.ToldFailed
+	silentRest = balancer.ToldFailed
 	// homeAgain is how often an agent that is not at its first relay tries to return there.
-	homeAgain = 10 * grebefork.ToldFailed
+	homeAgain = 10 * balancer.ToldFailed
 )
 
 // Place is where the list is to be had: from discovery's address, through relays if there are any.
@@ -60,7 +60,7 @@
 // refusal is the error of an answer that brings no list.
 func refusal(resp *http.Response) error {
 	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	if err != nil || !(seconds > 0 && seconds < grebefork.ToldFailed.Seconds()) {
+	if err != nil || !(seconds > 0 && seconds < balancer.ToldFailed.Seconds()) {
 		return fmt.Errorf("the list: status %s", resp.Status)
 	}
 	return busyError{resp.Status, time.Duration(seconds * float64(time.Second))}
--- a/internal/discovery/relays_test.go
+++ b/internal/discovery/relays_test.go
@@ -15,8 +15,8 @@
 	"testing/synctest"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/settings"
 )
 
 // An agent's first relay depends on its name alone, relays share agents evenly, and those of one that is lost spread over
@@ -176,7 +176,7 @@
 func follows(t *testing.T, asked, known bool, turn time.Duration) *alone {
 	relays := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	a := &alone{hostsOf: newHosts(append(relays, service)...), order: ranked("a", relays), heard: map[uint64]time.Time{}}
-	set := &settings.Settings{Module: grebefork.Settings{Agents: 1, AskList: asked}}
+	set := &settings.Settings{Module: balancer.Settings{Agents: 1, AskList: asked}}
 	var d *Client
 	d = New(Options{
 		Addr: service, Name: "a", Relays: relays, Settings: func() *settings.Settings { return set },
@@ -188,7 +188,7 @@
 				a.failed = append(a.failed, n.Left)
 				wait := turn
 				if wait < 0 {
-					wait = max(300*time.Millisecond, cmp.Or(n.Left, grebefork.ToldFailed)-1500*time.Millisecond)
+					wait = max(300*time.Millisecond, cmp.Or(n.Left, balancer.ToldFailed)-1500*time.Millisecond)
 				}
 				time.AfterFunc(wait, d.Ask)
 				return
@@ -271,7 +271,7 @@
 					t.Errorf("the module is told %v, want %d times", a.failed, c.failed)
 				}
 				for _, left := range a.failed { // what the relay itself may have missed is taken off
-					if left <= 0 || left > grebefork.ToldFailed-RelayStale {
+					if left <= 0 || left > balancer.ToldFailed-RelayStale {
 						t.Errorf("the module is told that %v are left", left)
 					}
 				}
@@ -303,7 +303,7 @@
 		back := time.Now()
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
-		if at, ok := a.heardOf(2); !ok || at.Sub(back) > grebefork.ToldFailed {
+		if at, ok := a.heardOf(2); !ok || at.Sub(back) > balancer.ToldFailed {
 			t.Errorf("heard %v, %v after the cut", ok, at.Sub(back))
 		}
 	})
@@ -331,7 +331,7 @@
 			cancel()
 		}
 	})
-	if worst := relayWatch + watchGrace + 5*relayDial; worst >= grebefork.ToldFailed-RelayStale {
+	if worst := relayWatch + watchGrace + 5*relayDial; worst >= balancer.ToldFailed-RelayStale {
 		t.Errorf("five silent relays take %v", worst)
 	}
 }
@@ -390,7 +390,7 @@
 func TestOtherRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHosts("10.0.0.1:1", "10.0.0.2:1", service)
-		set := &settings.Settings{Module: grebefork.Settings{Agents: 1}}
+		set := &settings.Settings{Module: balancer.Settings{Agents: 1}}
 		d := New(Options{
 			Addr: service, Name: "a", Settings: func() *settings.Settings { return set }, Count: func(Call) {},
 			Log: slog.New(slog.DiscardHandler), Tell: func(News) {},
--- a/internal/discovery/reloads_test.go
+++ b/internal/discovery/reloads_test.go
@@ -8,7 +8,7 @@
 	"testing/synctest"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/discovery"
 )
 
 // reloadsAfter are the times of one agent's configurations in quick succession, after its first one. Agents follow
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -16,10 +16,10 @@
 	"testing/synctest"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/membership"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/membership"
+	"example.org/ryeloft/internal/settings"
 )
 
 // service is a discovery service on the test's clock. It works through calls in turn and drops those that have waited for
@@ -223,7 +223,7 @@
 	heard map[int]time.Time // the cells, when they were first told
 
 	set      settings.Settings
-	balancer *grebefork.Balancer
+	balancer *balancer.Balancer
 	servers  *membership.Table
 	news     chan discovery.News
 	ask      func()
@@ -262,7 +262,7 @@
 		if f.set, err = settings.Parse([]byte(own)); err != nil {
 			t.Fatal(err)
 		}
-		if f.balancer, err = grebefork.New(f.set.Module, seed<<32+uint64(i)); err != nil {
+		if f.balancer, err = balancer.New(f.set.Module, seed<<32+uint64(i)); err != nil {
 			t.Fatal(err)
 		}
 		tell := func(n discovery.News) {
@@ -290,7 +290,7 @@
 		f.ask = d.Ask
 		ended.Go(func() { f.decide(ctx) })
 		ended.Go(func() { d.Run(ctx, f.moves) })
-		tell(discovery.News{Mode: grebefork.ListCached, Members: known.Members})
+		tell(discovery.News{Mode: balancer.ListCached, Members: known.Members})
 		fleet[i] = f
 	}
 	return fleet
@@ -317,7 +317,7 @@
 		case <-wake:
 			token := f.timers[next].token
 			f.timers = slices.Delete(f.timers, next, next+1)
-			f.handle(grebefork.Event{Kind: grebefork.EventTimer, Token: token})
+			f.handle(balancer.Event{Kind: balancer.EventTimer, Token: token})
 		case <-ctx.Done():
 			return
 		}
@@ -325,12 +325,12 @@
 }
 
 // handle carries out what the module answers to an event. Without requests it sends nothing.
-func (f *follower) handle(ev grebefork.Event) {
+func (f *follower) handle(ev balancer.Event) {
 	for _, a := range f.balancer.Handle(time.Duration(time.Now().UnixNano()), ev, nil) {
 		switch a.Kind {
-		case grebefork.ActTimer:
+		case balancer.ActTimer:
 			f.timers = append(f.timers, timer{due: time.Now().Add(a.Wait), token: a.Token})
-		case grebefork.ActFollow:
+		case balancer.ActFollow:
 			f.ask()
 		}
 	}
--- a/internal/lists/encode.go
+++ b/internal/lists/encode.go
@@ -5,7 +5,7 @@
 	"math"
 	"strconv"
 
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/discovery"
 )
 
 // lineBytes is about what an entry takes as text.
--- a/internal/lists/server_test.go
+++ b/internal/lists/server_test.go
@@ -12,7 +12,7 @@
 	"testing/synctest"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/discovery"
 )
 
 // get makes one call of a handler and returns its answer.
--- a/internal/lists/store.go
+++ b/internal/lists/store.go
@@ -8,7 +8,7 @@
 	"slices"
 	"sync"
 
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/discovery"
 )
 
 const (
--- a/internal/lists/store_test.go
+++ b/internal/lists/store_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"unsafe"
 
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/discovery"
 )
 
 func member(id, phase string) discovery.Member {
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -7,17 +7,17 @@
 	"slices"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/settings"
 )
 
 // Table numbers the backends by their names, the same in every life of the agent, and knows what discovery last said of
 // each. It is one goroutine's.
 type Table struct {
-	ids     map[string]grebefork.ServerID
-	members map[grebefork.ServerID]discovery.Member
-	states  map[grebefork.ServerState]int // members
+	ids     map[string]balancer.ServerID
+	members map[balancer.ServerID]discovery.Member
+	states  map[balancer.ServerState]int // members
 	starts  starts
 }
 
@@ -26,19 +26,19 @@
 func New(clock func() time.Duration) *Table {
 	return &Table{
 		starts:  newStarts(clock),
-		ids:     map[string]grebefork.ServerID{},
-		members: map[grebefork.ServerID]discovery.Member{},
-		states:  map[grebefork.ServerState]int{},
+		ids:     map[string]balancer.ServerID{},
+		members: map[balancer.ServerID]discovery.Member{},
+		states:  map[balancer.ServerState]int{},
 	}
 }
 
 // Entries notes the members of a list, or of changes, and returns an entry for each, in their order. One that is gone is
 // noted too, until Forget: its number must not be another's before the module has heard.
-func (t *Table) Entries(set *settings.Settings, members []discovery.Member) []grebefork.ServerEntry {
-	entries := make([]grebefork.ServerEntry, 0, len(members))
+func (t *Table) Entries(set *settings.Settings, members []discovery.Member) []balancer.ServerEntry {
+	entries := make([]balancer.ServerEntry, 0, len(members))
 	t.starts.see(members)
 	for _, m := range members {
-		e := grebefork.ServerEntry{
+		e := balancer.ServerEntry{
 			ID:     t.of(m.ID),
 			Zone:   slices.Index(set.Zones, m.Locality),
 			Kind:   slices.Index(set.Kinds, m.Flavor),
@@ -65,23 +65,23 @@
 // Forget frees the backends that a list has shown to be gone, by what Entries returned for it, and returns their numbers in
 // no order. Changes cost what they name; a list, which is whole, also frees what it does not name. After ListFailed
 // nothing is gone.
-func (t *Table) Forget(mode grebefork.ListMode, entries []grebefork.ServerEntry) (gone []grebefork.ServerID) {
+func (t *Table) Forget(mode balancer.ListMode, entries []balancer.ServerEntry) (gone []balancer.ServerID) {
 	if mode.Keeps() {
 		return nil
 	}
-	t.starts.followed = t.starts.followed || mode != grebefork.ListCached
-	if mode == grebefork.ListDelta {
+	t.starts.followed = t.starts.followed || mode != balancer.ListCached
+	if mode == balancer.ListDelta {
 		for _, e := range entries {
-			if m, known := t.members[e.ID]; known && discovery.Phases[m.Phase] == grebefork.Gone {
+			if m, known := t.members[e.ID]; known && discovery.Phases[m.Phase] == balancer.Gone {
 				t.free(e.ID)
 				gone = append(gone, e.ID)
 			}
 		}
 		return gone
 	}
-	stays := make(map[grebefork.ServerID]bool, len(entries))
+	stays := make(map[balancer.ServerID]bool, len(entries))
 	for _, e := range entries {
-		stays[e.ID] = e.State != grebefork.Gone
+		stays[e.ID] = e.State != balancer.Gone
 	}
 	for _, id := range t.ids {
 		if !stays[id] {
@@ -101,23 +101,23 @@
 func (t *Table) Len() int { return len(t.members) }
 
 // Count counts the members that discovery says are in a state.
-func (t *Table) Count(state grebefork.ServerState) int { return t.states[state] }
+func (t *Table) Count(state balancer.ServerState) int { return t.states[state] }
 
 // Member returns what discovery last said of a backend, and whether it is in the table.
-func (t *Table) Member(id grebefork.ServerID) (discovery.Member, bool) {
+func (t *Table) Member(id balancer.ServerID) (discovery.Member, bool) {
 	m, known := t.members[id]
 	return m, known
 }
 
 // of returns the number of a name, and takes one for it if it is new. Names that would share a number are kept
 // apart: the later one gets the next that is free.
-func (t *Table) of(name string) grebefork.ServerID {
+func (t *Table) of(name string) balancer.ServerID {
 	if id, ok := t.ids[name]; ok {
 		return id
 	}
 	hash := fnv.New32a()
 	hash.Write([]byte(name))
-	id := grebefork.ServerID(hash.Sum32())
+	id := balancer.ServerID(hash.Sum32())
 	for {
 		if _, taken := t.members[id]; !taken {
 			break
@@ -129,7 +129,7 @@
 }
 
 // free forgets a name that has left the list.
-func (t *Table) free(id grebefork.ServerID) {
+func (t *Table) free(id balancer.ServerID) {
 	m := t.members[id]
 	t.states[discovery.Phases[m.Phase]]--
 	delete(t.ids, m.ID)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/settings"
 )
 
 func ready(id string) discovery.Member {
@@ -24,7 +24,7 @@
 		t.Errorf("got %d and %d", x, y)
 	}
 	left := table.Entries(set, []discovery.Member{ready("liquid")})
-	if gone := table.Forget(grebefork.ListFull, left); !slices.Equal(gone, []grebefork.ServerID{x}) {
+	if gone := table.Forget(balancer.ListFull, left); !slices.Equal(gone, []balancer.ServerID{x}) {
 		t.Errorf("gone are %d, want %d", gone, x)
 	}
 	if table.Entries(set, []discovery.Member{ready("liquid")})[0].ID != y {
@@ -38,7 +38,7 @@
 	m := discovery.Member{ID: "x", HostPort: "10.0.0.1:80", Locality: "b", Flavor: "m2", Cell: 4, Phase: "Terminating", Size: 2, UpSince: 1.5}
 	table := New(nil)
 	e := table.Entries(set, []discovery.Member{m})[0]
-	want := grebefork.ServerEntry{ID: e.ID, Zone: 1, Kind: -1, Cell: 4, State: grebefork.Draining, Weight: 2, Start: 1500 * time.Microsecond}
+	want := balancer.ServerEntry{ID: e.ID, Zone: 1, Kind: -1, Cell: 4, State: balancer.Draining, Weight: 2, Start: 1500 * time.Microsecond}
 	if e != want {
 		t.Errorf("got %+v, want %+v", e, want)
 	}
@@ -55,11 +55,11 @@
 func TestTableFollowsLists(t *testing.T) {
 	set, r := &settings.Settings{}, rand.New(rand.NewPCG(1, 2))
 	phases := []string{"Ready", "Ready", "Terminating", "Gone"}
-	table, want, ids := New(nil), map[string]string{}, map[string]grebefork.ServerID{}
+	table, want, ids := New(nil), map[string]string{}, map[string]balancer.ServerID{}
 	for step := range 3000 {
-		mode := []grebefork.ListMode{grebefork.ListDelta, grebefork.ListDelta, grebefork.ListFull, grebefork.ListCached, grebefork.ListFailed}[r.IntN(5)]
+		mode := []balancer.ListMode{balancer.ListDelta, balancer.ListDelta, balancer.ListFull, balancer.ListCached, balancer.ListFailed}[r.IntN(5)]
 		var members []discovery.Member
-		if mode != grebefork.ListFailed {
+		if mode != balancer.ListFailed {
 			for _, i := range r.Perm(40)[:r.IntN(40)] {
 				m := ready(fmt.Sprint("s-", i))
 				m.Phase = phases[r.IntN(len(phases))]
@@ -69,7 +69,7 @@
 		var gone []string // as it has to be
 		for name := range want {
 			listed := slices.ContainsFunc(members, func(m discovery.Member) bool { return m.ID == name })
-			if !listed && (mode == grebefork.ListFull || mode == grebefork.ListCached) {
+			if !listed && (mode == balancer.ListFull || mode == balancer.ListCached) {
 				gone = append(gone, name)
 			}
 		}
@@ -85,7 +85,7 @@
 			}
 			ids[members[i].ID] = e.ID
 		}
-		var wantGone []grebefork.ServerID
+		var wantGone []balancer.ServerID
 		for _, name := range gone {
 			wantGone = append(wantGone, ids[name])
 			delete(want, name)
@@ -97,14 +97,14 @@
 		if !slices.Equal(got, wantGone) {
 			t.Fatalf("step %d, mode %d: gone are %d, want %d", step, mode, got, wantGone)
 		}
-		count := map[grebefork.ServerState]int{}
+		count := map[balancer.ServerState]int{}
 		for name, phase := range want {
 			if m, known := table.Member(ids[name]); !known || m.ID != name || m.Phase != phase {
 				t.Fatalf("step %d: %s is %+v", step, name, m)
 			}
 			count[discovery.Phases[phase]]++
 		}
-		for _, state := range []grebefork.ServerState{grebefork.Gone, grebefork.Ready, grebefork.Draining} {
+		for _, state := range []balancer.ServerState{balancer.Gone, balancer.Ready, balancer.Draining} {
 			if n := table.Count(state); n != count[state] {
 				t.Fatalf("step %d: %d in state %d, want %d", step, n, state, count[state])
 			}
@@ -125,13 +125,13 @@
 			all = append(all, m)
 		}
 		for name, c := range map[string]struct {
-			mode    grebefork.ListMode
+			mode    balancer.ListMode
 			members []discovery.Member
-		}{"change": {grebefork.ListDelta, all[:1]}, "whole": {grebefork.ListFull, all}} {
+		}{"change": {balancer.ListDelta, all[:1]}, "whole": {balancer.ListFull, all}} {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
 				set := &settings.Settings{Zones: []string{"a"}, Kinds: []string{"m1"}}
 				table := New(nil)
-				table.Forget(grebefork.ListFull, table.Entries(set, all))
+				table.Forget(balancer.ListFull, table.Entries(set, all))
 				b.ReportAllocs()
 				for b.Loop() {
 					table.Forget(c.mode, table.Entries(set, c.members))
@@ -153,7 +153,7 @@
 			now := start
 			table, set := New(func() time.Duration { return now + wrong }), &settings.Settings{}
 			// ages are how old the members of a list are taken for.
-			ages := func(mode grebefork.ListMode, members ...discovery.Member) (ages []time.Duration) {
+			ages := func(mode balancer.ListMode, members ...discovery.Member) (ages []time.Duration) {
 				entries := table.Entries(set, members)
 				for _, e := range entries {
 					ages = append(ages, now+wrong-e.Start)
@@ -167,7 +167,7 @@
 					t.Errorf("%s is taken for %v old, want %v to %v", what, got, least, most)
 				}
 			}
-			first := ages(grebefork.ListFull, up("old", start-time.Hour), up("cold", start-second), up("long ago", 0))
+			first := ages(balancer.ListFull, up("old", start-time.Hour), up("cold", start-second), up("long ago", 0))
 			switch {
 			case wrong == 0:
 				expect("a cold one of the first list", first[1], second, second)
@@ -180,12 +180,12 @@
 			}
 			now += 10 * second
 			added := up("new", now-second)
-			expect("a new one", ages(grebefork.ListDelta, added)[0], 0, second)
+			expect("a new one", ages(balancer.ListDelta, added)[0], 0, second)
 			now += 2 * second
-			expect("the same later", ages(grebefork.ListDelta, added)[0], 2*second, 3*second)
-			expect("one that was restarted", ages(grebefork.ListDelta, up("old", now))[0], 0, second)
+			expect("the same later", ages(balancer.ListDelta, added)[0], 2*second, 3*second)
+			expect("one that was restarted", ages(balancer.ListDelta, up("old", now))[0], 0, second)
 			now += 20 * second
-			late := ages(grebefork.ListDelta, up("late", now-3*second), up("back", start-time.Hour), up("newer", now-second/2))
+			late := ages(balancer.ListDelta, up("late", now-3*second), up("back", start-time.Hour), up("newer", now-second/2))
 			expect("one that is told of late", late[0], 2*second, 3*second)
 			expect("one that was away", late[1], time.Hour, time.Hour+time.Minute)
 			expect("one that is told of sooner", late[2], 0, second/2)
--- a/internal/membership/starts.go
+++ b/internal/membership/starts.go
@@ -4,8 +4,8 @@
 	"math"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
 )
 
 // starts turns the Unix times at which backends started into the agent's own time, by which it sends a cold one no more than it
@@ -23,7 +23,7 @@
 	followed bool                 // a list has come from discovery
 	behind   time.Duration        // that the clock is, at least
 	youngest time.Duration        // that a new backend looked as it came
-	known    map[grebefork.ServerID]started
+	known    map[balancer.ServerID]started
 }
 
 // started is when a backend started, as discovery says and in the agent's time.
@@ -33,7 +33,7 @@
 }
 
 func newStarts(clock func() time.Duration) starts {
-	return starts{clock: clock, youngest: math.MaxInt64, known: map[grebefork.ServerID]started{}}
+	return starts{clock: clock, youngest: math.MaxInt64, known: map[balancer.ServerID]started{}}
 }
 
 // see takes in a list, before the members of it are asked for.
@@ -48,7 +48,7 @@
 }
 
 // of is when a member of that list started, 0 for long ago. It stays the same for as long as discovery says the same.
-func (s *starts) of(id grebefork.ServerID, m discovery.Member) time.Duration {
+func (s *starts) of(id balancer.ServerID, m discovery.Member) time.Duration {
 	if m.UpSince == 0 || s.clock == nil {
 		return unix(m)
 	}
--- a/internal/relay/disk.go
+++ b/internal/relay/disk.go
@@ -10,7 +10,7 @@
 	"os"
 	"path/filepath"
 
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/discovery"
 )
 
 const (
--- a/internal/relay/disk_test.go
+++ b/internal/relay/disk_test.go
@@ -9,8 +9,8 @@
 	"reflect"
 	"testing"
 
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/lists"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/lists"
 )
 
 func member(id, phase string, cell int) discovery.Member {
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -10,11 +10,11 @@
 	"testing/synctest"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/lists"
-	"example.org/grebefork/internal/membership"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/lists"
+	"example.org/ryeloft/internal/membership"
+	"example.org/ryeloft/internal/settings"
 )
 
 const (
@@ -111,7 +111,7 @@
 // agent follows the list as the real one does, with the module and without requests.
 type agent struct {
 	set      settings.Settings
-	balancer *grebefork.Balancer
+	balancer *balancer.Balancer
 	servers  *membership.Table
 	news     chan discovery.News
 	ask      func()
@@ -170,7 +170,7 @@
 			Addr: f.addrs[relays+i], Name: fmt.Sprint("agent-", i), Relays: at, Log: quiet, Dial: w.dial,
 			Settings: func() *settings.Settings { return &a.set }, Count: func(discovery.Call) {}, Tell: func(n discovery.News) { a.told(ctx, n) },
 		})
-		cached := discovery.News{Mode: grebefork.ListCached}
+		cached := discovery.News{Mode: balancer.ListCached}
 		if known {
 			one := uint64(1)
 			d.StartFrom(discovery.List{Revision: &one, Complete: true, Members: members})
@@ -191,14 +191,14 @@
 	if a.set, err = settings.Parse(fmt.Appendf(nil, fleetSettings, agents, rank, mode)); err != nil {
 		t.Fatal(err)
 	}
-	if a.balancer, err = grebefork.New(a.set.Module, uint64(rank)); err != nil {
+	if a.balancer, err = balancer.New(a.set.Module, uint64(rank)); err != nil {
 		t.Fatal(err)
 	}
 	return a
 }
 
 func (a *agent) told(ctx context.Context, n discovery.News) {
-	if !n.Mode.Keeps() && n.Mode != grebefork.ListCached {
+	if !n.Mode.Keeps() && n.Mode != balancer.ListCached {
 		a.mu.Lock()
 		if _, ok := a.heard[n.Revision]; !ok {
 			a.heard[n.Revision] = time.Now()
@@ -232,19 +232,19 @@
 		case <-wake:
 			token := a.timers[next].token
 			a.timers = slices.Delete(a.timers, next, next+1)
-			a.handle(grebefork.Event{Kind: grebefork.EventTimer, Token: token})
+			a.handle(balancer.Event{Kind: balancer.EventTimer, Token: token})
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (a *agent) handle(ev grebefork.Event) {
+func (a *agent) handle(ev balancer.Event) {
 	for _, act := range a.balancer.Handle(time.Duration(time.Now().UnixNano()), ev, nil) {
 		switch act.Kind {
-		case grebefork.ActTimer:
+		case balancer.ActTimer:
 			a.timers = append(a.timers, alarm{due: time.Now().Add(act.Wait), token: act.Token})
-		case grebefork.ActFollow:
+		case balancer.ActFollow:
 			a.ask()
 		}
 	}
@@ -288,12 +288,12 @@
 						begun := time.Now()
 						f := startFleet(t, agents, relays, mode, false, callCost)
 						time.Sleep(15 * time.Second)
-						late, worst := f.late(1, begun.Add(grebefork.ToldFailed))
+						late, worst := f.late(1, begun.Add(balancer.ToldFailed))
 						switch {
 						case relays > 0 && late > 0:
-							t.Errorf("%d of %d agents have heard nothing after %v, the last one %v later", late, agents, grebefork.ToldFailed, worst)
+							t.Errorf("%d of %d agents have heard nothing after %v, the last one %v later", late, agents, balancer.ToldFailed, worst)
 						case relays == 0 && late < agents/2:
-							t.Errorf("only %d of %d agents have heard nothing after %v: the test does not show what relays are for", late, agents, grebefork.ToldFailed)
+							t.Errorf("only %d of %d agents have heard nothing after %v: the test does not show what relays are for", late, agents, balancer.ToldFailed)
 						}
 						t.Logf("%d late, the last one by %v", late, worst)
 						for _, r := range f.relays {
@@ -338,7 +338,7 @@
 						t.Fatal(err)
 					}
 					time.Sleep(30 * time.Second)
-					if late, worst := f.late(2, changed.Add(grebefork.ToldFailed+drainGrace)); late > 0 {
+					if late, worst := f.late(2, changed.Add(balancer.ToldFailed+drainGrace)); late > 0 {
 						t.Errorf("%d of %d agents hear too late, up to %v", late, agents, worst)
 					}
 					_, worst := f.late(2, changed)
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -6,9 +6,9 @@
 	"sync"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/lists"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/lists"
 )
 
 const (
@@ -16,7 +16,7 @@
 	// waited for news (aheadHold) and what writing and reading the list may need.
 	longestQueue = discovery.RelayWhole * 5 / 8
 	// lateGrace is how long after its time a promised turn is still kept for whoever it was promised to.
-	lateGrace = grebefork.ToldFailed / 24
+	lateGrace = balancer.ToldFailed / 24
 )
 
 // gate hands whole lists out at a stated rate; changes go through at once, for they are small and have to be in time.
@@ -90,7 +90,7 @@
 	switch {
 	case in <= longestQueue:
 		g.waiting++
-	case in > grebefork.ToldFailed || len(g.promised) >= g.most: // nobody would wait for that
+	case in > balancer.ToldFailed || len(g.promised) >= g.most: // nobody would wait for that
 		return time.Time{}, lists.Refused{Cause: "too many callers want the whole list"}
 	default:
 		g.promised = append(g.promised, turn)
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/lists"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/lists"
 )
 
 // asker wants one whole list and comes again when it is told to.
@@ -98,7 +98,7 @@
 			}
 			last = max(last, r.After)
 		}
-		if last > grebefork.ToldFailed {
+		if last > balancer.ToldFailed {
 			t.Errorf("a caller is told to come again in %v", last)
 		}
 		if len(g.promised) > 7 {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -11,22 +11,22 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/lists"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/lists"
+	"example.org/ryeloft/internal/settings"
 )
 
 const (
 	// upstreamWatch is how long a watch above waits. Danger: a caller that is ahead of this relay waits for an answer that
 	// was asked for after it came, so for two of them at the most, and that has to fit into aheadHold.
-	upstreamWatch = grebefork.ToldFailed / 30
+	upstreamWatch = balancer.ToldFailed / 30
 	// aheadHold is how long a call that names no wait may be kept all the same for news from above; its caller gives it
 	// RelayTimeout.
 	aheadHold = discovery.RelayTimeout / 2
 	// upstreamRetry bounds the pause between two calls above that fail: the first one that can be answered has to come well
 	// within staleAfter.
-	upstreamRetry = grebefork.ToldFailed / 20
+	upstreamRetry = balancer.ToldFailed / 20
 	// staleAfter is for how long a relay answers without news from above. Danger: an agent takes a watch that goes on for
 	// "nothing has changed", and the platform counts a change as told 6 s after discovery had it and could be reached. A
 	// relay that went on answering without its upstream would keep its agents from noticing that discovery, or another
@@ -95,7 +95,7 @@
 		moves: make(chan discovery.Place), started: time.Now(), news: make(chan struct{}),
 		// Lists are pushed as far as this client is concerned: it then retries by itself and soon, which a handful of relays
 		// may do. The turns in which agents ask are for hundreds of callers, and for a module that knows of them.
-		settings: settings.Settings{Module: grebefork.Settings{Agents: 1}, DrainGrace: upstreamRetry},
+		settings: settings.Settings{Module: balancer.Settings{Agents: 1}, DrainGrace: upstreamRetry},
 	}
 	r.live, r.end = context.WithCancel(context.Background())
 	r.staleAt = time.AfterFunc(staleAfter, r.goStale)
@@ -149,9 +149,9 @@
 // told takes in what discovery tells.
 func (r *Relay) told(n discovery.News) {
 	switch n.Mode {
-	case grebefork.ListFull:
+	case balancer.ListFull:
 		r.whole(n.Revision, n.Members)
-	case grebefork.ListDelta:
+	case balancer.ListDelta:
 		r.apply(n.Revision, n.Members)
 	}
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -14,8 +14,8 @@
 	"time"
 	"unsafe"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
 )
 
 // ids are the members of a list by name and phase, in order.
@@ -403,7 +403,7 @@
 		"that fits into a call":                                          aheadHold < discovery.RelayTimeout,
 		"news and a turn fit into a call for the whole list":             aheadHold+longestQueue < discovery.RelayWhole,
 		"several watches and their pauses fit into the time to be stale": 3*(upstreamWatch+upstreamRetry) < staleAfter,
-		"a stale relay leaves time for others":                           staleAfter <= grebefork.ToldFailed/3,
+		"a stale relay leaves time for others":                           staleAfter <= balancer.ToldFailed/3,
 	} {
 		if !ok {
 			t.Errorf("not so: %s", what)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -10,7 +10,7 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/grebefork/internal/lists"
+	"example.org/ryeloft/internal/lists"
 )
 
 // endGrace is how long calls have to be refused in at the end, before their connections are cut.
--- a/internal/relay/wires_test.go
+++ b/internal/relay/wires_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/lists"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/lists"
 )
 
 var quiet = slog.New(slog.DiscardHandler)
--- a/internal/scale/control/control.go
+++ b/internal/scale/control/control.go
@@ -10,12 +10,12 @@
 	"sync"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/lists"
-	"example.org/grebefork/internal/scale/meter"
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/role"
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/lists"
+	"example.org/ryeloft/internal/scale/meter"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/role"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // Main is the process of the role "control": it serves Service by the name of Control until its input ends.
--- a/internal/scale/control/control_test.go
+++ b/internal/scale/control/control_test.go
@@ -16,10 +16,10 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/lists"
-	"example.org/grebefork/internal/scale/role"
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/lists"
+	"example.org/ryeloft/internal/scale/role"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 func TestMain(m *testing.M) {
--- a/internal/scale/control/machine.go
+++ b/internal/scale/control/machine.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 // use is what this process had used by a time.
--- a/internal/scale/control/queue.go
+++ b/internal/scale/control/queue.go
@@ -5,9 +5,9 @@
 	"sync"
 	"time"
 
-	"example.org/grebefork/internal/lists"
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/lists"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 const (
--- a/internal/scale/control/queue_test.go
+++ b/internal/scale/control/queue_test.go
@@ -8,9 +8,9 @@
 	"testing/synctest"
 	"time"
 
-	"example.org/grebefork/internal/lists"
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/lists"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 const ms = time.Millisecond
--- a/internal/scale/control/relay.go
+++ b/internal/scale/control/relay.go
@@ -10,10 +10,10 @@
 	"sync"
 	"time"
 
-	"example.org/grebefork/internal/relay"
-	"example.org/grebefork/internal/scale/meter"
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/role"
+	"example.org/ryeloft/internal/relay"
+	"example.org/ryeloft/internal/scale/meter"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/role"
 )
 
 // RelayMain is the process of the role "relay": it serves RelayService by the name of Relay until its input ends.
--- a/internal/scale/control/relay_test.go
+++ b/internal/scale/control/relay_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // startRelayAt plays a relay of so many agents in this process, at one of control's addresses.
--- a/internal/scale/control/told.go
+++ b/internal/scale/control/told.go
@@ -8,7 +8,7 @@
 	"sync"
 	"time"
 
-	"example.org/grebefork/internal/lists"
+	"example.org/ryeloft/internal/lists"
 )
 
 const (
--- a/internal/scale/control/told_test.go
+++ b/internal/scale/control/told_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/lists"
+	"example.org/ryeloft/internal/lists"
 )
 
 // A change is late if a watch that waited for it was written later than its queue, its cost and the allowance explain.
--- a/internal/scale/hollow/agent.go
+++ b/internal/scale/hollow/agent.go
@@ -7,11 +7,11 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/config"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/membership"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/membership"
+	"example.org/ryeloft/internal/settings"
 )
 
 // mostOpen is how many requests an agent has open at once at most; one more is refused, as where an agent's sockets are
@@ -27,9 +27,9 @@
 	roots  float64 // calls a second that begin here
 
 	set      atomic.Pointer[settings.Settings] // the shard swaps it; the client reads it
-	balancer *grebefork.Balancer
+	balancer *balancer.Balancer
 	servers  *membership.Table
-	targets  map[grebefork.ServerID]*server
+	targets  map[balancer.ServerID]*server
 	ask      func()         // asks discovery for the list
 	classOf  map[string]int // positions of the settings' classes, by name
 	life     uint32         // counts its processes: what belongs to an earlier one is dropped
@@ -39,11 +39,11 @@
 	fresh    bool // and it is no old one
 	revision uint64
 	now      time.Duration // never runs backwards
-	requests map[grebefork.RequestID]*call
-	lastID   grebefork.RequestID
+	requests map[balancer.RequestID]*call
+	lastID   balancer.RequestID
 	control  bool // what is handled now is control's
-	events   []grebefork.Event
-	actions  []grebefork.Action
+	events   []balancer.Event
+	actions  []balancer.Action
 	held     []held // what it heard of lists since the measured part began
 
 	process sync.Mutex // guards what follows: one start, stop or reload at a time
@@ -59,12 +59,12 @@
 }
 
 // begin makes the agent a new process, which knows what its configuration says. The shard calls it.
-func (a *agent) begin(cfg *config.Config, balancer *grebefork.Balancer, ask func()) {
+func (a *agent) begin(cfg *config.Config, decisions *balancer.Balancer, ask func()) {
 	a.end()
-	a.balancer, a.ask, a.up = balancer, ask, true
+	a.balancer, a.ask, a.up = decisions, ask, true
 	a.set.Store(&cfg.Settings)
-	a.servers, a.targets = membership.New(nil), map[grebefork.ServerID]*server{}
-	a.requests, a.lastID = map[grebefork.RequestID]*call{}, 0
+	a.servers, a.targets = membership.New(nil), map[balancer.ServerID]*server{}
+	a.requests, a.lastID = map[balancer.RequestID]*call{}, 0
 	a.know(&cfg.Settings)
 	if a.roots > 0 {
 		s := a.shard
@@ -113,7 +113,7 @@
 		a.ready = a.servers.Len() > 0 || a.ready
 		a.served = a.served || a.ready
 	})
-	if n.Mode == grebefork.ListFull || n.Mode == grebefork.ListDelta {
+	if n.Mode == balancer.ListFull || n.Mode == balancer.ListDelta {
 		a.inForce(n.Revision)
 	}
 }
@@ -129,10 +129,10 @@
 }
 
 // entries turns the members of a list into the module's terms and finds the modelled servers behind them.
-func (a *agent) entries(members []discovery.Member) []grebefork.ServerEntry {
+func (a *agent) entries(members []discovery.Member) []balancer.ServerEntry {
 	entries := a.servers.Entries(a.set.Load(), members)
 	for i, e := range entries {
-		if e.State == grebefork.Gone {
+		if e.State == balancer.Gone {
 			continue
 		}
 		if s := a.shard.fleet.at(members[i]); s != nil {
@@ -155,14 +155,14 @@
 		}
 		// Danger: zones and kinds are positions in the settings' lists, and those have changed under the servers.
 		a.control = true
-		a.handle(grebefork.Event{Kind: grebefork.EventList, ListMode: grebefork.ListFull, Servers: a.entries(a.servers.Members())})
+		a.handle(balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull, Servers: a.entries(a.servers.Members())})
 		a.control = false
 	})
 	return err
 }
 
 // handle hands an event to the module and carries out what it answers, and so on with the events that come of it.
-func (a *agent) handle(ev grebefork.Event) {
+func (a *agent) handle(ev balancer.Event) {
 	a.events = append(a.events, ev)
 	for i := 0; i < len(a.events); i++ { // act may add to them
 		a.now = max(a.now, a.shard.now)
@@ -175,34 +175,34 @@
 }
 
 // act carries out one action.
-func (a *agent) act(act *grebefork.Action) {
+func (a *agent) act(act *balancer.Action) {
 	c := a.requests[act.Request]
 	switch act.Kind {
-	case grebefork.ActSend:
+	case balancer.ActSend:
 		if c != nil {
 			a.attempt(c, act)
 		}
-	case grebefork.ActRefuse:
+	case balancer.ActRefuse:
 		if c != nil {
 			a.finish(c, refused)
 		}
-	case grebefork.ActFail:
+	case balancer.ActFail:
 		if c != nil {
 			a.finish(c, failed)
 		}
-	case grebefork.ActCancel:
+	case balancer.ActCancel:
 		if c != nil && act.Attempt < len(c.attempts) {
 			a.giveUpSoon(c, act.Attempt)
 		}
-	case grebefork.ActTimer:
+	case balancer.ActTimer:
 		a.shard.queue.push(event{
 			kind: timer, due: a.now + act.Wait, agent: a, life: a.life, token: act.Token, control: a.control,
 		})
-	case grebefork.ActProbe:
+	case balancer.ActProbe:
 		a.probe(act.Server)
-	case grebefork.ActFollow:
+	case balancer.ActFollow:
 		a.ask()
-	case grebefork.ActLog:
+	case balancer.ActLog:
 		a.shard.counts.Logs++ // nobody reads what so many agents say
 	}
 }
@@ -212,7 +212,7 @@
 	if ev.life != a.life || !a.up {
 		return
 	}
-	fire := func() { a.handle(grebefork.Event{Kind: grebefork.EventTimer, Token: ev.token}) }
+	fire := func() { a.handle(balancer.Event{Kind: balancer.EventTimer, Token: ev.token}) }
 	if ev.control {
 		a.shard.cpu.forControl(fire)
 	} else {
--- a/internal/scale/hollow/call.go
+++ b/internal/scale/hollow/call.go
@@ -5,9 +5,9 @@
 	"slices"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/scale/world"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/scale/world"
+	"example.org/ryeloft/internal/settings"
 )
 
 // This is the modelled part: what a real agent does with sockets, and what the applications beside the agents do.
@@ -37,8 +37,8 @@
 	request
 	agent    *agent
 	life     uint32 // the agent's
-	id       grebefork.RequestID
-	effect   grebefork.Effect
+	id       balancer.RequestID
+	effect   balancer.Effect
 	deadline time.Duration
 
 	attempts []*job
@@ -51,10 +51,10 @@
 	call     *call
 	n        int // of the call's attempts
 	server   *server
-	id       grebefork.ServerID // the server's, to the caller
-	deadline time.Duration      // after which nobody waits for it
-	over     bool               // its caller has heard its outcome,
-	how      grebefork.Outcome  // this one
+	id       balancer.ServerID // the server's, to the caller
+	deadline time.Duration     // after which nobody waits for it
+	over     bool              // its caller has heard its outcome,
+	how      balancer.Outcome  // this one
 
 	life  uint32 // the server's process
 	state jobState
@@ -85,11 +85,11 @@
 	left := min(r.left, of.Deadline)
 	c.deadline = s.now + left
 	a.requests[c.id] = c
-	a.handle(grebefork.Event{Kind: grebefork.EventRequest, Request: c.id, Class: class, Left: left})
+	a.handle(balancer.Event{Kind: balancer.EventRequest, Request: c.id, Class: class, Left: left})
 	return c
 }
 
-func (a *agent) newID() grebefork.RequestID {
+func (a *agent) newID() balancer.RequestID {
 	for {
 		a.lastID++
 		if a.requests[a.lastID] == nil {
@@ -125,23 +125,23 @@
 	c.parent = nil
 	a.finish(c, failed)
 	if a.up {
-		a.handle(grebefork.Event{Kind: grebefork.EventHangup, Request: c.id})
+		a.handle(balancer.Event{Kind: balancer.EventHangup, Request: c.id})
 	}
 	a.forget(c)
 }
 
 // attempt sends a call to a server. What cannot be sent any more ends as moot.
-func (a *agent) attempt(c *call, act *grebefork.Action) {
+func (a *agent) attempt(c *call, act *balancer.Action) {
 	s, to := a.shard, a.targets[act.Server]
 	n, left := len(c.attempts), c.deadline-a.now
 	if act.Wait != 0 {
 		left = min(left, act.Wait)
 	}
 	if c.ended || left <= 0 || to == nil {
-		c.attempts = append(c.attempts, &job{call: c, n: n, over: true, how: grebefork.Moot})
-		a.events = append(a.events, grebefork.Event{
-			Kind: grebefork.EventOutcome, Request: c.id, Attempt: n, Server: act.Server,
-			Outcome: grebefork.Moot, Closed: c.ended, Load: settings.NoLoad(),
+		c.attempts = append(c.attempts, &job{call: c, n: n, over: true, how: balancer.Moot})
+		a.events = append(a.events, balancer.Event{
+			Kind: balancer.EventOutcome, Request: c.id, Attempt: n, Server: act.Server,
+			Outcome: balancer.Moot, Closed: c.ended, Load: settings.NoLoad(),
 		})
 		return
 	}
@@ -158,23 +158,23 @@
 
 // mayHaveRun says whether an attempt of the call has run, as far as the agent can know.
 func (c *call) mayHaveRun() bool {
-	never := []grebefork.Outcome{grebefork.Full, grebefork.ConnectFailed, grebefork.Moot, grebefork.Leaving}
+	never := []balancer.Outcome{balancer.Full, balancer.ConnectFailed, balancer.Moot, balancer.Leaving}
 	return slices.ContainsFunc(c.attempts, func(j *job) bool { return !j.over || !slices.Contains(never, j.how) })
 }
 
 // answered takes in the outcome of an attempt that came back.
-func (a *agent) answered(j *job, how grebefork.Outcome, l report) {
+func (a *agent) answered(j *job, how balancer.Outcome, l report) {
 	c := j.call
 	if j.over || c.life != a.life {
 		return
 	}
 	j.over, j.how = true, how
 	c.out--
-	if how == grebefork.OK {
+	if how == balancer.OK {
 		a.finish(c, served)
 	}
-	a.handle(grebefork.Event{
-		Kind: grebefork.EventOutcome, Request: c.id, Attempt: j.n, Server: j.id, Outcome: how, Closed: c.ended,
+	a.handle(balancer.Event{
+		Kind: balancer.EventOutcome, Request: c.id, Attempt: j.n, Server: j.id, Outcome: how, Closed: c.ended,
 		Load: l.load(a.set.Load()),
 	})
 	a.forget(c)
@@ -186,14 +186,14 @@
 		return
 	}
 	a.hangsUp(j)
-	a.answered(j, grebefork.Timeout, report{})
+	a.answered(j, balancer.Timeout, report{})
 }
 
 // giveUpSoon gives up an attempt, as ActCancel says; its outcome is an event of its own.
 func (a *agent) giveUpSoon(c *call, n int) {
 	if j := c.attempts[n]; !j.over {
 		a.hangsUp(j)
-		a.shard.queue.push(event{kind: outcome, due: a.shard.now, job: j, outcome: grebefork.Cancelled})
+		a.shard.queue.push(event{kind: outcome, due: a.shard.now, job: j, outcome: balancer.Cancelled})
 	}
 }
 
@@ -212,11 +212,11 @@
 }
 
 // probe asks a server for its load.
-func (a *agent) probe(id grebefork.ServerID) {
+func (a *agent) probe(id balancer.ServerID) {
 	to := a.targets[id]
 	if to == nil {
-		a.events = append(a.events, grebefork.Event{
-			Kind: grebefork.EventProbed, Server: id, Outcome: grebefork.Moot, Load: settings.NoLoad(),
+		a.events = append(a.events, balancer.Event{
+			Kind: balancer.EventProbed, Server: id, Outcome: balancer.Moot, Load: settings.NoLoad(),
 		})
 		return
 	}
@@ -227,12 +227,12 @@
 	if ev.life != a.life || !a.up {
 		return
 	}
-	how := grebefork.ConnectFailed
+	how := balancer.ConnectFailed
 	if ev.ok {
-		how = grebefork.OK
+		how = balancer.OK
 	}
-	a.handle(grebefork.Event{
-		Kind: grebefork.EventProbed, Server: grebefork.ServerID(ev.token), Outcome: how, Load: ev.load.load(a.set.Load()),
+	a.handle(balancer.Event{
+		Kind: balancer.EventProbed, Server: balancer.ServerID(ev.token), Outcome: how, Load: ev.load.load(a.set.Load()),
 	})
 }
 
--- a/internal/scale/hollow/control_test.go
+++ b/internal/scale/hollow/control_test.go
@@ -11,9 +11,9 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/scale/scenario"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // wait bounds what a test waits for; nothing passes by it.
--- a/internal/scale/hollow/counts.go
+++ b/internal/scale/hollow/counts.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 // phase is the part of the run in which a call at the root began; it and all that comes of it count there.
--- a/internal/scale/hollow/engine.go
+++ b/internal/scale/hollow/engine.go
@@ -7,9 +7,9 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/clock"
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/clock"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 const (
@@ -66,7 +66,7 @@
 	kind    kind
 	ok      bool
 	control bool // a timer of the control's part
-	outcome grebefork.Outcome
+	outcome balancer.Outcome
 	life    uint32
 	load    report
 	agent   *agent
--- a/internal/scale/hollow/fleet.go
+++ b/internal/scale/hollow/fleet.go
@@ -19,9 +19,9 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/grebefork/internal/clock"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/clock"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 const (
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -9,10 +9,10 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/lists"
-	"example.org/grebefork/internal/scale/scenario"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/lists"
+	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // Calls come to each layer as often as the world says, at the root by the second and below by the root, and nearly all
@@ -71,7 +71,7 @@
 	}
 	for i, l := range f.Stats().Lists {
 		for a, at := range l.At {
-			if took := time.Duration(at - made[i].UnixNano()); took < 0 || took > grebefork.ToldFailed {
+			if took := time.Duration(at - made[i].UnixNano()); took < 0 || took > balancer.ToldFailed {
 				t.Errorf("revision %d at agent %d: after %v", l.Revision, a, took)
 			}
 		}
@@ -221,7 +221,7 @@
 	if r.FailRoots < 800 || r.Doubled != 0 {
 		t.Errorf("%d roots meanwhile, %d calls doubled", r.FailRoots, r.Doubled)
 	}
-	if r.Again[grebefork.Pure] == 0 {
+	if r.Again[balancer.Pure] == 0 {
 		t.Error("no pure call was tried again")
 	}
 }
--- a/internal/scale/hollow/life.go
+++ b/internal/scale/hollow/life.go
@@ -10,11 +10,11 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/config"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/lists"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/lists"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // dialTimeout is the one that the client has where it dials by itself.
@@ -48,7 +48,7 @@
 	if err != nil {
 		return fmt.Errorf("hollow agent %d: %w", a.place, err)
 	}
-	balancer, err := grebefork.New(cfg.Settings.Module, cfg.Seed)
+	decisions, err := balancer.New(cfg.Settings.Module, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("hollow agent %d: %w", a.place, err)
 	}
@@ -60,9 +60,9 @@
 	})
 	client.StartFrom(cfg.Known)
 	a.shard.do(func() {
-		a.begin(cfg, balancer, client.Ask)
+		a.begin(cfg, decisions, client.Ask)
 		l.number = a.life
-		a.told(l.number, discovery.News{Mode: grebefork.ListCached, Members: cfg.Known.Members})
+		a.told(l.number, discovery.News{Mode: balancer.ListCached, Members: cfg.Known.Members})
 	})
 	a.cfg, a.running = cfg, l
 	if o.Revision > a.conf {
@@ -129,7 +129,7 @@
 
 // tell hands news to the agent's shard. It does not wait until they are handled, as a real agent's client does not.
 func (f *Fleet) tell(a *agent, l *life, n discovery.News) {
-	if n.Mode == grebefork.ListFull {
+	if n.Mode == balancer.ListFull {
 		f.calls.whole.Add(1)
 	}
 	a.shard.soon(func() { a.told(l.number, n) })
--- a/internal/scale/hollow/model_test.go
+++ b/internal/scale/hollow/model_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/config"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/scale/scenario"
-	"example.org/grebefork/internal/scale/world"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/world"
+	"example.org/ryeloft/internal/settings"
 )
 
 // jumping is a clock that stands still until somebody waits.
@@ -51,12 +51,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := grebefork.New(cfg.Settings.Module, 1)
+	b, err := balancer.New(cfg.Settings.Module, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	a.begin(cfg, b, func() {})
-	a.told(a.life, discovery.News{Mode: grebefork.ListFull, Members: m.world.Members(time.Now()), Revision: 1})
+	a.told(a.life, discovery.News{Mode: balancer.ListFull, Members: m.world.Members(time.Now()), Revision: 1})
 	return a
 }
 
@@ -121,9 +121,9 @@
 	}
 	m.run(begun + time.Minute)
 	for i, j := range jobs {
-		want := grebefork.OK
+		want := balancer.OK
 		if i == 3 || i > 4 {
-			want = grebefork.Full
+			want = balancer.Full
 		}
 		if !j.over || j.how != want {
 			t.Errorf("attempt %d: over %v, %v, want %v", i, j.over, j.how, want)
@@ -142,14 +142,14 @@
 		step world.Step // before it is sent
 		then world.Step // when it is at the server
 		back bool
-		want grebefork.Outcome
+		want balancer.Outcome
 	}{
-		{"served", world.Step{}, world.Step{}, true, grebefork.OK},
-		{"died before", world.Step{Down: []int{-1}}, world.Step{}, true, grebefork.ConnectFailed},
-		{"died meanwhile", world.Step{}, world.Step{Down: []int{-1}}, true, grebefork.Reset},
+		{"served", world.Step{}, world.Step{}, true, balancer.OK},
+		{"died before", world.Step{Down: []int{-1}}, world.Step{}, true, balancer.ConnectFailed},
+		{"died meanwhile", world.Step{}, world.Step{Down: []int{-1}}, true, balancer.Reset},
 		{"vanished before", world.Step{Down: []int{-1}, Silent: true}, world.Step{}, false, 0},
 		{"vanished meanwhile", world.Step{}, world.Step{Down: []int{-1}, Silent: true}, false, 0},
-		{"fails", world.Step{Fail: &yes}, world.Step{}, true, grebefork.Error},
+		{"fails", world.Step{Fail: &yes}, world.Step{}, true, balancer.Error},
 		{"cut off", world.Step{CutRegions: &yes}, world.Step{}, false, 0},
 		{"cut off meanwhile", world.Step{}, world.Step{CutRegions: &yes}, false, 0},
 	} {
@@ -175,7 +175,7 @@
 			}
 			if a.shard.post(a.shard, event{due: j.deadline, kind: timedOut, job: j}); !c.back {
 				m.run(j.deadline + time.Second)
-				if !j.over || j.how != grebefork.Timeout {
+				if !j.over || j.how != balancer.Timeout {
 					t.Errorf("at its deadline: over %v with %v", j.over, j.how)
 				}
 			}
@@ -258,20 +258,20 @@
 func TestReportFields(t *testing.T) {
 	r := report{known: true, inFlight: 5, queue: 2, recent: 3.5}
 	for _, c := range []struct {
-		how    grebefork.ReportMode
+		how    balancer.ReportMode
 		fields []string
-		want   grebefork.Load
+		want   balancer.Load
 	}{
-		{grebefork.ReportsOff, []string{"outstanding"}, settings.NoLoad()},
-		{grebefork.ReportsInline, nil, settings.NoLoad()},
-		{grebefork.ReportsInline, []string{"odd"}, settings.NoLoad()},
-		{grebefork.ReportsInline, []string{"backlog", "odd"}, grebefork.Load{Known: true, InFlight: -1, Queue: 2, Recent: -1}},
+		{balancer.ReportsOff, []string{"outstanding"}, settings.NoLoad()},
+		{balancer.ReportsInline, nil, settings.NoLoad()},
+		{balancer.ReportsInline, []string{"odd"}, settings.NoLoad()},
+		{balancer.ReportsInline, []string{"backlog", "odd"}, balancer.Load{Known: true, InFlight: -1, Queue: 2, Recent: -1}},
 		{
-			grebefork.ReportsInline, []string{"outstanding", "recent_ms"},
-			grebefork.Load{Known: true, InFlight: 5, Queue: -1, Recent: 3500 * time.Microsecond},
+			balancer.ReportsInline, []string{"outstanding", "recent_ms"},
+			balancer.Load{Known: true, InFlight: 5, Queue: -1, Recent: 3500 * time.Microsecond},
 		},
 	} {
-		set := &settings.Settings{ReportFields: c.fields, Module: grebefork.Settings{Reports: c.how}}
+		set := &settings.Settings{ReportFields: c.fields, Module: balancer.Settings{Reports: c.how}}
 		if got := r.load(set); got != c.want {
 			t.Errorf("%v %v: %+v, want %+v", c.how, c.fields, got, c.want)
 		}
--- a/internal/scale/hollow/role.go
+++ b/internal/scale/hollow/role.go
@@ -7,9 +7,9 @@
 	"sync"
 	"time"
 
-	"example.org/grebefork/internal/scale/role"
-	"example.org/grebefork/internal/scale/scenario"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/scale/role"
+	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // StartArgs say what the part runs. The world is drawn from the scenario, as in every other part.
--- a/internal/scale/hollow/role_test.go
+++ b/internal/scale/hollow/role_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // The part does over its pipes what a fleet does: it starts once, plays steps to the letter, and tells what it measured.
--- a/internal/scale/hollow/server.go
+++ b/internal/scale/hollow/server.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/settings"
 )
 
 // state is what a server's process and machine are.
@@ -65,9 +65,9 @@
 }
 
 // load is what an agent takes from a report, by the names of its settings' fields.
-func (r report) load(set *settings.Settings) grebefork.Load {
+func (r report) load(set *settings.Settings) balancer.Load {
 	l := settings.NoLoad()
-	if !r.known || set.Module.Reports == grebefork.ReportsOff {
+	if !r.known || set.Module.Reports == balancer.ReportsOff {
 		return l
 	}
 	for _, name := range set.ReportFields {
@@ -89,18 +89,18 @@
 	switch {
 	case s.state == silent:
 	case s.state == dead:
-		s.answer(j, grebefork.ConnectFailed)
+		s.answer(j, balancer.ConnectFailed)
 	case f.failing.Load() && s.service == f.world.Deepest:
-		s.answer(j, grebefork.Error)
+		s.answer(j, balancer.Error)
 	case s.shard.now >= j.deadline: // it is over already
-		s.answer(j, grebefork.Full)
+		s.answer(j, balancer.Full)
 	case s.busy < s.slots:
 		s.begin(j)
 	case len(s.queue) < f.world.Scenario.Fleet.QueueSlots:
 		j.state = waiting
 		s.queue = append(s.queue, j)
 	default:
-		s.answer(j, grebefork.Full)
+		s.answer(j, balancer.Full)
 	}
 }
 
@@ -151,7 +151,7 @@
 			continue
 		}
 		if s.shard.now >= j.deadline {
-			s.conclude(j, grebefork.Error)
+			s.conclude(j, balancer.Error)
 			return
 		}
 		j.child = s.agent.request(request{
@@ -159,7 +159,7 @@
 		})
 		return
 	}
-	s.conclude(j, grebefork.OK)
+	s.conclude(j, balancer.OK)
 }
 
 // called takes in the end of a call that an attempt made.
@@ -169,14 +169,14 @@
 	}
 	j.child = nil
 	if !ok {
-		s.conclude(j, grebefork.Error)
+		s.conclude(j, balancer.Error)
 		return
 	}
 	s.callNext(j)
 }
 
 // conclude answers an attempt and goes on with another.
-func (s *server) conclude(j *job, how grebefork.Outcome) {
+func (s *server) conclude(j *job, how balancer.Outcome) {
 	s.release(j)
 	s.answer(j, how)
 }
@@ -198,7 +198,7 @@
 		next := s.queue[0]
 		s.queue = slices.Delete(s.queue, 0, 1)
 		if s.shard.now >= next.deadline {
-			s.answer(next, grebefork.Full)
+			s.answer(next, balancer.Full)
 			continue
 		}
 		s.begin(next)
@@ -234,10 +234,10 @@
 }
 
 // answer sends an attempt's outcome to its caller, with the server's report if it is an answer.
-func (s *server) answer(j *job, how grebefork.Outcome) {
+func (s *server) answer(j *job, how balancer.Outcome) {
 	j.state = done
 	ev := event{kind: outcome, due: s.shard.now, job: j, outcome: how}
-	if how == grebefork.OK || how == grebefork.Error || how == grebefork.Full {
+	if how == balancer.OK || how == balancer.Error || how == balancer.Full {
 		ev.load = s.report()
 	}
 	s.shard.travel(s, j.call.agent.server, ev)
@@ -276,7 +276,7 @@
 	child := j.child
 	j.state, j.child = done, nil
 	if to == dead {
-		s.answer(j, grebefork.Reset)
+		s.answer(j, balancer.Reset)
 	}
 	if child != nil {
 		s.agent.hangUp(child)
--- a/internal/scale/hollow/source.go
+++ b/internal/scale/hollow/source.go
@@ -4,7 +4,7 @@
 	"sync"
 	"time"
 
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // Conf says since when a revision of the configuration has been in force.
--- a/internal/scale/realagent/added.go
+++ b/internal/scale/realagent/added.go
@@ -12,8 +12,8 @@
 	"sync"
 	"time"
 
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 const (
--- a/internal/scale/realagent/build.go
+++ b/internal/scale/realagent/build.go
@@ -18,9 +18,9 @@
 	if err != nil {
 		return "", fmt.Errorf("building the agent: %w", err)
 	}
-	bin = filepath.Join(dir, "micaline")
+	bin = filepath.Join(dir, "agent")
 	args := append([]string{"build"}, buildFlags...)
-	cmd := exec.CommandContext(ctx, "go", append(args, "-o", bin, "./cmd/micaline")...)
+	cmd := exec.CommandContext(ctx, "go", append(args, "-o", bin, "./cmd/agent")...)
 	cmd.Dir = root
 	cmd.Env = append(os.Environ(), "CGO_ENABLED=1")
 	if said, err := cmd.CombinedOutput(); err != nil {
--- a/internal/scale/realagent/build_test.go
+++ b/internal/scale/realagent/build_test.go
@@ -17,7 +17,7 @@
 	}
 	dir := t.TempDir()
 	for name, text := range map[string]string{
-		"go.mod": "module broken\n\ngo 1.25\n", "cmd/micaline/main.go": "package main\n\nfunc main() { missing() }\n",
+		"go.mod": "module broken\n\ngo 1.25\n", "cmd/agent/main.go": "package main\n\nfunc main() { missing() }\n",
 	} {
 		path := filepath.Join(dir, name)
 		if err := errors.Join(os.MkdirAll(filepath.Dir(path), 0o700), os.WriteFile(path, []byte(text), 0o600)); err != nil {
@@ -28,7 +28,7 @@
 	if err == nil || !strings.Contains(err.Error(), "building the agent") || !strings.Contains(err.Error(), "undefined: missing") {
 		t.Errorf("error %v", err)
 	}
-	if _, err := os.Stat(filepath.Join(dir, "micaline")); !errors.Is(err, fs.ErrNotExist) {
+	if _, err := os.Stat(filepath.Join(dir, "agent")); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("a program is left: %v", err)
 	}
 }
--- a/internal/scale/realagent/process.go
+++ b/internal/scale/realagent/process.go
@@ -19,7 +19,7 @@
 	"syscall"
 	"time"
 
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 const (
--- a/internal/scale/realagent/realagent.go
+++ b/internal/scale/realagent/realagent.go
@@ -1,4 +1,4 @@
-// Package realagent runs real agents, processes of bin/micaline, beside the hollow ones of a scale run: some dozens, each
+// Package realagent runs real agents, processes of bin/agent, beside the hollow ones of a scale run: some dozens, each
 // with its own files and its own loopback address, against which the hollow ones are checked. It measures what they cost
 // for control and what they add to a call.
 package realagent
@@ -16,8 +16,8 @@
 	"sync"
 	"time"
 
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 const (
--- a/internal/scale/realagent/stats.go
+++ b/internal/scale/realagent/stats.go
@@ -11,7 +11,7 @@
 	"strconv"
 	"time"
 
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 // largestMB is the most memory that the histograms can tell.
--- a/internal/scale/run/bins.go
+++ b/internal/scale/run/bins.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 // windowSeconds is the length of the worst stretch that budgets are held against.
--- a/internal/scale/run/bins_test.go
+++ b/internal/scale/run/bins_test.go
@@ -9,7 +9,7 @@
 	"testing/synctest"
 	"time"
 
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 func TestWorst(t *testing.T) {
--- a/internal/scale/run/budgets.go
+++ b/internal/scale/run/budgets.go
@@ -3,8 +3,8 @@
 import (
 	"math"
 
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // kilo is how many bytes a kilobyte of the operators' limits has, mega how many a megabyte of memory.
--- a/internal/scale/run/gather.go
+++ b/internal/scale/run/gather.go
@@ -8,10 +8,10 @@
 	"syscall"
 	"time"
 
-	"example.org/grebefork/internal/scale/control"
-	"example.org/grebefork/internal/scale/hollow"
-	"example.org/grebefork/internal/scale/realagent"
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/scale/control"
+	"example.org/ryeloft/internal/scale/hollow"
+	"example.org/ryeloft/internal/scale/realagent"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 // defaultDue is how long a change may take where the budgets do not say.
--- a/internal/scale/run/guard_test.go
+++ b/internal/scale/run/guard_test.go
@@ -6,7 +6,7 @@
 	"strings"
 	"testing"
 
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 func TestMemoryCountsChildren(t *testing.T) {
--- a/internal/scale/run/play.go
+++ b/internal/scale/run/play.go
@@ -13,14 +13,14 @@
 	"sync"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/scale/control"
-	"example.org/grebefork/internal/scale/hollow"
-	"example.org/grebefork/internal/scale/realagent"
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/role"
-	"example.org/grebefork/internal/scale/scenario"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/scale/control"
+	"example.org/ryeloft/internal/scale/hollow"
+	"example.org/ryeloft/internal/scale/realagent"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/role"
+	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // parts are the processes of a run beside real agents and relays: this one, control and hollow.
--- a/internal/scale/run/ratios.go
+++ b/internal/scale/run/ratios.go
@@ -1,7 +1,7 @@
 package run
 
 import (
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 // held is one figure by which the hollow agents are held against the real ones of the same run.
--- a/internal/scale/run/reach.go
+++ b/internal/scale/run/reach.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 // span is a time in which an agent could not hear of anything: it was down or cut off, or control was.
--- a/internal/scale/run/relays.go
+++ b/internal/scale/run/relays.go
@@ -10,9 +10,9 @@
 	"slices"
 	"time"
 
-	"example.org/grebefork/internal/scale/control"
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/role"
+	"example.org/ryeloft/internal/scale/control"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/role"
 )
 
 // relayPart is one relay of the run, with the life that it has now.
--- a/internal/scale/run/relays_test.go
+++ b/internal/scale/run/relays_test.go
@@ -4,8 +4,8 @@
 	"reflect"
 	"testing"
 
-	"example.org/grebefork/internal/scale/control"
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/scale/control"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 func TestShifted(t *testing.T) {
--- a/internal/scale/run/run.go
+++ b/internal/scale/run/run.go
@@ -10,9 +10,9 @@
 	"log/slog"
 	"time"
 
-	"example.org/grebefork/internal/scale/realagent"
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/realagent"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // Options say how a scenario is played.
--- a/internal/scale/run/steps.go
+++ b/internal/scale/run/steps.go
@@ -8,11 +8,11 @@
 	"slices"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/lists"
-	"example.org/grebefork/internal/scale/control"
-	"example.org/grebefork/internal/scale/hollow"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/lists"
+	"example.org/ryeloft/internal/scale/control"
+	"example.org/ryeloft/internal/scale/hollow"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // lanes are what the steps ask of the parts. Each goes on by itself: a step is never waited for when the next is due.
--- a/internal/scale/run/steps_test.go
+++ b/internal/scale/run/steps_test.go
@@ -5,8 +5,8 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/scale/scenario"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // drawn is a play of a small fleet in which nothing was started.
--- a/internal/scale/run/text.go
+++ b/internal/scale/run/text.go
@@ -7,7 +7,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 // Over names what keeps a run from being ok: budgets that are exceeded or were not measured, ratios off their factor,
--- a/internal/scale/run/verdict_test.go
+++ b/internal/scale/run/verdict_test.go
@@ -7,8 +7,8 @@
 	"strings"
 	"testing"
 
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // limits are budgets that fine, the run below, keeps.
--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -21,7 +21,7 @@
 	Servers        int     `toml:"servers"`
 	Services       int     `toml:"services"`
 	Agents         int     `toml:"agents"` // 0: one beside each server; Scenario.Agents tells how many that are
-	Real           int     `toml:"real"`   // of the agents are processes of bin/micaline
+	Real           int     `toml:"real"`   // of the agents are processes of bin/agent
 	Depth          int     `toml:"depth"`
 	CallsPerSecond float64 `toml:"calls_per_second"` // of all agents, at all depths; calls of the modelled agents
 	Regions        int     `toml:"regions"`
--- a/internal/scale/scenario/scenario_test.go
+++ b/internal/scale/scenario/scenario_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // least is the shortest file that can be played.
--- a/internal/scale/sweep/figures.go
+++ b/internal/scale/sweep/figures.go
@@ -7,7 +7,7 @@
 	"os"
 	"slices"
 
-	"example.org/grebefork/internal/scale/result"
+	"example.org/ryeloft/internal/scale/result"
 )
 
 // Figure is one number of the figures file, with its unit and the play that gave it.
--- a/internal/scale/sweep/sweep.go
+++ b/internal/scale/sweep/sweep.go
@@ -13,8 +13,8 @@
 
 	"gonum.org/v1/gonum/stat"
 
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // Dimension is a size that is varied alone.
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -10,8 +10,8 @@
 	"strings"
 	"testing"
 
-	"example.org/grebefork/internal/scale/result"
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 1e-6*max(1, math.Abs(b)) }
--- a/internal/scale/world/config_test.go
+++ b/internal/scale/world/config_test.go
@@ -5,10 +5,10 @@
 	"fmt"
 	"testing"
 
-	"example.org/grebefork/internal/config"
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/scale/scenario"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // The agent's own reader takes every agent's configuration at the target, with the list, and each next revision of it.
--- a/internal/scale/world/draw.go
+++ b/internal/scale/world/draw.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // fanOut is how many calls a request makes in the mean. Below 1, each layer has fewer calls than the one above, as in
--- a/internal/scale/world/members.go
+++ b/internal/scale/world/members.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"example.org/grebefork/internal/discovery"
+	"example.org/ryeloft/internal/discovery"
 )
 
 // The phases of lists.
--- a/internal/scale/world/steps.go
+++ b/internal/scale/world/steps.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // Step is what the run does at one time: to the world, to control, to agents. What a field leaves at its zero stays as it is.
--- a/internal/scale/world/steps_test.go
+++ b/internal/scale/world/steps_test.go
@@ -6,9 +6,9 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork/internal/discovery"
-	"example.org/grebefork/internal/scale/scenario"
-	"example.org/grebefork/internal/scale/world"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // plays are runs whose steps are followed below.
--- a/internal/scale/world/told.go
+++ b/internal/scale/world/told.go
@@ -6,7 +6,7 @@
 	"math"
 	"slices"
 
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // EchoService is the name of the service, and of its class, that AddEcho adds.
--- a/internal/scale/world/world.go
+++ b/internal/scale/world/world.go
@@ -5,7 +5,7 @@
 import (
 	"time"
 
-	"example.org/grebefork/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/scenario"
 )
 
 // Service is one of the fleet's services. Its name is its servers' kind in lists and settings.
--- a/internal/scale/world/world_test.go
+++ b/internal/scale/world/world_test.go
@@ -8,10 +8,10 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/scale/scenario"
-	"example.org/grebefork/internal/scale/world"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/world"
+	"example.org/ryeloft/internal/settings"
 )
 
 // begin is when the measured parts of these runs begin.
@@ -240,7 +240,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if _, err := grebefork.New(got.Module, 1); err != nil {
+				if _, err := balancer.New(got.Module, 1); err != nil {
 					t.Fatalf("agent %d: %v", i, err)
 				}
 				own := w.Services[w.Servers[a.Server].Service]
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -8,7 +8,7 @@
 	"math"
 	"time"
 
-	"example.org/grebefork"
+	"example.org/ryeloft/internal/balancer"
 )
 
 // facts mirrors the keys of the settings text that the module has a use for. Others are passed over.
@@ -44,23 +44,23 @@
 	Zone *float64
 }
 
-var effects = map[string]grebefork.Effect{
-	"pure": grebefork.Pure, "token": grebefork.Token, "side_effect": grebefork.SideEffect,
+var effects = map[string]balancer.Effect{
+	"pure": balancer.Pure, "token": balancer.Token, "side_effect": balancer.SideEffect,
 }
 
-var scopes = map[string]grebefork.Scope{
-	"": grebefork.ScopeAll, "all": grebefork.ScopeAll,
-	"zone": grebefork.ScopeZone, "cell": grebefork.ScopeCell,
+var scopes = map[string]balancer.Scope{
+	"": balancer.ScopeAll, "all": balancer.ScopeAll,
+	"zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
 }
 
-var reportModes = map[string]grebefork.ReportMode{
-	"": grebefork.ReportsOff, "off": grebefork.ReportsOff,
-	"inline": grebefork.ReportsInline, "on_probe": grebefork.ReportsOnProbe,
+var reportModes = map[string]balancer.ReportMode{
+	"": balancer.ReportsOff, "off": balancer.ReportsOff,
+	"inline": balancer.ReportsInline, "on_probe": balancer.ReportsOnProbe,
 }
 
 // Settings is what one text of settings says: the module's part, and the names and limits around it.
 type Settings struct {
-	Module         grebefork.Settings
+	Module         balancer.Settings
 	Classes        []string // the names behind the module's positions
 	Tenants        []string
 	Zones, Kinds   []string
@@ -84,7 +84,7 @@
 		DrainGrace:     Millis(f.Rules.DrainGrace),
 	}
 	s := &all.Module
-	*s = grebefork.Settings{
+	*s = balancer.Settings{
 		Rank: int(f.Rank), Agents: int(f.ReplicasOfMe), Kinds: f.Skus,
 		AskList:        f.Discovery == "subscribe",
 		MustAskIn:      Millis(f.Rules.MustAskIn),
@@ -128,7 +128,7 @@
 		if err != nil {
 			return all, fmt.Errorf("settings: categories[%d].boundTo: %w", i, err)
 		}
-		s.Classes = append(s.Classes, grebefork.Class{
+		s.Classes = append(s.Classes, balancer.Class{
 			Name: c.Name,
 			Aim:  Millis(c.Aim), Deadline: Millis(c.Deadline), Worth: c.Credit, LateWorth: c.LateWorth,
 			Effect: effect, Scope: scope, Window: Millis(c.RepeatWindow),
@@ -137,7 +137,7 @@
 	}
 	for _, a := range f.Accounts {
 		all.Tenants = append(all.Tenants, a.Name)
-		s.Tenants = append(s.Tenants, grebefork.Tenant{Portion: a.Portion})
+		s.Tenants = append(s.Tenants, balancer.Tenant{Portion: a.Portion})
 	}
 	return all, nil
 }
@@ -166,12 +166,12 @@
 }
 
 // NoLoad is a load report without any figure.
-func NoLoad() grebefork.Load {
-	return grebefork.Load{InFlight: -1, Queue: -1, Recent: -1}
+func NoLoad() balancer.Load {
+	return balancer.Load{InFlight: -1, Queue: -1, Recent: -1}
 }
 
 // AddLoad puts the figure with a name of the settings into a report; what cannot be a figure stays absent.
-func AddLoad(l *grebefork.Load, name string, v float64) {
+func AddLoad(l *balancer.Load, name string, v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return
 	}
--- a/internal/wire/wire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,5 @@
-// Package wire translates between the bench's frames and the module's events and actions. It decides nothing.
-package wire
+// Package simwire translates between the bench's frames and the module's events and actions. It decides nothing.
+package simwire
 
 import (
 	"bytes"
@@ -10,8 +10,8 @@
 	"math"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/settings"
 )
 
 // The codes of events.
@@ -49,9 +49,9 @@
 	acProbe    = 110
 )
 
-var outcomes = map[uint8]grebefork.Outcome{
-	10: grebefork.OK, 20: grebefork.Error, 30: grebefork.Full, 40: grebefork.Timeout,
-	50: grebefork.ConnectFailed, 60: grebefork.Reset, 70: grebefork.Cancelled, 80: grebefork.Moot,
+var outcomes = map[uint8]balancer.Outcome{
+	10: balancer.OK, 20: balancer.Error, 30: balancer.Full, 40: balancer.Timeout,
+	50: balancer.ConnectFailed, 60: balancer.Reset, 70: balancer.Cancelled, 80: balancer.Moot,
 }
 
 // Kind tells what a Record asks of the adapter.
@@ -69,8 +69,8 @@
 	Kind     Kind
 	Instance uint32
 	Seed     uint64
-	Settings grebefork.Settings
-	Event    grebefork.Event
+	Settings balancer.Settings
+	Event    balancer.Event
 }
 
 // Decoder reads batches from a stream.
@@ -83,7 +83,7 @@
 	size   int    // of the body as read
 	left   uint32 // records still to come
 	err    error
-	lists  [manifests][]grebefork.ServerEntry
+	lists  [manifests][]balancer.ServerEntry
 	fields map[uint32][]string // instance -> names in its load reports
 }
 
@@ -168,13 +168,13 @@
 	case evDetach:
 		rec.Kind = Detach
 	case evView:
-		ev.Kind = grebefork.EventList
+		ev.Kind = balancer.EventList
 		d.u64()
 		mode, list := d.u8(), d.u8()
-		ev.ListMode = grebefork.ListMode(mode)
-		if mode > uint8(grebefork.ListFailed) {
+		ev.ListMode = balancer.ListMode(mode)
+		if mode > uint8(balancer.ListFailed) {
 			d.fail("unknown list mode")
-		} else if ev.ListMode != grebefork.ListFailed {
+		} else if ev.ListMode != balancer.ListFailed {
 			if list >= manifests {
 				d.fail("no such list number")
 			} else {
@@ -182,7 +182,7 @@
 			}
 		}
 	case evAsk:
-		ev.Kind, ev.Request, ev.Tenant = grebefork.EventRequest, grebefork.RequestID(d.u32()), int(d.u16())
+		ev.Kind, ev.Request, ev.Tenant = balancer.EventRequest, balancer.RequestID(d.u32()), int(d.u16())
 		ev.Left = d.time()
 		bits := d.u8()
 		d.u64()
@@ -190,21 +190,21 @@
 		ev.Retry = bits&retryBit != 0
 		ev.Class = int(d.u16())
 	case evBegun:
-		ev.Kind, ev.Request = grebefork.EventBegun, grebefork.RequestID(d.u32())
+		ev.Kind, ev.Request = balancer.EventBegun, balancer.RequestID(d.u32())
 		d.time()
-		ev.Attempt, ev.Server = int(d.u8()), grebefork.ServerID(d.u32())
+		ev.Attempt, ev.Server = int(d.u8()), balancer.ServerID(d.u32())
 	case evReply:
-		ev.Kind, ev.Request = grebefork.EventOutcome, grebefork.RequestID(d.u32())
-		ev.Attempt, ev.Server, ev.Outcome = int(d.u8()), grebefork.ServerID(d.u32()), d.outcome()
+		ev.Kind, ev.Request = balancer.EventOutcome, balancer.RequestID(d.u32())
+		ev.Attempt, ev.Server, ev.Outcome = int(d.u8()), balancer.ServerID(d.u32()), d.outcome()
 		d.time()
 		ev.Closed = d.u8() != 0
 		ev.Load = d.load(rec.Instance)
 	case evHangup:
-		ev.Kind, ev.Request = grebefork.EventHangup, grebefork.RequestID(d.u32())
+		ev.Kind, ev.Request = balancer.EventHangup, balancer.RequestID(d.u32())
 	case evTimer:
-		ev.Kind, ev.Token = grebefork.EventTimer, d.u64()
+		ev.Kind, ev.Token = balancer.EventTimer, d.u64()
 	case evCheck:
-		ev.Kind, ev.Server = grebefork.EventProbed, grebefork.ServerID(d.u32())
+		ev.Kind, ev.Server = balancer.EventProbed, balancer.ServerID(d.u32())
 		ev.Outcome = d.outcome()
 		d.time()
 		ev.Load = d.load(rec.Instance)
@@ -229,21 +229,21 @@
 	if d.err != nil {
 		return
 	}
-	list := make([]grebefork.ServerEntry, n)
+	list := make([]balancer.ServerEntry, n)
 	for i := range list {
 		e := &list[i]
-		e.ID, e.Zone, e.Kind, e.Cell = grebefork.ServerID(d.u32()), int(d.u8()), int(d.u8()), int(d.u16())
+		e.ID, e.Zone, e.Kind, e.Cell = balancer.ServerID(d.u32()), int(d.u8()), int(d.u8()), int(d.u16())
 		state := d.u8()
-		if state > uint8(grebefork.Draining) {
+		if state > uint8(balancer.Draining) {
 			d.fail("unknown server state")
 		}
-		e.State = grebefork.ServerState(state)
+		e.State = balancer.ServerState(state)
 		e.Weight, e.Start = d.f32(), d.time()
 	}
 	d.lists[ref] = list
 }
 
-func (d *Decoder) load(instance uint32) (l grebefork.Load) {
+func (d *Decoder) load(instance uint32) (l balancer.Load) {
 	n := int(d.u8())
 	l = settings.NoLoad()
 	fields := d.fields[instance]
@@ -255,7 +255,7 @@
 	return l
 }
 
-func (d *Decoder) outcome() grebefork.Outcome {
+func (d *Decoder) outcome() balancer.Outcome {
 	code := d.u8()
 	o, ok := outcomes[code]
 	if !ok {
@@ -336,35 +336,35 @@
 }
 
 // Action writes one action of an instance.
-func (e *Encoder) Action(instance uint32, a *grebefork.Action) {
+func (e *Encoder) Action(instance uint32, a *balancer.Action) {
 	switch a.Kind {
-	case grebefork.ActSend:
+	case balancer.ActSend:
 		e.head(acPassOn, instance)
 		e.u32(uint32(a.Request))
 		e.u32(uint32(a.Server))
 		e.time(a.Wait)
-	case grebefork.ActRefuse:
+	case balancer.ActRefuse:
 		e.head(acRefuse, instance)
 		e.u32(uint32(a.Request))
 		e.time(a.Wait)
-	case grebefork.ActFail:
+	case balancer.ActFail:
 		e.head(acFail, instance)
 		e.u32(uint32(a.Request))
-	case grebefork.ActCancel:
+	case balancer.ActCancel:
 		e.head(acUndoSend, instance)
 		e.u32(uint32(a.Request))
 		e.buf = append(e.buf, uint8(a.Attempt))
-	case grebefork.ActTimer:
+	case balancer.ActTimer:
 		e.head(acAlarm, instance)
 		e.time(a.Wait)
 		e.buf = binary.BigEndian.AppendUint64(e.buf, a.Token)
-	case grebefork.ActProbe:
+	case balancer.ActProbe:
 		e.head(acProbe, instance)
 		e.u32(uint32(a.Server))
-	case grebefork.ActFollow:
+	case balancer.ActFollow:
 		e.head(acFollow, instance)
 		e.buf = append(e.buf, 1)
-	case grebefork.ActLog:
+	case balancer.ActLog:
 		e.head(acLog, instance)
 		e.text([]byte(a.Text), maxText)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simwire
 
 import (
 	"bytes"
@@ -12,8 +12,8 @@
 	"testing"
 	"time"
 
-	"example.org/grebefork"
-	"example.org/grebefork/internal/settings"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/settings"
 )
 
 const clock = "40c06e2000000000"
@@ -73,17 +73,17 @@
 		t.Fatalf("%d records, error %v", len(recs), err)
 	}
 	s := recs[0].Settings
-	want := grebefork.Class{Name: s.Classes[0].Name, Aim: 380 * time.Millisecond, Deadline: 949 * time.Millisecond, Worth: 8,
-		Effect: grebefork.Token, Scope: grebefork.ScopeCell, Window: 600 * time.Millisecond,
+	want := balancer.Class{Name: s.Classes[0].Name, Aim: 380 * time.Millisecond, Deadline: 949 * time.Millisecond, Worth: 8,
+		Effect: balancer.Token, Scope: balancer.ScopeCell, Window: 600 * time.Millisecond,
 		Zones: []int{1}, Kinds: []int{}}
 	if recs[0].Kind != Create || recs[0].Seed != 7 || !reflect.DeepEqual(s.Classes[0], want) || s.Rank != 2 || s.Agents != 3 ||
 		s.ExtraWindow != 5*time.Second || s.ExtraFloor != 3 || s.ExtraRatio != 0.2 || !s.AskList || s.MustAskIn != 10*time.Second || s.ColdFrom != 0.12 ||
-		s.Tick != 1500*time.Microsecond || s.Tenants[0].Portion != 0.34 || s.Reports != grebefork.ReportsInline {
+		s.Tick != 1500*time.Microsecond || s.Tenants[0].Portion != 0.34 || s.Reports != balancer.ReportsInline {
 		t.Errorf("settings %+v", s)
 	}
 	l := recs[1].Event
-	if l.ListMode != grebefork.ListCached || len(l.Servers) != 2 || l.Servers[1] != (grebefork.ServerEntry{
-		ID: 0x2c9011f2, Zone: 1, Kind: 2, Cell: 5, State: grebefork.Draining, Weight: 1.5, Start: 6100 * time.Millisecond}) {
+	if l.ListMode != balancer.ListCached || len(l.Servers) != 2 || l.Servers[1] != (balancer.ServerEntry{
+		ID: 0x2c9011f2, Zone: 1, Kind: 2, Cell: 5, State: balancer.Draining, Weight: 1.5, Start: 6100 * time.Millisecond}) {
 		t.Errorf("list %+v", l)
 	}
 	r := recs[2].Event
@@ -91,11 +91,11 @@
 		t.Errorf("request %+v", r)
 	}
 	o := recs[5].Event
-	if o.Attempt != 1 || o.Server != 0x03124a07 || o.Outcome != grebefork.Full || !o.Closed || !o.Load.Known ||
+	if o.Attempt != 1 || o.Server != 0x03124a07 || o.Outcome != balancer.Full || !o.Closed || !o.Load.Known ||
 		o.Load.InFlight != 7 || o.Load.Queue != 3 || o.Load.Recent >= 0 {
 		t.Errorf("outcome %+v", o)
 	}
-	if p := recs[6].Event; p.Kind != grebefork.EventProbed || p.Load.Known {
+	if p := recs[6].Event; p.Kind != balancer.EventProbed || p.Load.Known {
 		t.Errorf("probe %+v", p)
 	}
 }
@@ -103,14 +103,14 @@
 func TestActions(t *testing.T) {
 	var e Encoder
 	e.Begin(12)
-	for _, a := range []grebefork.Action{
-		{Kind: grebefork.ActSend, Request: 0x5d3a91c4, Server: 0x03124a07, Wait: 80 * time.Millisecond},
-		{Kind: grebefork.ActTimer, Wait: 500 * time.Millisecond, Token: 77},
-		{Kind: grebefork.ActRefuse, Request: 0x0e6f2b19, Wait: 250 * time.Millisecond},
-		{Kind: grebefork.ActFollow},
-		{Kind: grebefork.ActCancel, Request: 0x5d3a91c4},
-		{Kind: grebefork.ActFail, Request: 0x0e6f2b19},
-		{Kind: grebefork.ActProbe, Server: 0x2c9011f2},
+	for _, a := range []balancer.Action{
+		{Kind: balancer.ActSend, Request: 0x5d3a91c4, Server: 0x03124a07, Wait: 80 * time.Millisecond},
+		{Kind: balancer.ActTimer, Wait: 500 * time.Millisecond, Token: 77},
+		{Kind: balancer.ActRefuse, Request: 0x0e6f2b19, Wait: 250 * time.Millisecond},
+		{Kind: balancer.ActFollow},
+		{Kind: balancer.ActCancel, Request: 0x5d3a91c4},
+		{Kind: balancer.ActFail, Request: 0x0e6f2b19},
+		{Kind: balancer.ActProbe, Server: 0x2c9011f2},
 	} {
 		e.Action(3, &a)
 	}
