--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -40,7 +40,7 @@
 	}
 	log = log.With("agent", cfg.Name)
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
-	reloads := make(chan config.Reloaded)
+	reloads := make(chan config.ReloadResult)
 	go func() {
 		present := cfg
 		for range hangups {
--- a/cmd/agent/reloads_test.go
+++ b/cmd/agent/reloads_test.go
@@ -50,8 +50,8 @@
 // longestTurn is how long a call may wait for its turn and its work.
 const longestTurn = time.Second
 
-func (g *turns) Enter(ctx context.Context, w lists.Work) (time.Duration, error) {
-	if w.GoesOn {
+func (g *turns) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
+	if w.Continues {
 		return 0, nil
 	}
 	g.mu.Lock()
@@ -62,7 +62,7 @@
 	due := g.free.Add(g.cost).Sub(now)
 	if due > longestTurn {
 		g.mu.Unlock()
-		return 0, lists.Refused{Cause: "too many callers"}
+		return 0, lists.RejectedError{Cause: "too many callers"}
 	}
 	g.free = now.Add(due)
 	g.mu.Unlock()
@@ -97,7 +97,7 @@
 }
 
 func (s *counterServer) member(id, phase string) discovery.Member {
-	return discovery.Member{ID: id, HostPort: s.Listener.Addr().String(), Locality: "a", Flavor: "m1", Phase: phase, Size: 1}
+	return discovery.Member{ID: id, Address: s.Listener.Addr().String(), Zone: "a", Kind: "m1", State: phase, Weight: 1}
 }
 
 // steppedClock is the wall clock of one process.
@@ -314,7 +314,7 @@
 			}
 			drained := servers[:2]
 			gate := &turns{cost: c.cost}
-			service := &lists.Server{Store: lists.NewStore(100), Gate: gate}
+			service := &lists.Server{Store: lists.NewStore(100), Limiter: gate}
 			service.Store.Reset(1, members)
 			known := string(lists.Encode(1, true, members))
 			web := service.HTTP()
--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -48,7 +48,7 @@
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20)
 	log = log.With("relay", cfg.Name)
 	r, err := relay.New(relay.Options{
-		Name: cfg.Name, Discovery: cfg.Discovery, State: cfg.State, Lists: cfg.Limits.ListsPerSecond, Callers: cfg.Limits.Callers, Log: log,
+		Name: cfg.Name, Discovery: cfg.Discovery, State: cfg.State, FullListsPerSecond: cfg.Limits.FullListsPerSecond, MaxCallers: cfg.Limits.MaxCallers, Log: log,
 	})
 	if err != nil {
 		return err
@@ -57,7 +57,7 @@
 	if err != nil {
 		return fmt.Errorf("listening: %w", err)
 	}
-	closeFigures, err := serveFigures(cfg.Figures, r, log)
+	closeFigures, err := serveFigures(cfg.MetricsAddr, r, log)
 	if err != nil {
 		l.Close()
 		return err
@@ -74,7 +74,7 @@
 	if err != nil {
 		return fmt.Errorf("serving: %w", err)
 	}
-	log.Info("relay ends", "revision", r.Figures().Revision)
+	log.Info("relay ends", "revision", r.Metrics().Revision)
 	return nil
 }
 
@@ -88,15 +88,15 @@
 		}
 		next, err := relay.LoadConfig(path)
 		if err == nil {
-			err = next.Follows(present)
+			err = next.CheckReload(present)
 		}
 		if err != nil {
 			log.Error("not reloaded, the old configuration stays", "error", err)
 			continue
 		}
-		r.Move(ctx, next.Discovery, next.Limits.ListsPerSecond)
+		r.Migrate(ctx, next.Discovery, next.Limits.FullListsPerSecond)
 		present = next
-		log.Info("reloaded", "discovery", next.Discovery, "lists_per_second", next.Limits.ListsPerSecond)
+		log.Info("reloaded", "discovery", next.Discovery, "lists_per_second", next.Limits.FullListsPerSecond)
 	}
 }
 
@@ -110,7 +110,7 @@
 		return nil, fmt.Errorf("figures: %w", err)
 	}
 	s := &http.Server{
-		Handler: http.HandlerFunc(r.ServeFigures), ReadTimeout: figuresGrace, WriteTimeout: figuresGrace, IdleTimeout: figuresGrace,
+		Handler: http.HandlerFunc(r.ServeMetrics), ReadTimeout: figuresGrace, WriteTimeout: figuresGrace, IdleTimeout: figuresGrace,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 	}
 	go s.Serve(l)
--- a/cmd/relay/main_test.go
+++ b/cmd/relay/main_test.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &lists.Server{Store: s.Store, Calls: 1000, Conns: 1000}
+	server := &lists.Server{Store: s.Store, MaxCallsPerAgent: 1000, MaxConns: 1000}
 	s.http = server.HTTP()
 	go s.http.Serve(server.Listener(l, 0))
 }
@@ -73,7 +73,7 @@
 }
 
 func member(id, phase string) discovery.Member {
-	return discovery.Member{ID: id, HostPort: "127.0.0.1:9", Phase: phase, Size: 1}
+	return discovery.Member{ID: id, Address: "127.0.0.1:9", State: phase, Weight: 1}
 }
 
 // program is the relay as a process.
@@ -189,18 +189,18 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
 	t.Cleanup(func() { stop(); ended.Wait() })
-	set := &settings.Settings{Module: balancer.Settings{Agents: 1}}
+	set := &settings.Settings{Balancer: balancer.Settings{Agents: 1}}
 	for i := range n {
 		a.heard[i] = map[uint64]time.Time{}
 		d := discovery.New(discovery.Options{
 			Addr: addr, Relays: relays, Name: fmt.Sprint("agent-", i), Settings: func() *settings.Settings { return set },
-			Count: func(discovery.Call) {}, Log: slog.New(slog.DiscardHandler),
-			Tell: func(n discovery.News) {
+			OnPoll: func(discovery.PollResult) {}, Log: slog.New(slog.DiscardHandler),
+			Notify: func(n discovery.WatchEvent) {
 				a.mu.Lock()
 				if _, ok := a.heard[i][n.Revision]; !ok {
 					a.heard[i][n.Revision] = time.Now()
 				}
-				if n.Mode == balancer.ListFull {
+				if n.Update == balancer.EndpointsReplaced {
 					a.whole[i]++
 				}
 				a.mu.Unlock()
@@ -259,7 +259,7 @@
 	if err := s.Apply(8, []discovery.Member{member("x", "Terminating")}); err != nil {
 		t.Fatal(err)
 	}
-	if took := a.all(t, 8).Sub(changed); took > balancer.ToldFailed {
+	if took := a.all(t, 8).Sub(changed); took > balancer.NotifyBoundAfterFailure {
 		t.Errorf("the last agent hears %v after the change", took)
 	}
 	for i, n := range a.whole {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -62,7 +62,7 @@
 // A panic in the module becomes text for the wire's fault action.
 func TestPanicBecomesAFault(t *testing.T) {
 	var h host
-	rec := simwire.Record{Kind: simwire.Deliver, Event: balancer.Event{Kind: balancer.EventHangup}}
+	rec := simwire.Record{Kind: simwire.Deliver, Event: balancer.Event{Kind: balancer.EventClientClosed}}
 	if fault := h.deliver(nil, time.Second, &rec); !strings.HasPrefix(fault, "panic: ") {
 		t.Errorf("fault %q", fault)
 	}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -42,9 +42,9 @@
 
 // Run serves until the context ends, then finishes what it has taken and returns nil. Of a configuration that is
 // reloaded it takes the settings and the addresses of discovery and its relays.
-func Run(ctx context.Context, cfg *config.Config, reloads <-chan config.Reloaded, log *slog.Logger) error {
+func Run(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, log *slog.Logger) error {
 	return serve(ctx, cfg, reloads, func() (*net.TCPListener, error) {
-		return listen(ctx, cfg.Listen, cfg.Console != "")
+		return listen(ctx, cfg.Listen, cfg.AdminAddr != "")
 	}, log)
 }
 
@@ -71,7 +71,7 @@
 	return l.(*net.TCPListener), nil
 }
 
-func serve(ctx context.Context, cfg *config.Config, reloads <-chan config.Reloaded, listening func() (*net.TCPListener, error), log *slog.Logger) error {
+func serve(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, listening func() (*net.TCPListener, error), log *slog.Logger) error {
 	own := limitsOf(cfg, 1)
 	pool := newPool(&cfg.Settings, own.backends)
 	l, err := newLoop(&cfg.Settings, cfg.Seed, pool, log)
@@ -81,15 +81,15 @@
 	// What the agent has taken it finishes, so its workers outlive the context.
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	tell := func(n discovery.News) {
+	tell := func(n discovery.WatchEvent) {
 		l.send(input{event: n.Event(nil), members: n.Members})
 	}
 	d := discovery.New(discovery.Options{
-		Addr: cfg.Discovery, Settings: l.set.Load, Tell: tell, Count: pool.counts.called, Log: log,
+		Addr: cfg.Discovery, Settings: l.set.Load, Notify: tell, OnPoll: pool.counts.called, Log: log,
 		Name: cfg.Name, Relays: cfg.Relays,
 	})
-	d.StartFrom(cfg.Known)
-	l.follow = d.Ask
+	d.StartFrom(cfg.CachedEndpoints)
+	l.follow = d.Poll
 	clients := &admission{figures: &pool.counts, freed: make(chan struct{}, 1)}
 	handler := &server{
 		loop: l, figures: &pool.counts, clients: clients, most: int64(own.busy - own.busy/8),
@@ -97,8 +97,8 @@
 	}
 	shares := newRooms(cfg, clients, pool)
 	var beside *link
-	if cfg.Console != "" {
-		c, err := listenConsole(ctx, cfg.Console, handler.calls())
+	if cfg.AdminAddr != "" {
+		c, err := listenConsole(ctx, cfg.AdminAddr, handler.calls())
 		if err != nil {
 			return err
 		}
@@ -109,9 +109,9 @@
 		defer beside.close()
 		defer pool.resize(0) // before that: the other process takes the link's end for the end of all that this one holds
 	}
-	moves := make(chan discovery.Place)
+	moves := make(chan discovery.Target)
 	go l.run(work)
-	tell(discovery.News{Mode: balancer.ListCached, Members: cfg.Known.Members})
+	tell(discovery.WatchEvent{Update: balancer.EndpointsCached, Members: cfg.CachedEndpoints.Members})
 	go d.Run(work, moves)
 	go l.follows(work, reloads, moves)
 
@@ -149,7 +149,7 @@
 func (s *server) leave(work context.Context, beside *link, failed <-chan error, log *slog.Logger) error {
 	begun := time.Now()
 	longest := time.Duration(0)
-	for _, c := range s.loop.set.Load().Module.Classes {
+	for _, c := range s.loop.set.Load().Balancer.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	last := min(longest, killDeadline) + killAfter - lastAnswers
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -67,7 +67,7 @@
 	ended  chan error
 	client *http.Client
 
-	reloads chan config.Reloaded
+	reloads chan config.ReloadResult
 	calls   atomic.Int64 // requests made
 }
 
@@ -82,7 +82,7 @@
 	r := &running{
 		url: "http://" + listener.Addr().String(), stop: stop, ended: make(chan error, 1),
 		client:  &http.Client{Transport: &http.Transport{}, Timeout: wait},
-		reloads: make(chan config.Reloaded),
+		reloads: make(chan config.ReloadResult),
 	}
 	go func() {
 		r.ended <- serve(ctx, cfg, r.reloads, func() (*net.TCPListener, error) { return listener, nil }, discard)
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -69,7 +69,7 @@
 // result is how an attempt or a probe ended.
 type result struct {
 	outcome balancer.Outcome
-	load    balancer.Load
+	load    balancer.LoadReport
 	answer  answer // a whole one, if the outcome is OK
 	gone    bool   // nobody waits for it
 }
@@ -87,31 +87,31 @@
 
 // exchange sends a message once and waits for its answer until the context ends, of which the cause tells why.
 func (p *pool) exchange(ctx context.Context, t *target, m *message, on *terms) result {
-	r := result{load: settings.NoLoad()}
+	r := result{load: settings.UnknownLoad()}
 	resp, body, sent, err := p.roundTrip(ctx, t, m, on)
 	switch cause := context.Cause(ctx); {
 	case err == nil:
 		r.load = parseLoad(resp.Header.Get(loadHeader), on.fields)
 		r.outcome = outcomeOf(resp)
-		if r.outcome == balancer.OK {
+		if r.outcome == balancer.OutcomeOK {
 			r.answer = answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), body: body}
 		}
 	case errors.Is(err, errOver):
-		r.outcome, r.gone = balancer.Moot, true
+		r.outcome, r.gone = balancer.OutcomeExpired, true
 	case errors.Is(cause, context.Canceled) && sent == nothing:
-		r.outcome = balancer.Moot
+		r.outcome = balancer.OutcomeExpired
 	case errors.Is(cause, context.Canceled), errors.Is(err, errNotTaken):
-		r.outcome = balancer.Cancelled
+		r.outcome = balancer.OutcomeCancelled
 	case errors.Is(err, errLeft):
-		r.outcome = balancer.Leaving
+		r.outcome = balancer.OutcomeServerDraining
 	case errors.Is(err, errTooLate), errors.Is(err, errNotSent), ownShortage(err):
-		r.outcome = balancer.Moot // it never ran, and the backend is not to blame
+		r.outcome = balancer.OutcomeExpired // it never ran, and the backend is not to blame
 	case sent != all: // it cannot have run
-		r.outcome = balancer.ConnectFailed
+		r.outcome = balancer.OutcomeConnectFailed
 	case cause != nil, errors.Is(err, context.DeadlineExceeded):
-		r.outcome = balancer.Timeout
+		r.outcome = balancer.OutcomeTimeout
 	default:
-		r.outcome = balancer.Reset
+		r.outcome = balancer.OutcomeReset
 	}
 	return r
 }
@@ -120,13 +120,13 @@
 func outcomeOf(resp *http.Response) balancer.Outcome {
 	switch resp.StatusCode {
 	case http.StatusOK:
-		return balancer.OK
+		return balancer.OutcomeOK
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
 		if resp.Header.Get(rejectedHeader) == "1" {
-			return balancer.Full
+			return balancer.OutcomeRejected
 		}
 	}
-	return balancer.Error
+	return balancer.OutcomeError
 }
 
 // extent is how much of a request has been written: whether it can have run hangs on its last byte.
@@ -220,7 +220,7 @@
 
 // stream passes on an answer that is too long to be held; its first bytes were in time, and no deadline holds from here.
 func (p *pool) stream(c *conn, resp *http.Response, first []byte, rest io.Reader, on *terms) error {
-	if outcomeOf(resp) != balancer.OK {
+	if outcomeOf(resp) != balancer.OutcomeOK {
 		resp.Close = true // nobody wants the rest
 		return nil
 	}
@@ -313,7 +313,7 @@
 
 // probe asks a backend how it does: for its load where probes bring reports, else whether it is alive.
 func (p *pool) probe(ctx context.Context, t *target, s *settings.Settings) result {
-	path, reports := alivePath, s.Module.Reports != balancer.ReportsOff
+	path, reports := alivePath, s.Balancer.Reports != balancer.ReportsOff
 	if reports {
 		path = loadPath
 	}
@@ -323,7 +323,7 @@
 	defer cancel()
 	deadline, _ := ctx.Deadline()
 	r := p.exchange(ctx, t, &m, &terms{deadline: deadline, fields: s.ReportFields})
-	if r.outcome == balancer.OK && reports {
+	if r.outcome == balancer.OutcomeOK && reports {
 		r.load = parseLoad(string(r.answer.body), s.ReportFields)
 	}
 	return r
@@ -331,14 +331,14 @@
 
 // parseLoad reads a report such as inflight=7,queue=2. Names that the settings do not list, and what is no
 // number, are left out: a bad report is an absent one.
-func parseLoad(text string, fields []string) balancer.Load {
-	load := settings.NoLoad()
+func parseLoad(text string, fields []string) balancer.LoadReport {
+	load := settings.UnknownLoad()
 	for pair := range strings.SplitSeq(strings.TrimSpace(text), ",") {
 		name, value, _ := strings.Cut(pair, "=")
 		name = strings.TrimSpace(name)
 		v, err := strconv.ParseFloat(strings.TrimSpace(value), 64)
 		if err == nil && slices.Contains(fields, name) {
-			settings.AddLoad(&load, name, v)
+			settings.SetLoadField(&load, name, v)
 		}
 	}
 	return load
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -139,7 +139,7 @@
 	cfg := configFor(t, "127.0.0.1:1", strings.Replace(testSettings, `"off"`, `"on_probe"`, 1))
 	p := newPool(&cfg.Settings, 4)
 	r := p.probe(context.Background(), p.target(b.addr, 0), &cfg.Settings)
-	if r.outcome != balancer.OK || r.load.InFlight != 7 || r.load.Recent != 12*time.Millisecond || r.load.Queue != -1 {
+	if r.outcome != balancer.OutcomeOK || r.load.InFlight != 7 || r.load.ServiceTime != 12*time.Millisecond || r.load.Queue != -1 {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -161,10 +161,10 @@
 	m := newMessage("POST", "/keyed/1", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	if r := exchangeBy(p, ctx, to, &m, time.Now()); r.outcome != balancer.Moot || len(b.got) > 0 {
+	if r := exchangeBy(p, ctx, to, &m, time.Now()); r.outcome != balancer.OutcomeExpired || len(b.got) > 0 {
 		t.Errorf("outcome %d, %d sent", r.outcome, len(b.got))
 	}
-	if r := exchangeBy(p, ctx, to, &m, time.Now().Add(wait)); r.outcome != balancer.OK {
+	if r := exchangeBy(p, ctx, to, &m, time.Now().Add(wait)); r.outcome != balancer.OutcomeOK {
 		t.Errorf("in time: outcome %d", r.outcome)
 	}
 }
@@ -177,12 +177,12 @@
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	over, cancel := context.WithDeadline(context.Background(), time.Now())
 	defer cancel()
-	if r := exchangeBy(p, over, to, &m, time.Time{}); r.outcome != balancer.ConnectFailed {
+	if r := exchangeBy(p, over, to, &m, time.Time{}); r.outcome != balancer.OutcomeConnectFailed {
 		t.Errorf("out of time: outcome %d", r.outcome)
 	}
 	given, giveUp := context.WithCancel(context.Background())
 	giveUp()
-	if r := exchangeBy(p, given, to, &m, time.Time{}); r.outcome != balancer.Moot {
+	if r := exchangeBy(p, given, to, &m, time.Time{}); r.outcome != balancer.OutcomeExpired {
 		t.Errorf("given up: outcome %d", r.outcome)
 	}
 	if p.open != 0 {
@@ -210,7 +210,7 @@
 		for _, old := range to.idle {
 			old.since = old.since.Add(-c.idle)
 		}
-		if r := exchangeBy(p, ctx, to, &m, time.Time{}); r.outcome != balancer.OK {
+		if r := exchangeBy(p, ctx, to, &m, time.Time{}); r.outcome != balancer.OutcomeOK {
 			t.Fatalf("outcome %d", r.outcome)
 		}
 		<-b.got
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -32,8 +32,8 @@
 	}
 	l := newLists(t, hosts(1, true, members...))
 	cfg := configFor(t, l.Listener.Addr().String(), testSettings)
-	cfg.Console = freeAddr(t)
-	return start(t, cfg), cfg.Console
+	cfg.AdminAddr = freeAddr(t)
+	return start(t, cfg), cfg.AdminAddr
 }
 
 // operator makes one call, or sends whatever text is given, and returns all of the answer.
@@ -109,8 +109,8 @@
 	}
 	defer taken.Close()
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	cfg.Console = taken.Addr().String()
-	if err := Run(t.Context(), cfg, nil, discard); err == nil || !strings.Contains(err.Error(), cfg.Console) {
+	cfg.AdminAddr = taken.Addr().String()
+	if err := Run(t.Context(), cfg, nil, discard); err == nil || !strings.Contains(err.Error(), cfg.AdminAddr) {
 		t.Errorf("error %v", err)
 	}
 }
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -86,7 +86,7 @@
 		l := newLists(t, hosts(1, true, member))
 		cfg := configFor(t, l.Listener.Addr().String(), testSettings)
 		var err error
-		if cfg.Known, err = discovery.Parse([]byte(c.known)); err != nil {
+		if cfg.CachedEndpoints, err = discovery.Parse([]byte(c.known)); err != nil {
 			t.Fatal(err)
 		}
 		start(t, cfg)
@@ -138,7 +138,7 @@
 	receive(t, "watch", old.calls)
 	moved := *cfg
 	moved.Discovery = next.Listener.Addr().String()
-	a.reloads <- config.Reloaded{Config: &moved}
+	a.reloads <- config.ReloadResult{Config: &moved}
 	if q := receive(t, "call to the new discovery", next.calls); q != "" {
 		t.Errorf("the first call asks %q", q)
 	}
@@ -248,7 +248,7 @@
 					}
 					cfg := configFor(t, addr, set)
 					var err error
-					if cfg.Known, err = discovery.Parse(hosts(7, true, host("x", x.addr, "Ready", 0))); err != nil {
+					if cfg.CachedEndpoints, err = discovery.Parse(hosts(7, true, host("x", x.addr, "Ready", 0))); err != nil {
 						t.Fatal(err)
 					}
 					a := start(t, cfg)
@@ -256,7 +256,7 @@
 					case moves:
 						moved := *cfg
 						moved.Discovery = next.Listener.Addr().String()
-						a.reloads <- config.Reloaded{Config: &moved}
+						a.reloads <- config.ReloadResult{Config: &moved}
 					case how == "dial":
 						accept(t, fd, next.Config.Handler)
 					default:
@@ -264,7 +264,7 @@
 					}
 					begun := time.Now()
 					receive(t, "call", next.calls)
-					if took := time.Since(begun); took > balancer.ToldMoved {
+					if took := time.Since(begun); took > balancer.NotifyBoundAfterMigration {
 						t.Errorf("asked after %v", took)
 					}
 				})
@@ -279,7 +279,7 @@
 	l := newLists(t, nil) // refuses all
 	cfg := configFor(t, l.Listener.Addr().String(), text)
 	var err error
-	if cfg.Known, err = discovery.Parse(hosts(1, true, host("x", "127.0.0.1:1", "Ready", 0))); err != nil {
+	if cfg.CachedEndpoints, err = discovery.Parse(hosts(1, true, host("x", "127.0.0.1:1", "Ready", 0))); err != nil {
 		t.Fatal(err)
 	}
 	begun := time.Now()
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -65,20 +65,20 @@
 
 // tally counts since the log's last line.
 type tally struct {
-	taken, gone          int                            // requests
-	turnedAway           int                            // of the refused: the agent held too many
-	attempts             [int(balancer.Leaving) + 1]int // by outcome
-	dialed, reused       int                            // connections that attempts and probes used
-	brokenReused         int                            // of the reused: no whole answer came
-	probes, probesFailed int                            //
-	reports              int                            // answers that told a load
-	lastBreak            string                         // why the last answer did not come whole
-	badRequests          int                            // turned down before they were taken
-	lastBad              string                         // why the last of them was
-	halfHeads            int                            // connections that ended within a request's head
-	listCalls, listFails int                            // calls of discovery
-	slowestList          time.Duration                  // longest that a call took beyond what it may wait
-	slowestLoop          time.Duration                  // longest that one input kept the loop
+	taken, gone          int                                          // requests
+	turnedAway           int                                          // of the refused: the agent held too many
+	attempts             [int(balancer.OutcomeServerDraining) + 1]int // by outcome
+	dialed, reused       int                                          // connections that attempts and probes used
+	brokenReused         int                                          // of the reused: no whole answer came
+	probes, probesFailed int                                          //
+	reports              int                                          // answers that told a load
+	lastBreak            string                                       // why the last answer did not come whole
+	badRequests          int                                          // turned down before they were taken
+	lastBad              string                                       // why the last of them was
+	halfHeads            int                                          // connections that ended within a request's head
+	listCalls, listFails int                                          // calls of discovery
+	slowestList          time.Duration                                // longest that a call took beyond what it may wait
+	slowestLoop          time.Duration                                // longest that one input kept the loop
 }
 
 // count changes the tally.
@@ -89,12 +89,12 @@
 }
 
 // called counts a call of discovery.
-func (f *figures) called(c discovery.Call) {
+func (f *figures) called(c discovery.PollResult) {
 	f.count(func(t *tally) {
 		if t.listCalls++; c.Err != nil {
 			t.listFails++
 		}
-		t.slowestList = max(t.slowestList, c.Took-c.Wait)
+		t.slowestList = max(t.slowestList, c.Duration-c.Wait)
 	})
 }
 
@@ -164,9 +164,9 @@
 // lines at 400 bytes, and did so before the calls of discovery when all counters stood in one.
 func (t *tally) reportAttempts(log *slog.Logger) {
 	of := func(o balancer.Outcome) int { return t.attempts[o] }
-	log.Info("attempts", "ok", of(balancer.OK), "error", of(balancer.Error), "full", of(balancer.Full),
-		"timeout", of(balancer.Timeout), "connect", of(balancer.ConnectFailed), "reset", of(balancer.Reset),
-		"cancelled", of(balancer.Cancelled), "moot", of(balancer.Moot), "leaving", of(balancer.Leaving),
+	log.Info("attempts", "ok", of(balancer.OutcomeOK), "error", of(balancer.OutcomeError), "full", of(balancer.OutcomeRejected),
+		"timeout", of(balancer.OutcomeTimeout), "connect", of(balancer.OutcomeConnectFailed), "reset", of(balancer.OutcomeReset),
+		"cancelled", of(balancer.OutcomeCancelled), "moot", of(balancer.OutcomeExpired), "leaving", of(balancer.OutcomeServerDraining),
 		slog.Group("connections", "dialed", t.dialed, "reused", t.reused, "broken_reused", t.brokenReused),
 		slog.Group("probes", "sent", t.probes, "failed", t.probesFailed), "reports", t.reports)
 	if t.lastBreak != "" {
@@ -194,7 +194,7 @@
 		t.attempts[ev.Outcome]++
 		return
 	}
-	if t.probes++; ev.Outcome != balancer.OK {
+	if t.probes++; ev.Outcome != balancer.OutcomeOK {
 		t.probesFailed++
 	}
 }
--- a/internal/agent/figures_test.go
+++ b/internal/agent/figures_test.go
@@ -47,9 +47,9 @@
 // A call of discovery is counted, as failed too if it was, and its time is what it took beyond its wait.
 func TestCallsOfDiscoveryAreCounted(t *testing.T) {
 	var f figures
-	f.called(discovery.Call{Wait: 3 * time.Second, Took: 3200 * time.Millisecond})
-	f.called(discovery.Call{Took: 500 * time.Millisecond, Err: discovery.ErrCutList})
-	f.called(discovery.Call{Wait: 2 * time.Second, Took: time.Millisecond})
+	f.called(discovery.PollResult{Wait: 3 * time.Second, Duration: 3200 * time.Millisecond})
+	f.called(discovery.PollResult{Duration: 500 * time.Millisecond, Err: discovery.ErrTruncatedList})
+	f.called(discovery.PollResult{Wait: 2 * time.Second, Duration: time.Millisecond})
 	if f.listCalls != 3 || f.listFails != 1 || f.slowestList != 500*time.Millisecond {
 		t.Errorf("%d calls, %d failed, the slowest %v", f.listCalls, f.listFails, f.slowestList)
 	}
@@ -59,11 +59,11 @@
 func TestFiguresOfRefusals(t *testing.T) {
 	l := newLists(t, hosts(1, true, host("x", "127.0.0.1:1", "Terminating", 0)))
 	cfg := configFor(t, l.Listener.Addr().String(), testSettings)
-	cfg.Console = freeAddr(t)
+	cfg.AdminAddr = freeAddr(t)
 	t.Setenv("TMPDIR", t.TempDir())
 	a := start(t, cfg)
 	a.do(t, a.request("unsafe", "15000m"))
-	if got := operator(t, cfg.Console, "vars\n"); !strings.Contains(got, `{kind="unsafe",result="shed"} 1`) ||
+	if got := operator(t, cfg.AdminAddr, "vars\n"); !strings.Contains(got, `{kind="unsafe",result="shed"} 1`) ||
 		!strings.Contains(got, "gw_tries_total 0\n") {
 		t.Errorf("the figures\n%s", got)
 	}
--- a/internal/agent/large_test.go
+++ b/internal/agent/large_test.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.Known = known
+	cfg.CachedEndpoints = known
 	a := start(t, cfg)
 	// served sends some requests and says how many each backend got.
 	served := func() (got [2]int) {
--- a/internal/agent/leaving_test.go
+++ b/internal/agent/leaving_test.go
@@ -84,14 +84,14 @@
 		to := p.target(b.addr, 0)
 		m := newMessage("GET", "/", "x", nil, nil, nil)
 		if idle {
-			if r := exchangeBy(p, t.Context(), to, &m, time.Time{}); r.outcome != balancer.OK {
+			if r := exchangeBy(p, t.Context(), to, &m, time.Time{}); r.outcome != balancer.OutcomeOK {
 				t.Fatalf("outcome %d", r.outcome)
 			}
 			<-b.got
 		}
 		tries := p.counts.tries
 		to.leave()
-		if r := exchangeBy(p, t.Context(), to, &m, time.Time{}); r.outcome != balancer.Leaving {
+		if r := exchangeBy(p, t.Context(), to, &m, time.Time{}); r.outcome != balancer.OutcomeServerDraining {
 			t.Errorf("idle connection %v: outcome %d", idle, r.outcome)
 		}
 		if len(b.got) > 0 || p.counts.tries != tries || p.open != len(to.idle) {
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -26,9 +26,9 @@
 // begin starts one and waits until it says yes.
 func begin(t *testing.T, cfg config.Config) *process {
 	t.Helper()
-	cfg.Console = freeAddr(t)
+	cfg.AdminAddr = freeAddr(t)
 	ctx, stop := context.WithCancel(context.Background())
-	p := &process{console: cfg.Console, stop: stop, ended: make(chan error, 1)}
+	p := &process{console: cfg.AdminAddr, stop: stop, ended: make(chan error, 1)}
 	t.Cleanup(stop)
 	go func() { p.ended <- Run(ctx, &cfg, nil, discard) }()
 	for begun := time.Now(); time.Since(begun) < wait; time.Sleep(time.Millisecond) {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -24,10 +24,10 @@
 // input is what has happened, on its way to the loop: an event for the module and what it has no use for.
 type input struct {
 	event   balancer.Event
-	call    *call              // of EventRequest and EventHangup
+	call    *call              // of EventRequest and EventClientClosed
 	answer  answer             // of EventOutcome, if it is OK
 	gone    bool               // of EventOutcome: the attempt found the client gone
-	members []discovery.Member // of EventList
+	members []discovery.Member // of EventDiscovery
 	adopt   *settings.Settings // instead of an event
 	adopted chan<- error
 }
@@ -94,7 +94,7 @@
 }
 
 func newLoop(set *settings.Settings, seed uint64, pool *pool, log *slog.Logger) (*loop, error) {
-	decisions, err := balancer.New(set.Module, seed)
+	decisions, err := balancer.New(set.Balancer, seed)
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 	}
 	l.servers = membership.New(l.clock.Now)
 	l.set.Store(set)
-	pool.counts.know(set.Classes)
+	pool.counts.know(set.ClassNames)
 	return l, nil
 }
 
@@ -166,7 +166,7 @@
 			l.callIDs.age()
 		case <-gauges:
 			l.pool.counts.listed.Store(int64(l.servers.Len()))
-			l.pool.counts.avoidedNow.Store(int64(l.balancer.Avoided(l.clock.Now())))
+			l.pool.counts.avoidedNow.Store(int64(l.balancer.EjectedEndpoints(l.clock.Now())))
 		case <-report.C:
 			l.pool.counts.report(l.log, l.servers.Count(balancer.Ready), l.servers.Count(balancer.Draining))
 			if step := l.steps.Observe(clock.Wall(), l.clock.Elapsed()); step != 0 {
@@ -177,7 +177,7 @@
 		}
 		for now := l.clock.Now(); len(l.timers) > 0 && l.timers[0].due <= now; {
 			t := heap.Pop(&l.timers).(timer)
-			l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, Token: t.token})
+			l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: t.id})
 		}
 	}
 }
@@ -190,13 +190,13 @@
 	}
 	ev := in.event
 	switch ev.Kind {
-	case balancer.EventList:
-		ev.Servers = l.entries(in.members)
+	case balancer.EventDiscovery:
+		ev.Endpoints = l.entries(in.members)
 		l.handle(ctx, ev)
-		if !ev.ListMode.Keeps() {
-			l.forgetGone(ev.ListMode, ev.Servers)
+		if !ev.Update.KeepsEndpoints() {
+			l.forgetGone(ev.Update, ev.Endpoints)
 			l.ready.Store(len(l.targets) > 0 || l.ready.Load())
-			l.heard.Store(l.ready.Load() && ev.ListMode != balancer.ListCached || l.heard.Load())
+			l.heard.Store(l.ready.Load() && ev.Update != balancer.EndpointsCached || l.heard.Load())
 		}
 	case balancer.EventRequest:
 		if !l.callIDs.take(in.call.callID) {
@@ -212,9 +212,9 @@
 		in.call.id = l.newID()
 		l.requests[in.call.id] = &request{call: in.call}
 		ev.Request, ev.Class, ev.Tenant, ev.Retry = in.call.id, in.call.class, in.call.tenant, in.call.retry
-		ev.Left = in.call.deadline - l.clock.Now()
+		ev.Remaining = in.call.deadline - l.clock.Now()
 		l.handle(ctx, ev)
-	case balancer.EventHangup:
+	case balancer.EventClientClosed:
 		r := l.requests[in.call.id]
 		if r == nil || r.ended.Load() { // it crossed the answer, if there was one
 			select {
@@ -227,7 +227,7 @@
 			return
 		}
 		l.hangUp(ctx, r)
-	case balancer.EventBegun:
+	case balancer.EventStreaming:
 		r := l.requests[ev.Request]
 		if flows := in.answer.rest; flows != nil {
 			if !r.end(in.answer) { // another attempt's answer was first
@@ -245,14 +245,14 @@
 		if in.gone && !r.ended.Load() {
 			l.hangUp(ctx, r)
 		}
-		if ev.Outcome == balancer.OK {
+		if ev.Outcome == balancer.OutcomeOK {
 			r.end(in.answer)
 		}
-		ev.Closed = r.ended.Load()
+		ev.Answered = r.ended.Load()
 		l.handle(ctx, ev)
 		l.forget(r)
 	default:
-		if ev.Kind == balancer.EventProbed {
+		if ev.Kind == balancer.EventHealthCheck {
 			l.pool.counts.count(func(t *tally) { t.ended(&ev) })
 		}
 		l.handle(ctx, ev)
@@ -263,7 +263,7 @@
 func (l *loop) hangUp(ctx context.Context, r *request) {
 	r.end(answer{})
 	l.pool.counts.count(func(t *tally) { t.gone++ })
-	l.handle(ctx, balancer.Event{Kind: balancer.EventHangup, Request: r.id})
+	l.handle(ctx, balancer.Event{Kind: balancer.EventClientClosed, Request: r.id})
 	l.forget(r)
 }
 
@@ -323,13 +323,13 @@
 func (c *callIDs) age() { c.recent, c.older = map[string]struct{}{}, c.recent }
 
 // entries notes where the members of a list are and turns them into the module's terms.
-func (l *loop) entries(members []discovery.Member) []balancer.ServerEntry {
-	entries := l.servers.Entries(l.set.Load(), members)
+func (l *loop) entries(members []discovery.Member) []balancer.Endpoint {
+	entries := l.servers.Endpoints(l.set.Load(), members)
 	for i, e := range entries {
-		if e.State == balancer.Gone {
+		if e.State == balancer.Removed {
 			continue // forgotten once the module has heard of it
 		}
-		addr, t := members[i].HostPort, l.targets[e.ID]
+		addr, t := members[i].Address, l.targets[e.ID]
 		same := t != nil && t.addr == addr && t.start == e.Start
 		if !same || e.State == balancer.Ready && t.left.Err() != nil { // one that stays after all may be sent to again
 			if t != nil {
@@ -346,8 +346,8 @@
 }
 
 // forgetGone drops the addresses and idle connections of the backends that a list has shown to be gone.
-func (l *loop) forgetGone(mode balancer.ListMode, entries []balancer.ServerEntry) {
-	for _, id := range l.servers.Forget(mode, entries) {
+func (l *loop) forgetGone(mode balancer.DiscoveryUpdate, entries []balancer.Endpoint) {
+	for _, id := range l.servers.RemoveGone(mode, entries) {
 		if t := l.targets[id]; t != nil {
 			l.pool.retire(t)
 			delete(l.targets, id)
@@ -371,32 +371,32 @@
 func (l *loop) act(ctx context.Context, a *balancer.Action) {
 	r := l.requests[a.Request]
 	switch a.Kind {
-	case balancer.ActSend:
+	case balancer.ActionSend:
 		if r != nil {
 			l.attempt(ctx, r, a)
 		}
-	case balancer.ActRefuse:
+	case balancer.ActionReject:
 		if r != nil {
-			r.end(answer{status: statusRefused, retryAfter: a.Wait})
+			r.end(answer{status: statusRefused, retryAfter: a.RetryAfter})
 			l.forget(r)
 		}
-	case balancer.ActFail:
+	case balancer.ActionFail:
 		if r != nil {
 			r.end(answer{status: statusFailed})
 			l.forget(r)
 		}
-	case balancer.ActCancel:
+	case balancer.ActionCancel:
 		// Another attempt's end must not cut off the answer that the client is getting.
 		if r != nil && a.Attempt < len(r.attempts) && r.passing != 1+a.Attempt {
 			r.attempts[a.Attempt]()
 		}
-	case balancer.ActTimer:
-		heap.Push(&l.timers, timer{due: l.clock.Now() + a.Wait, token: a.Token})
-	case balancer.ActProbe:
+	case balancer.ActionSetTimer:
+		heap.Push(&l.timers, timer{due: l.clock.Now() + a.Delay, id: a.TimerID})
+	case balancer.ActionHealthCheck:
 		l.probe(ctx, a.Server)
-	case balancer.ActFollow:
+	case balancer.ActionPollEndpoints:
 		l.follow()
-	case balancer.ActLog:
+	case balancer.ActionLog:
 		l.log.Info(a.Text)
 	}
 }
@@ -405,28 +405,28 @@
 func (l *loop) attempt(ctx context.Context, r *request, a *balancer.Action) {
 	n := len(r.attempts)
 	left := r.deadline - l.clock.Now()
-	if a.Wait != 0 {
-		left = min(left, a.Wait)
+	if a.Timeout != 0 {
+		left = min(left, a.Timeout)
 	}
 	t := l.targets[a.Server]
 	if r.ended.Load() || left <= 0 || t == nil {
 		r.attempts = append(r.attempts, func() {})
 		l.events = append(l.events, balancer.Event{
 			Kind: balancer.EventOutcome, Request: r.id, Attempt: n, Server: a.Server,
-			Outcome: balancer.Moot, Closed: r.ended.Load(), Load: settings.NoLoad(),
+			Outcome: balancer.OutcomeExpired, Answered: r.ended.Load(), Load: settings.UnknownLoad(),
 		})
 		return
 	}
 	on := &terms{deadline: time.Now().Add(left), fields: l.set.Load().ReportFields, over: r.over}
-	if a.Within > 0 {
-		on.sendBy = time.Now().Add(a.Within)
+	if a.DispatchWithin > 0 {
+		on.sendBy = time.Now().Add(a.DispatchWithin)
 	}
 	attemptCtx, cancel := context.WithCancelCause(ctx)
 	on.timer = time.AfterFunc(left, func() { cancel(context.DeadlineExceeded) })
 	r.attempts = append(r.attempts, func() { cancel(context.Canceled) })
 	r.out++
 	id, server, msg := r.id, a.Server, &r.message
-	begun := balancer.Event{Kind: balancer.EventBegun, Request: id, Attempt: n, Server: server}
+	begun := balancer.Event{Kind: balancer.EventStreaming, Request: id, Attempt: n, Server: server}
 	on.begun = func() { l.send(input{event: begun}) }
 	on.pass = func(a answer) error {
 		l.send(input{event: begun, answer: a})
@@ -451,7 +451,7 @@
 	t := l.targets[server]
 	if t == nil {
 		l.events = append(l.events, balancer.Event{
-			Kind: balancer.EventProbed, Server: server, Outcome: balancer.Moot, Load: settings.NoLoad(),
+			Kind: balancer.EventHealthCheck, Server: server, Outcome: balancer.OutcomeExpired, Load: settings.UnknownLoad(),
 		})
 		return
 	}
@@ -459,16 +459,16 @@
 	go func() {
 		res := l.pool.probe(ctx, t, set)
 		l.send(input{event: balancer.Event{
-			Kind: balancer.EventProbed, Server: server,
+			Kind: balancer.EventHealthCheck, Server: server,
 			Outcome: res.outcome, Load: res.load,
 		}})
 	}()
 }
 
-// timer is an ActTimer that is to fall due.
+// timer is an ActionSetTimer that is to fall due.
 type timer struct {
-	due   time.Duration
-	token uint64
+	due time.Duration
+	id  balancer.TimerID
 }
 
 // timers is a heap, the next one first.
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -101,33 +101,33 @@
 		t.Fatal(err)
 	}
 	ctx := t.Context()
-	list := func(mode balancer.ListMode, phase string) {
-		l.take(ctx, input{event: balancer.Event{Kind: balancer.EventList, ListMode: mode},
-			members: []discovery.Member{{ID: "x", HostPort: b.addr, Phase: phase}}})
+	list := func(mode balancer.DiscoveryUpdate, phase string) {
+		l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: mode},
+			members: []discovery.Member{{ID: "x", Address: b.addr, State: phase}}})
 	}
-	list(balancer.ListFull, "Ready")
+	list(balancer.EndpointsReplaced, "Ready")
 	x := idOf(t, l, "x")
 	r := &request{call: &call{id: 7, deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays,
 		message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}}
 	l.requests[r.id] = r
-	send := balancer.Action{Kind: balancer.ActSend, Request: r.id, Server: x, Wait: wait}
+	send := balancer.Action{Kind: balancer.ActionSend, Request: r.id, Server: x, Timeout: wait}
 	l.act(ctx, &send)
-	if in := receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OK {
+	if in := receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OutcomeOK {
 		t.Fatalf("outcome %d", in.event.Outcome)
 	}
-	send.Within = 1 // a nanosecond, which is over before a connection can be had
+	send.DispatchWithin = 1 // a nanosecond, which is over before a connection can be had
 	l.act(ctx, &send)
-	if in := receive(t, "outcome", l.inputs); in.event.Outcome != balancer.Moot {
+	if in := receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OutcomeExpired {
 		t.Errorf("sent too late: outcome %d", in.event.Outcome)
 	}
-	list(balancer.ListDelta, "Gone")
+	list(balancer.EndpointsChanged, "Gone")
 	receive(t, "close of the idle connection", b.ended)
 	if len(l.targets) > 0 || len(l.pool.targets) > 0 || l.servers.Len() > 0 {
 		t.Errorf("still known: %v %v", l.targets, l.servers.Members())
 	}
-	send.Within = 0
+	send.DispatchWithin = 0
 	l.act(ctx, &send)
-	if n := len(l.events); n != 1 || l.events[0].Outcome != balancer.Moot {
+	if n := len(l.events); n != 1 || l.events[0].Outcome != balancer.OutcomeExpired {
 		t.Errorf("to a backend that is gone: %+v", l.events)
 	}
 }
@@ -140,14 +140,14 @@
 		t.Fatal(err)
 	}
 	ctx := t.Context()
-	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull},
-		members: []discovery.Member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
+	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
+		members: []discovery.Member{{ID: "x", Address: "127.0.0.1:1", State: "Ready"}}})
 	c := &call{set: l.set.Load(), class: 2, deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/", "x", nil, nil, nil)}
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 	if len(l.requests) != 1 || l.requests[c.id].out != 1 {
 		t.Fatalf("after the request: %+v", l.requests)
 	}
-	hangup := input{event: balancer.Event{Kind: balancer.EventHangup}, call: c}
+	hangup := input{event: balancer.Event{Kind: balancer.EventClientClosed}, call: c}
 	l.take(ctx, hangup)
 	l.take(ctx, input{answer: answer{status: 200}, event: balancer.Event{Kind: balancer.EventOutcome, Request: c.id}})
 	l.take(ctx, hangup)
@@ -248,8 +248,8 @@
 		t.Fatal(err)
 	}
 	ctx := t.Context()
-	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull},
-		members: []discovery.Member{{ID: "x", HostPort: x.addr, Phase: "Ready"}, {ID: "y", HostPort: y.addr, Phase: "Ready"}}})
+	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
+		members: []discovery.Member{{ID: "x", Address: x.addr, State: "Ready"}, {ID: "y", Address: y.addr, State: "Ready"}}})
 	c := &call{set: l.set.Load(), deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 	select {
@@ -260,7 +260,7 @@
 	}
 	for range 2 { // the module's looks at the silent attempt, due or not
 		look := heap.Pop(&l.timers).(timer)
-		l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, Token: look.token})
+		l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: look.id})
 	}
 	for range 2 { // the copy's answer, and the end of the first attempt
 		l.take(ctx, receive(t, "outcome", l.inputs))
@@ -286,8 +286,8 @@
 func TestEveryOrderOfEnds(t *testing.T) {
 	orders := [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
 	for _, order := range orders {
-		for _, first := range []balancer.Outcome{balancer.OK, balancer.Timeout, balancer.Reset, balancer.Moot} {
-			for _, second := range []balancer.Outcome{balancer.OK, balancer.Timeout, balancer.Cancelled} {
+		for _, first := range []balancer.Outcome{balancer.OutcomeOK, balancer.OutcomeTimeout, balancer.OutcomeReset, balancer.OutcomeExpired} {
+			for _, second := range []balancer.Outcome{balancer.OutcomeOK, balancer.OutcomeTimeout, balancer.OutcomeCancelled} {
 				for _, gone := range []bool{false, true} { // an attempt may find the client gone before its handler does
 					cfg := configFor(t, "127.0.0.1:1", strings.Replace(testSettings, `"maxAttempts":3`, `"maxAttempts":2`, 1))
 					l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4), discard)
@@ -295,19 +295,19 @@
 						t.Fatal(err)
 					}
 					ctx := t.Context()
-					l.take(ctx, input{event: balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull},
-						members: []discovery.Member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Ready"}, {ID: "y", HostPort: "127.0.0.1:1", Phase: "Ready"}}})
+					l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
+						members: []discovery.Member{{ID: "x", Address: "127.0.0.1:1", State: "Ready"}, {ID: "y", Address: "127.0.0.1:1", State: "Ready"}}})
 					c := &call{set: l.set.Load(), deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
 					l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 					for l.requests[c.id].out < 2 { // the module's looks at the silent attempt, due or not
 						look := heap.Pop(&l.timers).(timer)
-						l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, Token: look.token})
+						l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: look.id})
 					}
 					ended := func(n int, how balancer.Outcome) input {
-						return input{answer: answer{status: http.StatusOK}, gone: gone && how == balancer.Moot,
+						return input{answer: answer{status: http.StatusOK}, gone: gone && how == balancer.OutcomeExpired,
 							event: balancer.Event{Kind: balancer.EventOutcome, Request: c.id, Attempt: n, Outcome: how}}
 					}
-					ends := []input{ended(0, first), ended(1, second), {event: balancer.Event{Kind: balancer.EventHangup}, call: c}}
+					ends := []input{ended(0, first), ended(1, second), {event: balancer.Event{Kind: balancer.EventClientClosed}, call: c}}
 					answers := 0
 					for _, i := range order {
 						l.take(ctx, ends[i])
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -114,7 +114,7 @@
 // adopt takes the settings that concern connections.
 func (p *pool) adopt(s *settings.Settings) {
 	p.mu.Lock()
-	p.connectTimeout, p.idleClose = s.ConnectTimeout, s.IdleClose
+	p.connectTimeout, p.idleClose = s.ConnectTimeout, s.IdleTimeout
 	p.mu.Unlock()
 }
 
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -23,11 +23,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	list := func(mode balancer.ListMode, members ...discovery.Member) {
-		l.take(t.Context(), input{event: balancer.Event{Kind: balancer.EventList, ListMode: mode}, members: members})
+	list := func(mode balancer.DiscoveryUpdate, members ...discovery.Member) {
+		l.take(t.Context(), input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: mode}, members: members})
 	}
-	old, next := discovery.Member{ID: "old", HostPort: b.addr, Phase: "Ready"}, discovery.Member{ID: "next", HostPort: b.addr, Phase: "Ready"}
-	list(balancer.ListFull, old)
+	old, next := discovery.Member{ID: "old", Address: b.addr, State: "Ready"}, discovery.Member{ID: "next", Address: b.addr, State: "Ready"}
+	list(balancer.EndpointsReplaced, old)
 	ctx, cancel := context.WithTimeout(t.Context(), wait)
 	defer cancel()
 	m := newMessage("GET", "/", "x", nil, nil, nil)
@@ -35,7 +35,7 @@
 	first := l.targets[idOf(t, l, "old")]
 	go func() { inUse <- exchangeBy(l.pool, ctx, first, &m, time.Time{}) }()
 	receive(t, "request", b.got)
-	list(balancer.ListDelta, next)
+	list(balancer.EndpointsChanged, next)
 	goOn <- struct{}{}
 	second := l.targets[idOf(t, l, "next")]
 	inUse2 := make(chan result, 1)
@@ -47,16 +47,16 @@
 	}
 	goOn <- struct{}{}
 	receive(t, "answer of the new one", inUse2)
-	old.Phase = "Gone"
-	list(balancer.ListDelta, old)
+	old.State = "Gone"
+	list(balancer.EndpointsChanged, old)
 	if len(first.idle) != 0 || len(second.idle) != 1 || l.pool.open != 1 {
 		t.Errorf("%d idle to the old one, %d to the new one, %d open", len(first.idle), len(second.idle), l.pool.open)
 	}
 	// A restart of the process at the same address is another target as well, and what comes back late closes.
 	go func() { inUse2 <- exchangeBy(l.pool, ctx, second, &m, time.Time{}) }()
 	receive(t, "request", b.got)
-	next.UpSince = 5
-	list(balancer.ListDelta, next)
+	next.StartedAtMillis = 5
+	list(balancer.EndpointsChanged, next)
 	goOn <- struct{}{}
 	receive(t, "late answer", inUse2)
 	if len(second.idle) != 0 || l.pool.open != 0 {
@@ -98,7 +98,7 @@
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
 	defer cancel()
-	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.OK {
+	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.OutcomeOK {
 		t.Fatalf("outcome %d", r.outcome)
 	}
 	silent := make(chan result, 1)
@@ -106,14 +106,14 @@
 	go func() { silent <- exchangeBy(p, held, toY, &m, time.Time{}) }()
 	receive(t, "close of the idle connection", x.ended)
 	receive(t, "request", y.got)
-	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.Moot {
+	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.OutcomeExpired {
 		t.Errorf("with the only socket in use: outcome %d", r.outcome)
 	}
 	giveUp()
-	if r := receive(t, "cancelled attempt", silent); r.outcome != balancer.Cancelled {
+	if r := receive(t, "cancelled attempt", silent); r.outcome != balancer.OutcomeCancelled {
 		t.Errorf("given up: outcome %d", r.outcome)
 	}
-	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.OK {
+	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.OutcomeOK {
 		t.Errorf("with the socket free again: outcome %d", r.outcome)
 	}
 }
@@ -143,7 +143,7 @@
 		},
 		func(*conn) {},
 	} {
-		if r := exchangeBy(p, ctx, to, &m, time.Time{}); r.outcome != balancer.OK {
+		if r := exchangeBy(p, ctx, to, &m, time.Time{}); r.outcome != balancer.OutcomeOK {
 			t.Fatalf("exchange %d: outcome %d", i, r.outcome)
 		}
 		if n := len(b.accepted); n != i+1 {
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -11,7 +11,7 @@
 )
 
 // follows puts each configuration in force that comes, until the context ends.
-func (l *loop) follows(ctx context.Context, reloads <-chan config.Reloaded, moves chan<- discovery.Place) {
+func (l *loop) follows(ctx context.Context, reloads <-chan config.ReloadResult, moves chan<- discovery.Target) {
 	for {
 		select {
 		case r := <-reloads:
@@ -23,7 +23,7 @@
 }
 
 // reload puts a configuration in force, its settings first and then where the list is to be had, or counts it as rejected.
-func (l *loop) reload(ctx context.Context, r config.Reloaded, moves chan<- discovery.Place) {
+func (l *loop) reload(ctx context.Context, r config.ReloadResult, moves chan<- discovery.Target) {
 	err := r.Err
 	if err == nil {
 		adopted := make(chan error, 1)
@@ -40,27 +40,27 @@
 		return
 	}
 	l.pool.counts.total(func(t *totals) { t.applied++ })
-	l.log.Info("reloaded", "discovery", r.Config.Discovery, "relays", len(r.Config.Relays), "classes", r.Config.Settings.Classes,
-		"max_attempts", r.Config.Settings.Module.MaxAttempts)
+	l.log.Info("reloaded", "discovery", r.Config.Discovery, "relays", len(r.Config.Relays), "classes", r.Config.Settings.ClassNames,
+		"max_attempts", r.Config.Settings.Balancer.MaxAttempts)
 	select {
-	case moves <- discovery.Place{Addr: r.Config.Discovery, Relays: r.Config.Relays}:
+	case moves <- discovery.Target{Addr: r.Config.Discovery, Relays: r.Config.Relays}:
 	case <-ctx.Done():
 	}
 }
 
 // adopt swaps the settings for others, in the module and here, or leaves all as it is.
 func (l *loop) adopt(ctx context.Context, next *settings.Settings) error {
-	if err := l.balancer.Adopt(next.Module); err != nil {
+	if err := l.balancer.Adopt(next.Balancer); err != nil {
 		return err
 	}
 	old := l.set.Swap(next)
 	l.pool.adopt(next)
-	l.pool.counts.know(next.Classes)
-	if slices.Equal(old.Zones, next.Zones) && slices.Equal(old.Kinds, next.Kinds) || l.servers.Len() == 0 {
+	l.pool.counts.know(next.ClassNames)
+	if slices.Equal(old.ZoneNames, next.ZoneNames) && slices.Equal(old.KindNames, next.KindNames) || l.servers.Len() == 0 {
 		return nil
 	}
 	// Danger: zones and kinds are positions in the settings' lists, and those have changed under the servers.
-	l.handle(ctx, balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull, Servers: l.entries(l.servers.Members())})
+	l.handle(ctx, balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: l.entries(l.servers.Members())})
 	return nil
 }
 
@@ -70,16 +70,16 @@
 	if c.set == to {
 		return true
 	}
-	i := slices.Index(to.Classes, c.set.Classes[c.class])
-	if i < 0 || to.Module.Classes[i].Effect != c.set.Module.Classes[c.class].Effect {
+	i := slices.Index(to.ClassNames, c.set.ClassNames[c.class])
+	if i < 0 || to.Balancer.Classes[i].Idempotency != c.set.Balancer.Classes[c.class].Idempotency {
 		return false
 	}
-	if len(to.Tenants) > 0 {
+	if len(to.TenantNames) > 0 {
 		name := ""
-		if len(c.set.Tenants) > 0 {
-			name = c.set.Tenants[c.tenant]
+		if len(c.set.TenantNames) > 0 {
+			name = c.set.TenantNames[c.tenant]
 		}
-		c.tenant = slices.Index(to.Tenants, name)
+		c.tenant = slices.Index(to.TenantNames, name)
 	}
 	c.set, c.class = to, i
 	return true
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -38,7 +38,7 @@
 	}()
 	receive(t, "request", b.got)
 
-	a.reloads <- config.Reloaded{Err: errors.New("broken")}
+	a.reloads <- config.ReloadResult{Err: errors.New("broken")}
 	expect("gw_config_rejected_total 1")
 	if status, _ := a.do(t, a.request("celled", "15000m")); status != 200 {
 		t.Errorf("after a broken file: answered %d", status)
@@ -51,7 +51,7 @@
 		`"effect":"pure"`, `"effect":"side_effect"`).Replace(testSettings)
 	l := newLists(t, hosts(1, true, host("y", b.addr, "Ready", 0)))
 	next := configFor(t, l.Listener.Addr().String(), text)
-	a.reloads <- config.Reloaded{Config: next}
+	a.reloads <- config.ReloadResult{Config: next}
 	expect("gw_config_applied_total 1")
 	expect(`gw_responses_total{kind="new",result="ok"} 0`)
 	receive(t, "call to the new discovery", l.calls)
@@ -82,7 +82,7 @@
 	for class, want := range []int{-1, -1, 1, -1} { // keyed and celled have gone, safe has another effect
 		c := &call{set: &old, class: class}
 		if ok := c.translate(&next); ok != (want >= 0) || ok && c.class != want {
-			t.Errorf("%s: %v as %d, want %d", old.Classes[class], ok, c.class, want)
+			t.Errorf("%s: %v as %d, want %d", old.ClassNames[class], ok, c.class, want)
 		}
 	}
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -147,7 +147,7 @@
 	case <-s.hurry:
 		s.giveUp(w, r, c)
 	case <-r.Context().Done():
-		s.loop.send(input{event: balancer.Event{Kind: balancer.EventHangup}, call: c})
+		s.loop.send(input{event: balancer.Event{Kind: balancer.EventClientClosed}, call: c})
 		// Danger: a handler that returns without a word answers 200, and a client that has closed only its own
 		// side would take that for what a backend made.
 		panic(http.ErrAbortHandler)
@@ -167,7 +167,7 @@
 
 // giveUp answers a request as failed whose answer can be waited for no longer.
 func (s *server) giveUp(w http.ResponseWriter, r *http.Request, c *call) {
-	s.loop.send(input{event: balancer.Event{Kind: balancer.EventHangup}, call: c})
+	s.loop.send(input{event: balancer.Event{Kind: balancer.EventClientClosed}, call: c})
 	s.answer(w, r, c, answer{status: statusFailed})
 }
 
@@ -241,8 +241,8 @@
 
 // fullAdvice is when to come back to an agent that holds all it can, as far as the settings allow such advice.
 func (s *server) fullAdvice() time.Duration {
-	set := &s.loop.set.Load().Module
-	if !set.RetryAfter {
+	set := &s.loop.set.Load().Balancer
+	if !set.AdviseRetryAfter {
 		return 0
 	}
 	return min(fullAdvice, cmp.Or(set.MaxRetryAfter, fullAdvice))
@@ -314,7 +314,7 @@
 	}
 	c := &call{
 		set:      set,
-		class:    slices.Index(set.Classes, r.Header.Get(classHeader)),
+		class:    slices.Index(set.ClassNames, r.Header.Get(classHeader)),
 		retry:    r.Header.Get(retryHeader) == "1",
 		answered: make(chan answer, 1),
 		gone:     connOf(r).gone,
@@ -322,16 +322,16 @@
 	if c.class < 0 {
 		return nil, bad("%s is unknown", classHeader)
 	}
-	c.kind = set.Classes[c.class]
-	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != set.Classes[c.class] ||
+	c.kind = set.ClassNames[c.class]
+	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != set.ClassNames[c.class] ||
 		!strings.HasPrefix(r.RequestURI, "/") {
 		return nil, bad("the path does not begin with the class")
 	}
-	if err := checkEffect(set.Module.Classes[c.class].Effect, r); err != nil {
+	if err := checkEffect(set.Balancer.Classes[c.class].Idempotency, r); err != nil {
 		return nil, err
 	}
-	if len(set.Tenants) > 0 {
-		if c.tenant = slices.Index(set.Tenants, r.Header.Get(tenantHeader)); c.tenant < 0 {
+	if len(set.TenantNames) > 0 {
+		if c.tenant = slices.Index(set.TenantNames, r.Header.Get(tenantHeader)); c.tenant < 0 {
 			return nil, bad("%s is unknown", tenantHeader)
 		}
 	}
@@ -378,9 +378,9 @@
 
 // checkEffect checks that a request is sent as its class's effect asks. Danger: a keyed request without its
 // key would be repeated as if backends could tell.
-func checkEffect(effect balancer.Effect, r *http.Request) error {
-	method, keyed := http.MethodPost, effect == balancer.Token
-	if effect == balancer.Pure {
+func checkEffect(effect balancer.Idempotency, r *http.Request) error {
+	method, keyed := http.MethodPost, effect == balancer.IdempotentWithKey
+	if effect == balancer.Idempotent {
 		method = http.MethodGet
 	}
 	if r.Method != method {
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -260,7 +260,7 @@
 		deadline: time.Now().Add(wait), timer: fired,
 		pass: func(answer) error { t.Error("passed on"); return nil },
 	})
-	if r.outcome != balancer.Timeout {
+	if r.outcome != balancer.OutcomeTimeout {
 		t.Errorf("outcome %d", r.outcome)
 	}
 }
@@ -416,7 +416,7 @@
 	flows := func(attempt int) *download {
 		d := &download{ended: make(chan error, 1)}
 		l.take(t.Context(), input{answer: answer{status: 200, rest: d},
-			event: balancer.Event{Kind: balancer.EventBegun, Request: 7, Attempt: attempt}})
+			event: balancer.Event{Kind: balancer.EventStreaming, Request: 7, Attempt: attempt}})
 		return d
 	}
 	first, second := flows(0), flows(1)
@@ -427,7 +427,7 @@
 		t.Errorf("answered %+v", got)
 	}
 	for i := range cut {
-		l.act(t.Context(), &balancer.Action{Kind: balancer.ActCancel, Request: 7, Attempt: i})
+		l.act(t.Context(), &balancer.Action{Kind: balancer.ActionCancel, Request: 7, Attempt: i})
 	}
 	if cut != [2]bool{false, true} {
 		t.Errorf("cut off: %v", cut)
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -53,30 +53,30 @@
 // --- The list ---
 
 func (b *Balancer) onList(ev *Event) {
-	if ev.ListMode.Keeps() {
+	if ev.Update.KeepsEndpoints() {
 		b.scheduleListCall(ev)
 		return
 	}
 	b.epoch, b.listFailures, b.listRefusals = b.epoch+1, 0, 0
-	if ev.ListMode == ListCached && b.set.AskList {
+	if ev.Update == EndpointsCached && b.set.PollEndpoints {
 		b.scheduleListCall(ev)
 	}
-	if ev.ListMode != ListDelta {
+	if ev.Update != EndpointsChanged {
 		for _, s := range b.ring { // who is absent from a whole list is gone
-			s.State = Gone
+			s.State = Removed
 		}
 	}
-	for i := range ev.Servers {
-		e := &ev.Servers[i]
+	for i := range ev.Endpoints {
+		e := &ev.Endpoints[i]
 		if s := b.entry(e); s != nil {
 			if s.base == 0 || s.Start != e.Start {
 				s.restart(e) // a new process: nothing learnt of the old one holds
 			}
-			s.ServerEntry = *e
+			s.Endpoint = *e
 		}
 	}
 	b.ring = slices.DeleteFunc(b.ring, func(s *server) bool {
-		if s.State != Gone || s.inFlight > 0 {
+		if s.State != Removed || s.inFlight > 0 {
 			return false
 		}
 		delete(b.servers, s.ID)
@@ -90,10 +90,10 @@
 // warmth is the least share of its capacity that a server has by now.
 func (b *Balancer) warmth(s *server) float64 {
 	age := b.now - s.Start
-	if s.Start == 0 || age >= b.set.WarmAfter {
+	if s.Start == 0 || age >= b.set.SlowStartDuration {
 		return 1
 	}
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*max(0, age.Seconds()/b.set.WarmAfter.Seconds())
+	return b.set.SlowStartMinWeight + (1-b.set.SlowStartMinWeight)*max(0, age.Seconds()/b.set.SlowStartDuration.Seconds())
 }
 
 // likely is about the share of its capacity that a server has by now: midway between the least and all of it.
@@ -135,7 +135,7 @@
 }
 
 // report takes in a server's own figures.
-func (b *Balancer) report(s *server, l Load) {
+func (b *Balancer) report(s *server, l LoadReport) {
 	if !l.Known {
 		return
 	}
@@ -208,7 +208,7 @@
 		l.mu, l.speeds = append(l.mu, drawn), l.speeds.add(drawn)
 		if w < 1 {
 			cold += drawn
-			l.next = min(l.next, b.now+b.set.WarmAfter/64)
+			l.next = min(l.next, b.now+b.set.SlowStartDuration/64)
 		}
 	}
 	sum := l.speeds.span(0, len(l.servers))
@@ -317,7 +317,7 @@
 // each is how long a request of the usual size takes on a server, in seconds.
 func (b *Balancer) each(s *server) float64 {
 	if !b.ahead.known {
-		return cmp.Or(max(0, s.load.Recent.Seconds()), b.classes[0].usual.v)
+		return cmp.Or(max(0, s.load.ServiceTime.Seconds()), b.classes[0].usual.v)
 	}
 	return b.service.v / b.ahead.v * b.kind(s).ratio.v * s.slow
 }
@@ -368,18 +368,18 @@
 // waited for the answers would wait a round trip to the farthest zone, which no setting tells.
 func (b *Balancer) probe(r *request, pair ...*server) {
 	for _, s := range pair {
-		if !b.set.Probes || b.set.Reports != ReportsOnProbe || s == nil || s.probing ||
+		if !b.set.HealthChecks || b.set.Reports != ReportsOnHealthCheck || s == nil || s.probing ||
 			s.load.Known && b.now-s.loadAt < seconds(fresh*r.class.usual.v) {
 			continue
 		}
 		s.probing = true
-		b.act(Action{Kind: ActProbe, Server: s.ID})
+		b.act(Action{Kind: ActionHealthCheck, Server: s.ID})
 	}
 }
 
 func (b *Balancer) onProbed(ev *Event) {
 	if s := b.servers[ev.Server]; s != nil {
-		if s.probing = false; ev.Outcome == OK {
+		if s.probing = false; ev.Outcome == OutcomeOK {
 			b.report(s, ev.Load)
 		}
 	}
@@ -391,17 +391,17 @@
 	}
 	c := b.classes[ev.Class]
 	r := &request{id: ev.Request, class: c, tenant: ev.Tenant}
-	r.deadline, r.aim = b.now+ev.Left, b.now+c.Aim
-	if passed := max(0, c.Deadline-ev.Left); !ev.Retry {
-		c.first = ev.Left
-	} else if (ev.Left - c.first).Abs() > 2*b.set.Tick { // it has all that remains
+	r.deadline, r.aim = b.now+ev.Remaining, b.now+c.LatencyObjective
+	if passed := max(0, c.Deadline-ev.Remaining); !ev.Retry {
+		c.first = ev.Remaining
+	} else if (ev.Remaining - c.first).Abs() > 2*b.set.Tick { // it has all that remains
 		r.aim -= passed
 	} else {
 		// Danger: a repeat with a first try's share came soon, after a refusal. Were all that may have passed taken
 		// off its aim, a short refusal would be a lasting one. Half of it is the mean.
 		r.aim -= passed / 2
 	}
-	if b.now >= r.aim && c.LateWorth > 0 {
+	if b.now >= r.aim && c.LateWeight > 0 {
 		r.aim = r.deadline // late is still worth something
 	}
 	b.open[r.id] = r
@@ -415,22 +415,22 @@
 func (b *Balancer) shed(r *request) bool {
 	over := b.over(r.tenant)
 	// Danger: under pressure little is let through to tell that servers are idle again, so it eases by itself.
-	ease := (b.eased - b.now).Seconds() / (easeOver * b.classes[0].Aim.Seconds())
+	ease := (b.eased - b.now).Seconds() / (easeOver * b.classes[0].LatencyObjective.Seconds())
 	b.pressure, b.eased = b.pressure*math.Exp2(ease), b.now
-	chance := max(0, b.pressure-slack) * over * over * b.worth / r.class.Worth
+	chance := max(0, b.pressure-slack) * over * over * b.worth / r.class.PriorityWeight
 	return b.rng.Float64() < min(chance, 1-trickle)
 }
 
 // over counts a request and returns its tenant's part of the recent ones over its share.
 func (b *Balancer) over(tenant int) float64 {
-	if tenant < 0 || tenant >= len(b.set.Tenants) || !(b.set.Tenants[tenant].Portion > 0) {
+	if tenant < 0 || tenant >= len(b.set.Tenants) || !(b.set.Tenants[tenant].Quota > 0) {
 		return 1
 	}
 	for i := range b.mix {
 		b.mix[i] -= b.mix[i] / mixLife
 	}
 	b.mix[tenant] += 1 / mixLife
-	return b.mix[tenant] / b.set.Tenants[tenant].Portion
+	return b.mix[tenant] / b.set.Tenants[tenant].Quota
 }
 
 // press moves the shed share by how full servers are or how long answers take, 1 being what no aim allows.
@@ -441,7 +441,7 @@
 // may is the right to send: the one place that knows placement, effects, groups, windows and drains.
 func (b *Balancer) may(r *request, s *server) bool {
 	if r.ended || r.begun || b.now >= r.deadline || s.State != Ready || !r.class.eligible(s) ||
-		len(r.attempts)-r.unsent >= b.set.MaxAttempts || r.out > 0 && !b.set.SecondCopies ||
+		len(r.attempts)-r.unsent >= b.set.MaxAttempts || r.out > 0 && !b.set.Hedging ||
 		len(r.attempts) > r.unsent && !b.withinBudget() {
 		return false
 	}
@@ -451,11 +451,11 @@
 		case a.out && a.server == s:
 			return false // danger: what swallows one copy swallows the other
 		case !a.ran:
-		case r.class.Effect == SideEffect:
+		case r.class.Idempotency == NonIdempotent:
 			return false // danger: the effect would happen twice
-		case r.class.Effect == Token && (b.now >= a.sent+r.class.Window ||
-			r.class.Scope == ScopeZone && a.server.Zone != s.Zone ||
-			r.class.Scope == ScopeCell && a.server.Cell != s.Cell):
+		case r.class.Idempotency == IdempotentWithKey && (b.now >= a.sent+r.class.DedupWindow ||
+			r.class.DedupScope == DedupScopeZone && a.server.Zone != s.Zone ||
+			r.class.DedupScope == DedupScopeCell && a.server.Cell != s.Cell):
 			return false // danger: this server does not, or no longer, know the key
 		}
 	}
@@ -466,24 +466,25 @@
 // connection takes time to come up, and a repeat sent when it is up may be too late.
 func (r *request) remembered(now time.Duration) time.Duration {
 	first := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.ran })
-	if first < 0 || r.class.Effect != Token {
+	if first < 0 || r.class.Idempotency != IdempotentWithKey {
 		return 0
 	}
-	return r.attempts[first].sent + r.class.Window - now
+	return r.attempts[first].sent + r.class.DedupWindow - now
 }
 
 // withinBudget says whether one more attempt beyond a request's first keeps the retry budget, a window that
 // slides over this agent's requests and further attempts. Danger: retries feed the overload that causes them.
 func (b *Balancer) withinBudget() bool {
-	from := b.now - b.set.ExtraWindow
+	from := b.now - b.set.RetryBudgetWindow
 	taken, extra := b.taken.since(from+1), b.extra.since(from) // an edge counts against us
-	return float64(extra+1) <= min(b.set.ExtraFloor+b.set.ExtraRatio*float64(taken), longestHistory/2)
+	return float64(extra+1) <= min(b.set.RetryBudgetMin+b.set.RetryBudgetRatio*float64(taken), longestHistory/2)
 }
 
 // mayRefuse answers whether the client may be told that a further try is harmless.
 func (b *Balancer) mayRefuse(r *request) bool {
-	return r.class.Effect == Pure || !slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		known := r.class.Effect == Token && r.class.Scope == ScopeAll && b.now < a.sent+r.class.Window
+	return r.class.Idempotency == Idempotent || !slices.ContainsFunc(r.attempts, func(a attempt) bool {
+		known := r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
+			b.now < a.sent+r.class.DedupWindow
 		return a.ran && !known // danger: past the window nobody drops the client's repeat
 	})
 }
@@ -506,9 +507,9 @@
 	r.out++
 	s.inFlight++
 	s.since++
-	b.act(Action{Kind: ActSend, Request: r.id, Server: s.ID, Wait: r.deadline - b.now, Within: within})
-	token := tokenCheck | uint64(len(r.attempts)-1)<<32 | uint64(r.id)
-	b.act(Action{Kind: ActTimer, Token: token, Wait: r.class.patient()})
+	b.act(Action{Kind: ActionSend, Request: r.id, Server: s.ID, Timeout: r.deadline - b.now, DispatchWithin: within})
+	token := timerCheck | TimerID(len(r.attempts)-1)<<32 | TimerID(r.id)
+	b.act(Action{Kind: ActionSetTimer, TimerID: token, Delay: r.class.patient()})
 	return true
 }
 
@@ -519,8 +520,8 @@
 	}
 	a := &r.attempts[ev.Attempt]
 	s := a.server
-	a.out, a.ran = false, !slices.Contains([]Outcome{Full, ConnectFailed, Moot, Leaving}, ev.Outcome)
-	if ev.Outcome == Leaving {
+	a.out, a.ran = false, !ev.Outcome.neverRan()
+	if ev.Outcome == OutcomeServerDraining {
 		r.unsent++
 	}
 	r.out--
@@ -533,16 +534,16 @@
 	if r.begun { // in the time that the client took for it
 		took = 0
 	}
-	b.judge(r.class, a, ev.Outcome, took/r.class.Aim.Seconds())
-	if ev.Outcome == OK {
+	b.judge(r.class, a, ev.Outcome, took/r.class.LatencyObjective.Seconds())
+	if ev.Outcome == OutcomeOK {
 		b.observe(r.class, a, took)
 	}
 	r.draws = 0
 	switch {
-	case ev.Closed || ev.Outcome == OK || r.ended:
+	case ev.Answered || ev.Outcome == OutcomeOK || r.ended:
 		b.end(r, false)
 	case r.out > 0:
-	case ev.Outcome == Timeout || b.now >= r.aim || !b.place(r): // a further attempt, if it is worth one
+	case ev.Outcome == OutcomeTimeout || b.now >= r.aim || !b.place(r): // a further attempt, if it is worth one
 		b.end(r, true)
 	}
 }
@@ -551,7 +552,7 @@
 func (b *Balancer) judge(c *class, a *attempt, how Outcome, part float64) {
 	s := a.server
 	switch how {
-	case OK:
+	case OutcomeOK:
 		s.used, s.resets = b.now, 0
 		h := &s.health[c.index]
 		h.bad, h.times, h.used = h.bad/2, 0, b.now
@@ -559,12 +560,12 @@
 		if !s.tellsQueue() {
 			b.press(part) // where queues are reported those have said it: one costly request is no crowd
 		}
-	case Timeout:
+	case OutcomeTimeout:
 		b.slower(s, maxSlow/2, gain)
 		if s.health[c.index].used <= a.sent { // it may answer others and swallow this class
 			b.silent(c, a, 1)
 		}
-	case Full:
+	case OutcomeRejected:
 		// Danger: a server that turns requests away has few in flight and would win every pair. One that tells
 		// its load may have reasons of its own to; were that taken for a crowd, its rejections alone would have
 		// all requests shed from idle servers. What such a server holds is judged whenever it is drawn.
@@ -572,21 +573,21 @@
 		if !s.load.Known {
 			b.press(2)
 		}
-	case Error:
+	case OutcomeError:
 		// Danger: a quick error looks like a quick answer. It teaches no speed and counts against the server.
 		if b.doubt(c, s) == 1 {
 			b.blameAll(s, "errors")
 		} else {
 			b.blame(c, s, single, "errors")
 		}
-	case Reset:
+	case OutcomeReset:
 		// Danger: networks cut connections to healthy servers. One that has died resets all, or refuses the next.
 		if s.resets++; s.resets < deadResets {
 			b.blame(c, s, single, "resets")
 		} else {
 			b.blameAll(s, "resets")
 		}
-	case ConnectFailed:
+	case OutcomeConnectFailed:
 		if s.resets > 0 || b.doubt(c, s) == 1 {
 			b.blameAll(s, "connections")
 		} else { // danger: it takes no more connections, and those out for it would make others take more
@@ -606,12 +607,12 @@
 func (b *Balancer) passBy(s *server) { s.full = b.now + seconds(fullFor*b.service.v) }
 
 // patient is how long a server's silence is no sign.
-func (c *class) patient() time.Duration { return max(seconds(patience*c.usual.v), c.Aim) }
+func (c *class) patient() time.Duration { return max(seconds(patience*c.usual.v), c.LatencyObjective) }
 
 // doubt is what a failure says against a server. Danger: a busy agent meets single failures all the time; if
 // one were enough though answers come in between, half of the healthy would be out and the rest crowded.
 func (b *Balancer) doubt(c *class, s *server) float64 {
-	if s.used > 0 && b.now-s.used < c.Aim {
+	if s.used > 0 && b.now-s.used < c.LatencyObjective {
 		return single
 	}
 	return 1
@@ -620,7 +621,7 @@
 // advice is when a refused client may come again: when the servers have answered what they hold, later the
 // more is shed. Danger: clients left to themselves come again at once and keep the overload up.
 func (b *Balancer) advice(c *class) time.Duration {
-	if !b.set.RetryAfter {
+	if !b.set.AdviseRetryAfter {
 		return 0
 	}
 	wait := seconds(c.usual.v * (1 + b.pressure))
@@ -636,13 +637,13 @@
 	if !r.ended {
 		r.ended = true
 		if ours && b.mayRefuse(r) {
-			b.act(Action{Kind: ActRefuse, Request: r.id, Wait: b.advice(r.class)})
+			b.act(Action{Kind: ActionReject, Request: r.id, RetryAfter: b.advice(r.class)})
 		} else if ours {
-			b.act(Action{Kind: ActFail, Request: r.id})
+			b.act(Action{Kind: ActionFail, Request: r.id})
 		}
 		for i := range r.attempts {
-			if b.set.Cancel && r.attempts[i].out {
-				b.act(Action{Kind: ActCancel, Request: r.id, Attempt: i})
+			if b.set.CancelAttempts && r.attempts[i].out {
+				b.act(Action{Kind: ActionCancel, Request: r.id, Attempt: i})
 			}
 		}
 	}
@@ -680,7 +681,7 @@
 	if float64(out) > max(ejectShare*float64(of), float64(min(1, of-1))) {
 		return
 	}
-	wait := ejectFor * c.Aim.Seconds() * float64(int(1)<<min(h.times, ejectDoubles))
+	wait := ejectFor * c.LatencyObjective.Seconds() * float64(int(1)<<min(h.times, ejectDoubles))
 	h.until = b.now + seconds(wait*(0.75+b.rng.Float64()/2))
 	h.times, h.bad, b.epoch = h.times+1, 0.5, b.epoch+1 // half bad: it will be readmitted on trial
 	b.log("server %d ejected for class %d for %.1f s: %s", s.ID, c.index, wait, why)
@@ -697,19 +698,19 @@
 // too. Where many are late copies would add to it: then patience outlasts the aim, pairs are crowded and the
 // retry budget ends. It hurts where answers vary widely though nothing is lost.
 func (b *Balancer) again(r *request) {
-	if r.class.Effect != SideEffect && r.out == 1 && b.now+seconds(r.class.usual.v) < r.aim {
+	if r.class.Idempotency != NonIdempotent && r.out == 1 && b.now+seconds(r.class.usual.v) < r.aim {
 		r.draws = 0
 		b.place(r)
 	}
 }
 
-func (b *Balancer) onTimer(token uint64) {
+func (b *Balancer) onTimer(token TimerID) {
 	switch token >> 56 << 56 {
-	case tokenAsk:
+	case timerPoll:
 		if token == b.listTimer() {
-			b.act(Action{Kind: ActFollow})
+			b.act(Action{Kind: ActionPollEndpoints})
 		}
-	case tokenCheck:
+	case timerCheck:
 		n := int(token >> 32 & 0xff)
 		if r := b.open[RequestID(token)]; r != nil && !r.begun && n < len(r.attempts) && r.attempts[n].out {
 			// Danger: a costly request, or one on a connection that has gone dead, is no silence of its server,
@@ -724,7 +725,7 @@
 				a.server.silent++
 			}
 			if a.checks++; a.blamed < 1 && (!answers || a.checks < 2) {
-				b.act(Action{Kind: ActTimer, Token: token, Wait: r.class.patient()})
+				b.act(Action{Kind: ActionSetTimer, TimerID: token, Delay: r.class.patient()})
 			}
 			if a.checks > 1 || a.lost() {
 				b.again(r)
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -14,14 +14,14 @@
 
 // settings are those of a small site: pure, keyed by cell, keyed everywhere, and unsafe classes.
 func settings() Settings {
-	class := func(e Effect, s Scope, w time.Duration) Class {
-		return Class{Aim: 400 * ms, Deadline: 1000 * ms, Worth: 1, Effect: e, Scope: s, Window: w}
+	class := func(e Idempotency, s DedupScope, w time.Duration) Class {
+		return Class{LatencyObjective: 400 * ms, Deadline: 1000 * ms, PriorityWeight: 1, Idempotency: e, DedupScope: s, DedupWindow: w}
 	}
 	set := Settings{
-		Agents: 1, MaxAttempts: 6, Tick: ms, ColdFrom: 0.2, WarmAfter: 10 * time.Second, OverloadFactor: 2.5,
-		Cancel: true,
-		Classes: []Class{class(Pure, 0, 0), class(Token, ScopeCell, 300*ms), class(Token, ScopeAll, 300*ms),
-			class(SideEffect, 0, 0), class(Token, ScopeZone, 300*ms)},
+		Agents: 1, MaxAttempts: 6, Tick: ms, SlowStartMinWeight: 0.2, SlowStartDuration: 10 * time.Second, OverloadFactor: 2.5,
+		CancelAttempts: true,
+		Classes: []Class{class(Idempotent, 0, 0), class(IdempotentWithKey, DedupScopeCell, 300*ms), class(IdempotentWithKey, DedupScopeFleet, 300*ms),
+			class(NonIdempotent, 0, 0), class(IdempotentWithKey, DedupScopeZone, 300*ms)},
 	}
 	for i := range set.Classes {
 		set.Classes[i].Name = string(rune('a' + i))
@@ -44,42 +44,42 @@
 	now time.Duration
 }
 
-func start(t *testing.T, s Settings, servers ...ServerEntry) *bench {
+func start(t *testing.T, s Settings, servers ...Endpoint) *bench {
 	t.Helper()
 	return startSeeded(t, s, 7, servers...)
 }
 
 // startSeeded has the module draw its random numbers by a seed.
-func startSeeded(t *testing.T, s Settings, seed uint64, servers ...ServerEntry) *bench {
+func startSeeded(t *testing.T, s Settings, seed uint64, servers ...Endpoint) *bench {
 	t.Helper()
 	b, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
 	x := &bench{t: t, b: b, now: time.Hour}
-	x.on(Event{Kind: EventList, ListMode: ListFull, Servers: servers})
+	x.on(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: servers})
 	return x
 }
 
 func (x *bench) on(ev Event) []Action { return x.b.Handle(x.now, ev, nil) }
 
 func (x *bench) ask(id RequestID, class int) []Action {
-	return x.on(Event{Kind: EventRequest, Request: id, Class: class, Left: 1000 * ms})
+	return x.on(Event{Kind: EventRequest, Request: id, Class: class, Remaining: 1000 * ms})
 }
 
 func (x *bench) ends(id RequestID, attempt int, how Outcome) []Action {
-	return x.on(Event{Kind: EventOutcome, Request: id, Attempt: attempt, Outcome: how, Closed: how == OK})
+	return x.on(Event{Kind: EventOutcome, Request: id, Attempt: attempt, Outcome: how, Answered: how == OutcomeOK})
 }
 
 // draw and line are those of the first class.
 func (x *bench) draw() (a, c *server) { return x.b.draw(x.b.classes[0]) }
 func (x *bench) line() *line          { return &x.b.classes[0].line }
 
-func ready(id ServerID, weight float64) ServerEntry {
-	return ServerEntry{ID: id, Cell: int(id), Zone: int(id), State: Ready, Weight: weight}
+func ready(id ServerID, weight float64) Endpoint {
+	return Endpoint{ID: id, Cell: int(id), Zone: int(id), State: Ready, Weight: weight}
 }
 
-func fleet(n int) (list []ServerEntry) {
+func fleet(n int) (list []Endpoint) {
 	for i := range n {
 		list = append(list, ready(ServerID(i+1), 1))
 	}
@@ -251,15 +251,15 @@
 
 func TestFewServers(t *testing.T) {
 	x := start(t, settings())
-	if a := one(t, x.ask(1, unsafe), ActRefuse); a.Request != 1 {
+	if a := one(t, x.ask(1, unsafe), ActionReject); a.Request != 1 {
 		t.Errorf("refused %+v", a)
 	}
-	x.on(Event{Kind: EventList, Servers: fleet(1)})
-	if a := one(t, x.ask(2, unsafe), ActSend); a.Server != 1 {
+	x.on(Event{Kind: EventDiscovery, Endpoints: fleet(1)})
+	if a := one(t, x.ask(2, unsafe), ActionSend); a.Server != 1 {
 		t.Errorf("sent %+v", a)
 	}
-	x.on(Event{Kind: EventList, Servers: fleet(2)})
-	one(t, x.ask(3, pure), ActSend)
+	x.on(Event{Kind: EventDiscovery, Endpoints: fleet(2)})
+	one(t, x.ask(3, pure), ActionSend)
 }
 
 // The order of those who stay does not change when a server joins or leaves.
@@ -275,7 +275,7 @@
 		return ids
 	}
 	before := order()
-	x.on(Event{Kind: EventList, Servers: []ServerEntry{{ID: 5, State: Gone}, ready(50, 1)}})
+	x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{{ID: 5, State: Removed}, ready(50, 1)}})
 	x.draw()
 	if after := order(); !slices.Equal(before, after) || len(after) != 8 {
 		t.Errorf("order %v became %v", before, after)
@@ -285,23 +285,23 @@
 // Danger: a drain learnt in any of the list's ways must stop sends at once.
 func TestDrains(t *testing.T) {
 	for name, list := range map[string]Event{
-		"delta":  {Kind: EventList, ListMode: ListDelta, Servers: []ServerEntry{{ID: 1, State: Draining, Weight: 1}}},
-		"gone":   {Kind: EventList, ListMode: ListDelta, Servers: []ServerEntry{{ID: 1, State: Gone}}},
-		"full":   {Kind: EventList, ListMode: ListFull, Servers: []ServerEntry{{ID: 1, State: Draining}, ready(2, 1)}},
-		"absent": {Kind: EventList, ListMode: ListFull, Servers: []ServerEntry{ready(2, 1)}},
-		"cached": {Kind: EventList, ListMode: ListCached, Servers: []ServerEntry{ready(2, 1)}},
+		"delta":  {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Draining, Weight: 1}}},
+		"gone":   {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Removed}}},
+		"full":   {Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: []Endpoint{{ID: 1, State: Draining}, ready(2, 1)}},
+		"absent": {Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: []Endpoint{ready(2, 1)}},
+		"cached": {Kind: EventDiscovery, Update: EndpointsCached, Endpoints: []Endpoint{ready(2, 1)}},
 	} {
 		x := start(t, settings(), fleet(2)...)
 		met := map[ServerID]bool{}
 		for id := range RequestID(40) {
-			met[one(t, x.ask(id, pure), ActSend).Server] = true
+			met[one(t, x.ask(id, pure), ActionSend).Server] = true
 		}
 		if !met[1] || !met[2] {
 			t.Fatalf("%s: before the drain only %v were used", name, met)
 		}
 		x.on(list)
 		for id := range RequestID(40) {
-			if a := one(t, x.ask(100+id, pure), ActSend); a.Server != 2 {
+			if a := one(t, x.ask(100+id, pure), ActionSend); a.Server != 2 {
 				t.Fatalf("%s: sent to server %d", name, a.Server)
 			}
 		}
@@ -310,37 +310,37 @@
 
 func TestFailedListKeepsServersAndBacksOff(t *testing.T) {
 	s := settings()
-	s.AskList, s.MustAskIn, s.Agents, s.Rank = true, 10*time.Second, 4, 2
+	s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, 10*time.Second, 4, 2
 	x := start(t, s)
-	first := one(t, x.on(Event{Kind: EventList, ListMode: ListCached, Servers: fleet(2)}), ActTimer)
-	if first.Wait < 600*ms || first.Wait > 900*ms {
-		t.Errorf("rank 2 of 4 asks after %v, want its slot of 0.3 s", first.Wait)
+	first := one(t, x.on(Event{Kind: EventDiscovery, Update: EndpointsCached, Endpoints: fleet(2)}), ActionSetTimer)
+	if first.Delay < 600*ms || first.Delay > 900*ms {
+		t.Errorf("rank 2 of 4 asks after %v, want its slot of 0.3 s", first.Delay)
 	}
-	one(t, x.on(Event{Kind: EventTimer, Token: first.Token}), ActFollow)
+	one(t, x.on(Event{Kind: EventTimer, TimerID: first.TimerID}), ActionPollEndpoints)
 	last := time.Duration(0)
 	for n := range 4 {
-		a := one(t, x.on(Event{Kind: EventList, ListMode: ListFailed}), ActTimer)
-		if n == 0 && a.Wait > 1500*ms {
-			t.Errorf("waits %v after one failure", a.Wait)
+		a := one(t, x.on(Event{Kind: EventDiscovery, Update: PollFailed}), ActionSetTimer)
+		if n == 0 && a.Delay > 1500*ms {
+			t.Errorf("waits %v after one failure", a.Delay)
 		}
-		if a.Wait > ToldFailed-1500*ms {
-			t.Errorf("waits %v", a.Wait)
+		if a.Delay > NotifyBoundAfterFailure-1500*ms {
+			t.Errorf("waits %v", a.Delay)
 		}
-		last = a.Wait
+		last = a.Delay
 	}
 	if last < 2250*ms {
 		t.Errorf("the fourth failure in a row waits only %v", last)
 	}
-	one(t, x.ask(1, pure), ActSend)
+	one(t, x.ask(1, pure), ActionSend)
 }
 
 // The next call for the list leaves time for its answer, and for another, before what was missed counts as told; without
-// such a bound calls are made in turn, and then ever more seldom, but within MustAskIn.
+// such a bound calls are made in turn, and then ever more seldom, but within MaxPollInterval.
 func TestAsksWithinWhatIsLeft(t *testing.T) {
 	for _, mustAskIn := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
 		for _, agents := range []int{1, 6, 350} {
 			s := settings()
-			s.AskList, s.MustAskIn, s.Agents, s.Rank = true, mustAskIn, agents, agents-1
+			s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, mustAskIn, agents, agents-1
 			for _, c := range []struct {
 				before      int // failures in a row
 				left        time.Duration
@@ -358,12 +358,12 @@
 			} {
 				x := start(t, s, fleet(2)...)
 				for range c.before {
-					x.on(Event{Kind: EventList, ListMode: ListFailed})
+					x.on(Event{Kind: EventDiscovery, Update: PollFailed})
 				}
-				a := one(t, x.on(Event{Kind: EventList, ListMode: ListFailed, Left: c.left}), ActTimer)
-				if a.Wait < c.least || a.Wait > c.most {
+				a := one(t, x.on(Event{Kind: EventDiscovery, Update: PollFailed, Remaining: c.left}), ActionSetTimer)
+				if a.Delay < c.least || a.Delay > c.most {
 					t.Errorf("%d agents, %v: %d failures and %v left: waits %v, want %v to %v", agents, mustAskIn, c.before+1,
-						c.left, a.Wait, c.least, c.most)
+						c.left, a.Delay, c.least, c.most)
 				}
 			}
 		}
@@ -377,33 +377,33 @@
 	for name, c := range map[string]struct {
 		agents      int
 		answer      time.Duration
-		mode        ListMode
+		mode        DiscoveryUpdate
 		before      int // failures in a row
 		left        time.Duration
 		least, most time.Duration
 	}{
-		"the first failure":              {6, 450 * ms, ListFailed, 0, 6 * time.Second, 2250 * ms, 2700 * ms}, // the last of 6 in turn
-		"a further one":                  {6, 450 * ms, ListFailed, 1, 6 * time.Second, 1350 * ms, 2550 * ms},
-		"little time left":               {6, 450 * ms, ListFailed, 1, 1500 * ms, 1350 * ms, 1350 * ms},
-		"no time left":                   {6, 450 * ms, ListFailed, 1, 1, 1350 * ms, 4050 * ms},
-		"many, no time left":             {6, 450 * ms, ListFailed, 9, 1, 1350 * ms, 4050 * ms},
-		"a quick service":                {6, 10 * ms, ListFailed, 1, 6 * time.Second, 300 * ms, 300 * ms},
-		"a large fleet":                  {350, 5700 * time.Microsecond, ListFailed, 1, 6 * time.Second, 997 * ms, 2995 * ms},
-		"a slow service, no time left":   {6, 500 * ms, ListFailed, 1, 1, 1500 * ms, 4500 * ms},
-		"a slower one is given the time": {6, time.Second, ListFailed, 1, 1, 3 * time.Second, 4500 * ms},
-		"a move after failures":          {6, 450 * ms, ListMoved, 9, 4 * time.Second, 2083 * ms, 2500 * ms},
-		"a failure after a move":         {6, 450 * ms, ListFailed, 1, 2 * time.Second, 1350 * ms, 1350 * ms},
+		"the first failure":              {6, 450 * ms, PollFailed, 0, 6 * time.Second, 2250 * ms, 2700 * ms}, // the last of 6 in turn
+		"a further one":                  {6, 450 * ms, PollFailed, 1, 6 * time.Second, 1350 * ms, 2550 * ms},
+		"little time left":               {6, 450 * ms, PollFailed, 1, 1500 * ms, 1350 * ms, 1350 * ms},
+		"no time left":                   {6, 450 * ms, PollFailed, 1, 1, 1350 * ms, 4050 * ms},
+		"many, no time left":             {6, 450 * ms, PollFailed, 9, 1, 1350 * ms, 4050 * ms},
+		"a quick service":                {6, 10 * ms, PollFailed, 1, 6 * time.Second, 300 * ms, 300 * ms},
+		"a large fleet":                  {350, 5700 * time.Microsecond, PollFailed, 1, 6 * time.Second, 997 * ms, 2995 * ms},
+		"a slow service, no time left":   {6, 500 * ms, PollFailed, 1, 1, 1500 * ms, 4500 * ms},
+		"a slower one is given the time": {6, time.Second, PollFailed, 1, 1, 3 * time.Second, 4500 * ms},
+		"a move after failures":          {6, 450 * ms, DiscoveryMigrated, 9, 4 * time.Second, 2083 * ms, 2500 * ms},
+		"a failure after a move":         {6, 450 * ms, PollFailed, 1, 2 * time.Second, 1350 * ms, 1350 * ms},
 	} {
 		for seed := range uint64(20) {
 			s := settings()
-			s.AskList, s.MustAskIn, s.Agents, s.Rank = true, 10*time.Second, c.agents, c.agents-1
+			s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, 10*time.Second, c.agents, c.agents-1
 			x := startSeeded(t, s, seed, fleet(2)...)
 			for range c.before {
-				x.on(Event{Kind: EventList, ListMode: ListFailed, Answer: c.answer})
+				x.on(Event{Kind: EventDiscovery, Update: PollFailed, PollLatency: c.answer})
 			}
-			a := one(t, x.on(Event{Kind: EventList, ListMode: c.mode, Left: c.left, Answer: c.answer}), ActTimer)
-			if a.Wait < c.least || a.Wait > c.most {
-				t.Errorf("%s, seed %d: waits %v, want %v to %v", name, seed, a.Wait, c.least, c.most)
+			a := one(t, x.on(Event{Kind: EventDiscovery, Update: c.mode, Remaining: c.left, PollLatency: c.answer}), ActionSetTimer)
+			if a.Delay < c.least || a.Delay > c.most {
+				t.Errorf("%s, seed %d: waits %v, want %v to %v", name, seed, a.Delay, c.least, c.most)
 			}
 		}
 	}
@@ -412,12 +412,12 @@
 // Only the last timer for the list counts: one set before a move or a failure would have the agent ask too soon.
 func TestLastListTimerCounts(t *testing.T) {
 	s := settings()
-	s.AskList, s.MustAskIn = true, 10*time.Second
+	s.PollEndpoints, s.MaxPollInterval = true, 10*time.Second
 	x := start(t, s, fleet(2)...)
-	first := one(t, x.on(Event{Kind: EventList, ListMode: ListMoved, Left: 4 * time.Second}), ActTimer)
-	second := one(t, x.on(Event{Kind: EventList, ListMode: ListFailed, Left: 3 * time.Second}), ActTimer)
-	none(t, x.on(Event{Kind: EventTimer, Token: first.Token}), ActFollow)
-	one(t, x.on(Event{Kind: EventTimer, Token: second.Token}), ActFollow)
+	first := one(t, x.on(Event{Kind: EventDiscovery, Update: DiscoveryMigrated, Remaining: 4 * time.Second}), ActionSetTimer)
+	second := one(t, x.on(Event{Kind: EventDiscovery, Update: PollFailed, Remaining: 3 * time.Second}), ActionSetTimer)
+	none(t, x.on(Event{Kind: EventTimer, TimerID: first.TimerID}), ActionPollEndpoints)
+	one(t, x.on(Event{Kind: EventTimer, TimerID: second.TimerID}), ActionPollEndpoints)
 }
 
 // What may be sent again, and how a request ends, by class and outcome.
@@ -429,33 +429,33 @@
 		after time.Duration
 		want  ActionKind
 	}{
-		{"pure error", pure, Error, 10 * ms, ActSend},
-		{"pure time-out", pure, Timeout, 1000 * ms, ActRefuse},
-		{"unsafe error", unsafe, Error, 10 * ms, ActFail},
-		{"unsafe reset", unsafe, Reset, 10 * ms, ActFail},
-		{"unsafe cancelled", unsafe, Cancelled, 10 * ms, ActFail},
-		{"unsafe time-out", unsafe, Timeout, 1000 * ms, ActFail},
-		{"unsafe full", unsafe, Full, 10 * ms, ActSend},
-		{"unsafe not connected", unsafe, ConnectFailed, 10 * ms, ActSend},
-		{"keyed everywhere, inside the window", byAll, Error, 299 * ms, ActSend},
-		{"keyed everywhere, past it", byAll, Error, 300 * ms, ActFail},
-		{"keyed by cell, no other server in it", byCell, Error, 10 * ms, ActFail},
-		{"keyed by cell, never ran", byCell, Full, 10 * ms, ActSend},
-		{"keyed by zone, no other server in it", byZone, Error, 10 * ms, ActFail},
-		{"keyed by cell, time-out", byCell, Timeout, 1000 * ms, ActFail},
+		{"pure error", pure, OutcomeError, 10 * ms, ActionSend},
+		{"pure time-out", pure, OutcomeTimeout, 1000 * ms, ActionReject},
+		{"unsafe error", unsafe, OutcomeError, 10 * ms, ActionFail},
+		{"unsafe reset", unsafe, OutcomeReset, 10 * ms, ActionFail},
+		{"unsafe cancelled", unsafe, OutcomeCancelled, 10 * ms, ActionFail},
+		{"unsafe time-out", unsafe, OutcomeTimeout, 1000 * ms, ActionFail},
+		{"unsafe full", unsafe, OutcomeRejected, 10 * ms, ActionSend},
+		{"unsafe not connected", unsafe, OutcomeConnectFailed, 10 * ms, ActionSend},
+		{"keyed everywhere, inside the window", byAll, OutcomeError, 299 * ms, ActionSend},
+		{"keyed everywhere, past it", byAll, OutcomeError, 300 * ms, ActionFail},
+		{"keyed by cell, no other server in it", byCell, OutcomeError, 10 * ms, ActionFail},
+		{"keyed by cell, never ran", byCell, OutcomeRejected, 10 * ms, ActionSend},
+		{"keyed by zone, no other server in it", byZone, OutcomeError, 10 * ms, ActionFail},
+		{"keyed by cell, time-out", byCell, OutcomeTimeout, 1000 * ms, ActionFail},
 	} {
 		x := start(t, settings(), fleet(6)...)
-		first := one(t, x.ask(1, c.class), ActSend)
+		first := one(t, x.ask(1, c.class), ActionSend)
 		x.now += c.after
 		acts := x.ends(1, 0, c.how)
 		a := one(t, acts, c.want)
 		if a.Request != 1 {
 			t.Errorf("%s: %+v", c.name, a)
 		}
-		if c.want == ActSend && c.how == Error && c.class >= byCell && c.class != byAll && a.Server != first.Server {
+		if c.want == ActionSend && c.how == OutcomeError && c.class >= byCell && c.class != byAll && a.Server != first.Server {
 			t.Errorf("%s: sent to another group", c.name)
 		}
-		none(t, x.ends(1, 0, OK), ActSend, ActRefuse, ActFail)
+		none(t, x.ends(1, 0, OutcomeOK), ActionSend, ActionReject, ActionFail)
 	}
 }
 
@@ -471,9 +471,9 @@
 		for range seed {
 			x.b.rng.Float64()
 		}
-		first := one(t, x.ask(1, byCell), ActSend)
-		for _, a := range x.ends(1, 0, Reset) {
-			if a.Kind == ActSend {
+		first := one(t, x.ask(1, byCell), ActionSend)
+		for _, a := range x.ends(1, 0, OutcomeReset) {
+			if a.Kind == ActionSend {
 				sent++
 				if (a.Server-first.Server)%2 != 0 {
 					t.Fatalf("from server %d to %d", first.Server, a.Server)
@@ -490,14 +490,14 @@
 // budget, and nobody is blamed.
 func TestUnsentIsNoAttempt(t *testing.T) {
 	s := settings()
-	s.MaxAttempts, s.ExtraWindow, s.ExtraFloor, s.ExtraRatio = 1, time.Second, 0, 0
+	s.MaxAttempts, s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 1, time.Second, 0, 0
 	for class := range s.Classes {
 		x := start(t, s, fleet(8)...)
-		a := one(t, x.ask(1, class), ActSend)
+		a := one(t, x.ask(1, class), ActionSend)
 		for n := range 5 { // as each server leaves in turn
 			left := a.Server
-			x.on(Event{Kind: EventList, ListMode: ListDelta, Servers: []ServerEntry{{ID: left, State: Draining}}})
-			if a = one(t, x.ends(1, n, Leaving), ActSend); a.Server == left {
+			x.on(Event{Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: left, State: Draining}}})
+			if a = one(t, x.ends(1, n, OutcomeServerDraining), ActionSend); a.Server == left {
 				t.Fatalf("class %d: sent to the leaving server", class)
 			}
 			if health := x.b.servers[left].health[class]; health.bad > 0 || x.b.servers[left].full > 0 {
@@ -505,7 +505,7 @@
 			}
 		}
 		if class == unsafe {
-			one(t, x.ends(1, 5, Error), ActFail)
+			one(t, x.ends(1, 5, OutcomeError), ActionFail)
 		}
 		if len(x.b.extra) > 0 {
 			t.Errorf("class %d: %d attempts count as further ones", class, len(x.b.extra))
@@ -517,15 +517,15 @@
 	s := settings()
 	s.MaxAttempts = 2
 	x := start(t, s, fleet(20)...)
-	one(t, x.ask(1, pure), ActSend)
-	one(t, x.ends(1, 0, Error), ActSend)
-	one(t, x.ends(1, 1, Error), ActRefuse)
+	one(t, x.ask(1, pure), ActionSend)
+	one(t, x.ends(1, 0, OutcomeError), ActionSend)
+	one(t, x.ends(1, 1, OutcomeError), ActionReject)
 	x = start(t, settings(), fleet(200)...)
 	again := 0
 	for id := range RequestID(100) {
 		x.ask(id, pure)
-		for _, a := range x.ends(id, 0, ConnectFailed) {
-			if a.Kind == ActSend {
+		for _, a := range x.ends(id, 0, OutcomeConnectFailed) {
+			if a.Kind == ActionSend {
 				again++
 			}
 		}
@@ -537,11 +537,11 @@
 
 func TestHangupEndsOnceAndCancels(t *testing.T) {
 	x := start(t, settings(), fleet(3)...)
-	one(t, x.ask(1, unsafe), ActSend)
-	if a := one(t, x.on(Event{Kind: EventHangup, Request: 1}), ActCancel); a.Attempt != 0 {
+	one(t, x.ask(1, unsafe), ActionSend)
+	if a := one(t, x.on(Event{Kind: EventClientClosed, Request: 1}), ActionCancel); a.Attempt != 0 {
 		t.Errorf("cancelled %+v", a)
 	}
-	none(t, x.ends(1, 0, Cancelled), ActSend, ActRefuse, ActFail)
+	none(t, x.ends(1, 0, OutcomeCancelled), ActionSend, ActionReject, ActionFail)
 	if len(x.b.open) != 0 {
 		t.Error("the request is still known")
 	}
@@ -556,21 +556,21 @@
 func TestErrorsEjectAndTeachNothing(t *testing.T) {
 	x := start(t, settings(), fleet(6)...)
 	x.b.extra = slices.Repeat(history{x.now}, 9) // none left in the retry budget
-	bad := one(t, x.ask(1, unsafe), ActSend).Server
+	bad := one(t, x.ask(1, unsafe), ActionSend).Server
 	x.now += ms
-	x.ends(1, 0, Error)
+	x.ends(1, 0, OutcomeError)
 	if s := x.b.servers[bad]; s.slow != 1 {
 		t.Errorf("an error taught that the server is %v times slower", s.slow)
 	}
 	for id := range RequestID(60) {
-		if a := one(t, x.ask(10+id, unsafe), ActSend); a.Server == bad {
+		if a := one(t, x.ask(10+id, unsafe), ActionSend); a.Server == bad {
 			t.Fatal("sent to the ejected server")
 		}
 	}
 	x.now += 6 * time.Second
 	back := false
 	for id := range RequestID(60) {
-		back = back || one(t, x.ask(100+id, unsafe), ActSend).Server == bad
+		back = back || one(t, x.ask(100+id, unsafe), ActionSend).Server == bad
 	}
 	if !back {
 		t.Error("never readmitted")
@@ -583,11 +583,11 @@
 	for _, answered := range []bool{false, true} {
 		x := start(t, settings(), fleet(6)...)
 		s, c := x.b.ring[0], x.b.classes[pure]
-		x.b.judge(c, &attempt{server: s}, OK, 0.1)
+		x.b.judge(c, &attempt{server: s}, OutcomeOK, 0.1)
 		if !answered {
-			x.b.now += c.Aim
+			x.b.now += c.LatencyObjective
 		}
-		x.b.judge(c, &attempt{server: s}, Error, 0.1)
+		x.b.judge(c, &attempt{server: s}, OutcomeError, 0.1)
 		for i := range s.health {
 			if out := s.health[i].until > x.b.now; out == answered {
 				t.Errorf("answered a moment ago: %v, class %d ejected: %v", answered, i, out)
@@ -615,13 +615,13 @@
 	for id := range RequestID(10) { // teach the usual time
 		x.ask(id, pure)
 		x.now += 100 * ms
-		x.ends(id, 0, OK)
+		x.ends(id, 0, OutcomeOK)
 	}
-	full := one(t, x.ask(100, pure), ActSend).Server
-	x.ends(100, 0, Full)
+	full := one(t, x.ask(100, pure), ActionSend).Server
+	x.ends(100, 0, OutcomeRejected)
 	for id := range RequestID(20) {
 		for _, a := range x.ask(200+id, pure) {
-			if a.Kind == ActSend && a.Server == full {
+			if a.Kind == ActionSend && a.Server == full {
 				t.Fatal("sent to the server that was full")
 			}
 		}
@@ -629,7 +629,7 @@
 	x.now += time.Second
 	x.b.pressure = 0
 	for id := range RequestID(20) { // the other has all the rest in flight
-		if a := one(t, x.ask(300+id, pure), ActSend); a.Server == full {
+		if a := one(t, x.ask(300+id, pure), ActionSend); a.Server == full {
 			return
 		}
 	}
@@ -645,11 +645,11 @@
 		for id := range RequestID(n) {
 			x.b.pressure = 0
 			for _, a := range x.ask(id, pure) {
-				if a.Kind == ActSend {
+				if a.Kind == ActionSend {
 					if a.Server == 4 {
 						cold++
 					}
-					x.ends(id, 0, OK)
+					x.ends(id, 0, OutcomeOK)
 				}
 			}
 		}
@@ -665,14 +665,14 @@
 	for i := range list {
 		list[i].Start = x.now
 	}
-	x.on(Event{Kind: EventList, ListMode: ListFull, Servers: list})
+	x.on(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: list})
 	sent := 0
 	for id := range RequestID(4000) {
 		x.b.pressure = 0
 		for _, a := range x.ask(id, pure) {
-			if a.Kind == ActSend {
+			if a.Kind == ActionSend {
 				sent++
-				x.ends(id, 0, OK)
+				x.ends(id, 0, OutcomeOK)
 			}
 		}
 	}
@@ -684,7 +684,7 @@
 // No request waits for a probe, and a server whose probe is out is neither probed again nor passed by for it.
 func TestProbesHoldNothing(t *testing.T) {
 	s := settings()
-	s.Probes, s.Reports = true, ReportsOnProbe
+	s.HealthChecks, s.Reports = true, ReportsOnHealthCheck
 	x := start(t, s, fleet(2)...)
 	asked := map[ServerID]int{}
 	id := RequestID(0)
@@ -692,22 +692,22 @@
 		id++
 		acts := x.ask(id, pure)
 		for _, a := range acts {
-			if a.Kind == ActProbe {
+			if a.Kind == ActionHealthCheck {
 				asked[a.Server]++
 			}
 		}
-		return one(t, acts, ActSend)
+		return one(t, acts, ActionSend)
 	}
 	for range 40 { // no probe is answered
 		ask()
-		x.ends(id, 0, OK)
+		x.ends(id, 0, OutcomeOK)
 	}
 	if asked[1] != 1 || asked[2] != 1 {
 		t.Errorf("probes out: %v, want one to each", asked)
 	}
 	for server, held := range map[ServerID]float64{1: 60, 2: 0} {
-		x.on(Event{Kind: EventProbed, Server: server, Outcome: OK,
-			Load: Load{Known: true, InFlight: held, Queue: -1, Recent: 50 * ms}})
+		x.on(Event{Kind: EventHealthCheck, Server: server, Outcome: OutcomeOK,
+			Load: LoadReport{Known: true, InFlight: held, Queue: -1, ServiceTime: 50 * ms}})
 	}
 	joined := map[ServerID]int{}
 	for range 2 {
@@ -728,11 +728,11 @@
 // requests each every report is old, and all of them together would probe more than they send.
 func TestReportsWithAnswersNeedNoProbes(t *testing.T) {
 	s := settings()
-	s.Probes, s.Reports, s.Agents = true, ReportsInline, 80
+	s.HealthChecks, s.Reports, s.Agents = true, ReportsInline, 80
 	x := start(t, s, fleet(22)...)
 	for id := RequestID(1); id <= 200; id++ {
-		none(t, x.ask(id, pure), ActProbe)
-		x.ends(id, 0, OK)
+		none(t, x.ask(id, pure), ActionHealthCheck)
+		x.ends(id, 0, OutcomeOK)
 		x.now += time.Second
 	}
 }
@@ -745,15 +745,15 @@
 		list[i].Start = time.Hour
 	}
 	x := start(t, settings(), list...)
-	x.now += settings().WarmAfter / 2
+	x.now += settings().SlowStartDuration / 2
 	cold := 0.0
 	for id := range RequestID(4000) {
 		for _, a := range x.ask(id, pure) {
-			if a.Kind == ActSend {
+			if a.Kind == ActionSend {
 				if a.Server <= 6 {
 					cold += 1.0 / 4000
 				}
-				x.ends(id, 0, OK)
+				x.ends(id, 0, OutcomeOK)
 			}
 		}
 	}
@@ -766,17 +766,17 @@
 func (x *bench) shares(waiting float64) (near, far float64) {
 	for id := range RequestID(4000) {
 		for _, a := range x.ask(id, pure) {
-			if a.Kind != ActSend {
+			if a.Kind != ActionSend {
 				continue
 			}
-			load := Load{Known: true, InFlight: -1, Queue: waiting, Recent: 10 * ms}
+			load := LoadReport{Known: true, InFlight: -1, Queue: waiting, ServiceTime: 10 * ms}
 			if x.b.servers[a.Server].Zone != 1 {
 				far += 1.0 / 4000
 				load.Queue = 0
 			} else {
 				near += 1.0 / 4000
 			}
-			x.on(Event{Kind: EventOutcome, Request: id, Outcome: OK, Closed: true, Load: load})
+			x.on(Event{Kind: EventOutcome, Request: id, Outcome: OutcomeOK, Answered: true, Load: load})
 		}
 	}
 	return near, far
@@ -810,7 +810,7 @@
 	list := fleet(8)
 	list[0].Zone, list[7].Zone, list[7].Start = 2, 1, time.Hour
 	x := start(t, s, list...)
-	budget := coldMargin * s.OverloadFactor * s.ColdFrom / 8
+	budget := coldMargin * s.OverloadFactor * s.SlowStartMinWeight / 8
 	if got, _ := x.shares(0); got > 1.2*budget || got < 0.2*budget {
 		t.Errorf("a near cold server got %v of the traffic, its budget is %v", got, budget)
 	}
@@ -831,7 +831,7 @@
 // A crowded fleet turns requests away early, and tenants over their share go first.
 func TestShedsTenantsOverTheirShare(t *testing.T) {
 	s := settings()
-	s.Tenants = []Tenant{{Portion: 0.5}, {Portion: 0.5}}
+	s.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
 	x := start(t, s, fleet(6)...)
 	var refused [2]int
 	for id := range RequestID(2000) {
@@ -840,12 +840,12 @@
 		if id%10 == 0 {
 			tenant = 1
 		}
-		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Tenant: tenant, Left: 1000 * ms}) {
-			if a.Kind == ActRefuse {
+		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Tenant: tenant, Remaining: 1000 * ms}) {
+			if a.Kind == ActionReject {
 				refused[tenant]++
 			}
-			if a.Kind == ActSend {
-				x.ends(id, 0, OK)
+			if a.Kind == ActionSend {
+				x.ends(id, 0, OutcomeOK)
 			}
 		}
 	}
@@ -857,37 +857,37 @@
 // Idle servers whose last report was bad must be used: nobody would ever hear better of them.
 func TestIdleServerIsNeverCrowded(t *testing.T) {
 	s := settings()
-	s.Probes, s.Reports = true, ReportsOnProbe
+	s.HealthChecks, s.Reports = true, ReportsOnHealthCheck
 	x := start(t, s, fleet(2)...)
 	for id := ServerID(1); id <= 2; id++ {
-		x.on(Event{Kind: EventProbed, Server: id, Outcome: OK,
-			Load: Load{Known: true, InFlight: 0, Queue: -1, Recent: 5 * time.Second}})
+		x.on(Event{Kind: EventHealthCheck, Server: id, Outcome: OutcomeOK,
+			Load: LoadReport{Known: true, InFlight: 0, Queue: -1, ServiceTime: 5 * time.Second}})
 	}
-	one(t, x.ask(1, pure), ActSend)
+	one(t, x.ask(1, pure), ActionSend)
 }
 
 func TestNewNamesTheField(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
-		"Agents":              func(s *Settings) { s.Agents = 0 },
-		"Rank":                func(s *Settings) { s.Rank = 1 },
-		"MaxAttempts":         func(s *Settings) { s.MaxAttempts = 0 },
-		"ColdFrom":            func(s *Settings) { s.ColdFrom = math.NaN() },
-		"WarmAfter":           func(s *Settings) { s.WarmAfter = -1 },
-		"OverloadFactor":      func(s *Settings) { s.OverloadFactor = 0 },
-		"MustAskIn":           func(s *Settings) { s.AskList = true },
-		"Classes ":            func(s *Settings) { s.Classes = nil },
-		"Classes[1].Aim":      func(s *Settings) { s.Classes[1].Aim = 0 },
-		"Classes[0].Deadline": func(s *Settings) { s.Classes[0].Deadline = ms },
-		"Classes[2].Worth":    func(s *Settings) { s.Classes[2].Worth = math.NaN() },
-		"Classes[0].Zones":    func(s *Settings) { s.Classes[0].Zones = []int{0, -1} },
-		"Classes[0].Kinds":    func(s *Settings) { s.Classes[0].Kinds = []int{-1} },
-		"Classes[3].Effect":   func(s *Settings) { s.Classes[3].Effect = SideEffect + 1 },
-		"Classes[3].Scope":    func(s *Settings) { s.Classes[3].Scope = ScopeCell + 1 },
-		"Classes[1].Window":   func(s *Settings) { s.Classes[1].Window = -1 },
-		"ExtraWindow":         func(s *Settings) { s.ExtraWindow = -1 },
-		"ExtraFloor":          func(s *Settings) { s.ExtraFloor = math.NaN() },
-		"ExtraRatio":          func(s *Settings) { s.ExtraRatio = -0.1 },
-		"Tenants[0].Portion":  func(s *Settings) { s.Tenants = []Tenant{{Portion: -1}} },
+		"Agents":                      func(s *Settings) { s.Agents = 0 },
+		"Rank":                        func(s *Settings) { s.Rank = 1 },
+		"MaxAttempts":                 func(s *Settings) { s.MaxAttempts = 0 },
+		"SlowStartMinWeight":          func(s *Settings) { s.SlowStartMinWeight = math.NaN() },
+		"SlowStartDuration":           func(s *Settings) { s.SlowStartDuration = -1 },
+		"OverloadFactor":              func(s *Settings) { s.OverloadFactor = 0 },
+		"MaxPollInterval":             func(s *Settings) { s.PollEndpoints = true },
+		"Classes ":                    func(s *Settings) { s.Classes = nil },
+		"Classes[1].LatencyObjective": func(s *Settings) { s.Classes[1].LatencyObjective = 0 },
+		"Classes[0].Deadline":         func(s *Settings) { s.Classes[0].Deadline = ms },
+		"Classes[2].PriorityWeight":   func(s *Settings) { s.Classes[2].PriorityWeight = math.NaN() },
+		"Classes[0].Zones":            func(s *Settings) { s.Classes[0].Zones = []int{0, -1} },
+		"Classes[0].Kinds":            func(s *Settings) { s.Classes[0].Kinds = []int{-1} },
+		"Classes[3].Idempotency":      func(s *Settings) { s.Classes[3].Idempotency = NonIdempotent + 1 },
+		"Classes[3].DedupScope":       func(s *Settings) { s.Classes[3].DedupScope = DedupScopeCell + 1 },
+		"Classes[1].DedupWindow":      func(s *Settings) { s.Classes[1].DedupWindow = -1 },
+		"RetryBudgetWindow":           func(s *Settings) { s.RetryBudgetWindow = -1 },
+		"RetryBudgetMin":              func(s *Settings) { s.RetryBudgetMin = math.NaN() },
+		"RetryBudgetRatio":            func(s *Settings) { s.RetryBudgetRatio = -0.1 },
+		"Tenants[0].Quota":            func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
 	} {
 		s := settings()
 		spoil(&s)
@@ -900,18 +900,18 @@
 // Events with ids never seen, and figures that are none, do nothing.
 func TestStrayEvents(t *testing.T) {
 	x := start(t, settings(), fleet(3)...)
-	for kind := EventList; kind <= EventProbed+1; kind++ {
-		if kind == EventRequest || kind == EventList {
+	for kind := EventDiscovery; kind <= EventHealthCheck+1; kind++ {
+		if kind == EventRequest || kind == EventDiscovery {
 			continue
 		}
-		acts := x.on(Event{Kind: kind, Request: 99, Server: 99, Attempt: 200, Token: math.MaxUint64,
+		acts := x.on(Event{Kind: kind, Request: 99, Server: 99, Attempt: 200, TimerID: math.MaxUint64,
 			Class: -1})
 		if len(acts) != 0 {
 			t.Errorf("event kind %d: %+v", kind, acts)
 		}
 	}
-	none(t, x.on(Event{Kind: EventRequest, Request: 1, Class: 77, Left: ms}), ActSend)
-	x.on(Event{Kind: EventList, Servers: []ServerEntry{ready(9, math.NaN()), ready(10, -3), ready(11, math.Inf(1))}})
+	none(t, x.on(Event{Kind: EventRequest, Request: 1, Class: 77, Remaining: ms}), ActionSend)
+	x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{ready(9, math.NaN()), ready(10, -3), ready(11, math.Inf(1))}})
 	x.draw()
 	if sum := x.line().speeds.span(0, 99); math.Abs(sum-6) > 1e-9 {
 		t.Errorf("six servers of weight 1 sum to %v", sum)
@@ -924,9 +924,9 @@
 	for id := range RequestID(5000) {
 		x.now += ms
 		x.ask(id, int(id)%5)
-		x.ends(id, 0, OK)
-		x.on(Event{Kind: EventList, Servers: []ServerEntry{
-			ready(ServerID(id+10), 1), {ID: ServerID(id + 9), State: Gone}}})
+		x.ends(id, 0, OutcomeOK)
+		x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{
+			ready(ServerID(id+10), 1), {ID: ServerID(id + 9), State: Removed}}})
 	}
 	if len(x.b.open) != 0 || len(x.b.servers) > 7 || len(x.b.ring) > 7 {
 		t.Errorf("%d requests, %d servers left", len(x.b.open), len(x.b.servers))
@@ -935,8 +935,8 @@
 
 func cycle(x *bench, id RequestID, out []Action) []Action {
 	x.now += ms
-	out = x.b.Handle(x.now, Event{Kind: EventRequest, Request: id, Left: 1000 * ms}, out[:0])
-	return x.b.Handle(x.now, Event{Kind: EventOutcome, Request: id, Outcome: OK, Closed: true}, out[:0])
+	out = x.b.Handle(x.now, Event{Kind: EventRequest, Request: id, Remaining: 1000 * ms}, out[:0])
+	return x.b.Handle(x.now, Event{Kind: EventOutcome, Request: id, Outcome: OutcomeOK, Answered: true}, out[:0])
 }
 
 func TestOrdinaryPathAllocations(t *testing.T) {
@@ -956,7 +956,7 @@
 				b.Fatal(err)
 			}
 			x := &bench{b: bal, now: time.Hour}
-			x.on(Event{Kind: EventList, ListMode: ListFull, Servers: fleet(n)})
+			x.on(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: fleet(n)})
 			out := make([]Action, 0, 16)
 			b.ReportAllocs()
 			id := RequestID(0)
@@ -971,9 +971,9 @@
 func TestMayKeepsToOneAttemptAtATime(t *testing.T) {
 	for _, second := range []bool{false, true} {
 		s := settings()
-		s.SecondCopies = second
+		s.Hedging = second
 		x := start(t, s, fleet(2)...)
-		one(t, x.ask(1, pure), ActSend)
+		one(t, x.ask(1, pure), ActionSend)
 		if got := x.b.may(x.b.open[1], x.b.ring[0]); got != second {
 			t.Errorf("second copies %v: may send again %v while one is out", second, got)
 		}
@@ -992,7 +992,7 @@
 		},
 		"answers behind queues": func(x *bench, s *server) {
 			took := []float64{0.1, 0.2}[s.Kind]
-			x.b.report(s, Load{Known: true, InFlight: -1, Queue: 3, Recent: 20 * ms})
+			x.b.report(s, LoadReport{Known: true, InFlight: -1, Queue: 3, ServiceTime: 20 * ms})
 			x.b.observe(x.b.classes[pure], &attempt{server: s, ahead: 4}, 4*took)
 		},
 	} {
@@ -1018,7 +1018,7 @@
 	x := start(t, settings(), fleet(2)...)
 	s, r := x.b.ring[0], &request{class: x.b.classes[pure], aim: x.now + time.Second}
 	told := func(queue float64) {
-		x.b.report(s, Load{Known: true, InFlight: -1, Queue: queue, Recent: 10 * ms})
+		x.b.report(s, LoadReport{Known: true, InFlight: -1, Queue: queue, ServiceTime: 10 * ms})
 	}
 	if told(20); x.b.held(s) < 10 || !x.b.crowded(r, s) {
 		t.Errorf("a queue of 20: %v held, crowded %v", x.b.held(s), x.b.crowded(r, s))
@@ -1059,12 +1059,12 @@
 	var id RequestID
 	for range 200 {
 		id++
-		sent := one(t, x.ask(id, pure), ActSend)
+		sent := one(t, x.ask(id, pure), ActionSend)
 		x.now += 50 * ms
-		x.on(Event{Kind: EventOutcome, Request: id, Server: sent.Server, Outcome: OK, Closed: true,
-			Load: Load{Known: true, InFlight: -1, Queue: 0, Recent: 30 * ms}})
+		x.on(Event{Kind: EventOutcome, Request: id, Server: sent.Server, Outcome: OutcomeOK, Answered: true,
+			Load: LoadReport{Known: true, InFlight: -1, Queue: 0, ServiceTime: 30 * ms}})
 	}
-	x.on(Event{Kind: EventList, ListMode: ListDelta, Servers: []ServerEntry{ready(5, 1)}})
+	x.on(Event{Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{ready(5, 1)}})
 	fresh := x.b.servers[5]
 	for _, s := range x.b.ring {
 		if r := x.b.speed(fresh) / x.b.speed(s); r < 0.8 || r > 1.25 {
@@ -1087,7 +1087,7 @@
 		x.b.now += 50 * ms
 		s := x.b.ring[i%4]
 		busy := float64(1 + 3*s.Kind)
-		x.b.report(s, Load{Known: true, InFlight: busy, Queue: -1, Recent: 50 * ms})
+		x.b.report(s, LoadReport{Known: true, InFlight: busy, Queue: -1, ServiceTime: 50 * ms})
 	}
 	x.b.epoch++
 	x.draw()
@@ -1105,25 +1105,25 @@
 	looks := make([]Action, 0, 8)
 	for id := RequestID(1); s.inFlight < 8; id++ {
 		for _, a := range x.ask(id, unsafe) {
-			if r := x.b.open[id]; a.Kind == ActTimer && r.attempts[0].server == s {
+			if r := x.b.open[id]; a.Kind == ActionSetTimer && r.attempts[0].server == s {
 				looks = append(looks, a)
 			}
 		}
 	}
 	for _, look := range looks[:7] {
-		x.on(Event{Kind: EventTimer, Token: look.Token})
+		x.on(Event{Kind: EventTimer, TimerID: look.TimerID})
 	}
 	if got := x.b.held(s); got != 8 {
 		t.Errorf("without a report: %v held", got)
 	}
-	x.b.report(s, Load{Known: true, InFlight: 0, Queue: -1, Recent: 10 * ms})
+	x.b.report(s, LoadReport{Known: true, InFlight: 0, Queue: -1, ServiceTime: 10 * ms})
 	if got := x.b.held(s); got != 1 {
 		t.Errorf("by a fresh report, 7 of 8 being silent: %v held", got)
 	}
 	if x.b.now += time.Second; x.b.held(s) < 7.5 {
 		t.Errorf("when the report is old: %v held", x.b.held(s))
 	}
-	x.ends(RequestID(looks[0].Token&math.MaxUint32), 0, Reset)
+	x.ends(RequestID(looks[0].TimerID&math.MaxUint32), 0, OutcomeReset)
 	if s.silent != 6 || s.inFlight != 7 {
 		t.Errorf("one of them ended: %d silent of %d", s.silent, s.inFlight)
 	}
@@ -1132,7 +1132,7 @@
 // Where no report tells a server's width, the number it holds says nothing: requests may wait on others.
 func TestCrowdNeedsAWidth(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
-	load := Load{Known: true, InFlight: 8, Queue: -1, Recent: 10 * ms}
+	load := LoadReport{Known: true, InFlight: 8, Queue: -1, ServiceTime: 10 * ms}
 	s := x.b.ring[0]
 	for range 3 {
 		x.b.report(s, load)
@@ -1141,14 +1141,14 @@
 	if x.b.crowded(r, s) {
 		t.Error("8 in hand at 10 ms each are no crowd for 400 ms")
 	}
-	load.Recent = 30 * ms
+	load.ServiceTime = 30 * ms
 	x.b.report(s, load)
 	load.Queue = 0
 	x.b.report(s, load)
 	if s.load.InFlight = 2; x.b.crowded(r, s) {
 		t.Error("where the queue is told, the aim of the request itself is what counts")
 	}
-	load.InFlight, load.Recent, load.Queue = -1, 10*ms, 15
+	load.InFlight, load.ServiceTime, load.Queue = -1, 10*ms, 15
 	x.b.report(s, load)
 	if !x.b.crowded(r, s) {
 		t.Error("a queue of 15 at a width of 1 is a crowd")
@@ -1212,7 +1212,7 @@
 		set := settings()
 		set.Agents = agents
 		x := start(t, set, fleet(2)...)
-		x.b.report(x.b.ring[0], Load{Known: true, InFlight: 8, Queue: -1, Recent: 50 * ms})
+		x.b.report(x.b.ring[0], LoadReport{Known: true, InFlight: 8, Queue: -1, ServiceTime: 50 * ms})
 		x.b.now += 100 * ms // two service times
 		return x.b.held(x.b.ring[0])
 	}
@@ -1243,13 +1243,13 @@
 	}
 	for name, c := range map[string]struct {
 		zones, kinds []int
-		open         func(ServerEntry) bool
+		open         func(Endpoint) bool
 	}{
-		"zones":     {[]int{1, 3}, nil, func(e ServerEntry) bool { return e.Zone%2 == 1 }},
-		"kinds":     {nil, []int{1}, func(e ServerEntry) bool { return e.Kind == 1 }},
-		"both":      {[]int{2}, []int{0}, func(e ServerEntry) bool { return e.Zone == 2 && e.Kind == 0 }},
-		"unmatched": {[]int{9}, nil, func(ServerEntry) bool { return false }},
-		"empty":     {nil, []int{}, func(ServerEntry) bool { return false }},
+		"zones":     {[]int{1, 3}, nil, func(e Endpoint) bool { return e.Zone%2 == 1 }},
+		"kinds":     {nil, []int{1}, func(e Endpoint) bool { return e.Kind == 1 }},
+		"both":      {[]int{2}, []int{0}, func(e Endpoint) bool { return e.Zone == 2 && e.Kind == 0 }},
+		"unmatched": {[]int{9}, nil, func(Endpoint) bool { return false }},
+		"empty":     {nil, []int{}, func(Endpoint) bool { return false }},
 	} {
 		s := settings()
 		s.Agents, s.Rank = 50, 7 // a small window
@@ -1259,7 +1259,7 @@
 		sent := 0
 		check := func(acts []Action) {
 			for _, a := range acts {
-				if a.Kind == ActSend {
+				if a.Kind == ActionSend {
 					if sent++; !c.open(list[a.Server-1]) {
 						t.Fatalf("%s: sent to %+v", name, list[a.Server-1])
 					}
@@ -1270,11 +1270,11 @@
 			x.b.pressure, x.b.extra = 0, nil
 			acts := x.ask(id, pure)
 			if check(acts); any && id == 0 {
-				one(t, acts, ActSend)
+				one(t, acts, ActionSend)
 			} else if !any {
-				one(t, acts, ActRefuse)
+				one(t, acts, ActionReject)
 			}
-			for n, how := range []Outcome{ConnectFailed, Full, Error, Reset} {
+			for n, how := range []Outcome{OutcomeConnectFailed, OutcomeRejected, OutcomeError, OutcomeReset} {
 				check(x.ends(id, n, how))
 			}
 			x.now += time.Minute // whoever was ejected is back
@@ -1282,7 +1282,7 @@
 		for _, e := range list { // all that are open to it are gone: hold or end
 			if c.open(e) {
 				e.State = Draining
-				x.on(Event{Kind: EventList, Servers: []ServerEntry{e}})
+				x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{e}})
 			}
 		}
 		before := sent
@@ -1304,7 +1304,7 @@
 		s.Agents, s.Rank = 50, rank
 		s.Classes[unsafe].Zones = []int{0}
 		x := start(t, s, list...)
-		if a := one(t, x.ask(1, unsafe), ActSend); a.Server != 1 {
+		if a := one(t, x.ask(1, unsafe), ActionSend); a.Server != 1 {
 			t.Fatalf("rank %d: sent to %d", rank, a.Server)
 		}
 	}
@@ -1313,13 +1313,13 @@
 // Rule 6: in any window, edges included, further attempts stay within floor plus ratio times the requests taken.
 func TestRetryBudget(t *testing.T) {
 	s := settings()
-	s.ExtraWindow, s.ExtraFloor, s.ExtraRatio = time.Second, 2, 0.5
+	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = time.Second, 2, 0.5
 	x := start(t, s, fleet(20)...)
 	again := func(id RequestID) bool {
 		x.b.pressure = 0
-		one(t, x.ask(id, pure), ActSend)
-		acts := x.ends(id, 0, Full)
-		return len(acts) > 0 && acts[0].Kind == ActSend
+		one(t, x.ask(id, pure), ActionSend)
+		acts := x.ends(id, 0, OutcomeRejected)
+		return len(acts) > 0 && acts[0].Kind == ActionSend
 	}
 	begin := x.now
 	for i, c := range []struct {
@@ -1354,14 +1354,14 @@
 		if id%3 == 2 {
 			left = 850 * ms // a last try
 		}
-		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Class: pure, Left: left, Retry: id%3 == 2}) {
-			if a.Kind == ActRefuse {
+		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Class: pure, Remaining: left, Retry: id%3 == 2}) {
+			if a.Kind == ActionReject {
 				late++
-			} else if r := x.b.open[id]; a.Kind == ActSend && id%3 == 2 && r.aim != x.now+250*ms {
+			} else if r := x.b.open[id]; a.Kind == ActionSend && id%3 == 2 && r.aim != x.now+250*ms {
 				t.Fatalf("a last try's aim is in %v, want 250ms", r.aim-x.now)
 			}
 		}
-		x.ends(id, 0, OK)
+		x.ends(id, 0, OutcomeOK)
 	}
 	if late > 0 {
 		t.Errorf("%d tries refused as hopeless", late)
@@ -1371,11 +1371,11 @@
 // A server that answers in between is not ejected for single failures, nor for one costly request; three failures in
 // a row are too many, and so is silence towards all.
 func TestBusyServerSurvivesSingleFailures(t *testing.T) {
-	for _, how := range []Outcome{Error, Reset} {
+	for _, how := range []Outcome{OutcomeError, OutcomeReset} {
 		x := start(t, settings(), fleet(3)...)
 		s, c := x.b.servers[1], x.b.classes[pure]
 		for range 20 {
-			x.b.judge(c, &attempt{server: s}, OK, 0.1)
+			x.b.judge(c, &attempt{server: s}, OutcomeOK, 0.1)
 			x.b.judge(c, &attempt{server: s}, how, 0.1)
 		}
 		if s.health[pure].until > x.b.now {
@@ -1390,12 +1390,12 @@
 	}
 	x := start(t, settings(), fleet(3)...)
 	sent := x.ask(1, pure)
-	s, check := x.b.servers[one(t, sent, ActSend).Server], one(t, sent, ActTimer)
-	x.now += check.Wait / 2
+	s, check := x.b.servers[one(t, sent, ActionSend).Server], one(t, sent, ActionSetTimer)
+	x.now += check.Delay / 2
 	x.on(Event{Kind: EventTimer}) // brings the module's clock up to date
-	x.b.judge(x.b.classes[pure], &attempt{server: s}, OK, 0.1)
-	x.now += check.Wait / 2
-	if x.on(Event{Kind: EventTimer, Token: check.Token}); s.health[pure].bad > 0 {
+	x.b.judge(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
+	x.now += check.Delay / 2
+	if x.on(Event{Kind: EventTimer, TimerID: check.TimerID}); s.health[pure].bad > 0 {
 		t.Errorf("blamed %v for a costly request", s.health[pure].bad)
 	}
 	x.now += time.Second
@@ -1403,10 +1403,10 @@
 		id := RequestID(len(x.b.open) + 2)
 		sent = x.ask(id, pure)
 	}
-	check = one(t, sent, ActTimer)
+	check = one(t, sent, ActionSetTimer)
 	for range 3 {
-		x.now += check.Wait
-		x.on(Event{Kind: EventTimer, Token: check.Token})
+		x.now += check.Delay
+		x.on(Event{Kind: EventTimer, TimerID: check.TimerID})
 	}
 	if s.health[pure].until <= x.now {
 		t.Error("a server that has fallen silent was not ejected")
@@ -1418,10 +1418,10 @@
 func TestEarlyRepeatsKeepHalf(t *testing.T) {
 	x := start(t, settings(), fleet(3)...)
 	for id := range RequestID(10) {
-		x.on(Event{Kind: EventRequest, Request: id + 1, Class: pure, Left: 600 * ms})
+		x.on(Event{Kind: EventRequest, Request: id + 1, Class: pure, Remaining: 600 * ms})
 	}
 	for id, left := range map[RequestID]time.Duration{20: 600 * ms, 21: 700 * ms} {
-		x.on(Event{Kind: EventRequest, Request: id, Class: pure, Left: left, Retry: true})
+		x.on(Event{Kind: EventRequest, Request: id, Class: pure, Remaining: left, Retry: true})
 	}
 	if early, late := x.b.open[20].aim-x.now, x.b.open[21].aim-x.now; early != 200*ms || late != 100*ms {
 		t.Errorf("aims in %v and %v, want 200ms and 100ms", early, late)
@@ -1434,7 +1434,7 @@
 		set := settings()
 		set.Agents = agents
 		x := start(t, set, fleet(1)...)
-		x.b.report(x.b.servers[1], Load{Known: true, InFlight: -1, Queue: 1, Recent: 10 * ms})
+		x.b.report(x.b.servers[1], LoadReport{Known: true, InFlight: -1, Queue: 1, ServiceTime: 10 * ms})
 		for held := 1; ; held++ {
 			x.b.servers[1].load.InFlight = float64(held)
 			if x.b.crowded(&request{aim: x.now + time.Second}, x.b.servers[1]) {
@@ -1450,11 +1450,11 @@
 // A server that takes no more connections while it answers over others, or turns requests away, is passed by for a
 // while and stays in; only one that is loaded says that there is a crowd.
 func TestServerWithoutRoomIsPassedBy(t *testing.T) {
-	for _, how := range []Outcome{ConnectFailed, Full} {
+	for _, how := range []Outcome{OutcomeConnectFailed, OutcomeRejected} {
 		x := start(t, settings(), fleet(3)...)
 		s, c := x.b.servers[1], x.b.classes[pure]
-		x.b.report(s, Load{Known: true, InFlight: 2, Queue: -1, Recent: 10 * ms})
-		x.b.judge(c, &attempt{server: s}, OK, 0.1)
+		x.b.report(s, LoadReport{Known: true, InFlight: 2, Queue: -1, ServiceTime: 10 * ms})
+		x.b.judge(c, &attempt{server: s}, OutcomeOK, 0.1)
 		x.b.service.add(0.01, 1)
 		for range 5 {
 			x.b.judge(c, &attempt{server: s, sent: x.b.now}, how, 0.1)
@@ -1475,7 +1475,7 @@
 	x := start(t, settings(), fleet(2)...)
 	report := func(held float64) {
 		for _, s := range x.b.ring {
-			x.b.report(s, Load{Known: true, InFlight: -1, Queue: held, Recent: 20 * ms})
+			x.b.report(s, LoadReport{Known: true, InFlight: -1, Queue: held, ServiceTime: 20 * ms})
 		}
 	}
 	for range 20 {
@@ -1491,7 +1491,7 @@
 	for _, s := range x.b.ring {
 		s.full = x.now + time.Second
 	}
-	if one(t, x.ask(1, pure), ActRefuse); x.b.pressure > 0 {
+	if one(t, x.ask(1, pure), ActionReject); x.b.pressure > 0 {
 		t.Errorf("pressure %v for a pair that is passed by", x.b.pressure)
 	}
 	for _, s := range x.b.ring {
@@ -1499,7 +1499,7 @@
 	}
 	report(40)
 	x.b.pressure = 0
-	if one(t, x.ask(2, pure), ActRefuse); x.b.pressure == 0 {
+	if one(t, x.ask(2, pure), ActionReject); x.b.pressure == 0 {
 		t.Error("no pressure for a pair that is crowded")
 	}
 }
@@ -1523,19 +1523,19 @@
 		{byAll, false, 0, 0, [3]bool{}},
 	} {
 		s := settings()
-		s.SecondCopies = c.copies
+		s.Hedging = c.copies
 		x := start(t, s, fleet(3)...)
 		acts := x.ask(1, c.class)
-		first, timer := one(t, acts, ActSend).Server, one(t, acts, ActTimer)
+		first, timer := one(t, acts, ActionSend).Server, one(t, acts, ActionSetTimer)
 		if x.now += ms; c.report >= 0 {
-			x.on(Event{Kind: EventProbed, Server: first, Load: Load{Known: true, InFlight: c.report, Queue: -1, Recent: -1}})
+			x.on(Event{Kind: EventHealthCheck, Server: first, Load: LoadReport{Known: true, InFlight: c.report, Queue: -1, ServiceTime: -1}})
 		}
 		x.now += c.after
 		for look, want := range c.want {
-			acts := x.on(Event{Kind: EventTimer, Token: timer.Token})
+			acts := x.on(Event{Kind: EventTimer, TimerID: timer.TimerID})
 			if !want {
-				none(t, acts, ActSend)
-			} else if again := one(t, acts, ActSend); again.Server == first {
+				none(t, acts, ActionSend)
+			} else if again := one(t, acts, ActionSend); again.Server == first {
 				t.Errorf("%+v: sent again to the same server at look %d", c, look)
 			}
 		}
@@ -1551,20 +1551,20 @@
 		x.b.draw(c)
 		return slices.Contains(c.line.servers, x.b.servers[id])
 	}
-	bad := one(t, x.ask(1, unsafe), ActSend).Server
+	bad := one(t, x.ask(1, unsafe), ActionSend).Server
 	x.now += 900 * ms
-	x.ends(1, 0, Timeout)
+	x.ends(1, 0, OutcomeTimeout)
 	if on(unsafe, bad) || !on(pure, bad) {
 		t.Fatalf("after a silent unsafe request: out for unsafe %v, for pure %v", !on(unsafe, bad), !on(pure, bad))
 	}
 	for range 20 {
-		x.b.judge(x.b.classes[pure], &attempt{server: x.b.servers[bad]}, OK, 0.1)
+		x.b.judge(x.b.classes[pure], &attempt{server: x.b.servers[bad]}, OutcomeOK, 0.1)
 	}
 	if on(unsafe, bad) {
 		t.Error("good answers of another class brought it back")
 	}
 	x.b.now += 500 * ms // and it has not answered for a while
-	x.b.judge(x.b.classes[pure], &attempt{server: x.b.servers[bad]}, Error, 0.1)
+	x.b.judge(x.b.classes[pure], &attempt{server: x.b.servers[bad]}, OutcomeError, 0.1)
 	for class := range x.b.classes {
 		if on(class, bad) {
 			t.Errorf("failed two classes, but serves class %d", class)
@@ -1574,7 +1574,7 @@
 	if other == bad {
 		other = x.b.ring[1].ID
 	}
-	x.b.judge(x.b.classes[pure], &attempt{server: x.b.servers[other]}, ConnectFailed, 0.1)
+	x.b.judge(x.b.classes[pure], &attempt{server: x.b.servers[other]}, OutcomeConnectFailed, 0.1)
 	if on(unsafe, other) {
 		t.Error("it takes no connections, but it is still sent unsafe requests")
 	}
@@ -1586,9 +1586,9 @@
 	x := start(t, settings(), fleet(8)...)
 	s := x.b.ring[0]
 	for _, quiet := range []time.Duration{0, 100 * ms, 5 * time.Second} {
-		x.b.judge(x.b.classes[pure], &attempt{server: s}, OK, 0.1)
+		x.b.judge(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
 		x.b.now += quiet
-		x.b.judge(x.b.classes[pure], &attempt{server: s}, Reset, 0.1)
+		x.b.judge(x.b.classes[pure], &attempt{server: s}, OutcomeReset, 0.1)
 		for class := range x.b.classes {
 			if s.health[class].until > x.b.now {
 				t.Errorf("ejected for class %d by one reset, %v after an answer", class, quiet)
@@ -1596,8 +1596,8 @@
 		}
 	}
 	dead := x.b.ring[1]
-	for _, how := range []Outcome{Reset, ConnectFailed} { // its process has died
-		x.b.judge(x.b.classes[pure], &attempt{server: s}, Reset, 0.1)
+	for _, how := range []Outcome{OutcomeReset, OutcomeConnectFailed} { // its process has died
+		x.b.judge(x.b.classes[pure], &attempt{server: s}, OutcomeReset, 0.1)
 		x.b.judge(x.b.classes[pure], &attempt{server: dead, sent: x.b.now}, how, 0.1)
 	}
 	for _, s := range []*server{s, dead} {
@@ -1614,10 +1614,10 @@
 		x.b.classes[i].usual = mean{0.02, true} // the others are quick
 	}
 	sent := x.ask(1, pure)
-	s, check := x.b.servers[one(t, sent, ActSend).Server], one(t, sent, ActTimer)
-	aim := x.b.classes[pure].Aim
-	for x.now += check.Wait; x.now <= time.Hour+aim; x.now += check.Wait {
-		x.on(Event{Kind: EventTimer, Token: check.Token})
+	s, check := x.b.servers[one(t, sent, ActionSend).Server], one(t, sent, ActionSetTimer)
+	aim := x.b.classes[pure].LatencyObjective
+	for x.now += check.Delay; x.now <= time.Hour+aim; x.now += check.Delay {
+		x.on(Event{Kind: EventTimer, TimerID: check.TimerID})
 	}
 	if s.health[pure].until > x.now {
 		t.Error("ejected within the aim")
@@ -1628,19 +1628,19 @@
 func TestSilenceIsCountedOnce(t *testing.T) {
 	x := start(t, settings(), fleet(6)...)
 	acts := x.ask(1, unsafe)
-	s := x.b.servers[one(t, acts, ActSend).Server]
+	s := x.b.servers[one(t, acts, ActionSend).Server]
 	h := &s.health[unsafe]
 	for _, want := range []float64{0.5, 1} {
-		a := one(t, acts, ActTimer)
-		x.now += a.Wait
+		a := one(t, acts, ActionSetTimer)
+		x.now += a.Delay
 		before := h.until
-		acts = x.on(Event{Kind: EventTimer, Token: a.Token})
+		acts = x.on(Event{Kind: EventTimer, TimerID: a.TimerID})
 		if ejected := h.until > before; ejected != (want == 1) {
 			t.Fatalf("after silence worth %v: ejected %v", want, ejected)
 		}
 	}
 	h.until, h.bad = 0, 0
-	x.ends(1, 0, Timeout)
+	x.ends(1, 0, OutcomeTimeout)
 	if h.bad != 0 {
 		t.Errorf("the time-out counted %v again", h.bad)
 	}
@@ -1654,7 +1654,7 @@
 		x := start(t, s, fleet(40)...)
 		x.draw()
 		before := slices.Clone(x.line().servers)
-		x.on(Event{Kind: EventList, Servers: []ServerEntry{ready(99, 1), {ID: before[0].ID, State: Gone}}})
+		x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{ready(99, 1), {ID: before[0].ID, State: Removed}}})
 		x.draw()
 		kept := 0
 		for _, s := range x.line().servers {
@@ -1688,33 +1688,33 @@
 // A refusal tells when to come again, later under pressure.
 func TestRefusalsCarryAdvice(t *testing.T) {
 	s := settings()
-	s.RetryAfter = true
+	s.AdviseRetryAfter = true
 	x := start(t, s)
-	calm := one(t, x.ask(1, pure), ActRefuse).Wait
+	calm := one(t, x.ask(1, pure), ActionReject).RetryAfter
 	x.b.pressure = 1
-	if busy := one(t, x.ask(2, unsafe), ActRefuse).Wait; calm <= 0 || busy <= calm {
+	if busy := one(t, x.ask(2, unsafe), ActionReject).RetryAfter; calm <= 0 || busy <= calm {
 		t.Errorf("advice %v, under pressure %v", calm, busy)
 	}
 	x.b.set.MaxRetryAfter = calm / 2
-	if a := one(t, x.ask(3, pure), ActRefuse); a.Wait != calm/2 {
-		t.Errorf("advice %v where clients heed %v at most", a.Wait, calm/2)
+	if a := one(t, x.ask(3, pure), ActionReject); a.RetryAfter != calm/2 {
+		t.Errorf("advice %v where clients heed %v at most", a.RetryAfter, calm/2)
 	}
-	x.b.set.RetryAfter = false
-	if a := one(t, x.ask(4, pure), ActRefuse); a.Wait != 0 {
-		t.Errorf("advice %v where the settings allow none", a.Wait)
+	x.b.set.AdviseRetryAfter = false
+	if a := one(t, x.ask(4, pure), ActionReject); a.RetryAfter != 0 {
+		t.Errorf("advice %v where the settings allow none", a.RetryAfter)
 	}
 }
 
 // A keyed repeat says until when it may reach a server; what cannot be repeated or has not run does not.
 func TestKeyedRepeatsSayUntilWhen(t *testing.T) {
-	for how, want := range map[Outcome]time.Duration{Error: 200 * ms, Full: 0} {
+	for how, want := range map[Outcome]time.Duration{OutcomeError: 200 * ms, OutcomeRejected: 0} {
 		x := start(t, settings(), fleet(6)...)
-		if first := one(t, x.ask(1, byAll), ActSend); first.Within != 0 {
-			t.Errorf("the first attempt is bound to %v", first.Within)
+		if first := one(t, x.ask(1, byAll), ActionSend); first.DispatchWithin != 0 {
+			t.Errorf("the first attempt is bound to %v", first.DispatchWithin)
 		}
 		x.now += 100 * ms
-		if again := one(t, x.ends(1, 0, how), ActSend); again.Within != want {
-			t.Errorf("after outcome %d: within %v, want %v", how, again.Within, want)
+		if again := one(t, x.ends(1, 0, how), ActionSend); again.DispatchWithin != want {
+			t.Errorf("after outcome %d: within %v, want %v", how, again.DispatchWithin, want)
 		}
 	}
 }
@@ -1723,12 +1723,12 @@
 func TestSwallowedClassIsEjected(t *testing.T) {
 	x := start(t, settings(), fleet(8)...)
 	s, c := x.b.ring[0], x.b.classes[unsafe]
-	x.b.judge(c, &attempt{server: s}, OK, 0.1)
+	x.b.judge(c, &attempt{server: s}, OutcomeOK, 0.1)
 	for range 3 {
 		a := attempt{server: s, sent: x.b.now}
 		x.b.now += time.Second
-		x.b.judge(x.b.classes[pure], &attempt{server: s}, OK, 0.1)
-		x.b.judge(c, &a, Timeout, 1)
+		x.b.judge(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
+		x.b.judge(c, &a, OutcomeTimeout, 1)
 	}
 	if s.health[unsafe].until <= x.b.now {
 		t.Error("not ejected for the class that it swallows")
@@ -1744,18 +1744,18 @@
 	s := x.b.servers[1]
 	x.b.now = x.now
 	x.b.blame(x.b.classes[pure], s, 1, "test")
-	if n := x.b.Avoided(x.now); n != 0 {
+	if n := x.b.EjectedEndpoints(x.now); n != 0 {
 		t.Errorf("ejected for one class: %d avoided", n)
 	}
 	x.b.blame(x.b.classes[unsafe], s, 1, "test") // the second class has all eject it
-	if n := x.b.Avoided(x.now); n != 1 {
+	if n := x.b.EjectedEndpoints(x.now); n != 1 {
 		t.Errorf("ejected for all classes: %d avoided", n)
 	}
-	if n := x.b.Avoided(s.health[pure].until + time.Hour); n != 0 {
+	if n := x.b.EjectedEndpoints(s.health[pure].until + time.Hour); n != 0 {
 		t.Errorf("when it is over: %d avoided", n)
 	}
-	s.State = Gone
-	if n := x.b.Avoided(x.now); n != 0 {
+	s.State = Removed
+	if n := x.b.EjectedEndpoints(x.now); n != 0 {
 		t.Errorf("out of the list: %d avoided", n)
 	}
 }
@@ -1779,7 +1779,7 @@
 	next := settings()
 	next.MaxAttempts = 1
 	fresh := next.Classes[pure]
-	fresh.Name, fresh.Effect = "fresh", SideEffect
+	fresh.Name, fresh.Idempotency = "fresh", NonIdempotent
 	next.Classes = []Class{fresh, next.Classes[unsafe], next.Classes[byAll]} // "pure" and others have gone
 	if err := x.b.Adopt(next); err != nil {
 		t.Fatal(err)
@@ -1788,12 +1788,12 @@
 	if c.usual.v != 0.123 || x.b.servers[1].health[c.index].bad != 0.5 || x.b.servers[1].health[x.b.classes[0].index].bad != 0 {
 		t.Errorf("what was learnt has not stayed with its class: %+v", x.b.servers[1].health)
 	}
-	none(t, x.ends(1, 0, ConnectFailed), ActSend) // one attempt is all
-	if acts := x.ends(2, 0, OK); len(x.b.open) > 0 {
+	none(t, x.ends(1, 0, OutcomeConnectFailed), ActionSend) // one attempt is all
+	if acts := x.ends(2, 0, OutcomeOK); len(x.b.open) > 0 {
 		t.Errorf("requests under way are still open after %+v", acts)
 	}
-	send := one(t, x.ask(3, 0), ActSend)
-	none(t, x.ends(3, 0, Reset), ActSend, ActRefuse) // it may have run, and never twice
+	send := one(t, x.ask(3, 0), ActionSend)
+	none(t, x.ends(3, 0, OutcomeReset), ActionSend, ActionReject) // it may have run, and never twice
 	if send.Request != 3 || x.b.open[3] != nil {
 		t.Errorf("a request of the new class: %+v", send)
 	}
@@ -1814,11 +1814,11 @@
 		for id := range RequestID(8000) {
 			x := all[int(id)%processes]
 			for _, a := range x.ask(id+1, pure) {
-				if a.Kind == ActSend && a.Server == 1 {
+				if a.Kind == ActionSend && a.Server == 1 {
 					n++
 				}
 			}
-			x.ends(id+1, 0, OK)
+			x.ends(id+1, 0, OutcomeOK)
 		}
 		return n
 	}
@@ -1830,23 +1830,23 @@
 // A request whose body or answer flows cannot be had again: nothing repeats it, its silence blames nobody, and the time
 // that its client took teaches no speed.
 func TestBegun(t *testing.T) {
-	for _, how := range []Outcome{Full, ConnectFailed, Reset, Error, Moot} {
+	for _, how := range []Outcome{OutcomeRejected, OutcomeConnectFailed, OutcomeReset, OutcomeError, OutcomeExpired} {
 		x := start(t, settings(), fleet(3)...)
 		x.ask(1, pure)
-		x.on(Event{Kind: EventBegun, Request: 1})
+		x.on(Event{Kind: EventStreaming, Request: 1})
 		acts := x.ends(1, 0, how)
-		if none(t, acts, ActSend); one(t, acts, ActRefuse).Request != 1 || len(x.b.open) > 0 {
+		if none(t, acts, ActionSend); one(t, acts, ActionReject).Request != 1 || len(x.b.open) > 0 {
 			t.Errorf("outcome %d: %+v", how, acts)
 		}
 	}
 	x := start(t, settings(), fleet(3)...)
 	acts := x.ask(1, pure)
-	s, check := x.b.servers[one(t, acts, ActSend).Server], one(t, acts, ActTimer)
+	s, check := x.b.servers[one(t, acts, ActionSend).Server], one(t, acts, ActionSetTimer)
 	usual := x.b.classes[pure].usual
-	x.on(Event{Kind: EventBegun, Request: 1})
+	x.on(Event{Kind: EventStreaming, Request: 1})
 	x.now += 20 * time.Second
-	none(t, x.on(Event{Kind: EventTimer, Token: check.Token}), ActSend, ActTimer)
-	x.ends(1, 0, OK)
+	none(t, x.on(Event{Kind: EventTimer, TimerID: check.TimerID}), ActionSend, ActionSetTimer)
+	x.ends(1, 0, OutcomeOK)
 	if s.health[pure].bad > 0 || x.b.classes[pure].usual != usual || x.b.ahead.known || len(x.b.open) > 0 {
 		t.Errorf("blamed %v, usual answer %v, was %v", s.health[pure].bad, x.b.classes[pure].usual, usual)
 	}
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -74,27 +74,27 @@
 		if int(s) > c.cold || now < started {
 			return 1
 		}
-		return min(1, set.ColdFrom+(1-set.ColdFrom)*(now-started).Seconds()/set.WarmAfter.Seconds())
+		return min(1, set.SlowStartMinWeight+(1-set.SlowStartMinWeight)*(now-started).Seconds()/set.SlowStartDuration.Seconds())
 	}
 	handle := func(now time.Duration, p int, ev Event) {
 		for _, a := range all[p].Handle(now, ev, nil) {
 			switch a.Kind {
-			case ActTimer:
-				heap.Push(&due, happening{now + a.Wait, p, lives[p], Event{Kind: EventTimer, Token: a.Token}})
-			case ActSend:
+			case ActionSetTimer:
+				heap.Push(&due, happening{now + a.Delay, p, lives[p], Event{Kind: EventTimer, TimerID: a.TimerID}})
+			case ActionSend:
 				r := all[p].open[a.Request]
 				if now >= started && int(a.Server) <= c.cold {
 					sent[a.Server] = append(sent[a.Server], now)
 				}
-				out := Event{Kind: EventOutcome, Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server, Closed: true}
+				out := Event{Kind: EventOutcome, Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server, Answered: true}
 				took := 2 * ms
 				if rng.Float64() < c.fails {
-					out.Outcome, out.Closed = Error, false
+					out.Outcome, out.Answered = OutcomeError, false
 				} else {
 					free := max(now, busy[a.Server])
 					busy[a.Server] = free + seconds(rng.ExpFloat64()/(c.rate*warmth(a.Server, now)))
 					took = busy[a.Server] - now
-					out.Load = Load{Known: c.reports == ReportsInline, InFlight: -1, Queue: (free - now).Seconds() * c.rate}
+					out.Load = LoadReport{Known: c.reports == ReportsInline, InFlight: -1, Queue: (free - now).Seconds() * c.rate}
 				}
 				heap.Push(&due, happening{now + took, p, lives[p], out})
 			}
@@ -102,16 +102,16 @@
 	}
 	for p := range all {
 		create(p)
-		handle(begin, p, Event{Kind: EventList, ListMode: ListFull, Servers: list})
+		handle(begin, p, Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: list})
 	}
-	news := append([]ServerEntry(nil), list...)
+	news := append([]Endpoint(nil), list...)
 	for i := range c.cold {
 		news[i].Start = started
 	}
 	heard, restarted := false, c.restarts == 0
 	id := RequestID(0)
 	total := c.rate * c.load * float64(c.servers)
-	for now := begin; now < started+min(set.WarmAfter, 10*time.Second); {
+	for now := begin; now < started+min(set.SlowStartDuration, 10*time.Second); {
 		now += seconds(rng.ExpFloat64() / total)
 		for len(due) > 0 && due[0].at <= now {
 			h := heap.Pop(&due).(happening)
@@ -122,19 +122,19 @@
 		if !heard && now >= started+300*ms {
 			heard = true
 			for p := range all {
-				handle(now, p, Event{Kind: EventList, ListMode: ListDelta, Servers: news[:c.cold]})
+				handle(now, p, Event{Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: news[:c.cold]})
 			}
 		}
 		if !restarted && now >= started+500*ms {
 			restarted = true
 			for p := range c.restarts {
 				create(p)
-				handle(now, p, Event{Kind: EventList, ListMode: ListFull, Servers: news})
+				handle(now, p, Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: news})
 			}
 		}
 		id++
 		p := weights.pick(rng.Float64())
-		handle(now, p, Event{Kind: EventRequest, Request: id, Class: pure, Left: set.Classes[pure].Deadline})
+		handle(now, p, Event{Kind: EventRequest, Request: id, Class: pure, Remaining: set.Classes[pure].Deadline})
 	}
 	return sent
 }
@@ -146,13 +146,13 @@
 func TestColdBudgetOfTheFleet(t *testing.T) {
 	set := settings()
 	for i := range set.Classes {
-		set.Classes[i].Aim, set.Classes[i].Deadline = 2500*ms, 6*time.Second
+		set.Classes[i].LatencyObjective, set.Classes[i].Deadline = 2500*ms, 6*time.Second
 	}
 	for _, site := range []struct {
 		from, factor float64
 		over, warm   time.Duration
 	}{{0.31, 3, 2 * time.Second, 8800 * ms}, {0.15, 2.5, 3 * time.Second, 10 * time.Second}, {0.05, 1.5, 5 * time.Second, time.Minute}} {
-		set.ColdFrom, set.OverloadFactor, set.WarmAfter = site.from, site.factor, site.warm
+		set.SlowStartMinWeight, set.OverloadFactor, set.SlowStartDuration = site.from, site.factor, site.warm
 		for i, c := range []coldFleet{
 			{processes: 3, servers: 15, cold: 3, rate: 8, load: 0.8, uneven: 0.8},
 			{processes: 20, servers: 40, cold: 8, rate: 8, load: 0.8, uneven: 1.4},
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -15,7 +15,7 @@
 }
 
 type sent struct {
-	server   ServerEntry
+	server   Endpoint
 	at       time.Duration
 	out, ran bool
 	unsent   bool // it ended as Leaving: no attempt
@@ -30,7 +30,7 @@
 	set     Settings
 	now     time.Duration
 	tries   map[RequestID]*try
-	list    map[ServerID]ServerEntry
+	list    map[ServerID]Endpoint
 	timers  []Action
 	probes  []ServerID
 	pending []Action // sends without an outcome
@@ -40,24 +40,24 @@
 	for _, a := range c.b.Handle(c.now, ev, nil) {
 		r := c.tries[a.Request]
 		switch a.Kind {
-		case ActSend:
+		case ActionSend:
 			c.send(r, a)
-		case ActRefuse, ActFail:
+		case ActionReject, ActionFail:
 			if r == nil || r.ended {
 				c.t.Fatalf("a second final answer: %+v", a)
 			}
 			r.ended = true
 			for _, s := range r.sends {
-				harmless := r.class.Effect == Pure || r.class.Effect == Token && r.class.Scope == ScopeAll &&
-					c.now < s.at+r.class.Window
-				if a.Kind == ActRefuse && (s.ran || s.out) && !harmless {
+				harmless := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
+					c.now < s.at+r.class.DedupWindow
+				if a.Kind == ActionReject && (s.ran || s.out) && !harmless {
 					c.t.Fatalf("refused a request that may have run")
 				}
 			}
-		case ActTimer:
-			a.Wait += c.now
+		case ActionSetTimer:
+			a.Delay += c.now
 			c.timers = append(c.timers, a)
-		case ActProbe:
+		case ActionHealthCheck:
 			c.probes = append(c.probes, a.Server)
 		}
 	}
@@ -80,8 +80,8 @@
 		c.t.Fatalf("sent to a server that is not ready: %+v", a)
 	case made >= c.set.MaxAttempts:
 		c.t.Fatalf("attempt %d of %d", made+1, c.set.MaxAttempts)
-	case c.now+a.Wait > r.deadline || a.Wait <= 0:
-		c.t.Fatalf("time-out %v with %v left", a.Wait, r.deadline-c.now)
+	case c.now+a.Timeout > r.deadline || a.Timeout <= 0:
+		c.t.Fatalf("timeout %v with %v left", a.Timeout, r.deadline-c.now)
 	}
 	if r.class.Zones != nil && !slices.Contains(r.class.Zones, s.Zone) ||
 		r.class.Kinds != nil && !slices.Contains(r.class.Kinds, s.Kind) {
@@ -89,24 +89,24 @@
 	}
 	if made > 0 {
 		c.extra = append(c.extra, c.now)
-		most := c.set.ExtraFloor + c.set.ExtraRatio*c.within(c.taken, false)
-		if n := c.within(c.extra, true); c.set.ExtraWindow > 0 && n > most {
+		most := c.set.RetryBudgetMin + c.set.RetryBudgetRatio*c.within(c.taken, false)
+		if n := c.within(c.extra, true); c.set.RetryBudgetWindow > 0 && n > most {
 			c.t.Fatalf("%v further attempts in the window, %v allowed", n, most)
 		}
 	}
 	for _, p := range r.sends {
-		if p.out && !c.set.SecondCopies {
+		if p.out && !c.set.Hedging {
 			c.t.Fatal("two attempts out at once")
 		}
 		if !p.ran && !p.out {
 			continue
 		}
-		if r.class.Effect == SideEffect {
+		if r.class.Idempotency == NonIdempotent {
 			c.t.Fatal("an unsafe request sent again")
 		}
-		if r.class.Effect == Token && (c.now >= p.at+r.class.Window ||
-			r.class.Scope == ScopeCell && p.server.Cell != s.Cell ||
-			r.class.Scope == ScopeZone && p.server.Zone != s.Zone) {
+		if r.class.Idempotency == IdempotentWithKey && (c.now >= p.at+r.class.DedupWindow ||
+			r.class.DedupScope == DedupScopeCell && p.server.Cell != s.Cell ||
+			r.class.DedupScope == DedupScopeZone && p.server.Zone != s.Zone) {
 			c.t.Fatal("a keyed request sent where its key is not known")
 		}
 	}
@@ -118,7 +118,7 @@
 // within counts what lies in the retry budget's window; edge says whether its far edge belongs to it.
 func (c *checker) within(times []time.Duration, edge bool) (n float64) {
 	for _, at := range times {
-		if from := c.now - c.set.ExtraWindow; at > from || edge && at == from {
+		if from := c.now - c.set.RetryBudgetWindow; at > from || edge && at == from {
 			n++
 		}
 	}
@@ -131,12 +131,12 @@
 	c.pending = append(c.pending[:i:i], c.pending[i+1:]...)
 	r := c.tries[a.Request]
 	s := &r.sends[a.Attempt]
-	s.out, s.ran, s.unsent = false, how != Full && how != ConnectFailed && how != Moot && how != Leaving, how == Leaving
-	if how == OK {
+	s.out, s.ran, s.unsent = false, how != OutcomeRejected && how != OutcomeConnectFailed && how != OutcomeExpired && how != OutcomeServerDraining, how == OutcomeServerDraining
+	if how == OutcomeOK {
 		r.ended = true
 	}
 	c.on(Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Outcome: how,
-		Closed: r.ended, Load: Load{Known: true, InFlight: float64(i % 9), Queue: float64(i % 5)}})
+		Answered: r.ended, Load: LoadReport{Known: true, InFlight: float64(i % 9), Queue: float64(i % 5)}})
 }
 
 // pass lets time go by; what is due happens on the way.
@@ -146,15 +146,15 @@
 		due := c.timers
 		c.timers = nil
 		for _, a := range due {
-			if a.Wait <= c.now {
-				c.on(Event{Kind: EventTimer, Token: a.Token})
+			if a.Delay <= c.now {
+				c.on(Event{Kind: EventTimer, TimerID: a.TimerID})
 			} else {
 				c.timers = append(c.timers, a)
 			}
 		}
 		for i := 0; i < len(c.pending); i++ {
 			if c.tries[c.pending[i].Request].deadline <= c.now {
-				c.finish(i, Timeout)
+				c.finish(i, OutcomeTimeout)
 				i--
 			}
 		}
@@ -173,13 +173,13 @@
 			return
 		}
 		s := settings()
-		s.SecondCopies = data[0]&1 != 0
+		s.Hedging = data[0]&1 != 0
 		if data[0]&2 != 0 {
-			s.Probes, s.Reports = true, ReportsOnProbe
+			s.HealthChecks, s.Reports = true, ReportsOnHealthCheck
 		}
 		s.MaxAttempts = 1 + int(data[0]>>2&3)
 		if data[0]&16 != 0 {
-			s.ExtraWindow, s.ExtraFloor, s.ExtraRatio = 100*ms, 1, 0.25
+			s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 100*ms, 1, 0.25
 		}
 		if data[0]&32 != 0 {
 			s.Classes[unsafe].Zones, s.Classes[pure].Kinds, s.Classes[byAll].Zones = []int{1}, []int{0}, []int{}
@@ -188,7 +188,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &checker{t: t, b: b, set: s, now: time.Hour, tries: map[RequestID]*try{}, list: map[ServerID]ServerEntry{}}
+		c := &checker{t: t, b: b, set: s, now: time.Hour, tries: map[RequestID]*try{}, list: map[ServerID]Endpoint{}}
 		for id := range RequestID(len(data)) {
 			c.step(id, data[id]>>4, int(data[id]&15))
 		}
@@ -212,28 +212,28 @@
 		left := time.Duration(1+arg) * 60 * time.Millisecond
 		c.tries[id] = &try{class: class, deadline: c.now + left}
 		c.taken = append(c.taken, c.now)
-		c.on(Event{Kind: EventRequest, Request: id, Class: arg % len(c.set.Classes), Left: left, Retry: arg == 15})
+		c.on(Event{Kind: EventRequest, Request: id, Class: arg % len(c.set.Classes), Remaining: left, Retry: arg == 15})
 	case what < 9 && len(c.pending) > 0:
-		c.finish(arg%len(c.pending), Outcome(what*5+byte(arg))%(Leaving+1))
+		c.finish(arg%len(c.pending), Outcome(what*5+byte(arg))%(OutcomeServerDraining+1))
 	case what < 11:
 		c.pass(time.Duration(arg) * 20 * time.Millisecond)
 	case what < 12 && len(c.probes) > 0:
 		p := c.probes[0]
 		c.probes = c.probes[1:]
-		c.on(Event{Kind: EventProbed, Server: p, Outcome: Outcome(arg) % (Moot + 1),
-			Load: Load{Known: true, InFlight: float64(arg), Queue: -1, Recent: time.Duration(arg) * ms}})
+		c.on(Event{Kind: EventHealthCheck, Server: p, Outcome: Outcome(arg) % (OutcomeExpired + 1),
+			Load: LoadReport{Known: true, InFlight: float64(arg), Queue: -1, ServiceTime: time.Duration(arg) * ms}})
 	case what < 13 && len(c.pending) > 0:
 		r := c.tries[c.pending[arg%len(c.pending)].Request]
 		if !r.ended {
 			r.ended = true
-			c.on(Event{Kind: EventHangup, Request: c.pending[arg%len(c.pending)].Request})
+			c.on(Event{Kind: EventClientClosed, Request: c.pending[arg%len(c.pending)].Request})
 		}
 	default:
-		e := ServerEntry{ID: ServerID(arg), Cell: arg % 3, Zone: arg % 2, Kind: arg / 2 % 2, State: ServerState(what % 3), Weight: float64(arg)}
+		e := Endpoint{ID: ServerID(arg), Cell: arg % 3, Zone: arg % 2, Kind: arg / 2 % 2, State: EndpointState(what % 3), Weight: float64(arg)}
 		if what == 15 {
 			e.State, e.Start = Ready, c.now
 		}
 		c.list[e.ID] = e
-		c.on(Event{Kind: EventList, Servers: []ServerEntry{e}})
+		c.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{e}})
 	}
 }
--- /dev/null
+++ b/internal/balancer/settings.go
@@ -0,0 +1,106 @@
+package balancer
+
+import "time"
+
+// Idempotency says whether a request may run more than once.
+type Idempotency uint8
+
+// The values of Idempotency.
+const (
+	// Idempotent requests may be repeated on any server.
+	Idempotent Idempotency = iota
+	// IdempotentWithKey requests carry a key by which the servers of one DedupScope drop a repeat during DedupWindow.
+	IdempotentWithKey
+	// NonIdempotent requests must never run twice.
+	NonIdempotent
+)
+
+// DedupScope is the group of servers that recognize each other's idempotency keys.
+type DedupScope uint8
+
+// The values of DedupScope.
+const (
+	DedupScopeFleet DedupScope = iota
+	DedupScopeZone
+	DedupScopeCell
+)
+
+// Class describes one kind of request.
+type Class struct {
+	// Name identifies the class when the settings change.
+	Name string
+	// LatencyObjective is the time within which an answer earns all of PriorityWeight.
+	LatencyObjective time.Duration
+	// Deadline is how long a client waits over all its retries.
+	Deadline       time.Duration
+	PriorityWeight float64
+	// LateWeight is the share of PriorityWeight that an answer earns between LatencyObjective and Deadline.
+	LateWeight  float64
+	Idempotency Idempotency
+	DedupScope  DedupScope
+	// DedupWindow is how long repeats of an IdempotentWithKey request are dropped, counted from the first attempt that
+	// may have run.
+	DedupWindow time.Duration
+	// Zones are the only zones that the class may be sent to; nil allows any, an empty slice none.
+	Zones []int
+	// Kinds are the only kinds of machine that the class may be sent to, likewise.
+	Kinds []int
+}
+
+// Tenant describes one of those who share the fleet.
+type Tenant struct {
+	// Quota is the tenant's share of the fleet's capacity.
+	Quota float64
+}
+
+// ReportMode says where servers report their load.
+type ReportMode uint8
+
+// The values of ReportMode.
+const (
+	ReportsOff ReportMode = iota
+	ReportsInline
+	ReportsOnHealthCheck
+)
+
+// Settings configure a Balancer. New and Adopt check them.
+type Settings struct {
+	// Rank is the number of this agent among Agents, from 0.
+	Rank   int
+	Agents int
+	// Zone is this agent's zone; below 0 it is not known.
+	Zone    int
+	Classes []Class
+	Tenants []Tenant
+	// Kinds are the names of the kinds of machine, if there are any.
+	Kinds   []string
+	Reports ReportMode
+	// PollEndpoints says that the endpoint list comes only after ActionPollEndpoints.
+	PollEndpoints bool
+	// MaxPollInterval is the longest that an agent may go without polling the endpoint list.
+	MaxPollInterval time.Duration
+	// Tick is the shortest time between two batches of events.
+	Tick time.Duration
+	// MaxAttempts bounds the attempts of one request.
+	MaxAttempts int
+	// HealthChecks allows ActionHealthCheck.
+	HealthChecks bool
+	// CancelAttempts allows ActionCancel.
+	CancelAttempts bool
+	// Hedging allows a request to have two attempts in flight.
+	Hedging bool
+	// AdviseRetryAfter says that rejected clients are told when to retry, MaxRetryAfter at the most; 0 is no limit.
+	AdviseRetryAfter bool
+	MaxRetryAfter    time.Duration
+	// SlowStartMinWeight is the least share of its capacity that a server has at its start. It has all of it after
+	// SlowStartDuration at the latest.
+	SlowStartMinWeight float64
+	SlowStartDuration  time.Duration
+	// OverloadFactor is the multiple of its present capacity at which a server that warms up breaks down.
+	OverloadFactor float64
+	// RetryBudgetWindow is the sliding window of the retry budget; 0 stands for the default budget. In any window an
+	// agent makes at most RetryBudgetMin retries, and RetryBudgetRatio more for each request that came in it.
+	RetryBudgetWindow time.Duration
+	RetryBudgetMin    float64
+	RetryBudgetRatio  float64
+}
--- a/internal/balancer/state.go
+++ b/internal/balancer/state.go
@@ -12,7 +12,7 @@
 // The state of a Balancer and its construction. What is done with it is in balancer.go.
 
 type server struct {
-	ServerEntry
+	Endpoint
 	rank     float64       // place on the ring of all servers
 	base     float64       // speed by the list's first weight
 	slow     float64       // times slower than its kind, learnt
@@ -21,7 +21,7 @@
 	inFlight int           // own attempts out
 	silent   int           // of these, those that have been silent for longer than the patience
 	since    int           // sends since the last report
-	load     Load          // its last report
+	load     LoadReport    // its last report
 	loadAt   time.Duration
 	probing  bool
 	full     time.Duration // passed by until then: it had no room
@@ -39,7 +39,7 @@
 
 func (s *server) tellsQueue() bool { return s.load.Known && s.load.Queue >= 0 }
 
-func (s *server) restart(e *ServerEntry) {
+func (s *server) restart(e *Endpoint) {
 	s.slow, s.full, s.resets, s.used, s.load.Known = 1, 0, 0, 0, false
 	clear(s.health)
 	if s.base = e.Weight; !(e.Weight > 0 && e.Weight < math.MaxFloat32) {
@@ -181,8 +181,8 @@
 	if err := s.check(); err != nil {
 		return fmt.Errorf("balancer: %w", err)
 	}
-	if s.ExtraWindow == 0 {
-		s.ExtraWindow, s.ExtraFloor, s.ExtraRatio = seconds(retrySpan), retryFloor, retryRatio
+	if s.RetryBudgetWindow == 0 {
+		s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = seconds(retrySpan), retryFloor, retryRatio
 	}
 	old := b.classes
 	if b.kinds == nil || !slices.Equal(b.set.Kinds, s.Kinds) { // what is learnt of them goes by place
@@ -192,17 +192,17 @@
 	// What a server is sent by others between its report and a request is unknown, and grows with their number.
 	b.crowd = crowd + (crowdAlone-crowd)/math.Sqrt(float64(s.Agents))
 	for _, c := range s.Classes {
-		n := &class{Class: c, index: slices.Index(b.names, c.Name), usual: mean{c.Aim.Seconds() / 3, true}}
+		n := &class{Class: c, index: slices.Index(b.names, c.Name), usual: mean{c.LatencyObjective.Seconds() / 3, true}}
 		if i := slices.IndexFunc(old, func(o *class) bool { return o.Name == c.Name }); i >= 0 {
 			n.usual, n.first = old[i].usual, old[i].first
 		}
 		if n.index < 0 {
 			n.index, b.names = len(b.names), append(b.names, c.Name)
 		}
-		b.classes, b.worth = append(b.classes, n), b.worth+c.Worth/float64(len(s.Classes))
+		b.classes, b.worth = append(b.classes, n), b.worth+c.PriorityWeight/float64(len(s.Classes))
 	}
 	for _, t := range s.Tenants {
-		b.mix = append(b.mix, t.Portion) // until they are seen
+		b.mix = append(b.mix, t.Quota) // until they are seen
 	}
 	for _, s := range b.ring {
 		s.rank, s.health = b.order(s.ID), append(s.health, make([]health, len(b.names)-len(s.health))...)
@@ -215,40 +215,52 @@
 	slices.SortFunc(b.ring, func(x, y *server) int { return cmp.Compare(x.rank, y.rank) })
 }
 
-// check names the first setting that cannot be right.
-func (s *Settings) check() (err error) {
-	wrong := func(name string, value any, is bool) {
-		if is && err == nil {
-			err = fmt.Errorf("setting %s cannot be %v", name, value)
+// SettingError says which field of Settings has a value that it cannot have.
+type SettingError struct {
+	// Field is the path of the field, such as Classes[1].Deadline.
+	Field string
+	Value any
+}
+
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("setting %s cannot be %v", e.Field, e.Value)
+}
+
+// check returns a *SettingError of the first field that has a value that it cannot have.
+func (s *Settings) check() error {
+	var first error
+	wrong := func(field string, value any, is bool) {
+		if is && first == nil {
+			first = &SettingError{Field: field, Value: value}
 		}
 	}
 	wrong("Agents", s.Agents, s.Agents < 1)
 	wrong("Rank", s.Rank, s.Rank < 0 || s.Rank >= s.Agents)
 	wrong("MaxAttempts", s.MaxAttempts, s.MaxAttempts < 1)
-	wrong("ColdFrom", s.ColdFrom, !(s.ColdFrom > 0 && s.ColdFrom <= 1))
-	wrong("WarmAfter", s.WarmAfter, s.WarmAfter < 0)
+	wrong("SlowStartMinWeight", s.SlowStartMinWeight, !(s.SlowStartMinWeight > 0 && s.SlowStartMinWeight <= 1))
+	wrong("SlowStartDuration", s.SlowStartDuration, s.SlowStartDuration < 0)
 	wrong("OverloadFactor", s.OverloadFactor, !(s.OverloadFactor > 0))
-	wrong("ExtraWindow", s.ExtraWindow, s.ExtraWindow < 0)
-	wrong("ExtraFloor", s.ExtraFloor, !(s.ExtraFloor >= 0))
-	wrong("ExtraRatio", s.ExtraRatio, !(s.ExtraRatio >= 0))
+	wrong("RetryBudgetWindow", s.RetryBudgetWindow, s.RetryBudgetWindow < 0)
+	wrong("RetryBudgetMin", s.RetryBudgetMin, !(s.RetryBudgetMin >= 0))
+	wrong("RetryBudgetRatio", s.RetryBudgetRatio, !(s.RetryBudgetRatio >= 0))
 	wrong("Tick", s.Tick, s.Tick < 0)
-	wrong("MustAskIn", s.MustAskIn, s.AskList && s.MustAskIn <= 0)
+	wrong("MaxPollInterval", s.MaxPollInterval, s.PollEndpoints && s.MaxPollInterval <= 0)
 	wrong("Classes", "empty", len(s.Classes) == 0)
 	for i, c := range s.Classes {
 		at := fmt.Sprintf("Classes[%d].", i)
-		wrong(at+"Aim", c.Aim, c.Aim <= 0)
-		wrong(at+"Deadline", c.Deadline, c.Deadline < c.Aim)
-		wrong(at+"Worth", c.Worth, !(c.Worth >= 0))
-		wrong(at+"Effect", c.Effect, c.Effect > SideEffect)
-		wrong(at+"Scope", c.Scope, c.Scope > ScopeCell)
-		wrong(at+"Window", c.Window, c.Window < 0)
+		wrong(at+"LatencyObjective", c.LatencyObjective, c.LatencyObjective <= 0)
+		wrong(at+"Deadline", c.Deadline, c.Deadline < c.LatencyObjective)
+		wrong(at+"PriorityWeight", c.PriorityWeight, !(c.PriorityWeight >= 0))
+		wrong(at+"Idempotency", c.Idempotency, c.Idempotency > NonIdempotent)
+		wrong(at+"DedupScope", c.DedupScope, c.DedupScope > DedupScopeCell)
+		wrong(at+"DedupWindow", c.DedupWindow, c.DedupWindow < 0)
 		wrong(at+"Zones", c.Zones, slices.ContainsFunc(c.Zones, negative))
 		wrong(at+"Kinds", c.Kinds, slices.ContainsFunc(c.Kinds, negative))
 	}
 	for i, t := range s.Tenants {
-		wrong(fmt.Sprintf("Tenants[%d].Portion", i), t.Portion, !(t.Portion >= 0))
+		wrong(fmt.Sprintf("Tenants[%d].Quota", i), t.Quota, !(t.Quota >= 0))
 	}
-	return err
+	return first
 }
 
 func negative(i int) bool { return i < 0 }
@@ -261,7 +273,7 @@
 		b.logsFrom, b.logs = b.now, 0
 	}
 	if b.logs++; b.logs <= 20 {
-		b.act(Action{Kind: ActLog, Text: fmt.Sprintf(format, args...)})
+		b.act(Action{Kind: ActionLog, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
@@ -297,20 +309,20 @@
 }
 
 // entry finds the server of a line of the list, or puts it last on the ring; one not known that is gone stays so.
-func (b *Balancer) entry(e *ServerEntry) *server {
+func (b *Balancer) entry(e *Endpoint) *server {
 	s := b.servers[e.ID]
-	if s == nil && e.State != Gone {
+	if s == nil && e.State != Removed {
 		s = &server{rank: b.order(e.ID), health: make([]health, len(b.names))}
 		b.servers[e.ID], b.ring = s, append(b.ring, s)
 	}
 	return s
 }
 
-// Avoided counts the listed servers that are ejected for every class.
-func (b *Balancer) Avoided(now time.Duration) (n int) {
+// EjectedEndpoints counts the listed servers that are ejected for every class.
+func (b *Balancer) EjectedEndpoints(now time.Duration) (n int) {
 	for _, s := range b.ring {
 		in := slices.ContainsFunc(b.classes, func(c *class) bool { return s.health[c.index].until <= now })
-		if !in && s.State != Gone {
+		if !in && s.State != Removed {
 			n++
 		}
 	}
@@ -321,33 +333,33 @@
 func (b *Balancer) Handle(now time.Duration, ev Event, out []Action) []Action {
 	b.now, b.out = max(now, b.now), out
 	switch ev.Kind {
-	case EventList:
+	case EventDiscovery:
 		b.onList(&ev)
 	case EventRequest:
 		b.onRequest(&ev)
 	case EventOutcome:
 		b.onOutcome(&ev)
-	case EventBegun:
+	case EventStreaming:
 		if r := b.open[ev.Request]; r != nil {
 			r.begun = true
 		}
-	case EventHangup:
+	case EventClientClosed:
 		if r := b.open[ev.Request]; r != nil {
 			b.end(r, false)
 		}
 	case EventTimer:
-		b.onTimer(ev.Token)
-	case EventProbed:
+		b.onTimer(ev.TimerID)
+	case EventHealthCheck:
 		b.onProbed(&ev)
 	}
 	out, b.out = b.out, nil
 	return out
 }
 
-// What a timer is for; a request and its attempt stand in the lower bits.
+// The upper bits of a TimerID say what the timer is for; of timerCheck the lower ones hold an attempt and its request.
 const (
-	tokenAsk   = 1 << 56
-	tokenCheck = 3 << 56
+	timerPoll  TimerID = 1 << 56
+	timerCheck TimerID = 3 << 56
 )
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/balancer/trace_amd64_test.go
+++ b/internal/balancer/trace_amd64_test.go
@@ -54,7 +54,7 @@
 	now      time.Duration
 	queue    eventQueue
 	sequence int
-	servers  []balancer.ServerEntry
+	servers  []balancer.Endpoint
 	requests map[balancer.RequestID]*traceRequest
 	recent   []balancer.RequestID
 	nextID   balancer.RequestID
@@ -66,31 +66,31 @@
 func traceSettings(rng *rand.Rand) balancer.Settings {
 	const ms = time.Millisecond
 	objective := time.Duration(50+rng.IntN(400)) * ms
-	class := func(name string, effect balancer.Effect, scope balancer.Scope) balancer.Class {
+	class := func(name string, effect balancer.Idempotency, scope balancer.DedupScope) balancer.Class {
 		return balancer.Class{
-			Name: name, Aim: objective, Deadline: objective * time.Duration(2+rng.IntN(3)), Worth: 0.5 + rng.Float64(),
-			LateWorth: float64(rng.IntN(2)) / 2, Effect: effect, Scope: scope, Window: time.Duration(100+rng.IntN(900)) * ms,
+			Name: name, LatencyObjective: objective, Deadline: objective * time.Duration(2+rng.IntN(3)), PriorityWeight: 0.5 + rng.Float64(),
+			LateWeight: float64(rng.IntN(2)) / 2, Idempotency: effect, DedupScope: scope, DedupWindow: time.Duration(100+rng.IntN(900)) * ms,
 		}
 	}
 	classes := []balancer.Class{
-		class("read", balancer.Pure, 0),
-		class("write", balancer.SideEffect, 0),
-		class("keyed", balancer.Token, balancer.ScopeAll),
-		class("keyed-by-zone", balancer.Token, balancer.ScopeZone),
-		class("keyed-by-cell", balancer.Token, balancer.ScopeCell),
-		class("placed", balancer.Pure, 0),
+		class("read", balancer.Idempotent, 0),
+		class("write", balancer.NonIdempotent, 0),
+		class("keyed", balancer.IdempotentWithKey, balancer.DedupScopeFleet),
+		class("keyed-by-zone", balancer.IdempotentWithKey, balancer.DedupScopeZone),
+		class("keyed-by-cell", balancer.IdempotentWithKey, balancer.DedupScopeCell),
+		class("placed", balancer.Idempotent, 0),
 	}
 	classes[5].Zones, classes[5].Kinds = []int{0, 1}, []int{0}
 	agents := 1 + rng.IntN(40)
 	return balancer.Settings{
 		Rank: rng.IntN(agents), Agents: agents, Zone: rng.IntN(4) - 1, Classes: classes,
-		Tenants: []balancer.Tenant{{Portion: 0.6}, {Portion: 0.3}, {Portion: 0}},
+		Tenants: []balancer.Tenant{{Quota: 0.6}, {Quota: 0.3}, {Quota: 0}},
 		Kinds:   []string{"small", "large"}, Reports: balancer.ReportMode(rng.IntN(3)),
-		AskList: rng.IntN(2) == 0, MustAskIn: time.Duration(3+rng.IntN(5)) * time.Second, Tick: ms,
-		MaxAttempts: 2 + rng.IntN(4), Probes: rng.IntN(2) == 0, Cancel: rng.IntN(2) == 0,
-		SecondCopies: rng.IntN(3) > 0, RetryAfter: rng.IntN(2) == 0, MaxRetryAfter: time.Duration(rng.IntN(2)) * time.Second,
-		ColdFrom: 0.05 + 0.5*rng.Float64(), WarmAfter: time.Duration(2+rng.IntN(9)) * time.Second, OverloadFactor: 1.5 + 2*rng.Float64(),
-		ExtraWindow: time.Duration(rng.IntN(2)) * time.Second, ExtraFloor: 3, ExtraRatio: 0.3,
+		PollEndpoints: rng.IntN(2) == 0, MaxPollInterval: time.Duration(3+rng.IntN(5)) * time.Second, Tick: ms,
+		MaxAttempts: 2 + rng.IntN(4), HealthChecks: rng.IntN(2) == 0, CancelAttempts: rng.IntN(2) == 0,
+		Hedging: rng.IntN(3) > 0, AdviseRetryAfter: rng.IntN(2) == 0, MaxRetryAfter: time.Duration(rng.IntN(2)) * time.Second,
+		SlowStartMinWeight: 0.05 + 0.5*rng.Float64(), SlowStartDuration: time.Duration(2+rng.IntN(9)) * time.Second, OverloadFactor: 1.5 + 2*rng.Float64(),
+		RetryBudgetWindow: time.Duration(rng.IntN(2)) * time.Second, RetryBudgetMin: 3, RetryBudgetRatio: 0.3,
 	}
 }
 
@@ -109,12 +109,12 @@
 	for id := range 4 + rng.IntN(40) {
 		driver.servers = append(driver.servers, driver.drawServer(balancer.ServerID(id+1)))
 	}
-	driver.handle(balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull, Servers: slices.Clone(driver.servers)})
+	driver.handle(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: slices.Clone(driver.servers)})
 	return driver
 }
 
-func (d *traceDriver) drawServer(id balancer.ServerID) balancer.ServerEntry {
-	entry := balancer.ServerEntry{
+func (d *traceDriver) drawServer(id balancer.ServerID) balancer.Endpoint {
+	entry := balancer.Endpoint{
 		ID: id, Zone: int(id) % 3, Kind: int(id) % 2, Cell: int(id) % 4, State: balancer.Ready, Weight: float64(d.rng.IntN(5)),
 	}
 	if d.rng.IntN(3) == 0 {
@@ -142,25 +142,25 @@
 	for _, action := range d.balancer.Handle(d.now, event, nil) {
 		d.actions[action.Kind]++
 		d.record(uint64(d.now), uint64(action.Kind), uint64(action.Request), uint64(action.Server),
-			uint64(action.Attempt), uint64(action.Wait), uint64(action.Within), action.Token)
+			uint64(action.Attempt), uint64(action.Timeout+action.RetryAfter+action.Delay), uint64(action.DispatchWithin), uint64(action.TimerID))
 		switch action.Kind {
-		case balancer.ActSend:
+		case balancer.ActionSend:
 			d.answerAttempt(action)
-		case balancer.ActRefuse, balancer.ActFail:
+		case balancer.ActionReject, balancer.ActionFail:
 			d.requests[action.Request].answered = true
-		case balancer.ActCancel:
+		case balancer.ActionCancel:
 			if d.rng.IntN(2) == 0 {
 				d.schedule(time.Duration(d.rng.IntN(3))*time.Millisecond, balancer.Event{
-					Kind: balancer.EventOutcome, Request: action.Request, Attempt: action.Attempt, Outcome: balancer.Cancelled, Closed: true,
+					Kind: balancer.EventOutcome, Request: action.Request, Attempt: action.Attempt, Outcome: balancer.OutcomeCancelled, Answered: true,
 				})
 			}
-		case balancer.ActTimer:
-			d.schedule(action.Wait, balancer.Event{Kind: balancer.EventTimer, Token: action.Token})
-		case balancer.ActProbe:
+		case balancer.ActionSetTimer:
+			d.schedule(action.Delay, balancer.Event{Kind: balancer.EventTimer, TimerID: action.TimerID})
+		case balancer.ActionHealthCheck:
 			d.schedule(time.Duration(d.rng.IntN(20))*time.Millisecond, balancer.Event{
-				Kind: balancer.EventProbed, Server: action.Server, Outcome: balancer.Outcome(d.rng.IntN(3)), Load: d.drawLoad(),
+				Kind: balancer.EventHealthCheck, Server: action.Server, Outcome: balancer.Outcome(d.rng.IntN(3)), Load: d.drawLoad(),
 			})
-		case balancer.ActFollow:
+		case balancer.ActionPollEndpoints:
 			d.answerPoll()
 		}
 	}
@@ -179,15 +179,15 @@
 		failures = 0.6
 	}
 	if d.rng.Float64() < failures {
-		event.Outcome = balancer.Outcome(1 + d.rng.IntN(int(balancer.Leaving)))
+		event.Outcome = balancer.Outcome(1 + d.rng.IntN(int(balancer.OutcomeServerDraining)))
 	}
 	switch {
-	case event.Outcome == balancer.Timeout || latency > action.Wait:
-		event.Outcome, latency = balancer.Timeout, action.Wait
-	case event.Outcome != balancer.OK:
+	case event.Outcome == balancer.OutcomeTimeout || latency > action.Timeout:
+		event.Outcome, latency = balancer.OutcomeTimeout, action.Timeout
+	case event.Outcome != balancer.OutcomeOK:
 		latency /= 10
 	case d.rng.IntN(20) == 0:
-		d.schedule(latency/2, balancer.Event{Kind: balancer.EventBegun, Request: action.Request})
+		d.schedule(latency/2, balancer.Event{Kind: balancer.EventStreaming, Request: action.Request})
 	}
 	d.schedule(latency, event)
 }
@@ -195,20 +195,20 @@
 // answerPoll fails a third of the polls and answers the others by the endpoint list as it stands.
 func (d *traceDriver) answerPoll() {
 	took := time.Duration(d.rng.IntN(300)) * time.Millisecond
-	event := balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull, Servers: slices.Clone(d.servers)}
+	event := balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: slices.Clone(d.servers)}
 	if d.rng.IntN(3) == 0 {
 		event = balancer.Event{
-			Kind: balancer.EventList, ListMode: balancer.ListFailed, Left: time.Duration(d.rng.IntN(6000)) * time.Millisecond,
-			Answer: time.Duration(d.rng.IntN(2)) * took, Outcome: balancer.Outcome(d.rng.IntN(3)),
+			Kind: balancer.EventDiscovery, Update: balancer.PollFailed, Remaining: time.Duration(d.rng.IntN(6000)) * time.Millisecond,
+			PollLatency: time.Duration(d.rng.IntN(2)) * took, Outcome: balancer.Outcome(d.rng.IntN(3)),
 		}
 	}
 	d.schedule(took, event)
 }
 
-func (d *traceDriver) drawLoad() balancer.Load {
-	return balancer.Load{
+func (d *traceDriver) drawLoad() balancer.LoadReport {
+	return balancer.LoadReport{
 		Known: d.rng.IntN(3) > 0, InFlight: float64(d.rng.IntN(12) - 2), Queue: float64(d.rng.IntN(8) - 2),
-		Recent: time.Duration(d.rng.IntN(40)) * time.Millisecond,
+		ServiceTime: time.Duration(d.rng.IntN(40)) * time.Millisecond,
 	}
 }
 
@@ -220,10 +220,10 @@
 		d.now = next.at
 		if next.event.Kind == balancer.EventOutcome {
 			request := d.requests[next.event.Request]
-			if next.event.Outcome == balancer.OK {
+			if next.event.Outcome == balancer.OutcomeOK {
 				request.answered = true
 			}
-			next.event.Closed = next.event.Closed || request.answered
+			next.event.Answered = next.event.Answered || request.answered
 		}
 		d.handle(next.event)
 	}
@@ -240,14 +240,14 @@
 	case choice < 980:
 		d.changeServer()
 	case choice < 990:
-		d.handle(balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListMoved, Left: 4 * time.Second,
-			Answer: time.Duration(d.rng.IntN(2)) * 100 * time.Millisecond})
+		d.handle(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.DiscoveryMigrated, Remaining: 4 * time.Second,
+			PollLatency: time.Duration(d.rng.IntN(2)) * 100 * time.Millisecond})
 	case choice < 995:
-		d.handle(balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListCached, Servers: slices.Clone(d.servers)})
+		d.handle(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsCached, Endpoints: slices.Clone(d.servers)})
 	default:
 		d.reload()
 	}
-	d.record(uint64(d.balancer.Avoided(d.now)))
+	d.record(uint64(d.balancer.EjectedEndpoints(d.now)))
 }
 
 func (d *traceDriver) request() {
@@ -261,7 +261,7 @@
 	d.requests[d.nextID] = &traceRequest{deadline: d.now + left}
 	d.recent = append(d.recent, d.nextID)
 	d.handle(balancer.Event{
-		Kind: balancer.EventRequest, Request: d.nextID, Class: class, Tenant: d.rng.IntN(5) - 1, Left: left, Retry: retry,
+		Kind: balancer.EventRequest, Request: d.nextID, Class: class, Tenant: d.rng.IntN(5) - 1, Remaining: left, Retry: retry,
 	})
 }
 
@@ -272,7 +272,7 @@
 	id := d.recent[max(0, len(d.recent)-1-d.rng.IntN(30))]
 	if request := d.requests[id]; !request.answered {
 		request.answered = true
-		d.handle(balancer.Event{Kind: balancer.EventHangup, Request: id})
+		d.handle(balancer.Event{Kind: balancer.EventClientClosed, Request: id})
 	}
 }
 
@@ -282,14 +282,14 @@
 	case 0:
 		d.servers[i].State = balancer.Draining
 	case 1:
-		d.servers[i].State = balancer.Gone
+		d.servers[i].State = balancer.Removed
 	case 2:
 		d.servers[i] = d.drawServer(d.servers[i].ID)
 	default:
 		d.servers = append(d.servers, d.drawServer(balancer.ServerID(len(d.servers)+1)))
 		i = len(d.servers) - 1
 	}
-	d.handle(balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListDelta, Servers: []balancer.ServerEntry{d.servers[i]}})
+	d.handle(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsChanged, Endpoints: []balancer.Endpoint{d.servers[i]}})
 }
 
 // reload adopts new settings; every other time the kinds change places, and what was learnt of them is dropped.
--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -5,9 +5,9 @@
 
 import "time"
 
-// LeastStep is the smallest difference between the two clocks that StepDetector takes for a step. Slewing, by which
+// MinStep is the smallest difference between the two clocks that StepDetector takes for a step. Slewing, by which
 // clocks are corrected without a step, stays under 0.5 ms a second on Linux.
-const LeastStep = 100 * time.Millisecond
+const MinStep = 100 * time.Millisecond
 
 // StepDetector notices steps of the wall clock by comparing it with the monotonic clock. The zero value is ready for use. It
 // is not safe for concurrent use.
@@ -18,7 +18,7 @@
 
 // Observe takes readings of both clocks, made at the same moment: Unix time, and the monotonic clock since any fixed
 // start. It returns by how much the wall clock has been stepped since the last call, forwards if positive; 0 at the first
-// call and for anything under LeastStep.
+// call and for anything under MinStep.
 func (d *StepDetector) Observe(wall, monotonic time.Duration) time.Duration {
 	step := wall - monotonic - d.offset
 	d.offset += step
@@ -26,7 +26,7 @@
 		d.begun = true
 		return 0
 	}
-	if step.Abs() < LeastStep {
+	if step.Abs() < MinStep {
 		return 0
 	}
 	return step
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -30,31 +30,31 @@
 
 // Config is what the platform tells an agent at its start.
 type Config struct {
-	Name      string
-	Listen    string
-	Discovery string
-	Relays    []string // of the list, each an IP address and port; empty: none
-	Console   string   // empty: none
-	Seed      uint64
-	Cores     float64
-	MemoryMB  int
-	Sockets   int
-	Settings  settings.Settings
-	Known     discovery.List // the last one that the platform has; without a revision: none
+	Name            string
+	Listen          string
+	Discovery       string
+	Relays          []string // of the list, each an IP address and port; empty: none
+	AdminAddr       string   // empty: none
+	Seed            uint64
+	Cores           float64
+	MemoryMB        int
+	Sockets         int
+	Settings        settings.Settings
+	CachedEndpoints discovery.EndpointList // the last one that the platform has; without a revision: none
 
 	file any // as it was read, but for the list
 }
 
-// Reloaded is the configuration file read again, or why it cannot be used.
-type Reloaded struct {
+// ReloadResult is the configuration file read again, or why it cannot be used.
+type ReloadResult struct {
 	Config *Config
 	Err    error
 }
 
 // Reload reads and checks the file that is to follow a configuration. Its error names the file and the field.
-func Reload(path string, present *Config) Reloaded {
+func Reload(path string, present *Config) ReloadResult {
 	next, err := read(path, func(text []byte) (*Config, error) { return ParseReload(text, present) })
-	return Reloaded{Config: next, Err: err}
+	return ReloadResult{Config: next, Err: err}
 }
 
 // ParseReload checks the text that is to follow a configuration. Danger: a text that is not written to its end, or lacks
@@ -167,7 +167,7 @@
 		return nil, err
 	}
 	cfg := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Relays: f.Relays, Console: f.Console,
+		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Relays: f.Relays, AdminAddr: f.Console,
 		Cores: f.Limits.Cores, MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets,
 	}
 	var err error
@@ -201,7 +201,7 @@
 		return nil, fmt.Errorf("limits.sockets cannot be %d: at least %d are needed", cfg.Sockets, MinSockets)
 	}
 	if len(f.Known) > 0 {
-		if cfg.Known, err = discovery.Parse(f.Known); err != nil {
+		if cfg.CachedEndpoints, err = discovery.Parse(f.Known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
@@ -245,17 +245,17 @@
 	if s.ConnectTimeout <= 0 {
 		return errors.New("settings: limits.connectTimeout must be above 0")
 	}
-	if s.IdleClose < 0 {
+	if s.IdleTimeout < 0 {
 		return errors.New("settings: limits.idleClose must not be below 0")
 	}
-	for what, names := range map[string][]string{"categories": s.Classes, "accounts": s.Tenants} {
+	for what, names := range map[string][]string{"categories": s.ClassNames, "accounts": s.TenantNames} {
 		for i, name := range names {
 			if name == "" || slices.Contains(names[:i], name) {
 				return fmt.Errorf("settings: %s[%d].name %q is empty or taken", what, i, name)
 			}
 		}
 	}
-	if _, err := balancer.New(s.Module, 0); err != nil {
+	if _, err := balancer.New(s.Balancer, 0); err != nil {
 		return fmt.Errorf("settings: %w", err)
 	}
 	return nil
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -29,22 +29,22 @@
 
 	// pushWatch is how long a watch waits where calls cost nothing. Where all agents share one service their watches end once
 	// in askTurn, each in its agent's own turn, or one turn later if that were within leastWait. Silence shows only then,
-	// and ToldFailed counts from the watch's begin: what is left of it is for the calls that make up for the watch.
+	// and NotifyBoundAfterFailure counts from the watch's begin: what is left of it is for the calls that make up for the watch.
 	pushWatch = 2 * time.Second
-	askTurn   = balancer.ToldFailed / 2
+	askTurn   = balancer.NotifyBoundAfterFailure / 2
 	leastWait = askTurn / 6
 	// watchGrace is how long an answer may come after a watch's wait.
-	watchGrace = balancer.ToldFailed / 15
+	watchGrace = balancer.NotifyBoundAfterFailure / 15
 	// pushTimeout and askTimeout are how long a call may take that does not wait; asked, calls are worked through in turn.
 	// Both are up in time for another call before what a hanging one misses counts as told.
-	pushTimeout  = balancer.ToldFailed / 6
-	askTimeout   = balancer.ToldFailed / 2
+	pushTimeout  = balancer.NotifyBoundAfterFailure / 6
+	askTimeout   = balancer.NotifyBoundAfterFailure / 2
 	leastTimeout = 300 * time.Millisecond // of a call that has to make up for others
 	// jamShows is for how long calls have to fail in a row, all after a wait for the service, to say that it cannot answer
 	// all agents within the bound. Danger: a service that is down may refuse late as well. What is left of the bound makes
 	// calls follow each other fast at its end, so their number says little; over two bounds an outage that agents are to
 	// make up for has ended.
-	jamShows = 2 * balancer.ToldFailed
+	jamShows = 2 * balancer.NotifyBoundAfterFailure
 	// crowdedCalls of them are enough where the answers that there were say that the service cannot answer each agent once
 	// within the bound.
 	crowdedCalls = 4
@@ -53,90 +53,90 @@
 )
 
 var (
-	// ErrBadList is an answer of discovery that cannot be used, after which only the whole list will do.
-	ErrBadList = errors.New("bad list")
-	// ErrCutList is an answer that broke off, or may have been on its way when its watch was given up.
-	ErrCutList = errors.New("the list does not come whole")
+	// ErrMalformedList is an answer of discovery that cannot be used, after which only the whole list will do.
+	ErrMalformedList = errors.New("bad list")
+	// ErrTruncatedList is an answer that broke off, or may have been on its way when its watch was given up.
+	ErrTruncatedList = errors.New("the list does not come whole")
 )
 
 // Member is one backend as discovery tells it.
 type Member struct {
-	ID       string
-	HostPort string `json:"host_port"`
-	Locality string `json:"locality"`
-	Flavor   string `json:"flavor"`
-	Cell     int
-	Phase    string  `json:"phase"`
-	Size     float64 `json:"size"`
-	UpSince  float64 `json:"up_since_ms"` // Unix time, milliseconds
+	ID              string
+	Address         string `json:"host_port"`
+	Zone            string `json:"locality"`
+	Kind            string `json:"flavor"`
+	Cell            int
+	State           string  `json:"phase"`
+	Weight          float64 `json:"size"`
+	StartedAtMillis float64 `json:"up_since_ms"` // Unix time, milliseconds
 }
 
-// List is an answer of discovery: the whole list, or what has changed since a revision. A parsed one has a revision.
-type List struct {
+// EndpointList is an answer of discovery: the whole list, or what has changed since a revision. A parsed one has a revision.
+type EndpointList struct {
 	Revision *uint64
 	Complete bool
 	Members  []Member
 }
 
-// Phases are the names that discovery has for the states of a backend.
-var Phases = map[string]balancer.ServerState{
-	"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Gone,
+// EndpointStates are the names that discovery has for the states of a backend.
+var EndpointStates = map[string]balancer.EndpointState{
+	"Ready": balancer.Ready, "Terminating": balancer.Draining, "Gone": balancer.Removed,
 }
 
-// Parse takes a list whole or not at all: half of one would take backends for gone that are not. Its errors are ErrBadList
+// Parse takes a list whole or not at all: half of one would take backends for gone that are not. Its errors are ErrMalformedList
 // and name the member and the field.
-func Parse(text []byte) (List, error) {
-	var l List
+func Parse(text []byte) (EndpointList, error) {
+	var l EndpointList
 	if err := json.Unmarshal(text, &l); err != nil {
-		return List{}, fmt.Errorf("%w: %w", ErrBadList, err)
+		return EndpointList{}, fmt.Errorf("%w: %w", ErrMalformedList, err)
 	}
 	if l.Revision == nil {
-		return List{}, fmt.Errorf("%w: no revision", ErrBadList)
+		return EndpointList{}, fmt.Errorf("%w: no revision", ErrMalformedList)
 	}
 	seen := make(map[string]bool, len(l.Members))
 	for i, m := range l.Members {
-		state, known := Phases[m.Phase]
+		state, known := EndpointStates[m.State]
 		switch {
 		case m.ID == "" || len(m.ID) > maxServerID || seen[m.ID]:
-			return List{}, fmt.Errorf("%w: members[%d].id %.40q", ErrBadList, i, m.ID)
+			return EndpointList{}, fmt.Errorf("%w: members[%d].id %.40q", ErrMalformedList, i, m.ID)
 		case !known:
-			return List{}, fmt.Errorf("%w: members[%d].phase %.40q", ErrBadList, i, m.Phase)
-		case !(m.UpSince >= 0 && m.UpSince < 9e12): // what a time.Duration can hold
-			return List{}, fmt.Errorf("%w: members[%d].up_since_ms %v", ErrBadList, i, m.UpSince)
+			return EndpointList{}, fmt.Errorf("%w: members[%d].phase %.40q", ErrMalformedList, i, m.State)
+		case !(m.StartedAtMillis >= 0 && m.StartedAtMillis < 9e12): // what a time.Duration can hold
+			return EndpointList{}, fmt.Errorf("%w: members[%d].up_since_ms %v", ErrMalformedList, i, m.StartedAtMillis)
 		}
-		if _, err := netip.ParseAddrPort(m.HostPort); err != nil && state != balancer.Gone {
-			return List{}, fmt.Errorf("%w: members[%d].host_port: %w", ErrBadList, i, err)
+		if _, err := netip.ParseAddrPort(m.Address); err != nil && state != balancer.Removed {
+			return EndpointList{}, fmt.Errorf("%w: members[%d].host_port: %w", ErrMalformedList, i, err)
 		}
 		seen[m.ID] = true
 	}
 	return l, nil
 }
 
-// News is what the owner of a client is told: a list or changes of it, or that a call failed and how long there is to make
+// WatchEvent is what the owner of a client is told: a list or changes of it, or that a call failed and how long there is to make
 // up for it.
-type News struct {
-	Mode          balancer.ListMode
-	Members       []Member
-	Left          time.Duration // of ListFailed: until what it missed counts as told; 0 if that is not known
-	RefusedAtOnce bool          // of ListFailed: the service refused the call at once, without work
-	Answer        time.Duration // of ListFailed: that the service takes for a call; 0 if that is not known
-	Revision      uint64        // of the list, or up to which the changes go; 0 for ListFailed
+type WatchEvent struct {
+	Update         balancer.DiscoveryUpdate
+	Members        []Member
+	Remaining      time.Duration // of PollFailed: until what it missed counts as told; 0 if that is not known
+	RejectedAtOnce bool          // of PollFailed: the service refused the call at once, without work
+	PollLatency    time.Duration // of PollFailed: that the service takes for a call; 0 if that is not known
+	Revision       uint64        // of the list, or up to which the changes go; 0 for PollFailed
 }
 
 // Event is the news in the terms of the module, with the members as the owner has numbered them.
-func (n News) Event(servers []balancer.ServerEntry) balancer.Event {
-	ev := balancer.Event{Kind: balancer.EventList, ListMode: n.Mode, Left: n.Left, Answer: n.Answer, Servers: servers}
-	if n.RefusedAtOnce {
-		ev.Outcome = balancer.Full
+func (n WatchEvent) Event(servers []balancer.Endpoint) balancer.Event {
+	ev := balancer.Event{Kind: balancer.EventDiscovery, Update: n.Update, Remaining: n.Remaining, PollLatency: n.PollLatency, Endpoints: servers}
+	if n.RejectedAtOnce {
+		ev.Outcome = balancer.OutcomeRejected
 	}
 	return ev
 }
 
-// Call is one call of discovery, as it is counted.
-type Call struct {
-	Wait time.Duration // that it was to wait
-	Took time.Duration // all in all
-	Err  error         // why it brought no list that can be read
+// PollResult is one call of discovery, as it is counted.
+type PollResult struct {
+	Wait     time.Duration // that it was to wait
+	Duration time.Duration // all in all
+	Err      error         // why it brought no list that can be read
 }
 
 // Dial opens connections.
@@ -146,24 +146,24 @@
 type Options struct {
 	Addr     string // IP address and port
 	Settings func() *settings.Settings
-	Tell     func(News) // in order, one at a time; no call is made until it returns
-	Count    func(Call) // each call, before what comes of it is told
+	Notify   func(WatchEvent) // in order, one at a time; no call is made until it returns
+	OnPoll   func(PollResult) // each call, before what comes of it is told
 	Log      *slog.Logger
 
-	Name     string                                 // of the agent, by which it takes its turn at relays
-	Relays   []string                               // IP addresses and ports; empty: discovery itself is asked
-	Watch    time.Duration                          // how long a watch waits where lists are pushed; 0: pushWatch
-	Answered func(began time.Time, revision uint64) // a call was answered, and what it brought has been told
-	Dial     Dial                                   // nil: a net.Dialer that waits for a second
+	Name      string                                 // of the agent, by which it takes its turn at relays
+	Relays    []string                               // IP addresses and ports; empty: discovery itself is asked
+	WatchWait time.Duration                          // how long a watch waits where lists are pushed; 0: pushWatch
+	OnAnswer  func(began time.Time, revision uint64) // a call was answered, and what it brought has been told
+	Dial      Dial                                   // nil: a net.Dialer that waits for a second
 }
 
 // Client follows the list of backends and hands each change to its owner.
 type Client struct {
-	place  Place
+	place  Target
 	set    func() *settings.Settings
 	follow chan struct{} // the module asks; holds one
-	tell   func(News)
-	count  func(Call)
+	tell   func(WatchEvent)
+	count  func(PollResult)
 	client http.Client
 	log    *slog.Logger
 
@@ -193,7 +193,7 @@
 // StartFrom makes the list that the agent held before its start the one that changes follow; it is called before Run. Danger: discovery works
 // through calls in turn and drops those that waited too long, only after its work on them; agents that start together
 // and all ask for the whole list keep it busy for good with calls that nobody waits for any more.
-func (d *Client) StartFrom(known List) {
+func (d *Client) StartFrom(known EndpointList) {
 	if known.Complete && len(known.Members) > 0 {
 		d.revision = known.Revision
 	}
@@ -204,10 +204,10 @@
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
 	}
-	place := Place{Addr: o.Addr, Relays: o.Relays}
+	place := Target{Addr: o.Addr, Relays: o.Relays}
 	return &Client{
-		place: place, route: newRoute(o.Name, place), name: o.Name, pushed: cmp.Or(o.Watch, pushWatch), answered: o.Answered,
-		set: o.Settings, follow: make(chan struct{}, 1), tell: o.Tell, count: o.Count, log: o.Log,
+		place: place, route: newRoute(o.Name, place), name: o.Name, pushed: cmp.Or(o.WatchWait, pushWatch), answered: o.OnAnswer,
+		set: o.Settings, follow: make(chan struct{}, 1), tell: o.Notify, count: o.OnPoll, log: o.Log,
 		answer: assumedAnswer, assumed: true,
 		started: time.Now(),
 		client: http.Client{
@@ -223,7 +223,7 @@
 }
 
 // Run follows the list until the context ends, from each move on at the place that it brings.
-func (d *Client) Run(ctx context.Context, moves <-chan Place) {
+func (d *Client) Run(ctx context.Context, moves <-chan Target) {
 	for {
 		here, leave := context.WithCancel(ctx)
 		left := make(chan struct{})
@@ -240,7 +240,7 @@
 		<-left
 		d.failures = 0
 		if place.Addr == d.place.Addr {
-			d.missed(time.Now().Add(balancer.ToldFailed)) // until then the watch would have told
+			d.missed(time.Now().Add(balancer.NotifyBoundAfterFailure)) // until then the watch would have told
 		} else {
 			// The new service counts revisions of its own, so its whole list comes first.
 			d.revision = nil
@@ -252,7 +252,7 @@
 			d.client.CloseIdleConnections()
 		}
 		if d.ask() {
-			d.askAgain(balancer.ListMoved, d.left())
+			d.askAgain(balancer.DiscoveryMigrated, d.left())
 		}
 	}
 }
@@ -260,7 +260,7 @@
 // moved waits for the next reload that the calls are to begin anew for: with another place, or with settings by which
 // they are made otherwise, asked for or not. It is false if the context ends first. Danger: each configuration that is
 // reloaded names the place again. Were that a move, all agents would ask for the whole list at each of them.
-func (d *Client) moved(ctx context.Context, moves <-chan Place, asked bool) (place Place, ok bool) {
+func (d *Client) moved(ctx context.Context, moves <-chan Target, asked bool) (place Target, ok bool) {
 	for {
 		select {
 		case place = <-moves:
@@ -268,13 +268,13 @@
 				return place, true
 			}
 		case <-ctx.Done():
-			return Place{}, false
+			return Target{}, false
 		}
 	}
 }
 
 // ask says whether the list comes only when the module asks, which then hears of failures. Settings may change it.
-func (d *Client) ask() bool { return d.set().Module.AskList }
+func (d *Client) ask() bool { return d.set().Balancer.PollEndpoints }
 
 // followList follows the list at one place until its context ends, which is done before that of the client where discovery
 // moves: then an inquiry goes on, while the old place still answers.
@@ -298,7 +298,7 @@
 		left := d.left()
 		d.failures++
 		d.logFailure(err, left)
-		if d.failures == 1 && !d.route.relayed() && (errors.Is(err, ErrBadList) || errors.Is(err, ErrCutList)) {
+		if d.failures == 1 && !d.route.relayed() && (errors.Is(err, ErrMalformedList) || errors.Is(err, ErrTruncatedList)) {
 			left = 1 // what discovery has written counts as told, be it of use or not
 		}
 		if d.ask() {
@@ -308,9 +308,9 @@
 			// Without relays calls are paced by what the service can answer, and a rest would outlast an outage's end.
 			if d.route.hasRelays() && d.jammed() {
 				d.rests = min(d.rests+1, 4)
-				d.route.rest(time.Now().Add(balancer.ToldFailed << d.rests))
+				d.route.rest(time.Now().Add(balancer.NotifyBoundAfterFailure << d.rests))
 			}
-			d.askAgain(balancer.ListFailed, left)
+			d.askAgain(balancer.PollFailed, left)
 			continue
 		}
 		// Agents that lost discovery together must not come back together. Danger: where lists are pushed, what discovery
@@ -340,12 +340,12 @@
 
 // jammed says that calls fail because the service cannot answer all agents within the bound.
 func (d *Client) jammed() bool {
-	tooSlow := !d.assumed && d.answer*time.Duration(d.set().Module.Agents) >= balancer.ToldFailed
+	tooSlow := !d.assumed && d.answer*time.Duration(d.set().Balancer.Agents) >= balancer.NotifyBoundAfterFailure
 	return tooSlow && d.vain >= crowdedCalls || !d.crowded.IsZero() && time.Since(d.crowded) >= jamShows
 }
 
 // askAgain has the module decide when to ask again, by how long there is.
-func (d *Client) askAgain(mode balancer.ListMode, left time.Duration) {
+func (d *Client) askAgain(mode balancer.DiscoveryUpdate, left time.Duration) {
 	select { // what was asked before is part of the failure
 	case <-d.follow:
 	default:
@@ -353,11 +353,11 @@
 	if left == 0 && !d.notifiedAt.IsZero() && !d.route.relayed() {
 		left = 1 // it counts already
 	}
-	answer := d.round() / time.Duration(d.set().Module.Agents)
+	answer := d.round() / time.Duration(d.set().Balancer.Agents)
 	if d.route.relayed() {
 		answer = 0 // a relay's
 	}
-	d.tell(News{Mode: mode, Left: left, Answer: answer, RefusedAtOnce: d.refusedAtOnce})
+	d.tell(WatchEvent{Update: mode, Remaining: left, PollLatency: answer, RejectedAtOnce: d.refusedAtOnce})
 }
 
 // missed notes when what a failed call missed counts as notified. Of several failures in a row the first counts, also when its
@@ -368,13 +368,13 @@
 	}
 }
 
-// missedMove notes that discovery moves. What it has by now counts as notified after ToldMoved, and what has come since the list was
-// last followed within ToldFailed: in a series of moves the first bounds all.
+// missedMove notes that discovery moves. What it has by now counts as notified after NotifyBoundAfterMigration, and what has come since the list was
+// last followed within NotifyBoundAfterFailure: in a series of moves the first bounds all.
 func (d *Client) missedMove(now time.Time) {
 	if d.notifiedBy.IsZero() {
-		d.notifiedBy = now.Add(balancer.ToldFailed)
+		d.notifiedBy = now.Add(balancer.NotifyBoundAfterFailure)
 	}
-	d.notifiedAt = now.Add(balancer.ToldMoved)
+	d.notifiedAt = now.Add(balancer.NotifyBoundAfterMigration)
 	if d.notifiedBy.Before(d.notifiedAt) {
 		d.notifiedAt = d.notifiedBy
 	}
@@ -392,7 +392,7 @@
 	case !d.ask():
 		return d.pushed
 	}
-	set := &d.set().Module
+	set := &d.set().Balancer
 	own := time.Duration((float64(set.Rank) + 0.5) / float64(set.Agents) * float64(askTurn))
 	wait := (own - clock.Phase(askTurn) + askTurn) % askTurn
 	if wait < leastWait {
@@ -413,12 +413,12 @@
 		}
 		l, err := d.next(life, ctx, wait)
 		d.ended = time.Now()
-		d.count(Call{Wait: wait, Took: time.Since(began), Err: err})
+		d.count(PollResult{Wait: wait, Duration: time.Since(began), Err: err})
 		if err == nil && wait > 0 {
 			err = ctx.Err() // what crossed a move comes again, whole
 		}
 		if err == nil && !l.Complete && (d.revision == nil || *l.Revision < *d.revision) {
-			err = fmt.Errorf("%w: changes up to %d do not follow the list held", ErrBadList, *l.Revision)
+			err = fmt.Errorf("%w: changes up to %d do not follow the list held", ErrMalformedList, *l.Revision)
 		}
 		if err != nil {
 			d.failed(began, wait, err)
@@ -430,9 +430,9 @@
 		}
 		switch {
 		case l.Complete:
-			d.tell(News{Mode: balancer.ListFull, Members: l.Members, Revision: *l.Revision})
+			d.tell(WatchEvent{Update: balancer.EndpointsReplaced, Members: l.Members, Revision: *l.Revision})
 		case len(l.Members) > 0 || !heard: // which tells the module that calls are answered again
-			d.tell(News{Mode: balancer.ListDelta, Members: l.Members, Revision: *l.Revision})
+			d.tell(WatchEvent{Update: balancer.EndpointsChanged, Members: l.Members, Revision: *l.Revision})
 		}
 		heard, d.revision, d.failures, d.notifiedAt, d.notifiedBy = true, l.Revision, 0, time.Time{}, time.Time{}
 		d.crowded, d.vain, d.rests = time.Time{}, 0, 0
@@ -454,7 +454,7 @@
 
 // failed notes what a call that began then and was to wait so long has missed.
 func (d *Client) failed(began time.Time, wait time.Duration, err error) {
-	if errors.Is(err, ErrBadList) {
+	if errors.Is(err, ErrMalformedList) {
 		d.revision = nil
 	}
 	relayed := d.route.relayed()
@@ -469,13 +469,13 @@
 	default:
 		d.crowded, d.vain, d.rests = time.Time{}, 0, 0
 	}
-	if wait > 0 && !errors.Is(err, ErrCutList) {
+	if wait > 0 && !errors.Is(err, ErrTruncatedList) {
 		began = time.Now() // until then the watch would have told
 	}
 	if relayed {
-		began = began.Add(-RelayStale) // what the relay itself has missed
+		began = began.Add(-RelayMaxStaleness) // what the relay itself has missed
 	}
-	d.missed(began.Add(balancer.ToldFailed))
+	d.missed(began.Add(balancer.NotifyBoundAfterFailure))
 }
 
 // call is one call of discovery as it is to be made.
@@ -496,7 +496,7 @@
 }
 
 // next has the list from the present address, or what has changed; with a wait it is a watch.
-func (d *Client) next(life, ctx context.Context, wait time.Duration) (List, error) {
+func (d *Client) next(life, ctx context.Context, wait time.Duration) (EndpointList, error) {
 	if wait == 0 {
 		return d.inquire(life, ctx)
 	}
@@ -504,7 +504,7 @@
 }
 
 // get makes one call.
-func (d *Client) get(ctx context.Context, c call) (List, error) {
+func (d *Client) get(ctx context.Context, c call) (EndpointList, error) {
 	if c.relayed {
 		ctx = context.WithValue(ctx, relayedKey{}, true)
 	}
@@ -512,26 +512,26 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, c.url, nil)
 	if err != nil {
-		return List{}, err
+		return EndpointList{}, err
 	}
 	resp, err := d.client.Do(req)
 	switch {
 	case err != nil && c.wait > 0 && errors.Is(ctx.Err(), context.DeadlineExceeded):
-		return List{}, fmt.Errorf("%w: %w", ErrCutList, err)
+		return EndpointList{}, fmt.Errorf("%w: %w", ErrTruncatedList, err)
 	case err != nil:
-		return List{}, err
+		return EndpointList{}, err
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxList+1))
 	switch {
 	case err != nil:
-		return List{}, fmt.Errorf("%w: %w", ErrCutList, err)
+		return EndpointList{}, fmt.Errorf("%w: %w", ErrTruncatedList, err)
 	case resp.StatusCode >= 400 && resp.StatusCode < 500: // as for a revision that it does not know
-		return List{}, fmt.Errorf("%w: status %s", ErrBadList, resp.Status)
+		return EndpointList{}, fmt.Errorf("%w: status %s", ErrMalformedList, resp.Status)
 	case resp.StatusCode != http.StatusOK:
-		return List{}, refusal(resp)
+		return EndpointList{}, refusal(resp)
 	case len(text) > maxList:
-		return List{}, fmt.Errorf("%w: over %d bytes", ErrBadList, maxList)
+		return EndpointList{}, fmt.Errorf("%w: over %d bytes", ErrMalformedList, maxList)
 	}
 	return Parse(text)
 }
@@ -546,7 +546,7 @@
 	case !d.route.relayed():
 		return askTimeout
 	case d.revision == nil:
-		return RelayWhole // a shorter one would lose its turn there
+		return RelayFullListTimeout // a shorter one would lose its turn there
 	}
 	if left := d.left(); left > 0 { // so that there may be one more
 		return max(leastTimeout, min(RelayTimeout, left/2))
@@ -554,8 +554,8 @@
 	return RelayTimeout
 }
 
-// Ask starts a watch if none runs, where the list comes only when the module asks. It never waits.
-func (d *Client) Ask() {
+// Poll starts a watch if none runs, where the list comes only when the module asks. It never waits.
+func (d *Client) Poll() {
 	select {
 	case d.follow <- struct{}{}:
 	default:
