--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -46,7 +46,7 @@
 		{true, nil, 4 * time.Second}, {false, nil, 4 * time.Second},
 		{true, &revision, 4 * time.Second}, {false, &revision, 4 * time.Second},
 	} {
-		set := &settings.Settings{Module: balancer.Settings{Agents: 1, AskList: c.ask}}
+		set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: c.ask}}
 		d := New(Options{Addr: "127.0.0.1:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
 		d.revision = c.revision
 		d.client.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
@@ -88,7 +88,7 @@
 		{"members[0].host_port", `10.0.0.1:80`, `there:80`},
 	} {
 		l, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
-		if !errors.Is(err, ErrBadList) || !strings.Contains(err.Error(), c.what) || l.Members != nil {
+		if !errors.Is(err, ErrMalformedList) || !strings.Contains(err.Error(), c.what) || l.Members != nil {
 			t.Errorf("%s: %+v, error %v", c.what, l, err)
 		}
 	}
@@ -108,17 +108,17 @@
 	defer s.Close()
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	dialed, calls, told := make(chan string, 100), make(chan Call, 100), make(chan News, 100)
-	set := &settings.Settings{Module: balancer.Settings{Agents: 1}}
+	dialed, calls, told := make(chan string, 100), make(chan PollResult, 100), make(chan WatchEvent, 100)
+	set := &settings.Settings{Balancer: balancer.Settings{Agents: 1}}
 	d := New(Options{
 		Addr: "127.0.0.1:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler),
-		Tell: func(n News) {
+		Notify: func(n WatchEvent) {
 			if len(calls) == 0 {
 				t.Errorf("told %+v, and no call is counted", n)
 			}
 			told <- n
 		},
-		Count: func(c Call) { calls <- c },
+		OnPoll: func(c PollResult) { calls <- c },
 		Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			dialed <- addr
 			return (&net.Dialer{}).DialContext(ctx, network, s.Listener.Addr().String())
@@ -130,13 +130,13 @@
 		text     string
 		wait     time.Duration
 		fails    bool
-		mode     balancer.ListMode // told, if it does not fail
+		mode     balancer.DiscoveryUpdate // told, if it does not fail
 		revision uint64
 	}{
-		{`{"revision":4,"complete":true,"members":[{"id":"x","host_port":"10.0.0.1:80","phase":"Ready"}]}`, 0, false, balancer.ListFull, 4},
-		{`{"revision":6,"complete":false,"members":[{"id":"x","phase":"Gone"}]}`, pushWatch, false, balancer.ListDelta, 6},
+		{`{"revision":4,"complete":true,"members":[{"id":"x","host_port":"10.0.0.1:80","phase":"Ready"}]}`, 0, false, balancer.EndpointsReplaced, 4},
+		{`{"revision":6,"complete":false,"members":[{"id":"x","phase":"Gone"}]}`, pushWatch, false, balancer.EndpointsChanged, 6},
 		{`no list`, pushWatch, true, 0, 0},
-		{`{"revision":9,"complete":true,"members":[]}`, 0, false, balancer.ListFull, 9},
+		{`{"revision":9,"complete":true,"members":[]}`, 0, false, balancer.EndpointsReplaced, 9},
 	} {
 		select {
 		case answers <- c.text:
@@ -144,12 +144,12 @@
 			t.Fatalf("no call %d", i)
 		}
 		if !c.fails {
-			if n := receive(t, "news", told); n.Mode != c.mode || n.Revision != c.revision {
+			if n := receive(t, "news", told); n.Update != c.mode || n.Revision != c.revision {
 				t.Errorf("call %d: told %+v", i, n)
 			}
 		}
 		got := receive(t, "count", calls)
-		if got.Wait != c.wait || got.Took <= 0 || errors.Is(got.Err, ErrBadList) != c.fails || got.Err != nil != c.fails {
+		if got.Wait != c.wait || got.Duration <= 0 || errors.Is(got.Err, ErrMalformedList) != c.fails || got.Err != nil != c.fails {
 			t.Errorf("call %d: counted as %+v", i, got)
 		}
 	}
--- a/internal/discovery/inquiry.go
+++ b/internal/discovery/inquiry.go
@@ -15,14 +15,14 @@
 	// callsBeside is how many calls one inquiry has open at a time.
 	callsBeside = 2
 	// assumedAnswer is how long a service takes for a call that has not answered yet.
-	assumedAnswer = balancer.ToldFailed / 20
+	assumedAnswer = balancer.NotifyBoundAfterFailure / 20
 	// leastPatience is how long a call is out at least before another is made beside it.
-	leastPatience = balancer.ToldFailed / 20
+	leastPatience = balancer.NotifyBoundAfterFailure / 20
 )
 
 // ended is how one call of an inquiry ended.
 type ended struct {
-	list List
+	list EndpointList
 	err  error
 }
 
@@ -33,7 +33,7 @@
 // An answer that cannot be used ends the inquiry, as it counts as notified; other errors do once no call is open. If the
 // list is to be had elsewhere, which ends the second context, the calls that are open have as long as the old place answers.
 // Danger: were they given up, a series of moves would leave the agent without a list for as long as it goes on.
-func (d *Client) inquire(life, here context.Context) (List, error) {
+func (d *Client) inquire(life, here context.Context) (EndpointList, error) {
 	ctx, cancel := context.WithCancel(life)
 	defer cancel()
 	results := make(chan ended, callsBeside)
@@ -58,7 +58,7 @@
 		select {
 		case r := <-results:
 			open--
-			if r.err == nil || open == 0 || errors.Is(r.err, ErrBadList) || errors.Is(r.err, ErrCutList) {
+			if r.err == nil || open == 0 || errors.Is(r.err, ErrMalformedList) || errors.Is(r.err, ErrTruncatedList) {
 				return r.list, r.err
 			}
 		case <-beside:
@@ -89,13 +89,13 @@
 // round is the time in which the service can answer each agent once, as far as is known: by its answers, and by calls that
 // waited for nothing. Half of the bound is the most, as a service that is back has to be asked in time.
 func (d *Client) round() time.Duration {
-	return min(max(d.answer*time.Duration(d.set().Module.Agents), d.inVain), balancer.ToldFailed/2)
+	return min(max(d.answer*time.Duration(d.set().Balancer.Agents), d.inVain), balancer.NotifyBoundAfterFailure/2)
 }
 
 // learnVain takes in that a call was out for so long and brought nothing: the service has more callers than it answers. Each
 // such call in a row doubles the round.
 func (d *Client) learnVain(took time.Duration) {
-	d.inVain = min(max(2*d.inVain, took), balancer.ToldFailed/2)
+	d.inVain = min(max(2*d.inVain, took), balancer.NotifyBoundAfterFailure/2)
 }
 
 // learnAnswer takes in how long the service took for a call. The shortest times tell of its work, the others of its queue, so
--- a/internal/discovery/inquiry_test.go
+++ b/internal/discovery/inquiry_test.go
@@ -59,7 +59,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				set := &settings.Settings{Module: balancer.Settings{Agents: 3, AskList: !c.pushed}}
+				set := &settings.Settings{Balancer: balancer.Settings{Agents: 3, PollEndpoints: !c.pushed}}
 				d := New(Options{Addr: "x:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
 				d.vain = c.vain
 				if c.left > 0 {
@@ -111,7 +111,7 @@
 // The round follows the service: answers tell its work, calls in vain double it up to half of the bound, and a move begins anew with
 // what was known.
 func TestRound(t *testing.T) {
-	set := &settings.Settings{Module: balancer.Settings{Agents: 6, AskList: true}}
+	set := &settings.Settings{Balancer: balancer.Settings{Agents: 6, PollEndpoints: true}}
 	d := New(Options{Addr: "x:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
 	expect := func(when string, want time.Duration) {
 		t.Helper()
@@ -144,7 +144,7 @@
 	}{"asked": {true, 8 + 6}, "pushed": {false, 10}} {
 		t.Run(name, func(t *testing.T) {
 			var text strings.Builder
-			set := &settings.Settings{Module: balancer.Settings{Agents: 1, AskList: c.asked}}
+			set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: c.asked}}
 			d := New(Options{Addr: "x:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.NewTextHandler(&text, nil))})
 			for range 1000 {
 				d.failures++
--- a/internal/discovery/moves_test.go
+++ b/internal/discovery/moves_test.go
@@ -96,17 +96,17 @@
 				w := &watched{revision: 1, changed: make(chan struct{})}
 				var set atomic.Pointer[settings.Settings]
 				have := func(asked bool) {
-					set.Store(&settings.Settings{Module: balancer.Settings{Agents: 1, AskList: asked}})
+					set.Store(&settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: asked}})
 				}
 				have(c.before)
 				var mu sync.Mutex
 				var revisions []uint64
 				var d *Client
 				d = New(Options{
-					Addr: "old", Settings: set.Load, Count: func(Call) {}, Log: slog.New(slog.DiscardHandler),
-					Tell: func(n News) {
-						if n.Mode.Keeps() {
-							d.Ask() // as the module does, later
+					Addr: "old", Settings: set.Load, OnPoll: func(PollResult) {}, Log: slog.New(slog.DiscardHandler),
+					Notify: func(n WatchEvent) {
+						if n.Update.KeepsEndpoints() {
+							d.Poll() // as the module does, later
 							return
 						}
 						mu.Lock()
@@ -115,14 +115,14 @@
 					},
 				})
 				d.Through(w)
-				moves := make(chan Place)
+				moves := make(chan Target)
 				ended := make(chan struct{})
 				go func() { d.Run(ctx, moves); close(ended) }()
-				d.Ask()
+				d.Poll()
 				synctest.Wait()
 				_, before := w.calls()
 				have(c.after)
-				moves <- Place{Addr: c.addr}
+				moves <- Target{Addr: c.addr}
 				synctest.Wait()
 				if _, now := w.calls(); (now == before) != c.goesOn {
 					t.Errorf("%d calls before the reload, %d at once after it", before, now)
--- a/internal/discovery/relays.go
+++ b/internal/discovery/relays.go
@@ -16,33 +16,33 @@
 )
 
 const (
-	// RelayTimeout is how long a call to a relay may take that does not wait and brings changes, RelayWhole one that brings
-	// the whole list, which relays hand out at a stated rate. RelayStale is how far behind discovery a relay may be that
+	// RelayTimeout is how long a call to a relay may take that does not wait and brings changes, RelayFullListTimeout one that brings
+	// the whole list, which relays hand out at a stated rate. RelayMaxStaleness is how far behind discovery a relay may be that
 	// still answers. Danger: a watch at a relay that falls silent shows after relayWatch and watchGrace, and what it missed
-	// may be older by RelayStale; what is left of ToldFailed is for the calls that make up for it: a dial to each relay that
+	// may be older by RelayMaxStaleness; what is left of NotifyBoundAfterFailure is for the calls that make up for it: a dial to each relay that
 	// is just as silent, and one call.
-	RelayTimeout = balancer.ToldFailed / 6
-	RelayWhole   = balancer.ToldFailed / 3
-	RelayStale   = balancer.ToldFailed / 3
-	relayWatch   = balancer.ToldFailed / 3
-	relayDial    = balancer.ToldFailed / 20
+	RelayTimeout         = balancer.NotifyBoundAfterFailure / 6
+	RelayFullListTimeout = balancer.NotifyBoundAfterFailure / 3
+	RelayMaxStaleness    = balancer.NotifyBoundAfterFailure / 3
+	relayWatch           = balancer.NotifyBoundAfterFailure / 3
+	relayDial            = balancer.NotifyBoundAfterFailure / 20
 
-	// mostTried is how many relays that say nothing an agent can go through in what a silent watch leaves of ToldFailed: it
+	// mostTried is how many relays that say nothing an agent can go through in what a silent watch leaves of NotifyBoundAfterFailure: it
 	// knows the first so many of its own order.
 	mostTried = 5
 	// silentRest is for how long a relay that said nothing, not even that it refuses, is passed over.
-	silentRest = balancer.ToldFailed
+	silentRest = balancer.NotifyBoundAfterFailure
 	// homeAgain is how often an agent that is not at its first relay tries to return there.
-	homeAgain = 10 * balancer.ToldFailed
+	homeAgain = 10 * balancer.NotifyBoundAfterFailure
 )
 
-// Place is where the list is to be had: from discovery's address, through relays if there are any.
-type Place struct {
+// Target is where the list is to be had: from discovery's address, through relays if there are any.
+type Target struct {
 	Addr   string
 	Relays []string
 }
 
-func (p Place) same(o Place) bool { return p.Addr == o.Addr && slices.Equal(p.Relays, o.Relays) }
+func (p Target) same(o Target) bool { return p.Addr == o.Addr && slices.Equal(p.Relays, o.Relays) }
 
 // errHome ends a watch that was answered, so that the next call tries the first relay again.
 var errHome = errors.New("away from the first relay")
@@ -60,7 +60,7 @@
 // refusal is the error of an answer that brings no list.
 func refusal(resp *http.Response) error {
 	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
-	if err != nil || !(seconds > 0 && seconds < balancer.ToldFailed.Seconds()) {
+	if err != nil || !(seconds > 0 && seconds < balancer.NotifyBoundAfterFailure.Seconds()) {
 		return fmt.Errorf("the list: status %s", resp.Status)
 	}
 	return busyError{resp.Status, time.Duration(seconds * float64(time.Second))}
@@ -95,7 +95,7 @@
 	rests  time.Time   // until then discovery itself is left alone
 }
 
-func newRoute(name string, p Place) *route {
+func newRoute(name string, p Target) *route {
 	order := ranked(name, p.Relays)
 	addrs := append(order[:min(mostTried, len(order))], p.Addr)
 	return &route{
@@ -194,7 +194,7 @@
 		r.waited[r.at] = true
 		return sleep(ctx, busy.after)
 	}
-	if errors.Is(err, ErrCutList) || errors.Is(err, context.DeadlineExceeded) {
+	if errors.Is(err, ErrTruncatedList) || errors.Is(err, context.DeadlineExceeded) {
 		r.silent[r.at] = now
 	}
 	first := !slices.Contains(r.tried, true)
--- a/internal/discovery/relays_test.go
+++ b/internal/discovery/relays_test.go
@@ -176,21 +176,21 @@
 func follows(t *testing.T, asked, known bool, turn time.Duration) *alone {
 	relays := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	a := &alone{hostsOf: newHosts(append(relays, service)...), order: ranked("a", relays), heard: map[uint64]time.Time{}}
-	set := &settings.Settings{Module: balancer.Settings{Agents: 1, AskList: asked}}
+	set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: asked}}
 	var d *Client
 	d = New(Options{
 		Addr: service, Name: "a", Relays: relays, Settings: func() *settings.Settings { return set },
-		Count: func(Call) {}, Log: slog.New(slog.DiscardHandler),
-		Tell: func(n News) {
+		OnPoll: func(PollResult) {}, Log: slog.New(slog.DiscardHandler),
+		Notify: func(n WatchEvent) {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			if n.Mode.Keeps() {
-				a.failed = append(a.failed, n.Left)
+			if n.Update.KeepsEndpoints() {
+				a.failed = append(a.failed, n.Remaining)
 				wait := turn
 				if wait < 0 {
-					wait = max(300*time.Millisecond, cmp.Or(n.Left, balancer.ToldFailed)-1500*time.Millisecond)
+					wait = max(300*time.Millisecond, cmp.Or(n.Remaining, balancer.NotifyBoundAfterFailure)-1500*time.Millisecond)
 				}
-				time.AfterFunc(wait, d.Ask)
+				time.AfterFunc(wait, d.Poll)
 				return
 			}
 			if _, ok := a.heard[n.Revision]; !ok {
@@ -200,14 +200,14 @@
 	})
 	if known {
 		one := uint64(1)
-		d.StartFrom(List{Revision: &one, Complete: true, Members: []Member{{ID: "x"}}})
+		d.StartFrom(EndpointList{Revision: &one, Complete: true, Members: []Member{{ID: "x"}}})
 	}
 	d.Through(a.hostsOf)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx, nil); close(ended) }()
 	t.Cleanup(func() { stop(); <-ended })
-	d.Ask()
+	d.Poll()
 	return a
 }
 
@@ -271,7 +271,7 @@
 					t.Errorf("the module is told %v, want %d times", a.failed, c.failed)
 				}
 				for _, left := range a.failed { // what the relay itself may have missed is taken off
-					if left <= 0 || left > balancer.ToldFailed-RelayStale {
+					if left <= 0 || left > balancer.NotifyBoundAfterFailure-RelayMaxStaleness {
 						t.Errorf("the module is told that %v are left", left)
 					}
 				}
@@ -303,7 +303,7 @@
 		back := time.Now()
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
-		if at, ok := a.heardOf(2); !ok || at.Sub(back) > balancer.ToldFailed {
+		if at, ok := a.heardOf(2); !ok || at.Sub(back) > balancer.NotifyBoundAfterFailure {
 			t.Errorf("heard %v, %v after the cut", ok, at.Sub(back))
 		}
 	})
@@ -331,7 +331,7 @@
 			cancel()
 		}
 	})
-	if worst := relayWatch + watchGrace + 5*relayDial; worst >= balancer.ToldFailed-RelayStale {
+	if worst := relayWatch + watchGrace + 5*relayDial; worst >= balancer.NotifyBoundAfterFailure-RelayMaxStaleness {
 		t.Errorf("five silent relays take %v", worst)
 	}
 }
@@ -390,14 +390,14 @@
 func TestOtherRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHosts("10.0.0.1:1", "10.0.0.2:1", service)
-		set := &settings.Settings{Module: balancer.Settings{Agents: 1}}
+		set := &settings.Settings{Balancer: balancer.Settings{Agents: 1}}
 		d := New(Options{
-			Addr: service, Name: "a", Settings: func() *settings.Settings { return set }, Count: func(Call) {},
-			Log: slog.New(slog.DiscardHandler), Tell: func(News) {},
+			Addr: service, Name: "a", Settings: func() *settings.Settings { return set }, OnPoll: func(PollResult) {},
+			Log: slog.New(slog.DiscardHandler), Notify: func(WatchEvent) {},
 		})
 		d.Through(h)
 		ctx, stop := context.WithCancel(t.Context())
-		moves, ended := make(chan Place), make(chan struct{})
+		moves, ended := make(chan Target), make(chan struct{})
 		go func() { d.Run(ctx, moves); close(ended) }()
 		synctest.Wait()
 		for _, c := range []struct {
@@ -409,7 +409,7 @@
 			{nil, service},
 		} {
 			_, before := h.calls()
-			moves <- Place{service, c.relays}
+			moves <- Target{service, c.relays}
 			synctest.Wait()
 			if got := h.since(before); !slices.Equal(got, []string{c.want}) {
 				t.Errorf("relays %q: %q are asked", c.relays, got)
@@ -430,7 +430,7 @@
 		all[i] = fmt.Sprintf("10.0.%d.%d:80", i/250, i%250)
 	}
 	for _, n := range []int{0, 1, mostTried, mostTried + 1, len(all)} {
-		r := newRoute("agent", Place{Addr: "10.1.0.1:80", Relays: all[:n]})
+		r := newRoute("agent", Target{Addr: "10.1.0.1:80", Relays: all[:n]})
 		want := append(ranked("agent", all[:n])[:min(n, mostTried)], "10.1.0.1:80")
 		if !slices.Equal(r.addrs, want) {
 			t.Errorf("of %d relays: %v, want %v", n, r.addrs, want)
--- a/internal/discovery/reloads_test.go
+++ b/internal/discovery/reloads_test.go
@@ -86,7 +86,7 @@
 	}
 	for i, f := range all {
 		for n, after := range reloadsAfter {
-			time.AfterFunc(after+time.Duration(i)*reloadStep, func() { f.moves <- discovery.Place{Addr: fmt.Sprint("new", n)} })
+			time.AfterFunc(after+time.Duration(i)*reloadStep, func() { f.moves <- discovery.Target{Addr: fmt.Sprint("new", n)} })
 		}
 	}
 	time.Sleep(1300 * time.Millisecond)
@@ -148,7 +148,7 @@
 			// A process reads its configuration when it can: signals that come meanwhile are one.
 			for at := time.Duration(0); at < span; at = (time.Since(begun)/gap + 1) * gap {
 				time.Sleep(time.Until(begun.Add(at)))
-				f.moves <- discovery.Place{Addr: at.String()}
+				f.moves <- discovery.Target{Addr: at.String()}
 			}
 		})
 	}
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -219,21 +219,21 @@
 // follower is one agent of a fleet that follows the list.
 type follower struct {
 	caller
-	moves chan discovery.Place
+	moves chan discovery.Target
 	heard map[int]time.Time // the cells, when they were first told
 
 	set      settings.Settings
 	balancer *balancer.Balancer
 	servers  *membership.Table
-	news     chan discovery.News
+	news     chan discovery.WatchEvent
 	ask      func()
 	timers   []timer
 }
 
-// timer is an ActTimer that is to fall due.
+// timer is an ActionSetTimer that is to fall due.
 type timer struct {
-	due   time.Time
-	token uint64
+	due time.Time
+	id  balancer.TimerID
 }
 
 // fleetOf starts so many agents with a settings text, each with the known list's revision 1, until the test ends.
@@ -255,17 +255,17 @@
 	for i := range fleet {
 		own := strings.Replace(text, `"replicasOfMe":1,"rank":0`, fmt.Sprintf(`"replicasOfMe":%d,"rank":%d`, agents, i), 1)
 		f := &follower{
-			caller: caller{services: services}, moves: make(chan discovery.Place), heard: map[int]time.Time{},
-			servers: membership.New(nil), news: make(chan discovery.News, 256),
+			caller: caller{services: services}, moves: make(chan discovery.Target), heard: map[int]time.Time{},
+			servers: membership.New(nil), news: make(chan discovery.WatchEvent, 256),
 		}
 		var err error
 		if f.set, err = settings.Parse([]byte(own)); err != nil {
 			t.Fatal(err)
 		}
-		if f.balancer, err = balancer.New(f.set.Module, seed<<32+uint64(i)); err != nil {
+		if f.balancer, err = balancer.New(f.set.Balancer, seed<<32+uint64(i)); err != nil {
 			t.Fatal(err)
 		}
-		tell := func(n discovery.News) {
+		tell := func(n discovery.WatchEvent) {
 			f.mu.Lock()
 			for _, m := range n.Members {
 				if _, known := f.heard[m.Cell]; !known {
@@ -279,7 +279,7 @@
 			}
 		}
 		d := discovery.New(discovery.Options{
-			Addr: "old", Settings: func() *settings.Settings { return &f.set }, Tell: tell, Count: func(discovery.Call) {}, Log: discard,
+			Addr: "old", Settings: func() *settings.Settings { return &f.set }, Notify: tell, OnPoll: func(discovery.PollResult) {}, Log: discard,
 		})
 		d.Through(f)
 		known, err := discovery.Parse(list)
@@ -287,10 +287,10 @@
 			t.Fatal(err)
 		}
 		d.StartFrom(known)
-		f.ask = d.Ask
+		f.ask = d.Poll
 		ended.Go(func() { f.decide(ctx) })
 		ended.Go(func() { d.Run(ctx, f.moves) })
-		tell(discovery.News{Mode: balancer.ListCached, Members: known.Members})
+		tell(discovery.WatchEvent{Update: balancer.EndpointsCached, Members: known.Members})
 		fleet[i] = f
 	}
 	return fleet
@@ -311,13 +311,13 @@
 		}
 		select {
 		case n := <-f.news:
-			entries := f.servers.Entries(&f.set, n.Members)
+			entries := f.servers.Endpoints(&f.set, n.Members)
 			f.handle(n.Event(entries))
-			f.servers.Forget(n.Mode, entries)
+			f.servers.RemoveGone(n.Update, entries)
 		case <-wake:
-			token := f.timers[next].token
+			id := f.timers[next].id
 			f.timers = slices.Delete(f.timers, next, next+1)
-			f.handle(balancer.Event{Kind: balancer.EventTimer, Token: token})
+			f.handle(balancer.Event{Kind: balancer.EventTimer, TimerID: id})
 		case <-ctx.Done():
 			return
 		}
@@ -328,9 +328,9 @@
 func (f *follower) handle(ev balancer.Event) {
 	for _, a := range f.balancer.Handle(time.Duration(time.Now().UnixNano()), ev, nil) {
 		switch a.Kind {
-		case balancer.ActTimer:
-			f.timers = append(f.timers, timer{due: time.Now().Add(a.Wait), token: a.Token})
-		case balancer.ActFollow:
+		case balancer.ActionSetTimer:
+			f.timers = append(f.timers, timer{due: time.Now().Add(a.Delay), id: a.TimerID})
+		case balancer.ActionPollEndpoints:
 			f.ask()
 		}
 	}
@@ -515,7 +515,7 @@
 				time.Sleep(10 * time.Second)
 				next.refuse(refuses)
 				for _, f := range all {
-					f.moves <- discovery.Place{Addr: "new"}
+					f.moves <- discovery.Target{Addr: "new"}
 				}
 				moved := time.Now()
 				time.Sleep(10 * time.Second)
--- a/internal/lists/encode.go
+++ b/internal/lists/encode.go
@@ -31,13 +31,13 @@
 
 func appendMember(b []byte, m *discovery.Member) []byte {
 	b = appendString(append(b, `{"id":`...), m.ID)
-	b = appendString(append(b, `,"host_port":`...), m.HostPort)
-	b = appendString(append(b, `,"locality":`...), m.Locality)
-	b = appendString(append(b, `,"flavor":`...), m.Flavor)
+	b = appendString(append(b, `,"host_port":`...), m.Address)
+	b = appendString(append(b, `,"locality":`...), m.Zone)
+	b = appendString(append(b, `,"flavor":`...), m.Kind)
 	b = strconv.AppendInt(append(b, `,"cell":`...), int64(m.Cell), 10)
-	b = appendString(append(b, `,"phase":`...), m.Phase)
-	b = appendNumber(append(b, `,"size":`...), m.Size)
-	b = appendNumber(append(b, `,"up_since_ms":`...), m.UpSince)
+	b = appendString(append(b, `,"phase":`...), m.State)
+	b = appendNumber(append(b, `,"size":`...), m.Weight)
+	b = appendNumber(append(b, `,"up_since_ms":`...), m.StartedAtMillis)
 	return append(b, '}')
 }
 
--- a/internal/lists/listener.go
+++ b/internal/lists/listener.go
@@ -9,7 +9,7 @@
 // Listener returns a listener whose connections are known as one agent's, and are few. One http.Server serves them all:
 // a server for each of many hundreds of agents would hold as many sets of bookkeeping.
 func (s *Server) Listener(l net.Listener, agent int) net.Listener {
-	limit := s.Conns
+	limit := s.MaxConns
 	if limit == 0 {
 		limit = connsEach
 	}
--- a/internal/lists/listener_test.go
+++ b/internal/lists/listener_test.go
@@ -53,7 +53,7 @@
 	s := &Server{Store: NewStore(8)}
 	s.Store.Reset(1, ready(30000))
 	want := s.Store.Since(0, false)
-	if n := len(want.Text); n > 4<<20 || n < 4<<20-128<<10 {
+	if n := len(want.Body); n > 4<<20 || n < 4<<20-128<<10 {
 		t.Fatalf("the list has %d bytes", n)
 	}
 	c, err := net.Dial("tcp", serve(t, s))
@@ -62,15 +62,15 @@
 	}
 	defer c.Close()
 	for range 2 { // on the same connection
-		if resp, text := ask(t, c, plain); resp.StatusCode != 200 || string(text) != string(want.Text) {
-			t.Errorf("%s, %d bytes of %d", resp.Status, len(text), len(want.Text))
+		if resp, text := ask(t, c, plain); resp.StatusCode != 200 || string(text) != string(want.Body) {
+			t.Errorf("%s, %d bytes of %d", resp.Status, len(text), len(want.Body))
 		}
 	}
 }
 
 // Connections beyond the limit are closed; one that ends makes room.
 func TestFewConnections(t *testing.T) {
-	s := &Server{Store: NewStore(8), Conns: 2}
+	s := &Server{Store: NewStore(8), MaxConns: 2}
 	s.Store.Reset(1, ready(1))
 	addr := serve(t, s)
 	var open []net.Conn
@@ -198,7 +198,7 @@
 // One server tells its listeners' agents apart.
 func TestListenersOfOneServer(t *testing.T) {
 	heard := make(chan string, 1)
-	s := &Server{Store: NewStore(8), Log: slog.New(slog.DiscardHandler), Heard: func(agent int, revision uint64, _ time.Time) {
+	s := &Server{Store: NewStore(8), Log: slog.New(slog.DiscardHandler), OnAcknowledge: func(agent int, revision uint64, _ time.Time) {
 		heard <- fmt.Sprint(agent, " ", revision)
 	}}
 	s.Store.Reset(5, ready(1))
--- a/internal/lists/server.go
+++ b/internal/lists/server.go
@@ -17,8 +17,8 @@
 const Path = "/discovery/hosts"
 
 const (
-	// GoesOn is how long after its last answer a watch goes on with its next call; a later one starts a new watch.
-	GoesOn = 200 * time.Millisecond
+	// WatchContinuation is how long after its last answer a watch goes on with its next call; a later one starts a new watch.
+	WatchContinuation = 200 * time.Millisecond
 
 	maxWait     = time.Minute      // of a watch; longer ones are cut to it
 	maxHeader   = 4 << 10          // bytes; the library allows as much again
@@ -29,42 +29,42 @@
 	connsEach   = 8                // likewise
 )
 
-// Gate holds calls back as long as their work takes, and refuses some. It is safe for concurrent use.
-type Gate interface {
-	// Enter returns when the work is done, and how much of that time was due: the work and the wait for its turn, by
+// Limiter holds calls back as long as their work takes, and refuses some. It is safe for concurrent use.
+type Limiter interface {
+	// Admit returns when the work is done, and how much of that time was due: the work and the wait for its turn, by
 	// plan, whatever the clock made of it. A call that it fails gets a 503, with Retry-After if the error is Refused
 	// and says so. It may stop waiting when the context ends.
-	Enter(ctx context.Context, w Work) (time.Duration, error)
+	Admit(ctx context.Context, w Work) (time.Duration, error)
 }
 
 // Work is what a call asks of the server in one piece: its beginning, unless it goes on with a watch, and an answer.
 type Work struct {
-	Agent    int
-	GoesOn   bool // the call began before, or goes on with a watch; only the lines are work
-	Complete bool // the answer is a whole list
-	Lines    int  // of the answer; 0 if there is nothing to tell yet
+	Agent     int
+	Continues bool // the call began before, or goes on with a watch; only the lines are work
+	Complete  bool // the answer is a whole list
+	Entries   int  // of the answer; 0 if there is nothing to tell yet
 }
 
-// Refused is the error of a call that is to come again.
-type Refused struct {
-	After time.Duration // 0: not said when
-	Cause string
+// RejectedError is the error of a call that is to come again.
+type RejectedError struct {
+	RetryAfter time.Duration // 0: not said when
+	Cause      string
 }
 
-func (r Refused) Error() string { return "refused: " + r.Cause }
+func (r RejectedError) Error() string { return "refused: " + r.Cause }
 
-// Call is one call as it ended.
-type Call struct {
-	Agent    int
-	Status   int // 0: the caller had gone, or did not take the answer
-	After    uint64
-	Known    bool // After was asked for
-	Revision uint64
-	Complete bool
-	Lines    int
-	Held     time.Time     // when it began to wait for something newer; zero if it did not
-	Due      time.Duration // what the gate took for the answer by its own plan
-	Written  time.Time     // when the answer had been written
+// CallRecord is one call as it ended.
+type CallRecord struct {
+	Agent         int
+	Status        int // 0: the caller had gone, or did not take the answer
+	SinceRevision uint64
+	HasSince      bool // After was asked for
+	Revision      uint64
+	Complete      bool
+	Entries       int
+	HeldAt        time.Time     // when it began to wait for something newer; zero if it did not
+	QueueDelay    time.Duration // what the gate took for the answer by its own plan
+	WrittenAt     time.Time     // when the answer had been written
 }
 
 // Server answers calls from a store. Its fields are set before the first call and not changed.
@@ -72,13 +72,13 @@
 // An answer is fixed before it enters the gate, so that what is written is what was paid for; what changes meanwhile is
 // told by the watch's next call.
 type Server struct {
-	Store *Store
-	Gate  Gate                                           // nil: calls cost nothing
-	Heard func(agent int, revision uint64, at time.Time) // if not nil: an agent's call says that it holds this revision
-	Done  func(Call)                                     // if not nil: a call has ended
-	Calls int                                            // open at a time, an agent; 0 for 4. More get 503
-	Conns int                                            // open at a time, a Listener; 0 for 8. More are closed
-	Log   *slog.Logger                                   // of the library's complaints; nil for its own
+	Store            *Store
+	Limiter          Limiter                                        // nil: calls cost nothing
+	OnAcknowledge    func(agent int, revision uint64, at time.Time) // if not nil: an agent's call says that it holds this revision
+	OnCallDone       func(CallRecord)                               // if not nil: a call has ended
+	MaxCallsPerAgent int                                            // open at a time, an agent; 0 for 4. More get 503
+	MaxConns         int                                            // open at a time, a Listener; 0 for 8. More are closed
+	Log              *slog.Logger                                   // of the library's complaints; nil for its own
 
 	mu      sync.Mutex
 	callers map[int]*caller
@@ -146,7 +146,7 @@
 
 // begin admits a call, and tells whether it goes on with a watch.
 func (c *caller) begin(q query, now time.Time) (goesOn, ok bool) {
-	limit := c.s.Calls
+	limit := c.s.MaxCallsPerAgent
 	if limit == 0 {
 		limit = callsEach
 	}
@@ -156,26 +156,26 @@
 		return false, false
 	}
 	c.open++
-	return q.known && !c.watched.IsZero() && now.Sub(c.watched) <= GoesOn, true
+	return q.known && !c.watched.IsZero() && now.Sub(c.watched) <= WatchContinuation, true
 }
 
 // end notes how a call went. Only an answered watch can be gone on with.
-func (c *caller) end(call *Call) {
+func (c *caller) end(call *CallRecord) {
 	c.mu.Lock()
 	c.open--
 	c.watched = time.Time{}
-	if call.Known && call.Status == http.StatusOK {
-		c.watched = call.Written
+	if call.HasSince && call.Status == http.StatusOK {
+		c.watched = call.WrittenAt
 	}
 	c.mu.Unlock()
 }
 
 func (c *caller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	now := time.Now()
-	call := Call{Agent: c.agent}
+	call := CallRecord{Agent: c.agent}
 	defer func() {
-		if c.s.Done != nil {
-			c.s.Done(call)
+		if c.s.OnCallDone != nil {
+			c.s.OnCallDone(call)
 		}
 	}()
 	q, status, err := read(r)
@@ -184,16 +184,16 @@
 		refuse(w, status, err)
 		return
 	}
-	call.After, call.Known = q.after, q.known
+	call.SinceRevision, call.HasSince = q.after, q.known
 	goesOn, ok := c.begin(q, now)
 	if !ok {
 		call.Status = http.StatusServiceUnavailable
-		refuse(w, call.Status, Refused{Cause: "too many calls at a time"})
+		refuse(w, call.Status, RejectedError{Cause: "too many calls at a time"})
 		return
 	}
 	defer c.end(&call)
-	if c.s.Heard != nil && q.known && q.after <= c.s.Store.Revision() {
-		c.s.Heard(c.agent, q.after, now)
+	if c.s.OnAcknowledge != nil && q.known && q.after <= c.s.Store.Revision() {
+		c.s.OnAcknowledge(c.agent, q.after, now)
 	}
 	a, err := c.answer(r.Context(), q, now, goesOn, &call)
 	if err != nil {
@@ -203,9 +203,9 @@
 		}
 		return
 	}
-	call.Revision, call.Complete, call.Lines = a.Revision, a.Complete, a.Lines
-	if write(w, a.Text) == nil {
-		call.Status, call.Written = http.StatusOK, time.Now()
+	call.Revision, call.Complete, call.Entries = a.Revision, a.Complete, a.Entries
+	if write(w, a.Body) == nil {
+		call.Status, call.WrittenAt = http.StatusOK, time.Now()
 	}
 }
 
@@ -213,20 +213,20 @@
 var errEmpty = errors.New("no list yet")
 
 // answer finds what to answer and pays for it; a watch with nothing newer to tell waits first.
-func (c *caller) answer(ctx context.Context, q query, now time.Time, goesOn bool, call *Call) (Answer, error) {
+func (c *caller) answer(ctx context.Context, q query, now time.Time, goesOn bool, call *CallRecord) (Answer, error) {
 	a, changed := c.look(q)
-	if a.Text == nil {
+	if a.Body == nil {
 		return a, errEmpty
 	}
 	waits := q.waits(a, now)
-	work := Work{Agent: c.agent, GoesOn: goesOn, Complete: a.Complete}
+	work := Work{Agent: c.agent, Continues: goesOn, Complete: a.Complete}
 	if !waits {
-		work.Lines = a.Lines
+		work.Entries = a.Entries
 	}
 	if err := c.enter(ctx, work, call); err != nil || !waits {
 		return a, err
 	}
-	call.Held = time.Now()
+	call.HeldAt = time.Now()
 	wait := time.NewTimer(time.Until(now.Add(q.wait)))
 	defer wait.Stop()
 	for q.waits(a, now) {
@@ -238,7 +238,7 @@
 		}
 		a, changed = c.look(q)
 	}
-	return a, c.enter(ctx, Work{Agent: c.agent, GoesOn: true, Complete: a.Complete, Lines: a.Lines}, call)
+	return a, c.enter(ctx, Work{Agent: c.agent, Continues: true, Complete: a.Complete, Entries: a.Entries}, call)
 }
 
 // look is the answer of now and what is closed when there will be another.
@@ -248,12 +248,12 @@
 }
 
 // enter pays for work, if there is any.
-func (c *caller) enter(ctx context.Context, w Work, call *Call) error {
-	if c.s.Gate == nil || w.GoesOn && w.Lines == 0 {
+func (c *caller) enter(ctx context.Context, w Work, call *CallRecord) error {
+	if c.s.Limiter == nil || w.Continues && w.Entries == 0 {
 		return nil
 	}
-	due, err := c.s.Gate.Enter(ctx, w)
-	call.Due = due
+	due, err := c.s.Limiter.Admit(ctx, w)
+	call.QueueDelay = due
 	return err
 }
 
@@ -308,12 +308,12 @@
 
 // refuse answers a call without a list.
 func refuse(w http.ResponseWriter, status int, err error) {
-	var r Refused
+	var r RejectedError
 	switch {
 	case status == http.StatusMethodNotAllowed:
 		w.Header().Set("Allow", http.MethodGet)
-	case errors.As(err, &r) && r.After > 0:
-		w.Header().Set("Retry-After", strconv.FormatFloat(r.After.Seconds(), 'f', -1, 64))
+	case errors.As(err, &r) && r.RetryAfter > 0:
+		w.Header().Set("Retry-After", strconv.FormatFloat(r.RetryAfter.Seconds(), 'f', -1, 64))
 	case status == http.StatusBadRequest: // the rest of it, if there is any, is not worth reading
 		w.Header().Set("Connection", "close")
 	}
--- a/internal/lists/server_test.go
+++ b/internal/lists/server_test.go
@@ -139,8 +139,8 @@
 // A watch whose caller goes away ends, and makes room for another.
 func TestCallerGoes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		ended := make(chan Call, 1)
-		s := &Server{Store: NewStore(8), Calls: 1, Done: func(c Call) { ended <- c }}
+		ended := make(chan CallRecord, 1)
+		s := &Server{Store: NewStore(8), MaxCallsPerAgent: 1, OnCallDone: func(c CallRecord) { ended <- c }}
 		s.Store.Reset(1, ready(1))
 		ctx, leave := context.WithCancel(t.Context())
 		r := httptest.NewRequest(http.MethodGet, Path+"?after=1&wait_ms=20000", nil).WithContext(ctx)
@@ -157,7 +157,7 @@
 		}
 		<-ended
 		leave()
-		if c := <-ended; c.Status != 0 || c.Held.IsZero() || !c.Written.IsZero() {
+		if c := <-ended; c.Status != 0 || c.HeldAt.IsZero() || !c.WrittenAt.IsZero() {
 			t.Errorf("the watch ended as %+v", c)
 		}
 		synctest.Wait()
@@ -175,7 +175,7 @@
 	err   error
 }
 
-func (g *gate) Enter(ctx context.Context, w Work) (time.Duration, error) {
+func (g *gate) Admit(ctx context.Context, w Work) (time.Duration, error) {
 	g.mu.Lock()
 	g.works = append(g.works, w)
 	takes, err := g.takes, g.err
@@ -199,9 +199,9 @@
 // A call pays for its beginning, unless it goes on with a watch, and for the lines that it is answered.
 func TestWhatACallPays(t *testing.T) {
 	const agent = 3
-	began := func(complete bool, lines int) Work { return Work{Agent: agent, Complete: complete, Lines: lines} }
+	began := func(complete bool, lines int) Work { return Work{Agent: agent, Complete: complete, Entries: lines} }
 	told := func(complete bool, lines int) Work {
-		return Work{Agent: agent, GoesOn: true, Complete: complete, Lines: lines}
+		return Work{Agent: agent, Continues: true, Complete: complete, Entries: lines}
 	}
 	for _, c := range []struct {
 		name   string
@@ -216,18 +216,18 @@
 		{"new watch, a change", "", 0, "?after=10&wait_ms=1000", "b:Gone c:Ready", []Work{began(false, 0), told(false, 2)}},
 		{"new watch, behind", "", 0, "?after=9&wait_ms=1000", "", []Work{began(true, 2)}},
 		{"after a whole list", "?", 0, "?after=10&wait_ms=1000", "", []Work{began(false, 0)}},
-		{"goes on", "?after=10", GoesOn, "?after=10&wait_ms=1000", "", nil},
-		{"goes on to a change", "?after=10", GoesOn, "?after=10&wait_ms=1000", "b:Gone", []Work{told(false, 1)}},
-		{"goes on to a whole list", "?after=10", GoesOn, "?after=9&wait_ms=1000", "", []Work{told(true, 2)}},
-		{"too late", "?after=10", GoesOn + time.Millisecond, "?after=10&wait_ms=1000", "", []Work{began(false, 0)}},
+		{"goes on", "?after=10", WatchContinuation, "?after=10&wait_ms=1000", "", nil},
+		{"goes on to a change", "?after=10", WatchContinuation, "?after=10&wait_ms=1000", "b:Gone", []Work{told(false, 1)}},
+		{"goes on to a whole list", "?after=10", WatchContinuation, "?after=9&wait_ms=1000", "", []Work{told(true, 2)}},
+		{"too late", "?after=10", WatchContinuation + time.Millisecond, "?after=10&wait_ms=1000", "", []Work{began(false, 0)}},
 		{"the whole list is no watch that goes on", "?after=10", 0, "", "", []Work{began(true, 2)}},
 		{"after a bad call", "?after=10&wait=0", 0, "?after=10&wait_ms=1000", "", []Work{began(false, 0)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				g := &gate{takes: 5 * time.Millisecond}
-				var last Call
-				s := &Server{Store: NewStore(8), Gate: g, Done: func(c Call) { last = c }}
+				var last CallRecord
+				s := &Server{Store: NewStore(8), Limiter: g, OnCallDone: func(c CallRecord) { last = c }}
 				step{true, 10, "a:Ready b:Ready"}.play(t, s.Store)
 				if c.first != "" {
 					get(s.Handler(agent), c.first)
@@ -248,7 +248,7 @@
 				if fmt.Sprint(got) != fmt.Sprint(c.want) {
 					t.Errorf("paid for %+v, want %+v", got, c.want)
 				}
-				if c.change != "" && (time.Since(began) != 105*time.Millisecond || last.Due != g.takes || last.Held.IsZero()) {
+				if c.change != "" && (time.Since(began) != 105*time.Millisecond || last.QueueDelay != g.takes || last.HeldAt.IsZero()) {
 					t.Errorf("told after %v: %+v", time.Since(began), last)
 				}
 			})
@@ -262,13 +262,13 @@
 		err   error
 		after string
 	}{
-		{Refused{Cause: "waited too long"}, ""},
-		{Refused{After: 1500 * time.Millisecond}, "1.5"},
-		{fmt.Errorf("relay: %w", Refused{After: 2 * time.Second}), "2"},
+		{RejectedError{Cause: "waited too long"}, ""},
+		{RejectedError{RetryAfter: 1500 * time.Millisecond}, "1.5"},
+		{fmt.Errorf("relay: %w", RejectedError{RetryAfter: 2 * time.Second}), "2"},
 		{errors.New("out of order"), ""},
 	} {
 		g := &gate{}
-		s := &Server{Store: NewStore(8), Gate: g}
+		s := &Server{Store: NewStore(8), Limiter: g}
 		s.Store.Reset(1, ready(1))
 		get(s.Handler(0), "?after=1")
 		g.err = c.err
@@ -278,7 +278,7 @@
 		g.err = nil
 		g.took()
 		get(s.Handler(0), "?after=1")
-		if got := g.took(); len(got) != 1 || got[0].GoesOn {
+		if got := g.took(); len(got) != 1 || got[0].Continues {
 			t.Errorf("%v: the next call paid for %+v", c.err, got)
 		}
 	}
@@ -287,7 +287,7 @@
 // A call says what its agent holds, unless the store cannot know that.
 func TestHeard(t *testing.T) {
 	var heard []string
-	s := &Server{Store: NewStore(8), Heard: func(agent int, revision uint64, _ time.Time) {
+	s := &Server{Store: NewStore(8), OnAcknowledge: func(agent int, revision uint64, _ time.Time) {
 		heard = append(heard, fmt.Sprint(agent, ":", revision))
 	}}
 	s.Store.Reset(10, ready(1))
@@ -302,7 +302,7 @@
 // Many follow the list while it changes, some of them from behind the log, and all end up with the same.
 func TestFollowers(t *testing.T) {
 	const followers, last = 64, 300
-	s := &Server{Store: NewStore(16), Calls: 1}
+	s := &Server{Store: NewStore(16), MaxCallsPerAgent: 1}
 	s.Store.Reset(0, ready(20))
 	var all sync.WaitGroup
 	ends := make([]map[string]discovery.Member, followers)
@@ -324,7 +324,7 @@
 					clear(held)
 				}
 				for _, m := range l.Members {
-					if m.Phase == gone {
+					if m.State == gone {
 						delete(held, m.ID)
 					} else {
 						held[m.ID] = m
--- a/internal/lists/store.go
+++ b/internal/lists/store.go
@@ -28,10 +28,10 @@
 
 // Answer is the text of one answer and what it holds.
 type Answer struct {
-	Text     []byte // JSON, shared by all who get it: never to be written to. Nil while the store has no list
+	Body     []byte // JSON, shared by all who get it: never to be written to. Nil while the store has no list
 	Revision uint64
 	Complete bool // the whole list, not changes
-	Lines    int  // entries
+	Entries  int  // entries
 }
 
 // Store is the newest whole list and the changes that led to it, as far back as its log goes. It is safe for concurrent
@@ -122,9 +122,9 @@
 func (s *Store) put(m discovery.Member) {
 	i, known := s.at[m.ID]
 	switch {
-	case m.Phase != gone && known:
+	case m.State != gone && known:
 		s.members[i] = m
-	case m.Phase != gone:
+	case m.State != gone:
 		s.at[m.ID] = len(s.members)
 		s.members = append(s.members, m)
 	case known:
@@ -187,13 +187,13 @@
 	case !s.held:
 		return Answer{}
 	case !known || after > s.revision || after < s.floor:
-		if s.whole.Text == nil {
+		if s.whole.Body == nil {
 			s.whole = answer(s.revision, true, s.members)
 		}
 		return s.whole
 	}
 	for i := range s.spans {
-		if c := &s.spans[i]; c.answer.Text != nil && c.after == after {
+		if c := &s.spans[i]; c.answer.Body != nil && c.after == after {
 			return c.answer
 		}
 	}
@@ -204,7 +204,7 @@
 }
 
 func answer(revision uint64, complete bool, members []discovery.Member) Answer {
-	return Answer{Text: Encode(revision, complete, members), Revision: revision, Complete: complete, Lines: len(members)}
+	return Answer{Body: Encode(revision, complete, members), Revision: revision, Complete: complete, Entries: len(members)}
 }
 
 // merged are the entries that changed after a revision in the log, each as its last change left it, in the order of
--- a/internal/lists/store_test.go
+++ b/internal/lists/store_test.go
@@ -15,7 +15,7 @@
 
 func member(id, phase string) discovery.Member {
 	return discovery.Member{
-		ID: id, HostPort: "10.1.0.18:9000", Locality: "a", Flavor: "m2", Cell: 3, Phase: phase, Size: 1.5, UpSince: 1764640000000,
+		ID: id, Address: "10.1.0.18:9000", Zone: "a", Kind: "m2", Cell: 3, State: phase, Weight: 1.5, StartedAtMillis: 1764640000000,
 	}
 }
 
@@ -29,7 +29,7 @@
 }
 
 // parse reads an answer as an agent does.
-func parse(t *testing.T, text []byte) discovery.List {
+func parse(t *testing.T, text []byte) discovery.EndpointList {
 	t.Helper()
 	l, err := discovery.Parse(text)
 	if err != nil {
@@ -42,14 +42,14 @@
 func words(members []discovery.Member) string {
 	var all []string
 	for _, m := range members {
-		all = append(all, m.ID+":"+m.Phase)
+		all = append(all, m.ID+":"+m.State)
 	}
 	return strings.Join(all, " ")
 }
 
 func TestEncode(t *testing.T) {
 	odd := member("s-\"\\\n\u00e9<", "Terminating")
-	odd.Size, odd.UpSince = 0, 0
+	odd.Weight, odd.StartedAtMillis = 0, 0
 	for _, c := range []struct {
 		name    string
 		members []discovery.Member
@@ -72,8 +72,8 @@
 		})
 	}
 	m := member("s-1", "Ready")
-	m.Size, m.UpSince = math.NaN(), math.Inf(1)
-	if l := parse(t, Encode(1, false, []discovery.Member{m})); l.Complete || l.Members[0].Size != 0 || l.Members[0].UpSince != 0 {
+	m.Weight, m.StartedAtMillis = math.NaN(), math.Inf(1)
+	if l := parse(t, Encode(1, false, []discovery.Member{m})); l.Complete || l.Members[0].Weight != 0 || l.Members[0].StartedAtMillis != 0 {
 		t.Errorf("figures that JSON cannot hold read as %+v", l)
 	}
 }
@@ -147,12 +147,12 @@
 				step.play(t, s)
 			}
 			a := s.Since(c.after, c.known)
-			l := parse(t, a.Text)
+			l := parse(t, a.Body)
 			if got := words(l.Members); got != c.want || l.Complete != c.complete || *l.Revision != c.revision {
-				t.Errorf("%s, want revision %d, complete %v: %s", a.Text, c.revision, c.complete, c.want)
+				t.Errorf("%s, want revision %d, complete %v: %s", a.Body, c.revision, c.complete, c.want)
 			}
-			if a.Revision != *l.Revision || a.Complete != l.Complete || a.Lines != len(l.Members) {
-				t.Errorf("%+v does not describe its text %s", a, a.Text)
+			if a.Revision != *l.Revision || a.Complete != l.Complete || a.Entries != len(l.Members) {
+				t.Errorf("%+v does not describe its text %s", a, a.Body)
 			}
 			if s.Revision() != c.revision {
 				t.Errorf("revision %d", s.Revision())
@@ -183,8 +183,8 @@
 			if err := s.Apply(c.bad.revision, c.bad.members()); !errors.Is(err, c.want) {
 				t.Errorf("error %v, want %v", err, c.want)
 			}
-			if after := s.Since(0, false); string(after.Text) != string(before.Text) || after.Revision != before.Revision {
-				t.Errorf("%s, before it %s", after.Text, before.Text)
+			if after := s.Since(0, false); string(after.Body) != string(before.Body) || after.Revision != before.Revision {
+				t.Errorf("%s, before it %s", after.Body, before.Body)
 			}
 			select {
 			case <-changed:
@@ -214,7 +214,7 @@
 func TestMembersAreLeftAlone(t *testing.T) {
 	s := NewStore(8)
 	s.Reset(1, ready(3))
-	first, text := s.Members(), s.Since(0, false).Text
+	first, text := s.Members(), s.Since(0, false).Body
 	want, wantText := slices.Clone(first), string(text)
 	for r, entries := range []string{"s-1:Terminating", "s-0:Gone", "s-9:Ready"} {
 		step{false, uint64(r + 2), entries}.play(t, s)
@@ -241,7 +241,7 @@
 	const members, followers, changes = 1024, 1000, 20
 	s := NewStore(64)
 	s.Reset(1, ready(members))
-	whole := uint64(len(s.Since(0, false).Text))
+	whole := uint64(len(s.Since(0, false).Body))
 
 	texts := make(map[*byte]bool)
 	took := allocated(func() {
@@ -251,7 +251,7 @@
 			}
 			for i := range followers {
 				lag := uint64(i%3) / 2 // a third is one revision behind
-				texts[unsafe.SliceData(s.Since(r-1-min(lag, r-2), true).Text)] = true
+				texts[unsafe.SliceData(s.Since(r-1-min(lag, r-2), true).Body)] = true
 			}
 		}
 	})
@@ -264,7 +264,7 @@
 	texts = make(map[*byte]bool)
 	took = allocated(func() {
 		for i := range followers { // those without a list, ahead, and behind the log
-			texts[unsafe.SliceData(s.Since([]uint64{0, 1 << 40, 0}[i%3], i%3 != 0).Text)] = true
+			texts[unsafe.SliceData(s.Since([]uint64{0, 1 << 40, 0}[i%3], i%3 != 0).Body)] = true
 			s.Members()
 		}
 	})
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -17,7 +17,7 @@
 type Table struct {
 	ids     map[string]balancer.ServerID
 	members map[balancer.ServerID]discovery.Member
-	states  map[balancer.ServerState]int // members
+	states  map[balancer.EndpointState]int // members
 	starts  starts
 }
 
@@ -28,30 +28,30 @@
 		starts:  newStarts(clock),
 		ids:     map[string]balancer.ServerID{},
 		members: map[balancer.ServerID]discovery.Member{},
-		states:  map[balancer.ServerState]int{},
+		states:  map[balancer.EndpointState]int{},
 	}
 }
 
-// Entries notes the members of a list, or of changes, and returns an entry for each, in their order. One that is gone is
+// Endpoints notes the members of a list, or of changes, and returns an entry for each, in their order. One that is gone is
 // noted too, until Forget: its number must not be another's before the module has heard.
-func (t *Table) Entries(set *settings.Settings, members []discovery.Member) []balancer.ServerEntry {
-	entries := make([]balancer.ServerEntry, 0, len(members))
+func (t *Table) Endpoints(set *settings.Settings, members []discovery.Member) []balancer.Endpoint {
+	entries := make([]balancer.Endpoint, 0, len(members))
 	t.starts.see(members)
 	for _, m := range members {
-		e := balancer.ServerEntry{
+		e := balancer.Endpoint{
 			ID:     t.of(m.ID),
-			Zone:   slices.Index(set.Zones, m.Locality),
-			Kind:   slices.Index(set.Kinds, m.Flavor),
+			Zone:   slices.Index(set.ZoneNames, m.Zone),
+			Kind:   slices.Index(set.KindNames, m.Kind),
 			Cell:   m.Cell,
-			State:  discovery.Phases[m.Phase],
-			Weight: m.Size,
+			State:  discovery.EndpointStates[m.State],
+			Weight: m.Weight,
 		}
 		e.Start = t.starts.of(e.ID, m)
 		old, known := t.members[e.ID]
-		if known && old.Phase != m.Phase {
-			t.states[discovery.Phases[old.Phase]]--
+		if known && old.State != m.State {
+			t.states[discovery.EndpointStates[old.State]]--
 		}
-		if !known || old.Phase != m.Phase {
+		if !known || old.State != m.State {
 			t.states[e.State]++
 		}
 		if old != m {
@@ -62,17 +62,17 @@
 	return entries
 }
 
-// Forget frees the backends that a list has shown to be gone, by what Entries returned for it, and returns their numbers in
-// no order. Changes cost what they name; a list, which is whole, also frees what it does not name. After ListFailed
+// RemoveGone frees the backends that a list has shown to be gone, by what Entries returned for it, and returns their numbers in
+// no order. Changes cost what they name; a list, which is whole, also frees what it does not name. After PollFailed
 // nothing is gone.
-func (t *Table) Forget(mode balancer.ListMode, entries []balancer.ServerEntry) (gone []balancer.ServerID) {
-	if mode.Keeps() {
+func (t *Table) RemoveGone(mode balancer.DiscoveryUpdate, entries []balancer.Endpoint) (gone []balancer.ServerID) {
+	if mode.KeepsEndpoints() {
 		return nil
 	}
-	t.starts.followed = t.starts.followed || mode != balancer.ListCached
-	if mode == balancer.ListDelta {
+	t.starts.followed = t.starts.followed || mode != balancer.EndpointsCached
+	if mode == balancer.EndpointsChanged {
 		for _, e := range entries {
-			if m, known := t.members[e.ID]; known && discovery.Phases[m.Phase] == balancer.Gone {
+			if m, known := t.members[e.ID]; known && discovery.EndpointStates[m.State] == balancer.Removed {
 				t.free(e.ID)
 				gone = append(gone, e.ID)
 			}
@@ -81,7 +81,7 @@
 	}
 	stays := make(map[balancer.ServerID]bool, len(entries))
 	for _, e := range entries {
-		stays[e.ID] = e.State != balancer.Gone
+		stays[e.ID] = e.State != balancer.Removed
 	}
 	for _, id := range t.ids {
 		if !stays[id] {
@@ -101,7 +101,7 @@
 func (t *Table) Len() int { return len(t.members) }
 
 // Count counts the members that discovery says are in a state.
-func (t *Table) Count(state balancer.ServerState) int { return t.states[state] }
+func (t *Table) Count(state balancer.EndpointState) int { return t.states[state] }
 
 // Member returns what discovery last said of a backend, and whether it is in the table.
 func (t *Table) Member(id balancer.ServerID) (discovery.Member, bool) {
@@ -131,7 +131,7 @@
 // free forgets a name that has left the list.
 func (t *Table) free(id balancer.ServerID) {
 	m := t.members[id]
-	t.states[discovery.Phases[m.Phase]]--
+	t.states[discovery.EndpointStates[m.State]]--
 	delete(t.ids, m.ID)
 	delete(t.members, id)
 	delete(t.starts.known, id)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -13,32 +13,32 @@
 )
 
 func ready(id string) discovery.Member {
-	return discovery.Member{ID: id, HostPort: "10.0.0.1:80", Phase: "Ready"}
+	return discovery.Member{ID: id, Address: "10.0.0.1:80", State: "Ready"}
 }
 
 func TestServerIDsStayApart(t *testing.T) {
 	table, set := New(nil), &settings.Settings{}
-	both := table.Entries(set, []discovery.Member{ready("costarring"), ready("liquid")}) // one hash
+	both := table.Endpoints(set, []discovery.Member{ready("costarring"), ready("liquid")}) // one hash
 	x, y := both[0].ID, both[1].ID
-	if x+1 != y || table.Entries(set, []discovery.Member{ready("costarring")})[0].ID != x {
+	if x+1 != y || table.Endpoints(set, []discovery.Member{ready("costarring")})[0].ID != x {
 		t.Errorf("got %d and %d", x, y)
 	}
-	left := table.Entries(set, []discovery.Member{ready("liquid")})
-	if gone := table.Forget(balancer.ListFull, left); !slices.Equal(gone, []balancer.ServerID{x}) {
+	left := table.Endpoints(set, []discovery.Member{ready("liquid")})
+	if gone := table.RemoveGone(balancer.EndpointsReplaced, left); !slices.Equal(gone, []balancer.ServerID{x}) {
 		t.Errorf("gone are %d, want %d", gone, x)
 	}
-	if table.Entries(set, []discovery.Member{ready("liquid")})[0].ID != y {
+	if table.Endpoints(set, []discovery.Member{ready("liquid")})[0].ID != y {
 		t.Error("the second name's number has changed with the first gone")
 	}
 }
 
 // An entry says in the module's terms what discovery said; what the settings do not name is at no position.
 func TestEntries(t *testing.T) {
-	set := &settings.Settings{Zones: []string{"a", "b"}, Kinds: []string{"m1"}}
-	m := discovery.Member{ID: "x", HostPort: "10.0.0.1:80", Locality: "b", Flavor: "m2", Cell: 4, Phase: "Terminating", Size: 2, UpSince: 1.5}
+	set := &settings.Settings{ZoneNames: []string{"a", "b"}, KindNames: []string{"m1"}}
+	m := discovery.Member{ID: "x", Address: "10.0.0.1:80", Zone: "b", Kind: "m2", Cell: 4, State: "Terminating", Weight: 2, StartedAtMillis: 1.5}
 	table := New(nil)
-	e := table.Entries(set, []discovery.Member{m})[0]
-	want := balancer.ServerEntry{ID: e.ID, Zone: 1, Kind: -1, Cell: 4, State: balancer.Draining, Weight: 2, Start: 1500 * time.Microsecond}
+	e := table.Endpoints(set, []discovery.Member{m})[0]
+	want := balancer.Endpoint{ID: e.ID, Zone: 1, Kind: -1, Cell: 4, State: balancer.Draining, Weight: 2, Start: 1500 * time.Microsecond}
 	if e != want {
 		t.Errorf("got %+v, want %+v", e, want)
 	}
@@ -57,28 +57,28 @@
 	phases := []string{"Ready", "Ready", "Terminating", "Gone"}
 	table, want, ids := New(nil), map[string]string{}, map[string]balancer.ServerID{}
 	for step := range 3000 {
-		mode := []balancer.ListMode{balancer.ListDelta, balancer.ListDelta, balancer.ListFull, balancer.ListCached, balancer.ListFailed}[r.IntN(5)]
+		mode := []balancer.DiscoveryUpdate{balancer.EndpointsChanged, balancer.EndpointsChanged, balancer.EndpointsReplaced, balancer.EndpointsCached, balancer.PollFailed}[r.IntN(5)]
 		var members []discovery.Member
-		if mode != balancer.ListFailed {
+		if mode != balancer.PollFailed {
 			for _, i := range r.Perm(40)[:r.IntN(40)] {
 				m := ready(fmt.Sprint("s-", i))
-				m.Phase = phases[r.IntN(len(phases))]
+				m.State = phases[r.IntN(len(phases))]
 				members = append(members, m)
 			}
 		}
 		var gone []string // as it has to be
 		for name := range want {
 			listed := slices.ContainsFunc(members, func(m discovery.Member) bool { return m.ID == name })
-			if !listed && (mode == balancer.ListFull || mode == balancer.ListCached) {
+			if !listed && (mode == balancer.EndpointsReplaced || mode == balancer.EndpointsCached) {
 				gone = append(gone, name)
 			}
 		}
 		for _, m := range members {
-			if want[m.ID] = m.Phase; m.Phase == "Gone" {
+			if want[m.ID] = m.State; m.State == "Gone" {
 				gone = append(gone, m.ID)
 			}
 		}
-		entries := table.Entries(set, members)
+		entries := table.Endpoints(set, members)
 		for i, e := range entries {
 			if id, known := ids[members[i].ID]; known && id != e.ID {
 				t.Fatalf("step %d: %s had %d, has %d", step, members[i].ID, id, e.ID)
@@ -91,20 +91,20 @@
 			delete(want, name)
 			delete(ids, name)
 		}
-		got := table.Forget(mode, entries)
+		got := table.RemoveGone(mode, entries)
 		slices.Sort(got)
 		slices.Sort(wantGone)
 		if !slices.Equal(got, wantGone) {
 			t.Fatalf("step %d, mode %d: gone are %d, want %d", step, mode, got, wantGone)
 		}
-		count := map[balancer.ServerState]int{}
+		count := map[balancer.EndpointState]int{}
 		for name, phase := range want {
-			if m, known := table.Member(ids[name]); !known || m.ID != name || m.Phase != phase {
+			if m, known := table.Member(ids[name]); !known || m.ID != name || m.State != phase {
 				t.Fatalf("step %d: %s is %+v", step, name, m)
 			}
-			count[discovery.Phases[phase]]++
+			count[discovery.EndpointStates[phase]]++
 		}
-		for _, state := range []balancer.ServerState{balancer.Gone, balancer.Ready, balancer.Draining} {
+		for _, state := range []balancer.EndpointState{balancer.Removed, balancer.Ready, balancer.Draining} {
 			if n := table.Count(state); n != count[state] {
 				t.Fatalf("step %d: %d in state %d, want %d", step, n, state, count[state])
 			}
@@ -121,20 +121,20 @@
 		var all []discovery.Member
 		for i := range n {
 			m := ready(fmt.Sprint("server-", i))
-			m.Locality, m.Flavor = "a", "m1"
+			m.Zone, m.Kind = "a", "m1"
 			all = append(all, m)
 		}
 		for name, c := range map[string]struct {
-			mode    balancer.ListMode
+			mode    balancer.DiscoveryUpdate
 			members []discovery.Member
-		}{"change": {balancer.ListDelta, all[:1]}, "whole": {balancer.ListFull, all}} {
+		}{"change": {balancer.EndpointsChanged, all[:1]}, "whole": {balancer.EndpointsReplaced, all}} {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
-				set := &settings.Settings{Zones: []string{"a"}, Kinds: []string{"m1"}}
+				set := &settings.Settings{ZoneNames: []string{"a"}, KindNames: []string{"m1"}}
 				table := New(nil)
-				table.Forget(balancer.ListFull, table.Entries(set, all))
+				table.RemoveGone(balancer.EndpointsReplaced, table.Endpoints(set, all))
 				b.ReportAllocs()
 				for b.Loop() {
-					table.Forget(c.mode, table.Entries(set, c.members))
+					table.RemoveGone(c.mode, table.Endpoints(set, c.members))
 				}
 			})
 		}
@@ -145,7 +145,7 @@
 func TestStartsUnderAWrongClock(t *testing.T) {
 	const second = time.Second
 	up := func(id string, at time.Duration) discovery.Member {
-		return discovery.Member{ID: id, HostPort: "10.0.0.1:80", Phase: "Ready", UpSince: float64(at.Milliseconds())}
+		return discovery.Member{ID: id, Address: "10.0.0.1:80", State: "Ready", StartedAtMillis: float64(at.Milliseconds())}
 	}
 	for name, wrong := range map[string]time.Duration{"right": 0, "an hour ahead": time.Hour, "5 s ahead": 5 * second, "5 s behind": -5 * second, "an hour behind": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
@@ -153,12 +153,12 @@
 			now := start
 			table, set := New(func() time.Duration { return now + wrong }), &settings.Settings{}
 			// ages are how old the members of a list are taken for.
-			ages := func(mode balancer.ListMode, members ...discovery.Member) (ages []time.Duration) {
-				entries := table.Entries(set, members)
+			ages := func(mode balancer.DiscoveryUpdate, members ...discovery.Member) (ages []time.Duration) {
+				entries := table.Endpoints(set, members)
 				for _, e := range entries {
 					ages = append(ages, now+wrong-e.Start)
 				}
-				table.Forget(mode, entries)
+				table.RemoveGone(mode, entries)
 				return ages
 			}
 			expect := func(what string, got, least, most time.Duration) {
@@ -167,7 +167,7 @@
 					t.Errorf("%s is taken for %v old, want %v to %v", what, got, least, most)
 				}
 			}
-			first := ages(balancer.ListFull, up("old", start-time.Hour), up("cold", start-second), up("long ago", 0))
+			first := ages(balancer.EndpointsReplaced, up("old", start-time.Hour), up("cold", start-second), up("long ago", 0))
 			switch {
 			case wrong == 0:
 				expect("a cold one of the first list", first[1], second, second)
@@ -175,17 +175,17 @@
 				expect("a cold one of the first list", first[1], 0, second)
 				expect("an old one", first[0], time.Hour-second, time.Hour)
 			}
-			if e := table.Entries(set, []discovery.Member{up("long ago", 0)})[0]; e.Start != 0 {
+			if e := table.Endpoints(set, []discovery.Member{up("long ago", 0)})[0]; e.Start != 0 {
 				t.Errorf("one that is up since long ago started at %v", e.Start)
 			}
 			now += 10 * second
 			added := up("new", now-second)
-			expect("a new one", ages(balancer.ListDelta, added)[0], 0, second)
+			expect("a new one", ages(balancer.EndpointsChanged, added)[0], 0, second)
 			now += 2 * second
-			expect("the same later", ages(balancer.ListDelta, added)[0], 2*second, 3*second)
-			expect("one that was restarted", ages(balancer.ListDelta, up("old", now))[0], 0, second)
+			expect("the same later", ages(balancer.EndpointsChanged, added)[0], 2*second, 3*second)
+			expect("one that was restarted", ages(balancer.EndpointsChanged, up("old", now))[0], 0, second)
 			now += 20 * second
-			late := ages(balancer.ListDelta, up("late", now-3*second), up("back", start-time.Hour), up("newer", now-second/2))
+			late := ages(balancer.EndpointsChanged, up("late", now-3*second), up("back", start-time.Hour), up("newer", now-second/2))
 			expect("one that is told of late", late[0], 2*second, 3*second)
 			expect("one that was away", late[1], time.Hour, time.Hour+time.Minute)
 			expect("one that is told of sooner", late[2], 0, second/2)
--- a/internal/membership/starts.go
+++ b/internal/membership/starts.go
@@ -49,10 +49,10 @@
 
 // of is when a member of that list started, 0 for long ago. It stays the same for as long as discovery says the same.
 func (s *starts) of(id balancer.ServerID, m discovery.Member) time.Duration {
-	if m.UpSince == 0 || s.clock == nil {
+	if m.StartedAtMillis == 0 || s.clock == nil {
 		return unix(m)
 	}
-	if k, ok := s.known[id]; ok && k.upSince == m.UpSince {
+	if k, ok := s.known[id]; ok && k.upSince == m.StartedAtMillis {
 		return k.at
 	}
 	at, now := unix(m)-s.behind, s.clock()
@@ -61,10 +61,10 @@
 		at += s.youngest
 	}
 	at = min(at, now)
-	s.known[id] = started{m.UpSince, at}
+	s.known[id] = started{m.StartedAtMillis, at}
 	return at
 }
 
 func unix(m discovery.Member) time.Duration {
-	return time.Duration(math.Round(m.UpSince * float64(time.Millisecond)))
+	return time.Duration(math.Round(m.StartedAtMillis * float64(time.Millisecond)))
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -19,19 +19,19 @@
 
 // Config is what a relay is started with.
 type Config struct {
-	Name      string `json:"name"`
-	Listen    string `json:"listen"`    // IP address and port
-	Discovery string `json:"discovery"` // likewise, of the service above
-	Figures   string `json:"figures"`   // likewise; empty: none
-	State     string `json:"state"`     // a directory of its own
-	Limits    Limits `json:"limits"`
+	Name        string `json:"name"`
+	Listen      string `json:"listen"`    // IP address and port
+	Discovery   string `json:"discovery"` // likewise, of the service above
+	MetricsAddr string `json:"figures"`   // likewise; empty: none
+	State       string `json:"state"`     // a directory of its own
+	Limits      Limits `json:"limits"`
 }
 
 // Limits bound what a relay does.
 type Limits struct {
-	ListsPerSecond float64 `json:"lists_per_second"` // whole lists that it hands out
-	Callers        int     `json:"callers"`          // calls at a time
-	MemoryMB       int     `json:"memory_mb"`
+	FullListsPerSecond float64 `json:"lists_per_second"` // whole lists that it hands out
+	MaxCallers         int     `json:"callers"`          // calls at a time
+	MemoryMB           int     `json:"memory_mb"`
 }
 
 // LoadConfig reads and checks a configuration file. Its errors name the field that cannot be used.
@@ -73,7 +73,7 @@
 	for _, a := range []struct {
 		field, addr string
 		needed      bool
-	}{{"listen", c.Listen, true}, {"discovery", c.Discovery, true}, {"figures", c.Figures, false}} {
+	}{{"listen", c.Listen, true}, {"discovery", c.Discovery, true}, {"figures", c.MetricsAddr, false}} {
 		if a.addr == "" && !a.needed {
 			continue
 		}
@@ -86,27 +86,27 @@
 		return errors.New("name: missing")
 	case c.State == "":
 		return errors.New("state: missing")
-	case !(l.ListsPerSecond > 0 && l.ListsPerSecond <= mostLists):
-		return fmt.Errorf("limits.lists_per_second cannot be %v", l.ListsPerSecond)
-	case l.Callers < 1 || l.Callers > mostCallers:
-		return fmt.Errorf("limits.callers cannot be %d", l.Callers)
+	case !(l.FullListsPerSecond > 0 && l.FullListsPerSecond <= mostLists):
+		return fmt.Errorf("limits.lists_per_second cannot be %v", l.FullListsPerSecond)
+	case l.MaxCallers < 1 || l.MaxCallers > mostCallers:
+		return fmt.Errorf("limits.callers cannot be %d", l.MaxCallers)
 	case l.MemoryMB < leastMemoryMB:
 		return fmt.Errorf("limits.memory_mb cannot be %d", l.MemoryMB)
 	}
 	return nil
 }
 
-// Follows tells whether a running relay can take this configuration in place of the present one: only discovery's address
+// CheckReload tells whether a running relay can take this configuration in place of the present one: only discovery's address
 // and the rate of whole lists can change. Its error names the field that cannot.
-func (c *Config) Follows(present *Config) error {
+func (c *Config) CheckReload(present *Config) error {
 	same := *present
-	same.Discovery, same.Limits.ListsPerSecond = c.Discovery, c.Limits.ListsPerSecond
+	same.Discovery, same.Limits.FullListsPerSecond = c.Discovery, c.Limits.FullListsPerSecond
 	switch {
 	case c.Name != same.Name:
 		return errors.New("name: needs a new process")
 	case c.Listen != same.Listen:
 		return errors.New("listen: needs a new process")
-	case c.Figures != same.Figures:
+	case c.MetricsAddr != same.MetricsAddr:
 		return errors.New("figures: needs a new process")
 	case c.State != same.State:
 		return errors.New("state: needs a new process")
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -75,7 +75,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = next.Follows(present)
+		err = next.CheckReload(present)
 		if (err == nil) != (c.field == "") || err != nil && !strings.HasPrefix(err.Error(), c.field+":") {
 			t.Errorf("%s for %s: error %v", c.new, c.old, err)
 		}
--- a/internal/relay/disk.go
+++ b/internal/relay/disk.go
@@ -32,18 +32,18 @@
 
 // load reads the list that was saved last. Without one the error is fs.ErrNotExist; anything that is not a whole list as
 // it was written is errDamaged.
-func (d disk) load() (discovery.List, error) {
+func (d disk) load() (discovery.EndpointList, error) {
 	path := filepath.Join(d.dir, listFile)
 	info, err := os.Stat(path)
 	switch {
 	case err != nil:
-		return discovery.List{}, fmt.Errorf("reading the stored list: %w", err)
+		return discovery.EndpointList{}, fmt.Errorf("reading the stored list: %w", err)
 	case !info.Mode().IsRegular() || info.Size() > int64(headerSize+maxText):
-		return discovery.List{}, fmt.Errorf("%w: %s is no file of up to %d bytes", errDamaged, path, headerSize+maxText)
+		return discovery.EndpointList{}, fmt.Errorf("%w: %s is no file of up to %d bytes", errDamaged, path, headerSize+maxText)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return discovery.List{}, fmt.Errorf("reading the stored list: %w", err)
+		return discovery.EndpointList{}, fmt.Errorf("reading the stored list: %w", err)
 	}
 	return unseal(data)
 }
@@ -73,23 +73,23 @@
 	return append(data, text...)
 }
 
-func unseal(data []byte) (discovery.List, error) {
+func unseal(data []byte) (discovery.EndpointList, error) {
 	if len(data) < headerSize || !bytes.HasPrefix(data, []byte(magic)) {
-		return discovery.List{}, fmt.Errorf("%w: no header", errDamaged)
+		return discovery.EndpointList{}, fmt.Errorf("%w: no header", errDamaged)
 	}
 	text := data[headerSize:]
 	if n := binary.BigEndian.Uint64(data[len(magic):]); n != uint64(len(text)) {
-		return discovery.List{}, fmt.Errorf("%w: %d bytes of %d", errDamaged, len(text), n)
+		return discovery.EndpointList{}, fmt.Errorf("%w: %d bytes of %d", errDamaged, len(text), n)
 	}
 	if sum := sha256.Sum256(text); !bytes.Equal(sum[:], data[headerSize-sha256.Size:headerSize]) {
-		return discovery.List{}, fmt.Errorf("%w: its checksum does not fit", errDamaged)
+		return discovery.EndpointList{}, fmt.Errorf("%w: its checksum does not fit", errDamaged)
 	}
 	l, err := discovery.Parse(text)
 	switch {
 	case err != nil:
-		return discovery.List{}, fmt.Errorf("%w: %w", errDamaged, err)
+		return discovery.EndpointList{}, fmt.Errorf("%w: %w", errDamaged, err)
 	case !l.Complete:
-		return discovery.List{}, fmt.Errorf("%w: not a whole list", errDamaged)
+		return discovery.EndpointList{}, fmt.Errorf("%w: not a whole list", errDamaged)
 	}
 	return l, nil
 }
@@ -118,7 +118,7 @@
 }
 
 // stored is the list that a relay starts with: the one on disk, or none. What cannot be used is told and passed over.
-func (r *Relay) stored() discovery.List {
+func (r *Relay) stored() discovery.EndpointList {
 	l, err := r.disk.load()
 	switch {
 	case err == nil:
@@ -127,5 +127,5 @@
 	case !errors.Is(err, fs.ErrNotExist):
 		r.log.Error("starting without the stored list", "error", err)
 	}
-	return discovery.List{}
+	return discovery.EndpointList{}
 }
--- a/internal/relay/disk_test.go
+++ b/internal/relay/disk_test.go
@@ -14,7 +14,7 @@
 )
 
 func member(id, phase string, cell int) discovery.Member {
-	return discovery.Member{ID: id, HostPort: "10.0.0.1:80", Locality: "a", Flavor: "m1", Cell: cell, Phase: phase, Size: 1}
+	return discovery.Member{ID: id, Address: "10.0.0.1:80", Zone: "a", Kind: "m1", Cell: cell, State: phase, Weight: 1}
 }
 
 // A list on disk is read as it was written or not at all: cut anywhere, with any byte changed, with more behind it, or
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -50,13 +50,13 @@
 	return due
 }
 
-func (c *costs) Enter(ctx context.Context, w lists.Work) (time.Duration, error) {
+func (c *costs) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
 	work := time.Duration(0)
-	if !w.GoesOn {
+	if !w.Continues {
 		work = c.call
 	}
 	if w.Complete {
-		work += time.Duration(w.Lines) * lineCost
+		work += time.Duration(w.Entries) * lineCost
 	}
 	now := time.Now()
 	c.mu.Lock()
@@ -73,7 +73,7 @@
 		return due, ctx.Err()
 	}
 	if begins.Sub(now) > serviceWait {
-		return due, lists.Refused{Cause: "waited too long"}
+		return due, lists.RejectedError{Cause: "waited too long"}
 	}
 	return due, nil
 }
@@ -89,7 +89,7 @@
 }
 
 func (s *service) up() {
-	server := &lists.Server{Store: s.Store, Gate: &s.costs, Log: quiet}
+	server := &lists.Server{Store: s.Store, Limiter: &s.costs, Log: quiet}
 	s.http = server.HTTP()
 	for i, addr := range s.addrs {
 		at := s.net.listen(addr)
@@ -113,7 +113,7 @@
 	set      settings.Settings
 	balancer *balancer.Balancer
 	servers  *membership.Table
-	news     chan discovery.News
+	news     chan discovery.WatchEvent
 	ask      func()
 	timers   []alarm
 
@@ -122,8 +122,8 @@
 }
 
 type alarm struct {
-	due   time.Time
-	token uint64
+	due time.Time
+	id  balancer.TimerID
 }
 
 const fleetSettings = `{
@@ -168,15 +168,15 @@
 		a := newAgent(t, agents, i, mode)
 		d := discovery.New(discovery.Options{
 			Addr: f.addrs[relays+i], Name: fmt.Sprint("agent-", i), Relays: at, Log: quiet, Dial: w.dial,
-			Settings: func() *settings.Settings { return &a.set }, Count: func(discovery.Call) {}, Tell: func(n discovery.News) { a.told(ctx, n) },
+			Settings: func() *settings.Settings { return &a.set }, OnPoll: func(discovery.PollResult) {}, Notify: func(n discovery.WatchEvent) { a.told(ctx, n) },
 		})
-		cached := discovery.News{Mode: balancer.ListCached}
+		cached := discovery.WatchEvent{Update: balancer.EndpointsCached}
 		if known {
 			one := uint64(1)
-			d.StartFrom(discovery.List{Revision: &one, Complete: true, Members: members})
+			d.StartFrom(discovery.EndpointList{Revision: &one, Complete: true, Members: members})
 			cached.Members = members
 		}
-		a.ask = d.Ask
+		a.ask = d.Poll
 		ended.Go(func() { a.decide(ctx) })
 		a.told(ctx, cached)
 		ended.Go(func() { d.Run(ctx, nil) })
@@ -186,19 +186,19 @@
 }
 
 func newAgent(t *testing.T, agents, rank int, mode string) *agent {
-	a := &agent{servers: membership.New(nil), news: make(chan discovery.News, 256), heard: map[uint64]time.Time{}}
+	a := &agent{servers: membership.New(nil), news: make(chan discovery.WatchEvent, 256), heard: map[uint64]time.Time{}}
 	var err error
 	if a.set, err = settings.Parse(fmt.Appendf(nil, fleetSettings, agents, rank, mode)); err != nil {
 		t.Fatal(err)
 	}
-	if a.balancer, err = balancer.New(a.set.Module, uint64(rank)); err != nil {
+	if a.balancer, err = balancer.New(a.set.Balancer, uint64(rank)); err != nil {
 		t.Fatal(err)
 	}
 	return a
 }
 
-func (a *agent) told(ctx context.Context, n discovery.News) {
-	if !n.Mode.Keeps() && n.Mode != balancer.ListCached {
+func (a *agent) told(ctx context.Context, n discovery.WatchEvent) {
+	if !n.Update.KeepsEndpoints() && n.Update != balancer.EndpointsCached {
 		a.mu.Lock()
 		if _, ok := a.heard[n.Revision]; !ok {
 			a.heard[n.Revision] = time.Now()
@@ -226,13 +226,13 @@
 		}
 		select {
 		case n := <-a.news:
-			entries := a.servers.Entries(&a.set, n.Members)
+			entries := a.servers.Endpoints(&a.set, n.Members)
 			a.handle(n.Event(entries))
-			a.servers.Forget(n.Mode, entries)
+			a.servers.RemoveGone(n.Update, entries)
 		case <-wake:
-			token := a.timers[next].token
+			id := a.timers[next].id
 			a.timers = slices.Delete(a.timers, next, next+1)
-			a.handle(balancer.Event{Kind: balancer.EventTimer, Token: token})
+			a.handle(balancer.Event{Kind: balancer.EventTimer, TimerID: id})
 		case <-ctx.Done():
 			return
 		}
@@ -242,9 +242,9 @@
 func (a *agent) handle(ev balancer.Event) {
 	for _, act := range a.balancer.Handle(time.Duration(time.Now().UnixNano()), ev, nil) {
 		switch act.Kind {
-		case balancer.ActTimer:
-			a.timers = append(a.timers, alarm{due: time.Now().Add(act.Wait), token: act.Token})
-		case balancer.ActFollow:
+		case balancer.ActionSetTimer:
+			a.timers = append(a.timers, alarm{due: time.Now().Add(act.Delay), id: act.TimerID})
+		case balancer.ActionPollEndpoints:
 			a.ask()
 		}
 	}
@@ -288,16 +288,16 @@
 						begun := time.Now()
 						f := startFleet(t, agents, relays, mode, false, callCost)
 						time.Sleep(15 * time.Second)
-						late, worst := f.late(1, begun.Add(balancer.ToldFailed))
+						late, worst := f.late(1, begun.Add(balancer.NotifyBoundAfterFailure))
 						switch {
 						case relays > 0 && late > 0:
-							t.Errorf("%d of %d agents have heard nothing after %v, the last one %v later", late, agents, balancer.ToldFailed, worst)
+							t.Errorf("%d of %d agents have heard nothing after %v, the last one %v later", late, agents, balancer.NotifyBoundAfterFailure, worst)
 						case relays == 0 && late < agents/2:
-							t.Errorf("only %d of %d agents have heard nothing after %v: the test does not show what relays are for", late, agents, balancer.ToldFailed)
+							t.Errorf("only %d of %d agents have heard nothing after %v: the test does not show what relays are for", late, agents, balancer.NotifyBoundAfterFailure)
 						}
 						t.Logf("%d late, the last one by %v", late, worst)
 						for _, r := range f.relays {
-							t.Logf("%+v", r.Figures())
+							t.Logf("%+v", r.Metrics())
 						}
 					})
 				})
@@ -338,7 +338,7 @@
 						t.Fatal(err)
 					}
 					time.Sleep(30 * time.Second)
-					if late, worst := f.late(2, changed.Add(balancer.ToldFailed+drainGrace)); late > 0 {
+					if late, worst := f.late(2, changed.Add(balancer.NotifyBoundAfterFailure+drainGrace)); late > 0 {
 						t.Errorf("%d of %d agents hear too late, up to %v", late, agents, worst)
 					}
 					_, worst := f.late(2, changed)
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -14,9 +14,9 @@
 const (
 	// longestQueue is how long a caller may wait here for its whole list: less than its call may take, by what it may have
 	// waited for news (aheadHold) and what writing and reading the list may need.
-	longestQueue = discovery.RelayWhole * 5 / 8
+	longestQueue = discovery.RelayFullListTimeout * 5 / 8
 	// lateGrace is how long after its time a promised turn is still kept for whoever it was promised to.
-	lateGrace = balancer.ToldFailed / 24
+	lateGrace = balancer.NotifyBoundAfterFailure / 24
 )
 
 // gate hands whole lists out at a stated rate; changes go through at once, for they are small and have to be in time.
@@ -47,7 +47,7 @@
 }
 
 // Enter implements lists.Gate.
-func (g *gate) Enter(ctx context.Context, w lists.Work) (time.Duration, error) {
+func (g *gate) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
 	if !w.Complete {
 		return 0, nil
 	}
@@ -90,14 +90,14 @@
 	switch {
 	case in <= longestQueue:
 		g.waiting++
-	case in > balancer.ToldFailed || len(g.promised) >= g.most: // nobody would wait for that
-		return time.Time{}, lists.Refused{Cause: "too many callers want the whole list"}
+	case in > balancer.NotifyBoundAfterFailure || len(g.promised) >= g.most: // nobody would wait for that
+		return time.Time{}, lists.RejectedError{Cause: "too many callers want the whole list"}
 	default:
 		g.promised = append(g.promised, turn)
 	}
 	g.next = turn.Add(g.gap)
 	if in > longestQueue {
-		return time.Time{}, lists.Refused{After: in, Cause: "other callers' whole lists come first"}
+		return time.Time{}, lists.RejectedError{RetryAfter: in, Cause: "other callers' whole lists come first"}
 	}
 	return turn, nil
 }
--- a/internal/relay/gate_test.go
+++ b/internal/relay/gate_test.go
@@ -20,17 +20,17 @@
 
 func (a *asker) ask(ctx context.Context, g *gate, begun time.Time) {
 	for {
-		_, err := g.Enter(ctx, lists.Work{Complete: true})
+		_, err := g.Admit(ctx, lists.Work{Complete: true})
 		if err == nil {
 			a.at = time.Since(begun)
 			return
 		}
 		a.refused++
-		var r lists.Refused
-		if !errors.As(err, &r) || r.After == 0 {
+		var r lists.RejectedError
+		if !errors.As(err, &r) || r.RetryAfter == 0 {
 			return
 		}
-		time.Sleep(r.After + time.Millisecond) // the way there and back
+		time.Sleep(r.RetryAfter + time.Millisecond) // the way there and back
 	}
 }
 
@@ -56,7 +56,7 @@
 				})
 			}
 			synctest.Wait()
-			if due, err := g.Enter(t.Context(), lists.Work{}); due != 0 || err != nil {
+			if due, err := g.Admit(t.Context(), lists.Work{}); due != 0 || err != nil {
 				t.Errorf("changes take %v, error %v", due, err)
 			}
 			done.Wait()
@@ -88,17 +88,17 @@
 		var waiting sync.WaitGroup
 		last := time.Duration(0)
 		for range 20 {
-			waiting.Go(func() { g.Enter(ctx, lists.Work{Complete: true}) })
+			waiting.Go(func() { g.Admit(ctx, lists.Work{Complete: true}) })
 			synctest.Wait()
 		}
 		for range 5 {
-			var r lists.Refused
-			if _, err := g.Enter(ctx, lists.Work{Complete: true}); !errors.As(err, &r) {
+			var r lists.RejectedError
+			if _, err := g.Admit(ctx, lists.Work{Complete: true}); !errors.As(err, &r) {
 				t.Errorf("error %v", err)
 			}
-			last = max(last, r.After)
+			last = max(last, r.RetryAfter)
 		}
-		if last > balancer.ToldFailed {
+		if last > balancer.NotifyBoundAfterFailure {
 			t.Errorf("a caller is told to come again in %v", last)
 		}
 		if len(g.promised) > 7 {
@@ -117,7 +117,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		var gone sync.WaitGroup
 		for range 10 {
-			gone.Go(func() { g.Enter(ctx, lists.Work{Complete: true}) })
+			gone.Go(func() { g.Admit(ctx, lists.Work{Complete: true}) })
 		}
 		synctest.Wait()
 		cancel()
@@ -143,7 +143,7 @@
 		g.setRate(100)
 		begun := time.Now()
 		for range 11 {
-			if _, err := g.Enter(t.Context(), lists.Work{Complete: true}); err != nil {
+			if _, err := g.Admit(t.Context(), lists.Work{Complete: true}); err != nil {
 				t.Fatal(err)
 			}
 		}
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -20,20 +20,20 @@
 const (
 	// upstreamWatch is how long a watch above waits. Danger: a caller that is ahead of this relay waits for an answer that
 	// was asked for after it came, so for two of them at the most, and that has to fit into aheadHold.
-	upstreamWatch = balancer.ToldFailed / 30
+	upstreamWatch = balancer.NotifyBoundAfterFailure / 30
 	// aheadHold is how long a call that names no wait may be kept all the same for news from above; its caller gives it
 	// RelayTimeout.
 	aheadHold = discovery.RelayTimeout / 2
 	// upstreamRetry bounds the pause between two calls above that fail: the first one that can be answered has to come well
 	// within staleAfter.
-	upstreamRetry = balancer.ToldFailed / 20
+	upstreamRetry = balancer.NotifyBoundAfterFailure / 20
 	// staleAfter is for how long a relay answers without news from above. Danger: an agent takes a watch that goes on for
 	// "nothing has changed", and the platform counts a change as told 6 s after discovery had it and could be reached. A
 	// relay that went on answering without its upstream would keep its agents from noticing that discovery, or another
 	// relay, can be reached, and they would send to servers that leave. So it refuses, its agents go to the next relay and
 	// at last to discovery itself, and only if nobody answers do they go on by the list that they have. They know that a
-	// relay may be behind by so much (discovery.RelayStale), so what they miss here still comes within ToldFailed.
-	staleAfter = discovery.RelayStale
+	// relay may be behind by so much (discovery.RelayMaxStaleness), so what they miss here still comes within NotifyBoundAfterFailure.
+	staleAfter = discovery.RelayMaxStaleness
 
 	logged    = 512             // revisions whose changes can be told apart
 	saveEvery = 5 * time.Second // the list goes to the disk no more often
@@ -41,15 +41,15 @@
 
 // Options are what a relay is made of. Those before Heard have to be given.
 type Options struct {
-	Name      string
-	Discovery string  // IP address and port of the service above
-	State     string  // a directory of its own, made if it is missing
-	Lists     float64 // whole lists a second that it hands out
-	Callers   int     // calls that it holds at a time
-	Log       *slog.Logger
-	Heard     func(agent int, revision uint64, at time.Time) // if not nil: an agent's call says that it holds this revision
-	Told      func(revision uint64, lines int, at time.Time) // if not nil: what has come is about to be handed on
-	Dial      discovery.Dial                                 // nil: as the client of discovery does
+	Name               string
+	Discovery          string  // IP address and port of the service above
+	State              string  // a directory of its own, made if it is missing
+	FullListsPerSecond float64 // whole lists a second that it hands out
+	MaxCallers         int     // calls that it holds at a time
+	Log                *slog.Logger
+	OnAcknowledge      func(agent int, revision uint64, at time.Time) // if not nil: an agent's call says that it holds this revision
+	OnUpdate           func(revision uint64, lines int, at time.Time) // if not nil: what has come is about to be handed on
+	Dial               discovery.Dial                                 // nil: as the client of discovery does
 }
 
 // Relay follows the list above and hands it on.
@@ -61,7 +61,7 @@
 	gate     *gate
 	server   *lists.Server
 	client   *discovery.Client
-	moves    chan discovery.Place
+	moves    chan discovery.Target
 	settings settings.Settings
 	counts   counts
 
@@ -91,20 +91,20 @@
 	}
 	r := &Relay{
 		o: o, log: o.Log, disk: disk{o.State}, above: o.Discovery,
-		store: lists.NewStore(logged), gate: newGate(o.Lists, o.Callers),
-		moves: make(chan discovery.Place), started: time.Now(), news: make(chan struct{}),
+		store: lists.NewStore(logged), gate: newGate(o.FullListsPerSecond, o.MaxCallers),
+		moves: make(chan discovery.Target), started: time.Now(), news: make(chan struct{}),
 		// Lists are pushed as far as this client is concerned: it then retries by itself and soon, which a handful of relays
 		// may do. The turns in which agents ask are for hundreds of callers, and for a module that knows of them.
-		settings: settings.Settings{Module: balancer.Settings{Agents: 1}, DrainGrace: upstreamRetry},
+		settings: settings.Settings{Balancer: balancer.Settings{Agents: 1}, DrainGrace: upstreamRetry},
 	}
 	r.live, r.end = context.WithCancel(context.Background())
 	r.staleAt = time.AfterFunc(staleAfter, r.goStale)
 	r.server = &lists.Server{
-		Store: r.store, Gate: r.gate, Heard: o.Heard, Done: r.done, Calls: o.Callers, Conns: o.Callers, Log: o.Log,
+		Store: r.store, Limiter: r.gate, OnAcknowledge: o.OnAcknowledge, OnCallDone: r.done, MaxCallsPerAgent: o.MaxCallers, MaxConns: o.MaxCallers, Log: o.Log,
 	}
 	r.client = discovery.New(discovery.Options{
-		Addr: o.Discovery, Settings: func() *settings.Settings { return &r.settings }, Tell: r.told, Count: func(discovery.Call) {},
-		Log: o.Log, Dial: o.Dial, Watch: upstreamWatch, Answered: r.answered,
+		Addr: o.Discovery, Settings: func() *settings.Settings { return &r.settings }, Notify: r.told, OnPoll: func(discovery.PollResult) {},
+		Log: o.Log, Dial: o.Dial, WatchWait: upstreamWatch, OnAnswer: r.answered,
 	})
 	if l := r.stored(); l.Complete {
 		r.store.Reset(*l.Revision, l.Members)
@@ -132,26 +132,26 @@
 	r.save()
 }
 
-// Move has the relay follow the service at another address, unless it does already, and hand out so many whole lists a
+// Migrate has the relay follow the service at another address, unless it does already, and hand out so many whole lists a
 // second. It is for as long as Run runs.
-func (r *Relay) Move(ctx context.Context, above string, perSecond float64) {
+func (r *Relay) Migrate(ctx context.Context, above string, perSecond float64) {
 	r.gate.setRate(perSecond)
 	r.mu.Lock()
 	r.moved = r.moved || above != r.above
 	r.above = above
 	r.mu.Unlock()
 	select {
-	case r.moves <- discovery.Place{Addr: above}:
+	case r.moves <- discovery.Target{Addr: above}:
 	case <-ctx.Done():
 	}
 }
 
 // told takes in what discovery tells.
-func (r *Relay) told(n discovery.News) {
-	switch n.Mode {
-	case balancer.ListFull:
+func (r *Relay) told(n discovery.WatchEvent) {
+	switch n.Update {
+	case balancer.EndpointsReplaced:
 		r.whole(n.Revision, n.Members)
-	case balancer.ListDelta:
+	case balancer.EndpointsChanged:
 		r.apply(n.Revision, n.Members)
 	}
 }
@@ -173,8 +173,8 @@
 
 // tells notes what is about to be handed on.
 func (r *Relay) tells(revision uint64, lines int) {
-	if r.o.Told != nil {
-		r.o.Told(revision, lines, time.Now())
+	if r.o.OnUpdate != nil {
+		r.o.OnUpdate(revision, lines, time.Now())
 	}
 }
 
@@ -201,7 +201,7 @@
 	}
 	var changed []discovery.Member
 	for _, m := range to {
-		if m.Phase == gonePhase {
+		if m.State == gonePhase {
 			continue
 		}
 		if before[m.ID] != m {
@@ -211,7 +211,7 @@
 	}
 	for _, m := range from {
 		if _, left := before[m.ID]; left {
-			m.Phase = gonePhase
+			m.State = gonePhase
 			changed = append(changed, m)
 		}
 	}
@@ -282,12 +282,12 @@
 // Only Run's goroutine calls it.
 func (r *Relay) save() {
 	whole := r.store.Since(0, false)
-	if whole.Text == nil || r.saved != nil && &r.saved[0] == &whole.Text[0] {
+	if whole.Body == nil || r.saved != nil && &r.saved[0] == &whole.Body[0] {
 		return
 	}
-	if err := r.disk.save(whole.Text); err != nil {
+	if err := r.disk.save(whole.Body); err != nil {
 		r.log.Error("the list is not stored", "error", err)
 		return
 	}
-	r.saved = whole.Text
+	r.saved = whole.Body
 }
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -19,10 +19,10 @@
 )
 
 // ids are the members of a list by name and phase, in order.
-func ids(l discovery.List) string {
+func ids(l discovery.EndpointList) string {
 	var all []string
 	for _, m := range l.Members {
-		all = append(all, m.ID+m.Phase[:1])
+		all = append(all, m.ID+m.State[:1])
 	}
 	slices.Sort(all)
 	return strings.Join(all, " ")
@@ -71,8 +71,8 @@
 				t.Errorf("%s: %d", query, got.status)
 			}
 		}
-		f := r.Figures()
-		if f.Calls != 10 || f.Whole != 2 || f.Refused != 0 || f.Open != 0 || f.Waiting != 0 || f.Bytes < 500 || f.Age > upstreamWatch || f.Revision != 11 {
+		f := r.Metrics()
+		if f.Calls != 10 || f.FullLists != 2 || f.Rejected != 0 || f.Open != 0 || f.Waiting != 0 || f.Bytes < 500 || f.Staleness > upstreamWatch || f.Revision != 11 {
 			t.Errorf("%+v", f)
 		}
 	})
@@ -100,7 +100,7 @@
 				damage(filepath.Join(state, listFile))
 				a.down()
 				r = startRelay(t, w, "relay:1", state)
-				if got := ask(t, w, r.addr, ""); got.status != http.StatusServiceUnavailable || got.took > discovery.RelayWhole {
+				if got := ask(t, w, r.addr, ""); got.status != http.StatusServiceUnavailable || got.took > discovery.RelayFullListTimeout {
 					t.Errorf("the whole list without news from above: %+v", got)
 				}
 				got := ask(t, w, r.addr, "?after=8&wait_ms=500")
@@ -235,7 +235,7 @@
 				t.Errorf("%q: %+v", query, got)
 			}
 		}
-		if f := r.Figures(); f.Refused != 5 || f.Age < staleAfter {
+		if f := r.Metrics(); f.Rejected != 5 || f.Staleness < staleAfter {
 			t.Errorf("%+v", f)
 		}
 		time.Sleep(time.Minute)
@@ -257,10 +257,10 @@
 			t.Cleanup(other.down)
 			r := startRelay(t, w, "relay:1", t.TempDir())
 			time.Sleep(time.Second)
-			r.Move(t.Context(), "above:1", 60)
+			r.Migrate(t.Context(), "above:1", 60)
 			time.Sleep(time.Second)
 			ask(t, w, r.addr, "?after=7&wait_ms=0").is(t, "no move", 7, false, "")
-			r.Move(t.Context(), "other:1", 60)
+			r.Migrate(t.Context(), "other:1", 60)
 			time.Sleep(time.Second)
 			ask(t, w, r.addr, "").is(t, "a move", revision, true, "yR")
 			if revision != 7 { // which the protocol cannot tell from the other seventh
@@ -332,7 +332,7 @@
 		w := newWires()
 		newAbove(t, w, 7, member("x", "Ready", 0))
 		r := startRelay(t, w, "relay:1", t.TempDir())
-		r.o.Callers = 3 // before the first call
+		r.o.MaxCallers = 3 // before the first call
 		time.Sleep(time.Second)
 		var waiting sync.WaitGroup
 		for range 3 {
@@ -401,9 +401,9 @@
 	for what, ok := range map[string]bool{
 		"two watches above fit into the time for who is ahead":           2*upstreamWatch < aheadHold,
 		"that fits into a call":                                          aheadHold < discovery.RelayTimeout,
-		"news and a turn fit into a call for the whole list":             aheadHold+longestQueue < discovery.RelayWhole,
+		"news and a turn fit into a call for the whole list":             aheadHold+longestQueue < discovery.RelayFullListTimeout,
 		"several watches and their pauses fit into the time to be stale": 3*(upstreamWatch+upstreamRetry) < staleAfter,
-		"a stale relay leaves time for others":                           staleAfter <= balancer.ToldFailed/3,
+		"a stale relay leaves time for others":                           staleAfter <= balancer.NotifyBoundAfterFailure/3,
 	} {
 		if !ok {
 			t.Errorf("not so: %s", what)
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -66,7 +66,7 @@
 // bounded answers a call if it is not one too many.
 func (r *Relay) bounded(w http.ResponseWriter, req *http.Request, next http.Handler) {
 	defer r.counts.open.Add(-1)
-	if r.counts.open.Add(1) > int64(r.o.Callers) {
+	if r.counts.open.Add(1) > int64(r.o.MaxCallers) {
 		refuse(w, "too many callers")
 		return
 	}
@@ -206,7 +206,7 @@
 func refuse(w http.ResponseWriter, why string) { http.Error(w, why, http.StatusServiceUnavailable) }
 
 // done counts the whole lists of calls that the server of lists has ended.
-func (r *Relay) done(c lists.Call) {
+func (r *Relay) done(c lists.CallRecord) {
 	if c.Status == http.StatusOK && c.Complete {
 		r.counts.whole.Add(1)
 	}
--- a/internal/relay/wires_test.go
+++ b/internal/relay/wires_test.go
@@ -180,7 +180,7 @@
 }
 
 func (a *above) up() {
-	s := &lists.Server{Store: a.Store, Calls: 100, Conns: 100, Log: quiet}
+	s := &lists.Server{Store: a.Store, MaxCallsPerAgent: 100, MaxConns: 100, Log: quiet}
 	a.http = s.HTTP()
 	a.at = a.net.listen(a.addr)
 	l := s.Listener(a.at, 0)
@@ -219,7 +219,7 @@
 func startRelayAt(t *testing.T, w *wires, addr, above, state string) *running {
 	t.Helper()
 	r, err := New(Options{
-		Name: addr, Discovery: above, State: state, Lists: 60, Callers: 1000, Log: quiet, Dial: w.dial,
+		Name: addr, Discovery: above, State: state, FullListsPerSecond: 60, MaxCallers: 1000, Log: quiet, Dial: w.dial,
 	})
 	if err != nil {
 		t.Fatal(err)
@@ -242,7 +242,7 @@
 // reply is what a call came to.
 type reply struct {
 	status int // 0: none
-	list   discovery.List
+	list   discovery.EndpointList
 	took   time.Duration
 	again  string // Retry-After
 }
--- a/internal/scale/control/control.go
+++ b/internal/scale/control/control.go
@@ -104,7 +104,7 @@
 	store := lists.NewStore(args.Costs.Log)
 	store.Reset(args.Revision, args.Members)
 	s.own, s.meter, s.queue, s.told = now, meter.New(len(args.Addrs), now.at), newQueue(args.Costs, now.at), newTold(len(args.Addrs))
-	s.lists = &lists.Server{Store: store, Gate: s.queue, Heard: s.told.heardAt, Done: s.told.done}
+	s.lists = &lists.Server{Store: store, Limiter: s.queue, OnAcknowledge: s.told.heardAt, OnCallDone: s.told.done}
 	s.http = s.lists.HTTP()
 	for agent, addr := range args.Addrs {
 		s.ports = append(s.ports, newPort(agent, addr))
--- a/internal/scale/control/control_test.go
+++ b/internal/scale/control/control_test.go
@@ -51,8 +51,8 @@
 func members(n int) []discovery.Member {
 	all := make([]discovery.Member, n)
 	for i := range all {
-		all[i] = discovery.Member{ID: fmt.Sprintf("s-%08x", i), HostPort: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250),
-			Locality: "a", Flavor: fmt.Sprintf("svc-%03d", i%130), Phase: "Ready", Size: 1}
+		all[i] = discovery.Member{ID: fmt.Sprintf("s-%08x", i), Address: fmt.Sprintf("10.1.%d.%d:9000", i/250, i%250),
+			Zone: "a", Kind: fmt.Sprintf("svc-%03d", i%130), State: "Ready", Weight: 1}
 	}
 	return all
 }
@@ -106,7 +106,7 @@
 	return err
 }
 
-func (a *caller) answer() (status int, l discovery.List, err error) {
+func (a *caller) answer() (status int, l discovery.EndpointList, err error) {
 	resp, err := http.ReadResponse(a.in, nil)
 	if err != nil {
 		return 0, l, err
@@ -119,9 +119,9 @@
 	return resp.StatusCode, l, err
 }
 
-func (a *caller) call(query string) (int, discovery.List, error) {
+func (a *caller) call(query string) (int, discovery.EndpointList, error) {
 	if err := a.send(query); err != nil {
-		return 0, discovery.List{}, err
+		return 0, discovery.EndpointList{}, err
 	}
 	return a.answer()
 }
@@ -158,7 +158,7 @@
 
 func drains(i int) ChangeArgs {
 	m := members(i + 1)[i]
-	m.Phase = "Terminating"
+	m.State = "Terminating"
 	return ChangeArgs{[]discovery.Member{m}}
 }
 
@@ -189,7 +189,7 @@
 	}
 	for i, a := range first[:agents-1] { // the last one does not come again
 		status, l, err := a.answer()
-		if err != nil || status != 200 || l.Complete || *l.Revision != 42 || len(l.Members) != 1 || l.Members[0].Phase != "Terminating" {
+		if err != nil || status != 200 || l.Complete || *l.Revision != 42 || len(l.Members) != 1 || l.Members[0].State != "Terminating" {
 			t.Fatalf("agent %d: %d, %+v, %v", i, status, l, err)
 		}
 		if status, _, err := a.call("?after=42"); status != 200 || err != nil {
--- a/internal/scale/control/queue.go
+++ b/internal/scale/control/queue.go
@@ -67,15 +67,15 @@
 
 // cost is the stated time of a piece of work.
 func (q *queue) cost(w lists.Work) time.Duration {
-	us := q.costs.LineUS * float64(w.Lines)
-	if !w.GoesOn {
+	us := q.costs.LineUS * float64(w.Entries)
+	if !w.Continues {
 		us += q.costs.CallMS * 1000
 	}
 	return time.Duration(us * float64(time.Microsecond))
 }
 
 // Enter waits for the work's turn and its cost.
-func (q *queue) Enter(ctx context.Context, w lists.Work) (time.Duration, error) {
+func (q *queue) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
 	now := time.Now()
 	start, end := q.plan(now, q.cost(w))
 	if rest := time.Until(end); rest > 0 {
@@ -88,7 +88,7 @@
 		}
 	}
 	if limit := time.Duration(q.costs.RefuseMS * float64(time.Millisecond)); limit > 0 && start.Sub(now) >= limit {
-		return end.Sub(now), lists.Refused{Cause: "waited too long for its turn"}
+		return end.Sub(now), lists.RejectedError{Cause: "waited too long for its turn"}
 	}
 	return end.Sub(now), nil
 }
--- a/internal/scale/control/queue_test.go
+++ b/internal/scale/control/queue_test.go
@@ -25,11 +25,11 @@
 
 // call is a call that begins, with so many lines; goesOn is one that goes on.
 func call(at time.Duration, lines int, end time.Duration, refused bool) entry {
-	return entry{at, lists.Work{Lines: lines}, end, refused}
+	return entry{at, lists.Work{Entries: lines}, end, refused}
 }
 
 func goesOn(at time.Duration, lines int, end time.Duration, refused bool) entry {
-	return entry{at, lists.Work{GoesOn: true, Lines: lines}, end, refused}
+	return entry{at, lists.Work{Continues: true, Entries: lines}, end, refused}
 }
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 0.002*math.Max(math.Abs(a), math.Abs(b)) }
@@ -71,9 +71,9 @@
 				for i, e := range c.entries {
 					go func() {
 						time.Sleep(e.at) // of the bubble's clock
-						due, err := q.Enter(t.Context(), e.work)
+						due, err := q.Admit(t.Context(), e.work)
 						end := time.Since(began)
-						var refused lists.Refused
+						var refused lists.RejectedError
 						if end != e.end || errors.As(err, &refused) != e.refused || due != e.end-e.at {
 							t.Errorf("entry %d ended at %v, due after %v, with %v; want %v, refused %v", i, end, due, err, e.end, e.refused)
 						}
@@ -99,10 +99,10 @@
 		q := newQueue(scenario.Control{CallMS: 10, Parallel: 1}, began)
 		ctx, leave := context.WithTimeout(t.Context(), 3*ms)
 		defer leave()
-		if _, err := q.Enter(ctx, lists.Work{}); !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != 3*ms {
+		if _, err := q.Admit(ctx, lists.Work{}); !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != 3*ms {
 			t.Errorf("left after %v with %v", time.Since(began), err)
 		}
-		if _, err := q.Enter(t.Context(), lists.Work{}); err != nil || time.Since(began) != 20*ms {
+		if _, err := q.Admit(t.Context(), lists.Work{}); err != nil || time.Since(began) != 20*ms {
 			t.Errorf("the next ended after %v with %v", time.Since(began), err)
 		}
 	})
--- a/internal/scale/control/relay.go
+++ b/internal/scale/control/relay.go
@@ -50,7 +50,7 @@
 	meter  *meter.Meter
 	ports  []*port
 	own    use // of the process, when the measured part began
-	counts relay.Figures
+	counts relay.Metrics
 	load   load
 
 	heardMu sync.Mutex
@@ -74,8 +74,8 @@
 		return err
 	}
 	r, err := relay.New(relay.Options{
-		Name: args.Name, Discovery: args.Discovery, State: args.State, Lists: args.Lists, Callers: relayCalls * len(args.Addrs),
-		Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})), Heard: s.heardAt,
+		Name: args.Name, Discovery: args.Discovery, State: args.State, FullListsPerSecond: args.Lists, MaxCallers: relayCalls * len(args.Addrs),
+		Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})), OnAcknowledge: s.heardAt,
 	})
 	if err != nil {
 		return err
@@ -139,7 +139,7 @@
 	if err != nil {
 		return err
 	}
-	s.own, s.counts = now, s.relay.Figures()
+	s.own, s.counts = now, s.relay.Metrics()
 	s.meter.Begin()
 	s.load.begin(now)
 	return nil
@@ -161,9 +161,9 @@
 		reply.Heard = append(reply.Heard, slices.Clone(marks))
 	}
 	s.heardMu.Unlock()
-	m, f := &reply.Machine, s.relay.Figures()
+	m, f := &reply.Machine, s.relay.Metrics()
 	m.Role, m.Name = "relay", s.name
-	m.Calls, m.WholeLists, m.Refused = f.Calls-s.counts.Calls, f.Whole-s.counts.Whole, f.Refused-s.counts.Refused
+	m.Calls, m.WholeLists, m.Refused = f.Calls-s.counts.Calls, f.FullLists-s.counts.FullLists, f.Rejected-s.counts.Rejected
 	m.BytesIn, m.BytesOut = total(reply.In), total(reply.Out)
 	now.fill(m, s.own)
 	m.Busy = m.CPUPercent / 100
--- a/internal/scale/control/told.go
+++ b/internal/scale/control/told.go
@@ -78,7 +78,7 @@
 }
 
 // done notes how a call ended.
-func (t *told) done(c lists.Call) {
+func (t *told) done(c lists.CallRecord) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.calls++
@@ -93,14 +93,14 @@
 	}
 	n := t.upTo(c.Revision)
 	for ; t.written[c.Agent] < n; t.written[c.Agent]++ {
-		t.changes[t.written[c.Agent]].Written[c.Agent] = c.Written.UnixNano()
+		t.changes[t.written[c.Agent]].Written[c.Agent] = c.WrittenAt.UnixNano()
 	}
-	if c.Held.IsZero() {
+	if c.HeldAt.IsZero() {
 		return
 	}
-	for i := t.upTo(c.After); i < n; i++ {
+	for i := t.upTo(c.SinceRevision); i < n; i++ {
 		at := time.Unix(0, t.changes[i].At)
-		if !at.Before(c.Held) && c.Written.Sub(at) > c.Due+allowance { // it came while the watch waited
+		if !at.Before(c.HeldAt) && c.WrittenAt.Sub(at) > c.QueueDelay+allowance { // it came while the watch waited
 			t.late[i] = true
 		}
 	}
--- a/internal/scale/control/told_test.go
+++ b/internal/scale/control/told_test.go
@@ -32,9 +32,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			done := lists.Call{Agent: 1, Status: c.status, After: 7, Known: true, Revision: 8, Lines: 1, Due: c.due, Written: at.Add(c.written)}
+			done := lists.CallRecord{Agent: 1, Status: c.status, SinceRevision: 7, HasSince: true, Revision: 8, Entries: 1, QueueDelay: c.due, WrittenAt: at.Add(c.written)}
 			if c.held != 0 {
-				done.Held = at.Add(-c.held)
+				done.HeldAt = at.Add(-c.held)
 			}
 			told.done(done)
 			var r StatsReply
@@ -61,7 +61,7 @@
 	}
 	for i, revision := range []uint64{9, 11, 10, 11, 12} {
 		told.heardAt(0, revision, begin.Add(time.Duration(i)))
-		told.done(lists.Call{Status: 200, Revision: revision, Complete: i == 0, Written: begin.Add(time.Duration(10 * i))})
+		told.done(lists.CallRecord{Status: 200, Revision: revision, Complete: i == 0, WrittenAt: begin.Add(time.Duration(10 * i))})
 	}
 	var r StatsReply
 	told.stats(&r)
--- a/internal/scale/hollow/agent.go
+++ b/internal/scale/hollow/agent.go
@@ -88,14 +88,14 @@
 
 // know takes in the names of the settings' classes.
 func (a *agent) know(set *settings.Settings) {
-	a.classOf = make(map[string]int, len(set.Classes))
-	for i, name := range set.Classes {
+	a.classOf = make(map[string]int, len(set.ClassNames))
+	for i, name := range set.ClassNames {
 		a.classOf[name] = i
 	}
 }
 
 // told hands what discovery tells to the module, as the agent's loop does.
-func (a *agent) told(life uint32, n discovery.News) {
+func (a *agent) told(life uint32, n discovery.WatchEvent) {
 	if life != a.life || !a.up {
 		return
 	}
@@ -104,16 +104,16 @@
 		ev := n.Event(a.entries(n.Members))
 		a.handle(ev)
 		a.control = false
-		if n.Mode.Keeps() {
+		if n.Update.KeepsEndpoints() {
 			return
 		}
-		for _, id := range a.servers.Forget(n.Mode, ev.Servers) {
+		for _, id := range a.servers.RemoveGone(n.Update, ev.Endpoints) {
 			delete(a.targets, id)
 		}
 		a.ready = a.servers.Len() > 0 || a.ready
 		a.served = a.served || a.ready
 	})
-	if n.Mode == balancer.ListFull || n.Mode == balancer.ListDelta {
+	if n.Update == balancer.EndpointsReplaced || n.Update == balancer.EndpointsChanged {
 		a.inForce(n.Revision)
 	}
 }
@@ -129,10 +129,10 @@
 }
 
 // entries turns the members of a list into the module's terms and finds the modelled servers behind them.
-func (a *agent) entries(members []discovery.Member) []balancer.ServerEntry {
-	entries := a.servers.Entries(a.set.Load(), members)
+func (a *agent) entries(members []discovery.Member) []balancer.Endpoint {
+	entries := a.servers.Endpoints(a.set.Load(), members)
 	for i, e := range entries {
-		if e.State == balancer.Gone {
+		if e.State == balancer.Removed {
 			continue
 		}
 		if s := a.shard.fleet.at(members[i]); s != nil {
@@ -145,17 +145,17 @@
 // adopt swaps the settings for others, in the module and here, or leaves all as it is, as the agent's loop does.
 func (a *agent) adopt(next *settings.Settings) (err error) {
 	a.shard.cpu.forControl(func() {
-		if err = a.balancer.Adopt(next.Module); err != nil {
+		if err = a.balancer.Adopt(next.Balancer); err != nil {
 			return
 		}
 		old := a.set.Swap(next)
 		a.know(next)
-		if slices.Equal(old.Zones, next.Zones) && slices.Equal(old.Kinds, next.Kinds) || a.servers.Len() == 0 {
+		if slices.Equal(old.ZoneNames, next.ZoneNames) && slices.Equal(old.KindNames, next.KindNames) || a.servers.Len() == 0 {
 			return
 		}
 		// Danger: zones and kinds are positions in the settings' lists, and those have changed under the servers.
 		a.control = true
-		a.handle(balancer.Event{Kind: balancer.EventList, ListMode: balancer.ListFull, Servers: a.entries(a.servers.Members())})
+		a.handle(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: a.entries(a.servers.Members())})
 		a.control = false
 	})
 	return err
@@ -178,31 +178,31 @@
 func (a *agent) act(act *balancer.Action) {
 	c := a.requests[act.Request]
 	switch act.Kind {
-	case balancer.ActSend:
+	case balancer.ActionSend:
 		if c != nil {
 			a.attempt(c, act)
 		}
-	case balancer.ActRefuse:
+	case balancer.ActionReject:
 		if c != nil {
 			a.finish(c, refused)
 		}
-	case balancer.ActFail:
+	case balancer.ActionFail:
 		if c != nil {
 			a.finish(c, failed)
 		}
-	case balancer.ActCancel:
+	case balancer.ActionCancel:
 		if c != nil && act.Attempt < len(c.attempts) {
 			a.giveUpSoon(c, act.Attempt)
 		}
-	case balancer.ActTimer:
+	case balancer.ActionSetTimer:
 		a.shard.queue.push(event{
-			kind: timer, due: a.now + act.Wait, agent: a, life: a.life, token: act.Token, control: a.control,
+			kind: timer, due: a.now + act.Delay, agent: a, life: a.life, token: uint64(act.TimerID), control: a.control,
 		})
-	case balancer.ActProbe:
+	case balancer.ActionHealthCheck:
 		a.probe(act.Server)
-	case balancer.ActFollow:
+	case balancer.ActionPollEndpoints:
 		a.ask()
-	case balancer.ActLog:
+	case balancer.ActionLog:
 		a.shard.counts.Logs++ // nobody reads what so many agents say
 	}
 }
@@ -212,7 +212,7 @@
 	if ev.life != a.life || !a.up {
 		return
 	}
-	fire := func() { a.handle(balancer.Event{Kind: balancer.EventTimer, Token: ev.token}) }
+	fire := func() { a.handle(balancer.Event{Kind: balancer.EventTimer, TimerID: balancer.TimerID(ev.token)}) }
 	if ev.control {
 		a.shard.cpu.forControl(fire)
 	} else {
--- a/internal/scale/hollow/call.go
+++ b/internal/scale/hollow/call.go
@@ -38,7 +38,7 @@
 	agent    *agent
 	life     uint32 // the agent's
 	id       balancer.RequestID
-	effect   balancer.Effect
+	effect   balancer.Idempotency
 	deadline time.Duration
 
 	attempts []*job
@@ -80,12 +80,12 @@
 		a.finish(c, refused)
 		return c
 	}
-	of := &a.set.Load().Module.Classes[class]
-	c.effect, c.id = of.Effect, a.newID()
+	of := &a.set.Load().Balancer.Classes[class]
+	c.effect, c.id = of.Idempotency, a.newID()
 	left := min(r.left, of.Deadline)
 	c.deadline = s.now + left
 	a.requests[c.id] = c
-	a.handle(balancer.Event{Kind: balancer.EventRequest, Request: c.id, Class: class, Left: left})
+	a.handle(balancer.Event{Kind: balancer.EventRequest, Request: c.id, Class: class, Remaining: left})
 	return c
 }
 
@@ -125,7 +125,7 @@
 	c.parent = nil
 	a.finish(c, failed)
 	if a.up {
-		a.handle(balancer.Event{Kind: balancer.EventHangup, Request: c.id})
+		a.handle(balancer.Event{Kind: balancer.EventClientClosed, Request: c.id})
 	}
 	a.forget(c)
 }
@@ -134,14 +134,14 @@
 func (a *agent) attempt(c *call, act *balancer.Action) {
 	s, to := a.shard, a.targets[act.Server]
 	n, left := len(c.attempts), c.deadline-a.now
-	if act.Wait != 0 {
-		left = min(left, act.Wait)
+	if act.Timeout != 0 {
+		left = min(left, act.Timeout)
 	}
 	if c.ended || left <= 0 || to == nil {
-		c.attempts = append(c.attempts, &job{call: c, n: n, over: true, how: balancer.Moot})
+		c.attempts = append(c.attempts, &job{call: c, n: n, over: true, how: balancer.OutcomeExpired})
 		a.events = append(a.events, balancer.Event{
 			Kind: balancer.EventOutcome, Request: c.id, Attempt: n, Server: act.Server,
-			Outcome: balancer.Moot, Closed: c.ended, Load: settings.NoLoad(),
+			Outcome: balancer.OutcomeExpired, Answered: c.ended, Load: settings.UnknownLoad(),
 		})
 		return
 	}
@@ -158,7 +158,7 @@
 
 // mayHaveRun says whether an attempt of the call has run, as far as the agent can know.
 func (c *call) mayHaveRun() bool {
-	never := []balancer.Outcome{balancer.Full, balancer.ConnectFailed, balancer.Moot, balancer.Leaving}
+	never := []balancer.Outcome{balancer.OutcomeRejected, balancer.OutcomeConnectFailed, balancer.OutcomeExpired, balancer.OutcomeServerDraining}
 	return slices.ContainsFunc(c.attempts, func(j *job) bool { return !j.over || !slices.Contains(never, j.how) })
 }
 
@@ -170,11 +170,11 @@
 	}
 	j.over, j.how = true, how
 	c.out--
-	if how == balancer.OK {
+	if how == balancer.OutcomeOK {
 		a.finish(c, served)
 	}
 	a.handle(balancer.Event{
-		Kind: balancer.EventOutcome, Request: c.id, Attempt: j.n, Server: j.id, Outcome: how, Closed: c.ended,
+		Kind: balancer.EventOutcome, Request: c.id, Attempt: j.n, Server: j.id, Outcome: how, Answered: c.ended,
 		Load: l.load(a.set.Load()),
 	})
 	a.forget(c)
@@ -186,14 +186,14 @@
 		return
 	}
 	a.hangsUp(j)
-	a.answered(j, balancer.Timeout, report{})
+	a.answered(j, balancer.OutcomeTimeout, report{})
 }
 
-// giveUpSoon gives up an attempt, as ActCancel says; its outcome is an event of its own.
+// giveUpSoon gives up an attempt, as ActionCancel says; its outcome is an event of its own.
 func (a *agent) giveUpSoon(c *call, n int) {
 	if j := c.attempts[n]; !j.over {
 		a.hangsUp(j)
-		a.shard.queue.push(event{kind: outcome, due: a.shard.now, job: j, outcome: balancer.Cancelled})
+		a.shard.queue.push(event{kind: outcome, due: a.shard.now, job: j, outcome: balancer.OutcomeCancelled})
 	}
 }
 
@@ -216,7 +216,7 @@
 	to := a.targets[id]
 	if to == nil {
 		a.events = append(a.events, balancer.Event{
-			Kind: balancer.EventProbed, Server: id, Outcome: balancer.Moot, Load: settings.NoLoad(),
+			Kind: balancer.EventHealthCheck, Server: id, Outcome: balancer.OutcomeExpired, Load: settings.UnknownLoad(),
 		})
 		return
 	}
@@ -227,12 +227,12 @@
 	if ev.life != a.life || !a.up {
 		return
 	}
-	how := balancer.ConnectFailed
+	how := balancer.OutcomeConnectFailed
 	if ev.ok {
-		how = balancer.OK
+		how = balancer.OutcomeOK
 	}
 	a.handle(balancer.Event{
-		Kind: balancer.EventProbed, Server: balancer.ServerID(ev.token), Outcome: how, Load: ev.load.load(a.set.Load()),
+		Kind: balancer.EventHealthCheck, Server: balancer.ServerID(ev.token), Outcome: how, Load: ev.load.load(a.set.Load()),
 	})
 }
 
--- a/internal/scale/hollow/control_test.go
+++ b/internal/scale/hollow/control_test.go
@@ -85,7 +85,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	l := discovery.List{Revision: &c.revision, Complete: text == "", Members: c.members}
+	l := discovery.EndpointList{Revision: &c.revision, Complete: text == "", Members: c.members}
 	if text != "" {
 		l.Members = []discovery.Member{}
 		for rev := after + 1; rev <= c.revision; rev++ {
--- a/internal/scale/hollow/engine.go
+++ b/internal/scale/hollow/engine.go
@@ -54,7 +54,7 @@
 	called                // a call that it made has ended [job, ok]
 	outcome               // of an attempt, at its caller [job, outcome, load]
 	timedOut              // of an attempt, at its caller [job]
-	timer                 // an ActTimer [agent, life, token, control]
+	timer                 // an ActionSetTimer [agent, life, token, control]
 	probes                // a probe, at its server [agent, life, server]
 	probed                // its answer, at its caller [agent, life, server, load, ok]
 )
--- a/internal/scale/hollow/hollow_test.go
+++ b/internal/scale/hollow/hollow_test.go
@@ -61,7 +61,7 @@
 	var made []time.Time
 	for i := range 3 {
 		m := w.Members(time.Now())[i]
-		m.Phase = "Gone"
+		m.State = "Gone"
 		made = append(made, time.Now())
 		revision := c.change(m)
 		until(t, "all agents have the change", func() bool {
@@ -71,7 +71,7 @@
 	}
 	for i, l := range f.Stats().Lists {
 		for a, at := range l.At {
-			if took := time.Duration(at - made[i].UnixNano()); took < 0 || took > balancer.ToldFailed {
+			if took := time.Duration(at - made[i].UnixNano()); took < 0 || took > balancer.NotifyBoundAfterFailure {
 				t.Errorf("revision %d at agent %d: after %v", l.Revision, a, took)
 			}
 		}
@@ -176,7 +176,7 @@
 			want = 1
 		}
 		deadline := time.Duration(w.Scenario.Classes[w.Services[w.Classes(a.place, false)[0]].Class].DeadlineMS*1000+float64(want)) * time.Microsecond
-		if got := a.set.Load().Module.Classes[0].Deadline; got != deadline {
+		if got := a.set.Load().Balancer.Classes[0].Deadline; got != deadline {
 			t.Errorf("agent %d: deadline %v, want %v", a.place, got, deadline)
 		}
 	}
@@ -221,7 +221,7 @@
 	if r.FailRoots < 800 || r.Doubled != 0 {
 		t.Errorf("%d roots meanwhile, %d calls doubled", r.FailRoots, r.Doubled)
 	}
-	if r.Again[balancer.Pure] == 0 {
+	if r.Again[balancer.Idempotent] == 0 {
 		t.Error("no pure call was tried again")
 	}
 }
--- a/internal/scale/hollow/life.go
+++ b/internal/scale/hollow/life.go
@@ -28,7 +28,7 @@
 	number uint32 // as the shard counts
 	ctx    context.Context
 	stop   context.CancelFunc
-	moves  chan discovery.Place
+	moves  chan discovery.Target
 	ended  chan struct{}
 	conns  conns
 }
@@ -48,21 +48,21 @@
 	if err != nil {
 		return fmt.Errorf("hollow agent %d: %w", a.place, err)
 	}
-	decisions, err := balancer.New(cfg.Settings.Module, cfg.Seed)
+	decisions, err := balancer.New(cfg.Settings.Balancer, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("hollow agent %d: %w", a.place, err)
 	}
-	l := &life{moves: make(chan discovery.Place), ended: make(chan struct{})}
+	l := &life{moves: make(chan discovery.Target), ended: make(chan struct{})}
 	l.ctx, l.stop = context.WithCancel(f.ctx)
 	client := discovery.New(discovery.Options{
-		Addr: cfg.Discovery, Settings: a.set.Load, Tell: func(n discovery.News) { f.tell(a, l, n) }, Count: f.count,
+		Addr: cfg.Discovery, Settings: a.set.Load, Notify: func(n discovery.WatchEvent) { f.tell(a, l, n) }, OnPoll: f.count,
 		Log: f.log, Dial: l.conns.dial, Name: cfg.Name, Relays: cfg.Relays,
 	})
-	client.StartFrom(cfg.Known)
+	client.StartFrom(cfg.CachedEndpoints)
 	a.shard.do(func() {
-		a.begin(cfg, decisions, client.Ask)
+		a.begin(cfg, decisions, client.Poll)
 		l.number = a.life
-		a.told(l.number, discovery.News{Mode: balancer.ListCached, Members: cfg.Known.Members})
+		a.told(l.number, discovery.WatchEvent{Update: balancer.EndpointsCached, Members: cfg.CachedEndpoints.Members})
 	})
 	a.cfg, a.running = cfg, l
 	if o.Revision > a.conf {
@@ -128,8 +128,8 @@
 }
 
 // tell hands news to the agent's shard. It does not wait until they are handled, as a real agent's client does not.
-func (f *Fleet) tell(a *agent, l *life, n discovery.News) {
-	if n.Mode == balancer.ListFull {
+func (f *Fleet) tell(a *agent, l *life, n discovery.WatchEvent) {
+	if n.Update == balancer.EndpointsReplaced {
 		f.calls.whole.Add(1)
 	}
 	a.shard.soon(func() { a.told(l.number, n) })
@@ -137,7 +137,7 @@
 
 // count counts a call of a client. One that the agent itself ended, to start again or to call another service, has not
 // failed.
-func (f *Fleet) count(c discovery.Call) {
+func (f *Fleet) count(c discovery.PollResult) {
 	f.calls.calls.Add(1)
 	if c.Err != nil && !errors.Is(c.Err, context.Canceled) {
 		f.calls.failed.Add(1)
@@ -168,7 +168,7 @@
 	a.cfg, a.conf = next, revision
 	f.source.inForce(a, revision)
 	select {
-	case a.running.moves <- discovery.Place{Addr: next.Discovery, Relays: next.Relays}:
+	case a.running.moves <- discovery.Target{Addr: next.Discovery, Relays: next.Relays}:
 	case <-a.running.ctx.Done():
 	}
 }
--- a/internal/scale/hollow/model_test.go
+++ b/internal/scale/hollow/model_test.go
@@ -51,12 +51,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := balancer.New(cfg.Settings.Module, 1)
+	b, err := balancer.New(cfg.Settings.Balancer, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	a.begin(cfg, b, func() {})
-	a.told(a.life, discovery.News{Mode: balancer.ListFull, Members: m.world.Members(time.Now()), Revision: 1})
+	a.told(a.life, discovery.WatchEvent{Update: balancer.EndpointsReplaced, Members: m.world.Members(time.Now()), Revision: 1})
 	return a
 }
 
@@ -121,9 +121,9 @@
 	}
 	m.run(begun + time.Minute)
 	for i, j := range jobs {
-		want := balancer.OK
+		want := balancer.OutcomeOK
 		if i == 3 || i > 4 {
-			want = balancer.Full
+			want = balancer.OutcomeRejected
 		}
 		if !j.over || j.how != want {
 			t.Errorf("attempt %d: over %v, %v, want %v", i, j.over, j.how, want)
@@ -144,12 +144,12 @@
 		back bool
 		want balancer.Outcome
 	}{
-		{"served", world.Step{}, world.Step{}, true, balancer.OK},
-		{"died before", world.Step{Down: []int{-1}}, world.Step{}, true, balancer.ConnectFailed},
-		{"died meanwhile", world.Step{}, world.Step{Down: []int{-1}}, true, balancer.Reset},
+		{"served", world.Step{}, world.Step{}, true, balancer.OutcomeOK},
+		{"died before", world.Step{Down: []int{-1}}, world.Step{}, true, balancer.OutcomeConnectFailed},
+		{"died meanwhile", world.Step{}, world.Step{Down: []int{-1}}, true, balancer.OutcomeReset},
 		{"vanished before", world.Step{Down: []int{-1}, Silent: true}, world.Step{}, false, 0},
 		{"vanished meanwhile", world.Step{}, world.Step{Down: []int{-1}, Silent: true}, false, 0},
-		{"fails", world.Step{Fail: &yes}, world.Step{}, true, balancer.Error},
+		{"fails", world.Step{Fail: &yes}, world.Step{}, true, balancer.OutcomeError},
 		{"cut off", world.Step{CutRegions: &yes}, world.Step{}, false, 0},
 		{"cut off meanwhile", world.Step{}, world.Step{CutRegions: &yes}, false, 0},
 	} {
@@ -175,7 +175,7 @@
 			}
 			if a.shard.post(a.shard, event{due: j.deadline, kind: timedOut, job: j}); !c.back {
 				m.run(j.deadline + time.Second)
-				if !j.over || j.how != balancer.Timeout {
+				if !j.over || j.how != balancer.OutcomeTimeout {
 					t.Errorf("at its deadline: over %v with %v", j.over, j.how)
 				}
 			}
@@ -260,18 +260,18 @@
 	for _, c := range []struct {
 		how    balancer.ReportMode
 		fields []string
-		want   balancer.Load
+		want   balancer.LoadReport
 	}{
-		{balancer.ReportsOff, []string{"outstanding"}, settings.NoLoad()},
-		{balancer.ReportsInline, nil, settings.NoLoad()},
-		{balancer.ReportsInline, []string{"odd"}, settings.NoLoad()},
-		{balancer.ReportsInline, []string{"backlog", "odd"}, balancer.Load{Known: true, InFlight: -1, Queue: 2, Recent: -1}},
+		{balancer.ReportsOff, []string{"outstanding"}, settings.UnknownLoad()},
+		{balancer.ReportsInline, nil, settings.UnknownLoad()},
+		{balancer.ReportsInline, []string{"odd"}, settings.UnknownLoad()},
+		{balancer.ReportsInline, []string{"backlog", "odd"}, balancer.LoadReport{Known: true, InFlight: -1, Queue: 2, ServiceTime: -1}},
 		{
 			balancer.ReportsInline, []string{"outstanding", "recent_ms"},
-			balancer.Load{Known: true, InFlight: 5, Queue: -1, Recent: 3500 * time.Microsecond},
+			balancer.LoadReport{Known: true, InFlight: 5, Queue: -1, ServiceTime: 3500 * time.Microsecond},
 		},
 	} {
-		set := &settings.Settings{ReportFields: c.fields, Module: balancer.Settings{Reports: c.how}}
+		set := &settings.Settings{ReportFields: c.fields, Balancer: balancer.Settings{Reports: c.how}}
 		if got := r.load(set); got != c.want {
 			t.Errorf("%v %v: %+v, want %+v", c.how, c.fields, got, c.want)
 		}
--- a/internal/scale/hollow/role_test.go
+++ b/internal/scale/hollow/role_test.go
@@ -73,7 +73,7 @@
 func TestStepAsItWas(t *testing.T) {
 	no := false
 	want := StepArgs{world.Step{
-		At: time.Second, Event: 2, Changes: []discovery.Member{{ID: "x", HostPort: "127.0.0.1:1", Phase: "Gone", Size: 0.5, UpSince: 7}},
+		At: time.Second, Event: 2, Changes: []discovery.Member{{ID: "x", Address: "127.0.0.1:1", State: "Gone", Weight: 0.5, StartedAtMillis: 7}},
 		Up: []int{3}, Cold: true, Restart: []int{1, 2}, Forget: true, Fail: &no, ControlDown: &no, Config: 4, Ends: true,
 	}}
 	text, err := want.GobEncode()
--- a/internal/scale/hollow/server.go
+++ b/internal/scale/hollow/server.go
@@ -65,19 +65,19 @@
 }
 
 // load is what an agent takes from a report, by the names of its settings' fields.
-func (r report) load(set *settings.Settings) balancer.Load {
-	l := settings.NoLoad()
-	if !r.known || set.Module.Reports == balancer.ReportsOff {
+func (r report) load(set *settings.Settings) balancer.LoadReport {
+	l := settings.UnknownLoad()
+	if !r.known || set.Balancer.Reports == balancer.ReportsOff {
 		return l
 	}
 	for _, name := range set.ReportFields {
 		switch name {
 		case "outstanding":
-			settings.AddLoad(&l, name, float64(r.inFlight))
+			settings.SetLoadField(&l, name, float64(r.inFlight))
 		case "backlog":
-			settings.AddLoad(&l, name, float64(r.queue))
+			settings.SetLoadField(&l, name, float64(r.queue))
 		case "recent_ms":
-			settings.AddLoad(&l, name, float64(r.recent))
+			settings.SetLoadField(&l, name, float64(r.recent))
 		}
 	}
 	return l
@@ -89,18 +89,18 @@
 	switch {
 	case s.state == silent:
 	case s.state == dead:
-		s.answer(j, balancer.ConnectFailed)
+		s.answer(j, balancer.OutcomeConnectFailed)
 	case f.failing.Load() && s.service == f.world.Deepest:
-		s.answer(j, balancer.Error)
+		s.answer(j, balancer.OutcomeError)
 	case s.shard.now >= j.deadline: // it is over already
-		s.answer(j, balancer.Full)
+		s.answer(j, balancer.OutcomeRejected)
 	case s.busy < s.slots:
 		s.begin(j)
 	case len(s.queue) < f.world.Scenario.Fleet.QueueSlots:
 		j.state = waiting
 		s.queue = append(s.queue, j)
 	default:
-		s.answer(j, balancer.Full)
+		s.answer(j, balancer.OutcomeRejected)
 	}
 }
 
@@ -151,7 +151,7 @@
 			continue
 		}
 		if s.shard.now >= j.deadline {
-			s.conclude(j, balancer.Error)
+			s.conclude(j, balancer.OutcomeError)
 			return
 		}
 		j.child = s.agent.request(request{
@@ -159,7 +159,7 @@
 		})
 		return
 	}
-	s.conclude(j, balancer.OK)
+	s.conclude(j, balancer.OutcomeOK)
 }
 
 // called takes in the end of a call that an attempt made.
@@ -169,7 +169,7 @@
 	}
 	j.child = nil
 	if !ok {
-		s.conclude(j, balancer.Error)
+		s.conclude(j, balancer.OutcomeError)
 		return
 	}
 	s.callNext(j)
@@ -198,7 +198,7 @@
 		next := s.queue[0]
 		s.queue = slices.Delete(s.queue, 0, 1)
 		if s.shard.now >= next.deadline {
-			s.answer(next, balancer.Full)
+			s.answer(next, balancer.OutcomeRejected)
 			continue
 		}
 		s.begin(next)
@@ -237,7 +237,7 @@
 func (s *server) answer(j *job, how balancer.Outcome) {
 	j.state = done
 	ev := event{kind: outcome, due: s.shard.now, job: j, outcome: how}
-	if how == balancer.OK || how == balancer.Error || how == balancer.Full {
+	if how == balancer.OutcomeOK || how == balancer.OutcomeError || how == balancer.OutcomeRejected {
 		ev.load = s.report()
 	}
 	s.shard.travel(s, j.call.agent.server, ev)
@@ -276,7 +276,7 @@
 	child := j.child
 	j.state, j.child = done, nil
 	if to == dead {
-		s.answer(j, balancer.Reset)
+		s.answer(j, balancer.OutcomeReset)
 	}
 	if child != nil {
 		s.agent.hangUp(child)
--- a/internal/scale/hollow/source_test.go
+++ b/internal/scale/hollow/source_test.go
@@ -50,9 +50,9 @@
 		f.source.start(revision, f.clock.Now())
 	}
 	f.reload(a, 2, text(2))
-	newer := a.set.Load().Module.Classes[0].Deadline
+	newer := a.set.Load().Balancer.Classes[0].Deadline
 	f.reload(a, 1, text(1))
-	if got := a.set.Load().Module.Classes[0].Deadline; got != newer || a.conf != 2 {
+	if got := a.set.Load().Balancer.Classes[0].Deadline; got != newer || a.conf != 2 {
 		t.Errorf("deadline %v, revision %d, want %v and 2", got, a.conf, newer)
 	}
 	for _, c := range f.source.since(0) {
--- a/internal/scale/hollow/stats.go
+++ b/internal/scale/hollow/stats.go
@@ -142,7 +142,7 @@
 	r.ControlCPU = r.CPU - r.ModelCPU - r.SourceCPU
 	r.Roots, r.FailRoots = all.Roots[peace], all.Roots[failing]
 	r.Depths, r.Windows = all.depths(), all.windows()
-	r.Again, r.Doubled, r.Logged = all.Again, all.Again[balancer.SideEffect], all.Logs
+	r.Again, r.Doubled, r.Logged = all.Again, all.Again[balancer.NonIdempotent], all.Logs
 	r.Lists = f.lists(heard)
 	r.LagMS = lag.Dist()
 	r.KeptUp = r.LagMS.P99 <= lateP99
--- a/internal/scale/run/steps.go
+++ b/internal/scale/run/steps.go
@@ -311,7 +311,7 @@
 
 // put takes a change of one member into the list of the moment.
 func (p *play) put(m discovery.Member) {
-	if m.Phase == phaseGone {
+	if m.State == phaseGone {
 		delete(p.members, m.ID)
 	} else {
 		p.members[m.ID] = m
--- a/internal/scale/world/config_test.go
+++ b/internal/scale/world/config_test.go
@@ -35,8 +35,8 @@
 		if err != nil {
 			t.Fatalf("agent %d: %v", i, err)
 		}
-		if first.Name != a.Name || (o.Known != nil) != (len(first.Known.Members) > 0) {
-			t.Errorf("agent %d: %s knows %d", i, first.Name, len(first.Known.Members))
+		if first.Name != a.Name || (o.Known != nil) != (len(first.CachedEndpoints.Members) > 0) {
+			t.Errorf("agent %d: %s knows %d", i, first.Name, len(first.CachedEndpoints.Members))
 		}
 		o.Revision = 1
 		if _, err := config.ParseReload(w.Config(i, o), first); err != nil {
@@ -51,8 +51,8 @@
 	lines := make([]map[string]any, len(members))
 	for i, m := range members {
 		lines[i] = map[string]any{
-			"id": m.ID, "host_port": m.HostPort, "locality": m.Locality, "flavor": m.Flavor, "cell": m.Cell,
-			"phase": m.Phase, "size": m.Size, "up_since_ms": m.UpSince,
+			"id": m.ID, "host_port": m.Address, "locality": m.Zone, "flavor": m.Kind, "cell": m.Cell,
+			"phase": m.State, "size": m.Weight, "up_since_ms": m.StartedAtMillis,
 		}
 	}
 	text, err := json.Marshal(map[string]any{"revision": 1, "complete": true, "members": lines})
--- a/internal/scale/world/members.go
+++ b/internal/scale/world/members.go
@@ -17,7 +17,7 @@
 func (w *World) Members(at time.Time) []discovery.Member {
 	out := make([]discovery.Member, 0, len(w.Servers))
 	for i := range w.Servers {
-		if m := w.member(i, ready); m.UpSince <= float64(at.UnixMilli()) {
+		if m := w.member(i, ready); m.StartedAtMillis <= float64(at.UnixMilli()) {
 			out = append(out, m)
 		}
 	}
@@ -28,8 +28,8 @@
 func (w *World) member(server int, phase string) discovery.Member {
 	s := &w.Servers[server]
 	return discovery.Member{
-		ID: s.ID, HostPort: s.Addr, Locality: w.Zones[s.Zone], Flavor: w.Services[s.Service].Name,
-		Cell: s.Zone*w.Scenario.Fleet.Racks + s.Rack, Phase: phase, Size: s.Speed,
-		UpSince: float64(s.Start.Milliseconds()),
+		ID: s.ID, Address: s.Addr, Zone: w.Zones[s.Zone], Kind: w.Services[s.Service].Name,
+		Cell: s.Zone*w.Scenario.Fleet.Racks + s.Rack, State: phase, Weight: s.Speed,
+		StartedAtMillis: float64(s.Start.Milliseconds()),
 	}
 }
--- a/internal/scale/world/steps.go
+++ b/internal/scale/world/steps.go
@@ -184,8 +184,8 @@
 	out := make([]discovery.Member, 0, len(servers))
 	for _, i := range servers {
 		m := s.member(i, phase)
-		m.ID, m.HostPort = s.id(i, s.generation[i]), address(i, s.generation[i])
-		m.UpSince = float64(s.start[i].Milliseconds())
+		m.ID, m.Address = s.id(i, s.generation[i]), address(i, s.generation[i])
+		m.StartedAtMillis = float64(s.start[i].Milliseconds())
 		out = append(out, m)
 	}
 	return out
--- a/internal/scale/world/steps_test.go
+++ b/internal/scale/world/steps_test.go
@@ -120,24 +120,24 @@
 			old, known := list[m.ID]
 			position, ok := w.Position(m.ID)
 			switch {
-			case !ok || m.Flavor != w.Services[w.Servers[position].Service].Name:
+			case !ok || m.Kind != w.Services[w.Servers[position].Service].Name:
 				t.Fatalf("%+v is at %d, %v", m, position, ok)
-			case addrs[m.HostPort] != "" && addrs[m.HostPort] != m.ID:
-				t.Fatalf("%+v has the address of %s", m, addrs[m.HostPort])
-			case m.Phase == "Terminating" && old.Phase != "Ready", m.Phase == "Gone" && old.Phase != "Ready" && old.Phase != "Terminating",
-				m.Phase == "Ready" && known && (old.Phase != "Gone" || m.UpSince <= old.UpSince):
+			case addrs[m.Address] != "" && addrs[m.Address] != m.ID:
+				t.Fatalf("%+v has the address of %s", m, addrs[m.Address])
+			case m.State == "Terminating" && old.State != "Ready", m.State == "Gone" && old.State != "Ready" && old.State != "Terminating",
+				m.State == "Ready" && known && (old.State != "Gone" || m.StartedAtMillis <= old.StartedAtMillis):
 				t.Fatalf("%+v after %+v", m, old)
-			case m.Phase == "Ready" && known == (w.Scenario.Events[step.Event].Kind == "replace"):
+			case m.State == "Ready" && known == (w.Scenario.Events[step.Event].Kind == "replace"):
 				t.Fatalf("%+v comes back by %+v, known %v", m, w.Scenario.Events[step.Event], known)
-			case m.Phase == "Ready" && !(m.UpSince >= float64(begin.UnixMilli()) && m.UpSince <= float64(begin.Add(step.At).UnixMilli())):
+			case m.State == "Ready" && !(m.StartedAtMillis >= float64(begin.UnixMilli()) && m.StartedAtMillis <= float64(begin.Add(step.At).UnixMilli())):
 				t.Fatalf("%+v, listed at %v", m, step.At)
 			}
-			addrs[m.HostPort], list[m.ID] = m.ID, m
+			addrs[m.Address], list[m.ID] = m.ID, m
 		}
 	}
 	ready := 0
 	for _, m := range list {
-		if m.Phase == "Ready" {
+		if m.State == "Ready" {
 			ready++
 		}
 	}
@@ -164,7 +164,7 @@
 			down[i] = false
 		}
 		for _, m := range step.Changes {
-			if i, _ := w.Position(m.ID); m.Phase == "Ready" && down[i] {
+			if i, _ := w.Position(m.ID); m.State == "Ready" && down[i] {
 				t.Errorf("server %d is ready and down at %v", i, step.At)
 			}
 		}
--- a/internal/scale/world/world_test.go
+++ b/internal/scale/world/world_test.go
@@ -240,7 +240,7 @@
 				if err != nil {
 					t.Fatal(err)
 				}
-				if _, err := balancer.New(got.Module, 1); err != nil {
+				if _, err := balancer.New(got.Balancer, 1); err != nil {
 					t.Fatalf("agent %d: %v", i, err)
 				}
 				own := w.Services[w.Servers[a.Server].Service]
@@ -248,12 +248,12 @@
 				if a.Real || want == 0 { // echo, or its own
 					want++
 				}
-				if len(got.Classes) != want {
-					t.Errorf("agent %d of %s has classes %v", i, own.Name, got.Classes)
+				if len(got.ClassNames) != want {
+					t.Errorf("agent %d of %s has classes %v", i, own.Name, got.ClassNames)
 				}
-				for c, class := range got.Module.Classes {
-					if len(class.Kinds) != 1 || got.Kinds[class.Kinds[0]] != got.Classes[c] {
-						t.Errorf("agent %d: class %s is bound to %v", i, got.Classes[c], class.Kinds)
+				for c, class := range got.Balancer.Classes {
+					if len(class.Kinds) != 1 || got.KindNames[class.Kinds[0]] != got.ClassNames[c] {
+						t.Errorf("agent %d: class %s is bound to %v", i, got.ClassNames[c], class.Kinds)
 					}
 				}
 			}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -44,30 +44,30 @@
 	Zone *float64
 }
 
-var effects = map[string]balancer.Effect{
-	"pure": balancer.Pure, "token": balancer.Token, "side_effect": balancer.SideEffect,
+var effects = map[string]balancer.Idempotency{
+	"pure": balancer.Idempotent, "token": balancer.IdempotentWithKey, "side_effect": balancer.NonIdempotent,
 }
 
-var scopes = map[string]balancer.Scope{
-	"": balancer.ScopeAll, "all": balancer.ScopeAll,
-	"zone": balancer.ScopeZone, "cell": balancer.ScopeCell,
+var scopes = map[string]balancer.DedupScope{
+	"": balancer.DedupScopeFleet, "all": balancer.DedupScopeFleet,
+	"zone": balancer.DedupScopeZone, "cell": balancer.DedupScopeCell,
 }
 
 var reportModes = map[string]balancer.ReportMode{
 	"": balancer.ReportsOff, "off": balancer.ReportsOff,
-	"inline": balancer.ReportsInline, "on_probe": balancer.ReportsOnProbe,
+	"inline": balancer.ReportsInline, "on_probe": balancer.ReportsOnHealthCheck,
 }
 
 // Settings is what one text of settings says: the module's part, and the names and limits around it.
 type Settings struct {
-	Module         balancer.Settings
-	Classes        []string // the names behind the module's positions
-	Tenants        []string
-	Zones, Kinds   []string
-	ReportFields   []string      // names of the values in a load report
-	ConnectTimeout time.Duration // a connection that is not up by then has failed
-	IdleClose      time.Duration // a connection that is idle for so long is closed; 0: never
-	DrainGrace     time.Duration // to stop sending to a backend after it has counted as told that it leaves
+	Balancer             balancer.Settings
+	ClassNames           []string // the names behind the module's positions
+	TenantNames          []string
+	ZoneNames, KindNames []string
+	ReportFields         []string      // names of the values in a load report
+	ConnectTimeout       time.Duration // a connection that is not up by then has failed
+	IdleTimeout          time.Duration // a connection that is idle for so long is closed; 0: never
+	DrainGrace           time.Duration // to stop sending to a backend after it has counted as told that it leaves
 }
 
 // Parse reads the settings text.
@@ -77,30 +77,30 @@
 		return Settings{}, fmt.Errorf("settings: %w", err)
 	}
 	all := Settings{
-		Zones: f.Localities, Kinds: f.Skus,
+		ZoneNames: f.Localities, KindNames: f.Skus,
 		ReportFields:   f.Report.Fields,
-		ConnectTimeout: Millis(f.Limits.ConnectTimeout),
-		IdleClose:      Millis(f.Limits.IdleClose),
-		DrainGrace:     Millis(f.Rules.DrainGrace),
+		ConnectTimeout: Milliseconds(f.Limits.ConnectTimeout),
+		IdleTimeout:    Milliseconds(f.Limits.IdleClose),
+		DrainGrace:     Milliseconds(f.Rules.DrainGrace),
 	}
-	s := &all.Module
+	s := &all.Balancer
 	*s = balancer.Settings{
 		Rank: int(f.Rank), Agents: int(f.ReplicasOfMe), Kinds: f.Skus,
-		AskList:        f.Discovery == "subscribe",
-		MustAskIn:      Millis(f.Rules.MustAskIn),
-		Tick:           Millis(f.Tick),
-		MaxAttempts:    int(f.Limits.MaxAttempts),
-		Probes:         f.Limits.Probes,
-		Cancel:         f.Limits.Cancel,
-		SecondCopies:   f.Limits.SecondCopies,
-		RetryAfter:     f.Limits.RetryAfter,
-		MaxRetryAfter:  Millis(f.Limits.MaxRetryAfter),
-		ColdFrom:       f.Rules.ColdFrom,
-		WarmAfter:      Millis(f.Rules.WarmAfter),
-		OverloadFactor: f.Rules.OverloadFactor,
-		ExtraWindow:    Millis(f.Rules.ExtraWindow),
-		ExtraFloor:     f.Rules.ExtraFloor,
-		ExtraRatio:     f.Rules.ResendRatio,
+		PollEndpoints:      f.Discovery == "subscribe",
+		MaxPollInterval:    Milliseconds(f.Rules.MustAskIn),
+		Tick:               Milliseconds(f.Tick),
+		MaxAttempts:        int(f.Limits.MaxAttempts),
+		HealthChecks:       f.Limits.Probes,
+		CancelAttempts:     f.Limits.Cancel,
+		Hedging:            f.Limits.SecondCopies,
+		AdviseRetryAfter:   f.Limits.RetryAfter,
+		MaxRetryAfter:      Milliseconds(f.Limits.MaxRetryAfter),
+		SlowStartMinWeight: f.Rules.ColdFrom,
+		SlowStartDuration:  Milliseconds(f.Rules.WarmAfter),
+		OverloadFactor:     f.Rules.OverloadFactor,
+		RetryBudgetWindow:  Milliseconds(f.Rules.ExtraWindow),
+		RetryBudgetMin:     f.Rules.ExtraFloor,
+		RetryBudgetRatio:   f.Rules.ResendRatio,
 	}
 	s.Zone = -1
 	if f.Zone != nil {
@@ -111,7 +111,7 @@
 		return all, fmt.Errorf("settings: report.how %q is unknown", f.Report.How)
 	}
 	for i, c := range f.Categories {
-		all.Classes = append(all.Classes, c.Name)
+		all.ClassNames = append(all.ClassNames, c.Name)
 		effect, ok := effects[c.Effect]
 		if !ok {
 			return all, fmt.Errorf("settings: categories[%d].effect %q is unknown", i, c.Effect)
@@ -129,21 +129,21 @@
 			return all, fmt.Errorf("settings: categories[%d].boundTo: %w", i, err)
 		}
 		s.Classes = append(s.Classes, balancer.Class{
-			Name: c.Name,
-			Aim:  Millis(c.Aim), Deadline: Millis(c.Deadline), Worth: c.Credit, LateWorth: c.LateWorth,
-			Effect: effect, Scope: scope, Window: Millis(c.RepeatWindow),
+			Name:             c.Name,
+			LatencyObjective: Milliseconds(c.Aim), Deadline: Milliseconds(c.Deadline), PriorityWeight: c.Credit, LateWeight: c.LateWorth,
+			Idempotency: effect, DedupScope: scope, DedupWindow: Milliseconds(c.RepeatWindow),
 			Zones: zones, Kinds: kinds,
 		})
 	}
 	for _, a := range f.Accounts {
-		all.Tenants = append(all.Tenants, a.Name)
-		s.Tenants = append(s.Tenants, balancer.Tenant{Portion: a.Portion})
+		all.TenantNames = append(all.TenantNames, a.Name)
+		s.Tenants = append(s.Tenants, balancer.Tenant{Quota: a.Portion})
 	}
 	return all, nil
 }
 
-// Millis turns milliseconds into a duration; what no duration can hold becomes 0, the absent value.
-func Millis(ms float64) time.Duration {
+// Milliseconds turns milliseconds into a duration; what no duration can hold becomes 0, the absent value.
+func Milliseconds(ms float64) time.Duration {
 	if math.IsNaN(ms) || math.Abs(ms) > 1e12 {
 		return 0
 	}
@@ -165,13 +165,13 @@
 	return out, nil
 }
 
-// NoLoad is a load report without any figure.
-func NoLoad() balancer.Load {
-	return balancer.Load{InFlight: -1, Queue: -1, Recent: -1}
+// UnknownLoad is a load report without any figure.
+func UnknownLoad() balancer.LoadReport {
+	return balancer.LoadReport{InFlight: -1, Queue: -1, ServiceTime: -1}
 }
 
-// AddLoad puts the figure with a name of the settings into a report; what cannot be a figure stays absent.
-func AddLoad(l *balancer.Load, name string, v float64) {
+// SetLoadField puts the figure with a name of the settings into a report; what cannot be a figure stays absent.
+func SetLoadField(l *balancer.LoadReport, name string, v float64) {
 	if math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
 		return
 	}
@@ -182,6 +182,6 @@
 	case "backlog":
 		l.Queue = v
 	case "recent_ms":
-		l.Recent = Millis(v)
+		l.ServiceTime = Milliseconds(v)
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -6,8 +6,8 @@
 func TestZone(t *testing.T) {
 	for text, want := range map[string]int{`{}`: -1, `{"zone":0}`: 0, `{"zone":3}`: 3} {
 		s, err := Parse([]byte(text))
-		if err != nil || s.Module.Zone != want {
-			t.Errorf("%s: zone %d, error %v, want %d", text, s.Module.Zone, err, want)
+		if err != nil || s.Balancer.Zone != want {
+			t.Errorf("%s: zone %d, error %v, want %d", text, s.Balancer.Zone, err, want)
 		}
 	}
 }
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -50,8 +50,8 @@
 )
 
 var outcomes = map[uint8]balancer.Outcome{
-	10: balancer.OK, 20: balancer.Error, 30: balancer.Full, 40: balancer.Timeout,
-	50: balancer.ConnectFailed, 60: balancer.Reset, 70: balancer.Cancelled, 80: balancer.Moot,
+	10: balancer.OutcomeOK, 20: balancer.OutcomeError, 30: balancer.OutcomeRejected, 40: balancer.OutcomeTimeout,
+	50: balancer.OutcomeConnectFailed, 60: balancer.OutcomeReset, 70: balancer.OutcomeCancelled, 80: balancer.OutcomeExpired,
 }
 
 // Kind tells what a Record asks of the adapter.
@@ -83,7 +83,7 @@
 	size   int    // of the body as read
 	left   uint32 // records still to come
 	err    error
-	lists  [manifests][]balancer.ServerEntry
+	lists  [manifests][]balancer.Endpoint
 	fields map[uint32][]string // instance -> names in its load reports
 }
 
@@ -113,10 +113,10 @@
 	if length < clockSize {
 		return 0, 0, d.fail("length is shorter than the header")
 	}
-	if math.IsNaN(clock) || math.Abs(clock) > 1e12 || settings.Millis(clock) < d.now {
+	if math.IsNaN(clock) || math.Abs(clock) > 1e12 || settings.Milliseconds(clock) < d.now {
 		return 0, 0, d.fail("clock is no time or runs backwards")
 	}
-	d.now = settings.Millis(clock)
+	d.now = settings.Milliseconds(clock)
 	d.body.Reset()
 	// The buffer grows with what arrives, never by the length that the frame claims.
 	if _, err := io.CopyN(&d.body, d.in, int64(length-clockSize)); err != nil {
@@ -164,47 +164,47 @@
 		if err != nil {
 			d.fail(err.Error())
 		}
-		rec.Settings, d.fields[rec.Instance] = parsed.Module, parsed.ReportFields
+		rec.Settings, d.fields[rec.Instance] = parsed.Balancer, parsed.ReportFields
 	case evDetach:
 		rec.Kind = Detach
 	case evView:
-		ev.Kind = balancer.EventList
+		ev.Kind = balancer.EventDiscovery
 		d.u64()
 		mode, list := d.u8(), d.u8()
-		ev.ListMode = balancer.ListMode(mode)
-		if mode > uint8(balancer.ListFailed) {
+		ev.Update = balancer.DiscoveryUpdate(mode)
+		if mode > uint8(balancer.PollFailed) {
 			d.fail("unknown list mode")
-		} else if ev.ListMode != balancer.ListFailed {
+		} else if ev.Update != balancer.PollFailed {
 			if list >= manifests {
 				d.fail("no such list number")
 			} else {
-				ev.Servers = d.lists[list]
+				ev.Endpoints = d.lists[list]
 			}
 		}
 	case evAsk:
 		ev.Kind, ev.Request, ev.Tenant = balancer.EventRequest, balancer.RequestID(d.u32()), int(d.u16())
-		ev.Left = d.time()
+		ev.Remaining = d.time()
 		bits := d.u8()
 		d.u64()
 		d.time()
 		ev.Retry = bits&retryBit != 0
 		ev.Class = int(d.u16())
 	case evBegun:
-		ev.Kind, ev.Request = balancer.EventBegun, balancer.RequestID(d.u32())
+		ev.Kind, ev.Request = balancer.EventStreaming, balancer.RequestID(d.u32())
 		d.time()
 		ev.Attempt, ev.Server = int(d.u8()), balancer.ServerID(d.u32())
 	case evReply:
 		ev.Kind, ev.Request = balancer.EventOutcome, balancer.RequestID(d.u32())
 		ev.Attempt, ev.Server, ev.Outcome = int(d.u8()), balancer.ServerID(d.u32()), d.outcome()
 		d.time()
-		ev.Closed = d.u8() != 0
+		ev.Answered = d.u8() != 0
 		ev.Load = d.load(rec.Instance)
 	case evHangup:
-		ev.Kind, ev.Request = balancer.EventHangup, balancer.RequestID(d.u32())
+		ev.Kind, ev.Request = balancer.EventClientClosed, balancer.RequestID(d.u32())
 	case evTimer:
-		ev.Kind, ev.Token = balancer.EventTimer, d.u64()
+		ev.Kind, ev.TimerID = balancer.EventTimer, balancer.TimerID(d.u64())
 	case evCheck:
-		ev.Kind, ev.Server = balancer.EventProbed, balancer.ServerID(d.u32())
+		ev.Kind, ev.Server = balancer.EventHealthCheck, balancer.ServerID(d.u32())
 		ev.Outcome = d.outcome()
 		d.time()
 		ev.Load = d.load(rec.Instance)
@@ -229,7 +229,7 @@
 	if d.err != nil {
 		return
 	}
-	list := make([]balancer.ServerEntry, n)
+	list := make([]balancer.Endpoint, n)
 	for i := range list {
 		e := &list[i]
 		e.ID, e.Zone, e.Kind, e.Cell = balancer.ServerID(d.u32()), int(d.u8()), int(d.u8()), int(d.u16())
@@ -237,19 +237,19 @@
 		if state > uint8(balancer.Draining) {
 			d.fail("unknown server state")
 		}
-		e.State = balancer.ServerState(state)
+		e.State = balancer.EndpointState(state)
 		e.Weight, e.Start = d.f32(), d.time()
 	}
 	d.lists[ref] = list
 }
 
-func (d *Decoder) load(instance uint32) (l balancer.Load) {
+func (d *Decoder) load(instance uint32) (l balancer.LoadReport) {
 	n := int(d.u8())
-	l = settings.NoLoad()
+	l = settings.UnknownLoad()
 	fields := d.fields[instance]
 	for i := range n {
 		if v := d.f32(); i < len(fields) {
-			settings.AddLoad(&l, fields[i], v)
+			settings.SetLoadField(&l, fields[i], v)
 		}
 	}
 	return l
@@ -312,7 +312,7 @@
 }
 
 func (d *Decoder) f32() float64        { return float64(math.Float32frombits(d.u32())) }
-func (d *Decoder) time() time.Duration { return settings.Millis(math.Float64frombits(d.u64())) }
+func (d *Decoder) time() time.Duration { return settings.Milliseconds(math.Float64frombits(d.u64())) }
 
 // Encoder builds one reply frame.
 type Encoder struct{ buf []byte }
@@ -338,33 +338,33 @@
 // Action writes one action of an instance.
 func (e *Encoder) Action(instance uint32, a *balancer.Action) {
 	switch a.Kind {
-	case balancer.ActSend:
+	case balancer.ActionSend:
 		e.head(acPassOn, instance)
 		e.u32(uint32(a.Request))
 		e.u32(uint32(a.Server))
-		e.time(a.Wait)
-	case balancer.ActRefuse:
+		e.time(a.Timeout)
+	case balancer.ActionReject:
 		e.head(acRefuse, instance)
 		e.u32(uint32(a.Request))
-		e.time(a.Wait)
-	case balancer.ActFail:
+		e.time(a.RetryAfter)
+	case balancer.ActionFail:
 		e.head(acFail, instance)
 		e.u32(uint32(a.Request))
-	case balancer.ActCancel:
+	case balancer.ActionCancel:
 		e.head(acUndoSend, instance)
 		e.u32(uint32(a.Request))
 		e.buf = append(e.buf, uint8(a.Attempt))
-	case balancer.ActTimer:
+	case balancer.ActionSetTimer:
 		e.head(acAlarm, instance)
-		e.time(a.Wait)
-		e.buf = binary.BigEndian.AppendUint64(e.buf, a.Token)
-	case balancer.ActProbe:
+		e.time(a.Delay)
+		e.buf = binary.BigEndian.AppendUint64(e.buf, uint64(a.TimerID))
+	case balancer.ActionHealthCheck:
 		e.head(acProbe, instance)
 		e.u32(uint32(a.Server))
-	case balancer.ActFollow:
+	case balancer.ActionPollEndpoints:
 		e.head(acFollow, instance)
 		e.buf = append(e.buf, 1)
-	case balancer.ActLog:
+	case balancer.ActionLog:
 		e.head(acLog, instance)
 		e.text([]byte(a.Text), maxText)
 	}
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -73,29 +73,29 @@
 		t.Fatalf("%d records, error %v", len(recs), err)
 	}
 	s := recs[0].Settings
-	want := balancer.Class{Name: s.Classes[0].Name, Aim: 380 * time.Millisecond, Deadline: 949 * time.Millisecond, Worth: 8,
-		Effect: balancer.Token, Scope: balancer.ScopeCell, Window: 600 * time.Millisecond,
+	want := balancer.Class{Name: s.Classes[0].Name, LatencyObjective: 380 * time.Millisecond, Deadline: 949 * time.Millisecond, PriorityWeight: 8,
+		Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupScopeCell, DedupWindow: 600 * time.Millisecond,
 		Zones: []int{1}, Kinds: []int{}}
 	if recs[0].Kind != Create || recs[0].Seed != 7 || !reflect.DeepEqual(s.Classes[0], want) || s.Rank != 2 || s.Agents != 3 ||
-		s.ExtraWindow != 5*time.Second || s.ExtraFloor != 3 || s.ExtraRatio != 0.2 || !s.AskList || s.MustAskIn != 10*time.Second || s.ColdFrom != 0.12 ||
-		s.Tick != 1500*time.Microsecond || s.Tenants[0].Portion != 0.34 || s.Reports != balancer.ReportsInline {
+		s.RetryBudgetWindow != 5*time.Second || s.RetryBudgetMin != 3 || s.RetryBudgetRatio != 0.2 || !s.PollEndpoints || s.MaxPollInterval != 10*time.Second || s.SlowStartMinWeight != 0.12 ||
+		s.Tick != 1500*time.Microsecond || s.Tenants[0].Quota != 0.34 || s.Reports != balancer.ReportsInline {
 		t.Errorf("settings %+v", s)
 	}
 	l := recs[1].Event
-	if l.ListMode != balancer.ListCached || len(l.Servers) != 2 || l.Servers[1] != (balancer.ServerEntry{
+	if l.Update != balancer.EndpointsCached || len(l.Endpoints) != 2 || l.Endpoints[1] != (balancer.Endpoint{
 		ID: 0x2c9011f2, Zone: 1, Kind: 2, Cell: 5, State: balancer.Draining, Weight: 1.5, Start: 6100 * time.Millisecond}) {
 		t.Errorf("list %+v", l)
 	}
 	r := recs[2].Event
-	if r.Request != 0x5d3a91c4 || r.Tenant != 2 || r.Left != 240*time.Millisecond || !r.Retry || r.Class != 1 {
+	if r.Request != 0x5d3a91c4 || r.Tenant != 2 || r.Remaining != 240*time.Millisecond || !r.Retry || r.Class != 1 {
 		t.Errorf("request %+v", r)
 	}
 	o := recs[5].Event
-	if o.Attempt != 1 || o.Server != 0x03124a07 || o.Outcome != balancer.Full || !o.Closed || !o.Load.Known ||
-		o.Load.InFlight != 7 || o.Load.Queue != 3 || o.Load.Recent >= 0 {
+	if o.Attempt != 1 || o.Server != 0x03124a07 || o.Outcome != balancer.OutcomeRejected || !o.Answered || !o.Load.Known ||
+		o.Load.InFlight != 7 || o.Load.Queue != 3 || o.Load.ServiceTime >= 0 {
 		t.Errorf("outcome %+v", o)
 	}
-	if p := recs[6].Event; p.Kind != balancer.EventProbed || p.Load.Known {
+	if p := recs[6].Event; p.Kind != balancer.EventHealthCheck || p.Load.Known {
 		t.Errorf("probe %+v", p)
 	}
 }
@@ -104,13 +104,13 @@
 	var e Encoder
 	e.Begin(12)
 	for _, a := range []balancer.Action{
-		{Kind: balancer.ActSend, Request: 0x5d3a91c4, Server: 0x03124a07, Wait: 80 * time.Millisecond},
-		{Kind: balancer.ActTimer, Wait: 500 * time.Millisecond, Token: 77},
-		{Kind: balancer.ActRefuse, Request: 0x0e6f2b19, Wait: 250 * time.Millisecond},
-		{Kind: balancer.ActFollow},
-		{Kind: balancer.ActCancel, Request: 0x5d3a91c4},
-		{Kind: balancer.ActFail, Request: 0x0e6f2b19},
-		{Kind: balancer.ActProbe, Server: 0x2c9011f2},
+		{Kind: balancer.ActionSend, Request: 0x5d3a91c4, Server: 0x03124a07, Timeout: 80 * time.Millisecond},
+		{Kind: balancer.ActionSetTimer, Delay: 500 * time.Millisecond, TimerID: 77},
+		{Kind: balancer.ActionReject, Request: 0x0e6f2b19, RetryAfter: 250 * time.Millisecond},
+		{Kind: balancer.ActionPollEndpoints},
+		{Kind: balancer.ActionCancel, Request: 0x5d3a91c4},
+		{Kind: balancer.ActionFail, Request: 0x0e6f2b19},
+		{Kind: balancer.ActionHealthCheck, Server: 0x2c9011f2},
 	} {
 		e.Action(3, &a)
 	}
@@ -127,7 +127,7 @@
 // A list number is reused: events see the list as it was when they came.
 func TestManifestNumbersAreReused(t *testing.T) {
 	recs, err := all(frame(4, manifest+view+"6e 00 00000000"+view))
-	if !errors.Is(err, io.EOF) || len(recs) != 2 || len(recs[0].Event.Servers) != 2 || len(recs[1].Event.Servers) != 0 {
+	if !errors.Is(err, io.EOF) || len(recs) != 2 || len(recs[0].Event.Endpoints) != 2 || len(recs[1].Event.Endpoints) != 0 {
 		t.Fatalf("records %+v, error %v", recs, err)
 	}
 }
@@ -171,11 +171,11 @@
 
 func TestNumbersThatAreNone(t *testing.T) {
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1e300} {
-		if d := settings.Millis(v); d != 0 {
+		if d := settings.Milliseconds(v); d != 0 {
 			t.Errorf("%v became %v", v, d)
 		}
 	}
-	if d := settings.Millis(1.2345); d != 1235*time.Microsecond && d != 1234*time.Microsecond {
+	if d := settings.Milliseconds(1.2345); d != 1235*time.Microsecond && d != 1234*time.Microsecond {
 		t.Errorf("1.2345 ms became %v", d)
 	}
 }
