--- a/internal/lists/listener_test.go
+++ b/internal/lists/listener_test.go
@@ -183,6 +183,7 @@
 				}
 				if !c.read {
 					time.Sleep(c.want) // of the bubble's clock
+					synctest.Wait()    // until the deadline, which is due at the same time, has ended the write
 				}
 				n, err := io.Copy(io.Discard, near)
 				if took := time.Since(began); took != c.want || err != nil {
