--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -1,6 +1,10 @@
 package balancer
 
-import "time"
+import (
+	"fmt"
+	"slices"
+	"time"
+)
 
 // Idempotency says whether a request may run more than once.
 type Idempotency uint8
@@ -104,3 +108,53 @@
 	RetryBudgetMin    float64
 	RetryBudgetRatio  float64
 }
+
+// SettingError says which field of Settings has a value that it cannot have.
+type SettingError struct {
+	// Field is the path of the field, such as Classes[1].Deadline.
+	Field string
+	Value any
+}
+
+func (e *SettingError) Error() string {
+	return fmt.Sprintf("setting %s cannot be %v", e.Field, e.Value)
+}
+
+// check returns a *SettingError of the first field that has a value that it cannot have.
+func (s *Settings) check() error {
+	var first error
+	wrong := func(field string, value any, is bool) {
+		if is && first == nil {
+			first = &SettingError{Field: field, Value: value}
+		}
+	}
+	wrong("Agents", s.Agents, s.Agents < 1)
+	wrong("Rank", s.Rank, s.Rank < 0 || s.Rank >= s.Agents)
+	wrong("MaxAttempts", s.MaxAttempts, s.MaxAttempts < 1)
+	wrong("SlowStartMinWeight", s.SlowStartMinWeight, !(s.SlowStartMinWeight > 0 && s.SlowStartMinWeight <= 1))
+	wrong("SlowStartDuration", s.SlowStartDuration, s.SlowStartDuration < 0)
+	wrong("OverloadFactor", s.OverloadFactor, !(s.OverloadFactor > 0))
+	wrong("RetryBudgetWindow", s.RetryBudgetWindow, s.RetryBudgetWindow < 0)
+	wrong("RetryBudgetMin", s.RetryBudgetMin, !(s.RetryBudgetMin >= 0))
+	wrong("RetryBudgetRatio", s.RetryBudgetRatio, !(s.RetryBudgetRatio >= 0))
+	wrong("Tick", s.Tick, s.Tick < 0)
+	wrong("MaxPollInterval", s.MaxPollInterval, s.PollEndpoints && s.MaxPollInterval <= 0)
+	wrong("Classes", "empty", len(s.Classes) == 0)
+	for i, c := range s.Classes {
+		at := fmt.Sprintf("Classes[%d].", i)
+		wrong(at+"LatencyObjective", c.LatencyObjective, c.LatencyObjective <= 0)
+		wrong(at+"Deadline", c.Deadline, c.Deadline < c.LatencyObjective)
+		wrong(at+"PriorityWeight", c.PriorityWeight, !(c.PriorityWeight >= 0))
+		wrong(at+"Idempotency", c.Idempotency, c.Idempotency > NonIdempotent)
+		wrong(at+"DedupScope", c.DedupScope, c.DedupScope > DedupScopeCell)
+		wrong(at+"DedupWindow", c.DedupWindow, c.DedupWindow < 0)
+		wrong(at+"Zones", c.Zones, slices.ContainsFunc(c.Zones, negative))
+		wrong(at+"Kinds", c.Kinds, slices.ContainsFunc(c.Kinds, negative))
+	}
+	for i, t := range s.Tenants {
+		wrong(fmt.Sprintf("Tenants[%d].Quota", i), t.Quota, !(t.Quota >= 0))
+	}
+	return first
+}
+
+func negative(i int) bool { return i < 0 }
