--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -6,82 +6,83 @@
 )
 
 const (
-	retryRatio = 0.2 // retry budget where none is stated: further attempts for each request, as usual
-	retryFloor = 3.0 // and so many besides,
-	retrySpan  = 5.0 // in any so many seconds
+	defaultRetryBudgetRatio   = 0.2 // retry budget where none is stated: further attempts for each request, as usual
+	defaultRetryBudgetMin     = 3.0 // and so many besides,
+	defaultRetryBudgetSeconds = 5.0 // in any so many seconds
 )
 
 type request struct {
-	id            RequestID
-	class         *class
-	tenant        int
-	deadline, aim time.Duration
-	attempts      []attempt
-	unsent        int // of these, those that ended as Leaving
-	out           int // attempts out
-	ended         bool
-	begun         bool // it cannot be had again, nor its answer
-	draws         int
+	id                  RequestID
+	class               *class
+	tenant              int
+	deadline, objective time.Duration
+	attempts            []attempt
+	unsentAttempts      int // of these, those that ended as Leaving
+	inFlight            int // attempts out
+	finished            bool
+	streaming           bool // it cannot be had again, nor its answer
+	picks               int
 }
 
 type attempt struct {
-	server *server
-	sent   time.Duration
-	ahead  float64 // requests that its server held, and itself
-	blamed float64 // for its silence
-	checks int     // for it
-	out    bool
-	ran    bool // may have run
+	server        *server
+	sentAt        time.Duration
+	queueDepth    float64 // requests that its server held, and itself
+	silenceWeight float64 // for its silence
+	silenceChecks int     // for it
+	inFlight      bool
+	mayHaveRun    bool // may have run
 }
 
-// lost says that its server, which has reported since, holds less than this agent alone has sent it.
-func (a *attempt) lost() bool {
+// isLost says that its server, which has reported since, holds less than this agent alone has sent it.
+func (a *attempt) isLost() bool {
 	s := a.server
-	return s.load.Known && s.loadAt > a.sent && s.load.InFlight >= 0 && s.load.InFlight < float64(s.inFlight)
+	return s.lastReport.Known && s.reportedAt > a.sentAt &&
+		s.lastReport.InFlight >= 0 && s.lastReport.InFlight < float64(s.inFlight)
 }
 
 func (b *Balancer) onRequest(ev *Event) {
-	if ev.Class < 0 || ev.Class >= len(b.classes) || b.open[ev.Request] != nil {
+	if ev.Class < 0 || ev.Class >= len(b.classes) || b.requests[ev.Request] != nil {
 		return
 	}
 	c := b.classes[ev.Class]
 	r := &request{id: ev.Request, class: c, tenant: ev.Tenant}
-	r.deadline, r.aim = b.now+ev.Remaining, b.now+c.LatencyObjective
+	r.deadline, r.objective = b.now+ev.Remaining, b.now+c.LatencyObjective
 	if passed := max(0, c.Deadline-ev.Remaining); !ev.Retry {
-		c.first = ev.Remaining
-	} else if (ev.Remaining - c.first).Abs() > 2*b.set.Tick { // it has all that remains
-		r.aim -= passed
+		c.firstTryTimeout = ev.Remaining
+	} else if (ev.Remaining - c.firstTryTimeout).Abs() > 2*b.settings.Tick { // it has all that remains
+		r.objective -= passed
 	} else {
 		// Danger: a repeat with a first try's share came soon, after a refusal. Were all that may have passed taken
 		// off its aim, a short refusal would be a lasting one. Half of it is the mean.
-		r.aim -= passed / 2
+		r.objective -= passed / 2
 	}
-	if b.now >= r.aim && c.LateWeight > 0 {
-		r.aim = r.deadline // late is still worth something
+	if b.now >= r.objective && c.LateWeight > 0 {
+		r.objective = r.deadline // late is still worth something
 	}
-	b.open[r.id] = r
-	b.taken.add(b.now)
-	if b.now >= r.aim || b.shed(r) || !b.place(r) {
-		b.end(r, true)
+	b.requests[r.id] = r
+	b.requestTimes.add(b.now)
+	if b.now >= r.objective || b.shouldShed(r) || !b.dispatch(r) {
+		b.finish(r, true)
 	}
 }
 
-// may is the right to send: the one place that knows placement, effects, groups, windows and drains.
-func (b *Balancer) may(r *request, s *server) bool {
-	if r.ended || r.begun || b.now >= r.deadline || s.State != Ready || !r.class.eligible(s) ||
-		len(r.attempts)-r.unsent >= b.set.MaxAttempts || r.out > 0 && !b.set.Hedging ||
-		len(r.attempts) > r.unsent && !b.withinBudget() {
+// canSend is the right to send: the one place that knows placement, effects, groups, windows and drains.
+func (b *Balancer) canSend(r *request, s *server) bool {
+	if r.finished || r.streaming || b.now >= r.deadline || s.State != Ready || !r.class.eligible(s) ||
+		len(r.attempts)-r.unsentAttempts >= b.settings.MaxAttempts || r.inFlight > 0 && !b.settings.Hedging ||
+		len(r.attempts) > r.unsentAttempts && !b.withinRetryBudget() {
 		return false
 	}
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		switch {
-		case a.out && a.server == s:
+		case a.inFlight && a.server == s:
 			return false // danger: what swallows one copy swallows the other
-		case !a.ran:
+		case !a.mayHaveRun:
 		case r.class.Idempotency == NonIdempotent:
 			return false // danger: the effect would happen twice
-		case r.class.Idempotency == IdempotentWithKey && (b.now >= a.sent+r.class.DedupWindow ||
+		case r.class.Idempotency == IdempotentWithKey && (b.now >= a.sentAt+r.class.DedupWindow ||
 			r.class.DedupScope == DedupScopeZone && a.server.Zone != s.Zone ||
 			r.class.DedupScope == DedupScopeCell && a.server.Cell != s.Cell):
 			return false // danger: this server does not, or no longer, know the key
@@ -90,126 +91,132 @@
 	return true
 }
 
-// remembered is how long the servers go on to drop a repeat of the request, 0 if they need not. Danger: a
+// dedupRemaining is how long the servers go on to drop a repeat of the request, 0 if they need not. Danger: a
 // connection takes time to come up, and a repeat sent when it is up may be too late.
-func (r *request) remembered(now time.Duration) time.Duration {
-	first := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.ran })
+func (r *request) dedupRemaining(now time.Duration) time.Duration {
+	first := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
 	if first < 0 || r.class.Idempotency != IdempotentWithKey {
 		return 0
 	}
-	return r.attempts[first].sent + r.class.DedupWindow - now
+	return r.attempts[first].sentAt + r.class.DedupWindow - now
 }
 
-// withinBudget says whether one more attempt beyond a request's first keeps the retry budget, a window that
+// withinRetryBudget says whether one more attempt beyond a request's first keeps the retry budget, a window that
 // slides over this agent's requests and further attempts. Danger: retries feed the overload that causes them.
-func (b *Balancer) withinBudget() bool {
-	from := b.now - b.set.RetryBudgetWindow
-	taken, extra := b.taken.since(from+1), b.extra.since(from) // an edge counts against us
-	return float64(extra+1) <= min(b.set.RetryBudgetMin+b.set.RetryBudgetRatio*float64(taken), longestHistory/2)
+func (b *Balancer) withinRetryBudget() bool {
+	from := b.now - b.settings.RetryBudgetWindow
+	taken, extra := b.requestTimes.countSince(from+1), b.retryTimes.countSince(from) // an edge counts against us
+	allowed := b.settings.RetryBudgetMin + b.settings.RetryBudgetRatio*float64(taken)
+	return float64(extra+1) <= min(allowed, maxHistoryLength/2)
 }
 
-// mayRefuse answers whether the client may be told that a further try is harmless.
-func (b *Balancer) mayRefuse(r *request) bool {
+// canReject answers whether the client may be told that a further try is harmless.
+func (b *Balancer) canReject(r *request) bool {
 	return r.class.Idempotency == Idempotent || !slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		known := r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
-			b.now < a.sent+r.class.DedupWindow
-		return a.ran && !known // danger: past the window nobody drops the client's repeat
+			b.now < a.sentAt+r.class.DedupWindow
+		return a.mayHaveRun && !known // danger: past the window nobody drops the client's repeat
 	})
 }
 
 // send is the only way to a server.
 func (b *Balancer) send(r *request, s *server) bool {
-	if !b.may(r, s) {
+	if !b.canSend(r, s) {
 		return false
 	}
-	if l := &r.class.line; b.warmth(s) < 1 {
-		if i := slices.Index(l.servers, s); i >= 0 && b.rng.Float64() >= l.pass[i] {
+	if l := &r.class.candidates; b.minWarmth(s) < 1 {
+		if i := slices.Index(l.servers, s); i >= 0 && b.rng.Float64() >= l.sendChances[i] {
 			return false
 		}
 	}
-	if len(r.attempts) > r.unsent {
-		b.extra.add(b.now)
+	if len(r.attempts) > r.unsentAttempts {
+		b.retryTimes.add(b.now)
 	}
-	within := r.remembered(b.now)
-	r.attempts = append(r.attempts, attempt{server: s, sent: b.now, ahead: b.held(s) + 1, out: true, ran: true})
-	r.out++
+	within := r.dedupRemaining(b.now)
+	r.attempts = append(r.attempts, attempt{
+		server: s, sentAt: b.now, queueDepth: b.inFlightEstimate(s) + 1, inFlight: true, mayHaveRun: true,
+	})
+	r.inFlight++
 	s.inFlight++
-	s.since++
+	s.sentSinceReport++
 	b.act(Action{Kind: ActionSend, Request: r.id, Server: s.ID, Timeout: r.deadline - b.now, DispatchWithin: within})
 	token := timerCheck | TimerID(len(r.attempts)-1)<<32 | TimerID(r.id)
-	b.act(Action{Kind: ActionSetTimer, TimerID: token, Delay: r.class.patient()})
+	b.act(Action{Kind: ActionSetTimer, TimerID: token, Delay: r.class.silenceTimeout()})
 	return true
 }
 
 func (b *Balancer) onOutcome(ev *Event) {
-	r := b.open[ev.Request]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].out {
+	r := b.requests[ev.Request]
+	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].inFlight {
 		return
 	}
 	a := &r.attempts[ev.Attempt]
 	s := a.server
-	a.out, a.ran = false, !ev.Outcome.neverRan()
+	a.inFlight, a.mayHaveRun = false, !ev.Outcome.neverRan()
 	if ev.Outcome == OutcomeServerDraining {
-		r.unsent++
+		r.unsentAttempts++
 	}
-	r.out--
+	r.inFlight--
 	s.inFlight--
-	if a.checks > 0 {
-		s.silent--
+	if a.silenceChecks > 0 {
+		s.silentAttempts--
 	}
-	b.report(s, ev.Load)
-	took := (b.now - a.sent).Seconds()
-	if r.begun { // in the time that the client took for it
+	b.recordReport(s, ev.Load)
+	took := (b.now - a.sentAt).Seconds()
+	if r.streaming { // in the time that the client took for it
 		took = 0
 	}
-	b.judge(r.class, a, ev.Outcome, took/r.class.LatencyObjective.Seconds())
+	b.recordOutcome(r.class, a, ev.Outcome, took/r.class.LatencyObjective.Seconds())
 	if ev.Outcome == OutcomeOK {
-		b.observe(r.class, a, took)
+		b.recordLatency(r.class, a, took)
 	}
-	r.draws = 0
+	r.picks = 0
 	switch {
-	case ev.Answered || ev.Outcome == OutcomeOK || r.ended:
-		b.end(r, false)
-	case r.out > 0:
-	case ev.Outcome == OutcomeTimeout || b.now >= r.aim || !b.place(r): // a further attempt, if it is worth one
-		b.end(r, true)
+	case ev.Answered || ev.Outcome == OutcomeOK || r.finished:
+		b.finish(r, false)
+	case r.inFlight > 0:
+	case ev.Outcome == OutcomeTimeout || b.now >= r.objective || !b.dispatch(r): // a further attempt, if it is worth one
+		b.finish(r, true)
 	}
 }
 
-// end is the only place where a request ends: by the answer of ours that promises most, or as it has one or
+// finish is the only place where a request ends: by the answer of ours that promises most, or as it has one or
 // is gone. A request with attempts out stays known until they are back.
-func (b *Balancer) end(r *request, ours bool) {
-	if ours && r.out > 0 {
+func (b *Balancer) finish(r *request, ours bool) {
+	if ours && r.inFlight > 0 {
 		return // an attempt is still out and may yet serve it
 	}
-	if !r.ended {
-		r.ended = true
-		if ours && b.mayRefuse(r) {
-			b.act(Action{Kind: ActionReject, Request: r.id, RetryAfter: b.advice(r.class)})
+	if !r.finished {
+		r.finished = true
+		if ours && b.canReject(r) {
+			b.act(Action{Kind: ActionReject, Request: r.id, RetryAfter: b.retryAfter(r.class)})
 		} else if ours {
 			b.act(Action{Kind: ActionFail, Request: r.id})
 		}
 		for i := range r.attempts {
-			if b.set.CancelAttempts && r.attempts[i].out {
+			if b.settings.CancelAttempts && r.attempts[i].inFlight {
 				b.act(Action{Kind: ActionCancel, Request: r.id, Attempt: i})
 			}
 		}
 	}
-	if r.out == 0 {
-		delete(b.open, r.id)
+	if r.inFlight == 0 {
+		delete(b.requests, r.id)
 	}
 }
 
-// again sends a second copy of a request whose attempt is silent, while one may still be in time. Danger:
+// hedge sends a second copy of a request whose attempt is silent, while one may still be in time. Danger:
 // servers may swallow some requests and answer others, and only silence tells; dead connections are covered
 // too. Where many are late copies would add to it: then patience outlasts the aim, pairs are crowded and the
 // retry budget ends. It hurts where answers vary widely though nothing is lost.
-func (b *Balancer) again(r *request) {
-	if r.class.Idempotency != NonIdempotent && r.out == 1 && b.now+seconds(r.class.usual.v) < r.aim {
-		r.draws = 0
-		b.place(r)
+func (b *Balancer) hedge(r *request) {
+	if r.class.Idempotency != NonIdempotent && r.inFlight == 1 &&
+		b.now+seconds(r.class.latencySeconds.value) < r.objective {
+		r.picks = 0
+		b.dispatch(r)
 	}
 }
 
-// patient is how long a server's silence is no sign.
-func (c *class) patient() time.Duration { return max(seconds(patience*c.usual.v), c.LatencyObjective) }
+// silenceTimeout is how long a server's silence is no sign.
+func (c *class) silenceTimeout() time.Duration {
+	return max(seconds(silenceLatencies*c.latencySeconds.value), c.LatencyObjective)
+}
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -72,8 +72,8 @@
 }
 
 // draw and line are those of the first class.
-func (x *bench) draw() (a, c *server) { return x.b.draw(x.b.classes[0]) }
-func (x *bench) line() *line          { return &x.b.classes[0].line }
+func (x *bench) draw() (a, c *server) { return x.b.pickPair(x.b.classes[0]) }
+func (x *bench) line() *candidateSet  { return &x.b.classes[0].candidates }
 
 func ready(id ServerID, weight float64) Endpoint {
 	return Endpoint{ID: id, Cell: int(id), Zone: int(id), State: Ready, Weight: weight}
@@ -169,7 +169,7 @@
 		{[]float64{2, 2, 1, 4}, []float64{2.25, 2.25, 4.5}}, // bound min(2/1, 1/2, 5/2) = 0.5, eps 0.25
 		{[]float64{4, 4, 4, 0.1}, []float64{5, 5, 2.1}},     // bound min(4, 2, 4.1/2) = 2, eps 1: the last is negative
 	} {
-		got := pairSums(c.speeds, nil)
+		got := appendPairSums(c.speeds, nil)
 		sum := 0.0
 		if len(got) != len(c.want) {
 			t.Fatalf("speeds %v: %d pairs", c.speeds, len(got))
@@ -202,8 +202,8 @@
 			}
 		}
 	}
-	if math.Abs(alone/n-dedicated) > 0.01 {
-		t.Errorf("dedicated share %v, want %v", alone/n, dedicated)
+	if math.Abs(alone/n-singleServerShare) > 0.01 {
+		t.Errorf("dedicated share %v, want %v", alone/n, singleServerShare)
 	}
 	eps := epsilonShare * min(2.0, 3.0/2, 9.0/2)
 	chi := func(seen []float64, total float64, weights ...float64) (sum float64) {
@@ -233,14 +233,14 @@
 		want       *server
 	}{{1, 2, fast}, {1, 4, slow}, {0, 1, slow}, {2, 5, fast}} {
 		slow.inFlight, fast.inFlight = c.slow, c.fast
-		if got, _ := x.b.shorter(slow, fast); got != c.want {
+		if got, _ := x.b.lessLoaded(slow, fast); got != c.want {
 			t.Errorf("%d and %d in flight: joined server %d", c.slow, c.fast, got.ID)
 		}
 	}
 	slow.inFlight, fast.inFlight = 1, 3
 	first := 0
 	for range 1000 {
-		if got, _ := x.b.shorter(slow, fast); got == slow {
+		if got, _ := x.b.lessLoaded(slow, fast); got == slow {
 			first++
 		}
 	}
@@ -500,15 +500,15 @@
 			if a = one(t, x.ends(1, n, OutcomeServerDraining), ActionSend); a.Server == left {
 				t.Fatalf("class %d: sent to the leaving server", class)
 			}
-			if health := x.b.servers[left].health[class]; health.bad > 0 || x.b.servers[left].full > 0 {
+			if health := x.b.serversByID[left].health[class]; health.failures > 0 || x.b.serversByID[left].skippedUntil > 0 {
 				t.Errorf("class %d: the leaving server is blamed: %+v", class, health)
 			}
 		}
 		if class == unsafe {
 			one(t, x.ends(1, 5, OutcomeError), ActionFail)
 		}
-		if len(x.b.extra) > 0 {
-			t.Errorf("class %d: %d attempts count as further ones", class, len(x.b.extra))
+		if len(x.b.retryTimes) > 0 {
+			t.Errorf("class %d: %d attempts count as further ones", class, len(x.b.retryTimes))
 		}
 	}
 }
@@ -542,10 +542,10 @@
 		t.Errorf("cancelled %+v", a)
 	}
 	none(t, x.ends(1, 0, OutcomeCancelled), ActionSend, ActionReject, ActionFail)
-	if len(x.b.open) != 0 {
+	if len(x.b.requests) != 0 {
 		t.Error("the request is still known")
 	}
-	for _, s := range x.b.ring {
+	for _, s := range x.b.servers {
 		if s.inFlight != 0 {
 			t.Errorf("server %d still has %d in flight", s.ID, s.inFlight)
 		}
@@ -555,12 +555,12 @@
 // Danger: quick errors look like quick, idle servers. One that errs leaves the line; it learns no speed.
 func TestErrorsEjectAndTeachNothing(t *testing.T) {
 	x := start(t, settings(), fleet(6)...)
-	x.b.extra = slices.Repeat(history{x.now}, 9) // none left in the retry budget
+	x.b.retryTimes = slices.Repeat(history{x.now}, 9) // none left in the retry budget
 	bad := one(t, x.ask(1, unsafe), ActionSend).Server
 	x.now += ms
 	x.ends(1, 0, OutcomeError)
-	if s := x.b.servers[bad]; s.slow != 1 {
-		t.Errorf("an error taught that the server is %v times slower", s.slow)
+	if s := x.b.serversByID[bad]; s.slowdown != 1 {
+		t.Errorf("an error taught that the server is %v times slower", s.slowdown)
 	}
 	for id := range RequestID(60) {
 		if a := one(t, x.ask(10+id, unsafe), ActionSend); a.Server == bad {
@@ -582,14 +582,14 @@
 func TestErrorWithoutAnswersIsForAllClasses(t *testing.T) {
 	for _, answered := range []bool{false, true} {
 		x := start(t, settings(), fleet(6)...)
-		s, c := x.b.ring[0], x.b.classes[pure]
-		x.b.judge(c, &attempt{server: s}, OutcomeOK, 0.1)
+		s, c := x.b.servers[0], x.b.classes[pure]
+		x.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
 		if !answered {
 			x.b.now += c.LatencyObjective
 		}
-		x.b.judge(c, &attempt{server: s}, OutcomeError, 0.1)
+		x.b.recordOutcome(c, &attempt{server: s}, OutcomeError, 0.1)
 		for i := range s.health {
-			if out := s.health[i].until > x.b.now; out == answered {
+			if out := s.health[i].ejectedUntil > x.b.now; out == answered {
 				t.Errorf("answered a moment ago: %v, class %d ejected: %v", answered, i, out)
 			}
 		}
@@ -599,9 +599,9 @@
 // Danger: when all servers look bad it is overload or our own blindness; a quarter must stay in use.
 func TestEjectionIsCapped(t *testing.T) {
 	x := start(t, settings(), fleet(9)...)
-	for _, s := range slices.Clone(x.b.ring) {
+	for _, s := range slices.Clone(x.b.servers) {
 		x.draw()
-		x.b.blame(x.b.classes[pure], s, 5, "test")
+		x.b.recordFailure(x.b.classes[pure], s, 5, "test")
 	}
 	x.draw()
 	if n := len(x.line().servers); n != 7 {
@@ -627,7 +627,7 @@
 		}
 	}
 	x.now += time.Second
-	x.b.pressure = 0
+	x.b.overload = 0
 	for id := range RequestID(20) { // the other has all the rest in flight
 		if a := one(t, x.ask(300+id, pure), ActionSend); a.Server == full {
 			return
@@ -643,7 +643,7 @@
 	x := start(t, settings(), list...)
 	count := func(n int) (cold float64) {
 		for id := range RequestID(n) {
-			x.b.pressure = 0
+			x.b.overload = 0
 			for _, a := range x.ask(id, pure) {
 				if a.Kind == ActionSend {
 					if a.Server == 4 {
@@ -655,7 +655,7 @@
 		}
 		return cold / float64(n)
 	}
-	if got := count(4000); got < 0.01 || got > coldMargin*2.5*0.2/4*1.2 {
+	if got := count(4000); got < 0.01 || got > slowStartMargin*2.5*0.2/4*1.2 {
 		t.Errorf("a server at a fifth of its capacity got %v of the traffic of 4", got)
 	}
 	x.now += 10 * time.Second
@@ -668,7 +668,7 @@
 	x.on(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: list})
 	sent := 0
 	for id := range RequestID(4000) {
-		x.b.pressure = 0
+		x.b.overload = 0
 		for _, a := range x.ask(id, pure) {
 			if a.Kind == ActionSend {
 				sent++
@@ -676,7 +676,7 @@
 			}
 		}
 	}
-	if share := float64(sent) / 4000; share > coldMargin*2.5*0.2 || share < 0.1 {
+	if share := float64(sent) / 4000; share > slowStartMargin*2.5*0.2 || share < 0.1 {
 		t.Errorf("a fleet that is all cold got %v of the traffic", share)
 	}
 }
@@ -770,7 +770,7 @@
 				continue
 			}
 			load := LoadReport{Known: true, InFlight: -1, Queue: waiting, ServiceTime: 10 * ms}
-			if x.b.servers[a.Server].Zone != 1 {
+			if x.b.serversByID[a.Server].Zone != 1 {
 				far += 1.0 / 4000
 				load.Queue = 0
 			} else {
@@ -810,7 +810,7 @@
 	list := fleet(8)
 	list[0].Zone, list[7].Zone, list[7].Start = 2, 1, time.Hour
 	x := start(t, s, list...)
-	budget := coldMargin * s.OverloadFactor * s.SlowStartMinWeight / 8
+	budget := slowStartMargin * s.OverloadFactor * s.SlowStartMinWeight / 8
 	if got, _ := x.shares(0); got > 1.2*budget || got < 0.2*budget {
 		t.Errorf("a near cold server got %v of the traffic, its budget is %v", got, budget)
 	}
@@ -818,7 +818,7 @@
 
 // Among many agents each keeps to a few servers, which it hears of often; among few each uses all.
 func TestLineFitsTheFleet(t *testing.T) {
-	for _, c := range []struct{ agents, servers, want int }{{80, 60, 9}, {40, 60, 18}, {3, 15, 15}, {80, 15, shortestLine}} {
+	for _, c := range []struct{ agents, servers, want int }{{80, 60, 9}, {40, 60, 18}, {3, 15, 15}, {80, 15, minCandidates}} {
 		s := settings()
 		s.Agents = c.agents
 		x := start(t, s, fleet(c.servers)...)
@@ -835,7 +835,7 @@
 	x := start(t, s, fleet(6)...)
 	var refused [2]int
 	for id := range RequestID(2000) {
-		x.b.pressure = slack + 0.35
+		x.b.overload = toleratedOverload + 0.35
 		tenant := 0
 		if id%10 == 0 {
 			tenant = 1
@@ -913,7 +913,7 @@
 	none(t, x.on(Event{Kind: EventRequest, Request: 1, Class: 77, Remaining: ms}), ActionSend)
 	x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{ready(9, math.NaN()), ready(10, -3), ready(11, math.Inf(1))}})
 	x.draw()
-	if sum := x.line().speeds.span(0, 99); math.Abs(sum-6) > 1e-9 {
+	if sum := x.line().weightSums.span(0, 99); math.Abs(sum-6) > 1e-9 {
 		t.Errorf("six servers of weight 1 sum to %v", sum)
 	}
 }
@@ -928,8 +928,8 @@
 		x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{
 			ready(ServerID(id+10), 1), {ID: ServerID(id + 9), State: Removed}}})
 	}
-	if len(x.b.open) != 0 || len(x.b.servers) > 7 || len(x.b.ring) > 7 {
-		t.Errorf("%d requests, %d servers left", len(x.b.open), len(x.b.servers))
+	if len(x.b.requests) != 0 || len(x.b.serversByID) > 7 || len(x.b.servers) > 7 {
+		t.Errorf("%d requests, %d servers left", len(x.b.requests), len(x.b.serversByID))
 	}
 }
 
@@ -974,7 +974,7 @@
 		s.Hedging = second
 		x := start(t, s, fleet(2)...)
 		one(t, x.ask(1, pure), ActionSend)
-		if got := x.b.may(x.b.open[1], x.b.ring[0]); got != second {
+		if got := x.b.canSend(x.b.requests[1], x.b.servers[0]); got != second {
 			t.Errorf("second copies %v: may send again %v while one is out", second, got)
 		}
 	}
@@ -988,24 +988,24 @@
 	}
 	for name, learn := range map[string]func(x *bench, s *server){
 		"answers": func(x *bench, s *server) {
-			x.b.observe(x.b.classes[pure], &attempt{server: s, ahead: 1}, []float64{0.1, 0.2}[s.Kind])
+			x.b.recordLatency(x.b.classes[pure], &attempt{server: s, queueDepth: 1}, []float64{0.1, 0.2}[s.Kind])
 		},
 		"answers behind queues": func(x *bench, s *server) {
 			took := []float64{0.1, 0.2}[s.Kind]
-			x.b.report(s, LoadReport{Known: true, InFlight: -1, Queue: 3, ServiceTime: 20 * ms})
-			x.b.observe(x.b.classes[pure], &attempt{server: s, ahead: 4}, 4*took)
+			x.b.recordReport(s, LoadReport{Known: true, InFlight: -1, Queue: 3, ServiceTime: 20 * ms})
+			x.b.recordLatency(x.b.classes[pure], &attempt{server: s, queueDepth: 4}, 4*took)
 		},
 	} {
 		x := start(t, settings(), list...)
 		for i := range 80 {
 			x.b.now += 50 * ms
-			learn(x, x.b.ring[i%8])
+			learn(x, x.b.servers[i%8])
 		}
-		x.b.epoch++
+		x.b.candidateEpoch++
 		x.draw()
 		var speeds [2]float64
-		for _, s := range x.b.ring {
-			speeds[s.Kind] = s.built
+		for _, s := range x.b.servers {
+			speeds[s.Kind] = s.candidateSpeed
 		}
 		if r := speeds[0] / speeds[1]; r < 1.7 || r > 2.2 {
 			t.Errorf("%s: a kind that takes half as long is %v times as fast", name, r)
@@ -1016,22 +1016,22 @@
 // Where reports tell only who waits, those count as held, and a few requests of our own on a server are no crowd.
 func TestQueueAloneIsHeld(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
-	s, r := x.b.ring[0], &request{class: x.b.classes[pure], aim: x.now + time.Second}
+	s, r := x.b.servers[0], &request{class: x.b.classes[pure], objective: x.now + time.Second}
 	told := func(queue float64) {
-		x.b.report(s, LoadReport{Known: true, InFlight: -1, Queue: queue, ServiceTime: 10 * ms})
+		x.b.recordReport(s, LoadReport{Known: true, InFlight: -1, Queue: queue, ServiceTime: 10 * ms})
 	}
-	if told(20); x.b.held(s) < 10 || !x.b.crowded(r, s) {
-		t.Errorf("a queue of 20: %v held, crowded %v", x.b.held(s), x.b.crowded(r, s))
+	if told(20); x.b.inFlightEstimate(s) < 10 || !x.b.isOverloaded(r, s) {
+		t.Errorf("a queue of 20: %v held, crowded %v", x.b.inFlightEstimate(s), x.b.isOverloaded(r, s))
 	}
 	told(0)
-	if s.inFlight = 5; x.b.held(s) != 5 || x.b.crowded(r, s) {
-		t.Errorf("5 of our own and no queue: %v held, crowded %v", x.b.held(s), x.b.crowded(r, s))
+	if s.inFlight = 5; x.b.inFlightEstimate(s) != 5 || x.b.isOverloaded(r, s) {
+		t.Errorf("5 of our own and no queue: %v held, crowded %v", x.b.inFlightEstimate(s), x.b.isOverloaded(r, s))
 	}
 	for range 50 { // one long queue is not the fleet's
 		told(9)
 	}
-	if x.b.pressure > 0 {
-		t.Errorf("pressure %v from one server's queue", x.b.pressure)
+	if x.b.overload > 0 {
+		t.Errorf("pressure %v from one server's queue", x.b.overload)
 	}
 }
 
@@ -1039,16 +1039,16 @@
 func TestBusyPairIsDrawnAgain(t *testing.T) {
 	x := start(t, settings(), fleet(8)...)
 	line := func() []*server { x.draw(); return x.line().servers }()
-	x.b.typical = mean{1, true}
-	r := &request{id: 1, class: x.b.classes[pure], deadline: x.now + time.Second, aim: x.now + time.Second}
+	x.b.typicalWait = mean{1, true}
+	r := &request{id: 1, class: x.b.classes[pure], deadline: x.now + time.Second, objective: x.now + time.Second}
 	line[0].inFlight, line[1].inFlight = 9, 9
-	for r.draws = range draws {
-		if last := r.draws == draws-1; x.b.settle(r, line[0], line[1]) != last {
-			t.Errorf("draw %d: sent %v", r.draws, !last)
+	for r.picks = range maxPicks {
+		if last := r.picks == maxPicks-1; x.b.sendToPair(r, line[0], line[1]) != last {
+			t.Errorf("draw %d: sent %v", r.picks, !last)
 		}
 	}
-	r = &request{id: 2, class: r.class, deadline: r.deadline, aim: r.aim}
-	if !x.b.settle(r, line[2], line[3]) {
+	r = &request{id: 2, class: r.class, deadline: r.deadline, objective: r.objective}
+	if !x.b.sendToPair(r, line[2], line[3]) {
 		t.Error("an idle pair was passed by")
 	}
 }
@@ -1065,12 +1065,12 @@
 			Load: LoadReport{Known: true, InFlight: -1, Queue: 0, ServiceTime: 30 * ms}})
 	}
 	x.on(Event{Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{ready(5, 1)}})
-	fresh := x.b.servers[5]
-	for _, s := range x.b.ring {
+	fresh := x.b.serversByID[5]
+	for _, s := range x.b.servers {
 		if r := x.b.speed(fresh) / x.b.speed(s); r < 0.8 || r > 1.25 {
 			t.Errorf("a new server is %.2f times as fast as server %d", r, s.ID)
 		}
-		if each := x.b.each(s); each < 0.03 || each > 0.08 {
+		if each := x.b.serviceSeconds(s); each < 0.03 || each > 0.08 {
 			t.Errorf("a request takes %.3f s on server %d, want 0.05", each, s.ID)
 		}
 	}
@@ -1085,15 +1085,15 @@
 	x := start(t, settings(), list...)
 	for i := range 80 {
 		x.b.now += 50 * ms
-		s := x.b.ring[i%4]
+		s := x.b.servers[i%4]
 		busy := float64(1 + 3*s.Kind)
-		x.b.report(s, LoadReport{Known: true, InFlight: busy, Queue: -1, ServiceTime: 50 * ms})
+		x.b.recordReport(s, LoadReport{Known: true, InFlight: busy, Queue: -1, ServiceTime: 50 * ms})
 	}
-	x.b.epoch++
+	x.b.candidateEpoch++
 	x.draw()
-	for _, s := range x.b.ring {
-		if math.Abs(s.built-x.b.ring[0].built) > 0.01 {
-			t.Errorf("kind %d has speed %v, kind %d %v", s.Kind, s.built, x.b.ring[0].Kind, x.b.ring[0].built)
+	for _, s := range x.b.servers {
+		if math.Abs(s.candidateSpeed-x.b.servers[0].candidateSpeed) > 0.01 {
+			t.Errorf("kind %d has speed %v, kind %d %v", s.Kind, s.candidateSpeed, x.b.servers[0].Kind, x.b.servers[0].candidateSpeed)
 		}
 	}
 }
@@ -1101,11 +1101,11 @@
 // Attempts that a fresh report does not know are lost: they take no room until the report is old.
 func TestLostAttemptsTakeNoRoom(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
-	s := x.b.ring[0]
+	s := x.b.servers[0]
 	looks := make([]Action, 0, 8)
 	for id := RequestID(1); s.inFlight < 8; id++ {
 		for _, a := range x.ask(id, unsafe) {
-			if r := x.b.open[id]; a.Kind == ActionSetTimer && r.attempts[0].server == s {
+			if r := x.b.requests[id]; a.Kind == ActionSetTimer && r.attempts[0].server == s {
 				looks = append(looks, a)
 			}
 		}
@@ -1113,19 +1113,19 @@
 	for _, look := range looks[:7] {
 		x.on(Event{Kind: EventTimer, TimerID: look.TimerID})
 	}
-	if got := x.b.held(s); got != 8 {
+	if got := x.b.inFlightEstimate(s); got != 8 {
 		t.Errorf("without a report: %v held", got)
 	}
-	x.b.report(s, LoadReport{Known: true, InFlight: 0, Queue: -1, ServiceTime: 10 * ms})
-	if got := x.b.held(s); got != 1 {
+	x.b.recordReport(s, LoadReport{Known: true, InFlight: 0, Queue: -1, ServiceTime: 10 * ms})
+	if got := x.b.inFlightEstimate(s); got != 1 {
 		t.Errorf("by a fresh report, 7 of 8 being silent: %v held", got)
 	}
-	if x.b.now += time.Second; x.b.held(s) < 7.5 {
-		t.Errorf("when the report is old: %v held", x.b.held(s))
+	if x.b.now += time.Second; x.b.inFlightEstimate(s) < 7.5 {
+		t.Errorf("when the report is old: %v held", x.b.inFlightEstimate(s))
 	}
 	x.ends(RequestID(looks[0].TimerID&math.MaxUint32), 0, OutcomeReset)
-	if s.silent != 6 || s.inFlight != 7 {
-		t.Errorf("one of them ended: %d silent of %d", s.silent, s.inFlight)
+	if s.silentAttempts != 6 || s.inFlight != 7 {
+		t.Errorf("one of them ended: %d silent of %d", s.silentAttempts, s.inFlight)
 	}
 }
 
@@ -1133,24 +1133,24 @@
 func TestCrowdNeedsAWidth(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
 	load := LoadReport{Known: true, InFlight: 8, Queue: -1, ServiceTime: 10 * ms}
-	s := x.b.ring[0]
+	s := x.b.servers[0]
 	for range 3 {
-		x.b.report(s, load)
+		x.b.recordReport(s, load)
 	}
-	r := &request{class: x.b.classes[pure], aim: x.now + 400*ms}
-	if x.b.crowded(r, s) {
+	r := &request{class: x.b.classes[pure], objective: x.now + 400*ms}
+	if x.b.isOverloaded(r, s) {
 		t.Error("8 in hand at 10 ms each are no crowd for 400 ms")
 	}
 	load.ServiceTime = 30 * ms
-	x.b.report(s, load)
+	x.b.recordReport(s, load)
 	load.Queue = 0
-	x.b.report(s, load)
-	if s.load.InFlight = 2; x.b.crowded(r, s) {
+	x.b.recordReport(s, load)
+	if s.lastReport.InFlight = 2; x.b.isOverloaded(r, s) {
 		t.Error("where the queue is told, the aim of the request itself is what counts")
 	}
 	load.InFlight, load.ServiceTime, load.Queue = -1, 10*ms, 15
-	x.b.report(s, load)
-	if !x.b.crowded(r, s) {
+	x.b.recordReport(s, load)
+	if !x.b.isOverloaded(r, s) {
 		t.Error("a queue of 15 at a width of 1 is a crowd")
 	}
 }
@@ -1158,11 +1158,11 @@
 // Incident i4d2661: under high pressure only 4% was let through, too little to tell that servers were idle again.
 func TestPressureEasesWithoutNews(t *testing.T) {
 	x := start(t, settings(), fleet(4)...)
-	x.b.eased = x.now
-	x.b.pressure = mostPressure
-	x.now += seconds(4 * easeOver * 0.4) // four half-lives
+	x.b.overloadDecayedAt = x.now
+	x.b.overload = maxOverload
+	x.now += seconds(4 * overloadHalfLifeObjectives * 0.4) // four half-lives
 	x.ask(1, pure)
-	if got := x.b.pressure; got > mostPressure/15 || got <= 0 {
+	if got := x.b.overload; got > maxOverload/15 || got <= 0 {
 		t.Errorf("pressure %v after four half-lives", got)
 	}
 }
@@ -1170,22 +1170,22 @@
 // A class that takes ten times as long is no slow server, even where one server happens to get all of it.
 func TestLongClassIsNoSlowServer(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
-	long, short := x.b.ring[0], x.b.ring[1]
+	long, short := x.b.servers[0], x.b.servers[1]
 	for range 200 {
 		x.b.now += 50 * ms
-		x.b.observe(x.b.classes[byAll], &attempt{server: long, ahead: 1}, 0.5)
-		x.b.observe(x.b.classes[pure], &attempt{server: short, ahead: 1}, 0.05)
+		x.b.recordLatency(x.b.classes[byAll], &attempt{server: long, queueDepth: 1}, 0.5)
+		x.b.recordLatency(x.b.classes[pure], &attempt{server: short, queueDepth: 1}, 0.05)
 	}
-	if long.slow > 1.2 || short.slow < 0.8 {
-		t.Errorf("slowness %v and %v", long.slow, short.slow)
+	if long.slowdown > 1.2 || short.slowdown < 0.8 {
+		t.Errorf("slowness %v and %v", long.slowdown, short.slowdown)
 	}
 	for range 200 {
 		x.b.now += 50 * ms
-		x.b.observe(x.b.classes[pure], &attempt{server: long, ahead: 1}, 0.15)
-		x.b.observe(x.b.classes[pure], &attempt{server: short, ahead: 1}, 0.05)
+		x.b.recordLatency(x.b.classes[pure], &attempt{server: long, queueDepth: 1}, 0.15)
+		x.b.recordLatency(x.b.classes[pure], &attempt{server: short, queueDepth: 1}, 0.05)
 	}
-	if long.slow < 1.4*short.slow {
-		t.Errorf("a server three times slower: slowness %v and %v", long.slow, short.slow)
+	if long.slowdown < 1.4*short.slowdown {
+		t.Errorf("a server three times slower: slowness %v and %v", long.slowdown, short.slowdown)
 	}
 }
 
@@ -1195,12 +1195,12 @@
 	list := fleet(2)
 	list[1].Start = time.Hour
 	x := start(t, settings(), list...)
-	warm, cold := x.b.servers[1], x.b.servers[2]
+	warm, cold := x.b.serversByID[1], x.b.serversByID[2]
 	for range 200 {
-		x.b.observe(x.b.classes[pure], &attempt{server: warm, ahead: 1}, 0.05)
-		x.b.observe(x.b.classes[pure], &attempt{server: cold, ahead: 1}, 0.05/x.b.likely(cold))
+		x.b.recordLatency(x.b.classes[pure], &attempt{server: warm, queueDepth: 1}, 0.05)
+		x.b.recordLatency(x.b.classes[pure], &attempt{server: cold, queueDepth: 1}, 0.05/x.b.expectedWarmth(cold))
 	}
-	if r := cold.slow / warm.slow; r < 0.8 || r > 1.25 {
+	if r := cold.slowdown / warm.slowdown; r < 0.8 || r > 1.25 {
 		t.Errorf("a cold server passes for %v times slower than a warm one of its kind", r)
 	}
 }
@@ -1212,9 +1212,9 @@
 		set := settings()
 		set.Agents = agents
 		x := start(t, set, fleet(2)...)
-		x.b.report(x.b.ring[0], LoadReport{Known: true, InFlight: 8, Queue: -1, ServiceTime: 50 * ms})
+		x.b.recordReport(x.b.servers[0], LoadReport{Known: true, InFlight: 8, Queue: -1, ServiceTime: 50 * ms})
 		x.b.now += 100 * ms // two service times
-		return x.b.held(x.b.ring[0])
+		return x.b.inFlightEstimate(x.b.servers[0])
 	}
 	if few, many := after(4), after(80); few < 6 || many > 1 {
 		t.Errorf("of 8 held two service times ago, %v count among 4 agents and %v among 80", few, many)
@@ -1224,14 +1224,14 @@
 // Our own queue at a server is not its slowness.
 func TestOwnQueueIsNoSlowness(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
-	busy, idle := x.b.ring[0], x.b.ring[1]
+	busy, idle := x.b.servers[0], x.b.servers[1]
 	for range 300 {
 		x.b.now += 50 * ms
-		x.b.observe(x.b.classes[pure], &attempt{server: busy, ahead: 4}, 0.4)
-		x.b.observe(x.b.classes[pure], &attempt{server: idle, ahead: 1}, 0.1)
+		x.b.recordLatency(x.b.classes[pure], &attempt{server: busy, queueDepth: 4}, 0.4)
+		x.b.recordLatency(x.b.classes[pure], &attempt{server: idle, queueDepth: 1}, 0.1)
 	}
-	if busy.slow > 1.2*idle.slow {
-		t.Errorf("slowness %v with four times the wait for three of our own, %v with none", busy.slow, idle.slow)
+	if busy.slowdown > 1.2*idle.slowdown {
+		t.Errorf("slowness %v with four times the wait for three of our own, %v with none", busy.slowdown, idle.slowdown)
 	}
 }
 
@@ -1267,7 +1267,7 @@
 			}
 		}
 		for id := range RequestID(60) {
-			x.b.pressure, x.b.extra = 0, nil
+			x.b.overload, x.b.retryTimes = 0, nil
 			acts := x.ask(id, pure)
 			if check(acts); any && id == 0 {
 				one(t, acts, ActionSend)
@@ -1316,7 +1316,7 @@
 	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = time.Second, 2, 0.5
 	x := start(t, s, fleet(20)...)
 	again := func(id RequestID) bool {
-		x.b.pressure = 0
+		x.b.overload = 0
 		one(t, x.ask(id, pure), ActionSend)
 		acts := x.ends(id, 0, OutcomeRejected)
 		return len(acts) > 0 && acts[0].Kind == ActionSend
@@ -1349,7 +1349,7 @@
 	late := 0
 	for id := range RequestID(60) {
 		x.now += 10 * ms
-		x.b.pressure = 0
+		x.b.overload = 0
 		left := 550 * ms // a first try: a share of the deadline of a second
 		if id%3 == 2 {
 			left = 850 * ms // a last try
@@ -1357,8 +1357,8 @@
 		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Class: pure, Remaining: left, Retry: id%3 == 2}) {
 			if a.Kind == ActionReject {
 				late++
-			} else if r := x.b.open[id]; a.Kind == ActionSend && id%3 == 2 && r.aim != x.now+250*ms {
-				t.Fatalf("a last try's aim is in %v, want 250ms", r.aim-x.now)
+			} else if r := x.b.requests[id]; a.Kind == ActionSend && id%3 == 2 && r.objective != x.now+250*ms {
+				t.Fatalf("a last try's aim is in %v, want 250ms", r.objective-x.now)
 			}
 		}
 		x.ends(id, 0, OutcomeOK)
@@ -1373,34 +1373,34 @@
 func TestBusyServerSurvivesSingleFailures(t *testing.T) {
 	for _, how := range []Outcome{OutcomeError, OutcomeReset} {
 		x := start(t, settings(), fleet(3)...)
-		s, c := x.b.servers[1], x.b.classes[pure]
+		s, c := x.b.serversByID[1], x.b.classes[pure]
 		for range 20 {
-			x.b.judge(c, &attempt{server: s}, OutcomeOK, 0.1)
-			x.b.judge(c, &attempt{server: s}, how, 0.1)
+			x.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
+			x.b.recordOutcome(c, &attempt{server: s}, how, 0.1)
 		}
-		if s.health[pure].until > x.b.now {
+		if s.health[pure].ejectedUntil > x.b.now {
 			t.Errorf("outcome %d: ejected for single failures", how)
 		}
 		for range 2 {
-			x.b.judge(c, &attempt{server: s}, how, 0.1)
+			x.b.recordOutcome(c, &attempt{server: s}, how, 0.1)
 		}
-		if s.health[pure].until <= x.b.now {
+		if s.health[pure].ejectedUntil <= x.b.now {
 			t.Errorf("outcome %d: three failures in a row did not eject", how)
 		}
 	}
 	x := start(t, settings(), fleet(3)...)
 	sent := x.ask(1, pure)
-	s, check := x.b.servers[one(t, sent, ActionSend).Server], one(t, sent, ActionSetTimer)
+	s, check := x.b.serversByID[one(t, sent, ActionSend).Server], one(t, sent, ActionSetTimer)
 	x.now += check.Delay / 2
 	x.on(Event{Kind: EventTimer}) // brings the module's clock up to date
-	x.b.judge(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
+	x.b.recordOutcome(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
 	x.now += check.Delay / 2
-	if x.on(Event{Kind: EventTimer, TimerID: check.TimerID}); s.health[pure].bad > 0 {
-		t.Errorf("blamed %v for a costly request", s.health[pure].bad)
+	if x.on(Event{Kind: EventTimer, TimerID: check.TimerID}); s.health[pure].failures > 0 {
+		t.Errorf("blamed %v for a costly request", s.health[pure].failures)
 	}
 	x.now += time.Second
 	for s.inFlight < 2 { // one that it does not answer, and nothing else
-		id := RequestID(len(x.b.open) + 2)
+		id := RequestID(len(x.b.requests) + 2)
 		sent = x.ask(id, pure)
 	}
 	check = one(t, sent, ActionSetTimer)
@@ -1408,7 +1408,7 @@
 		x.now += check.Delay
 		x.on(Event{Kind: EventTimer, TimerID: check.TimerID})
 	}
-	if s.health[pure].until <= x.now {
+	if s.health[pure].ejectedUntil <= x.now {
 		t.Error("a server that has fallen silent was not ejected")
 	}
 }
@@ -1423,7 +1423,7 @@
 	for id, left := range map[RequestID]time.Duration{20: 600 * ms, 21: 700 * ms} {
 		x.on(Event{Kind: EventRequest, Request: id, Class: pure, Remaining: left, Retry: true})
 	}
-	if early, late := x.b.open[20].aim-x.now, x.b.open[21].aim-x.now; early != 200*ms || late != 100*ms {
+	if early, late := x.b.requests[20].objective-x.now, x.b.requests[21].objective-x.now; early != 200*ms || late != 100*ms {
 		t.Errorf("aims in %v and %v, want 200ms and 100ms", early, late)
 	}
 }
@@ -1434,10 +1434,10 @@
 		set := settings()
 		set.Agents = agents
 		x := start(t, set, fleet(1)...)
-		x.b.report(x.b.servers[1], LoadReport{Known: true, InFlight: -1, Queue: 1, ServiceTime: 10 * ms})
+		x.b.recordReport(x.b.serversByID[1], LoadReport{Known: true, InFlight: -1, Queue: 1, ServiceTime: 10 * ms})
 		for held := 1; ; held++ {
-			x.b.servers[1].load.InFlight = float64(held)
-			if x.b.crowded(&request{aim: x.now + time.Second}, x.b.servers[1]) {
+			x.b.serversByID[1].lastReport.InFlight = float64(held)
+			if x.b.isOverloaded(&request{objective: x.now + time.Second}, x.b.serversByID[1]) {
 				return held
 			}
 		}
@@ -1452,19 +1452,19 @@
 func TestServerWithoutRoomIsPassedBy(t *testing.T) {
 	for _, how := range []Outcome{OutcomeConnectFailed, OutcomeRejected} {
 		x := start(t, settings(), fleet(3)...)
-		s, c := x.b.servers[1], x.b.classes[pure]
-		x.b.report(s, LoadReport{Known: true, InFlight: 2, Queue: -1, ServiceTime: 10 * ms})
-		x.b.judge(c, &attempt{server: s}, OutcomeOK, 0.1)
-		x.b.service.add(0.01, 1)
+		s, c := x.b.serversByID[1], x.b.classes[pure]
+		x.b.recordReport(s, LoadReport{Known: true, InFlight: 2, Queue: -1, ServiceTime: 10 * ms})
+		x.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
+		x.b.latencySeconds.add(0.01, 1)
 		for range 5 {
-			x.b.judge(c, &attempt{server: s, sent: x.b.now}, how, 0.1)
-			if s.full <= x.b.now {
+			x.b.recordOutcome(c, &attempt{server: s, sentAt: x.b.now}, how, 0.1)
+			if s.skippedUntil <= x.b.now {
 				t.Errorf("outcome %d: not passed by", how)
 			}
-			x.b.now, s.used = s.full, s.full // it has answered others
+			x.b.now, s.lastAnswer = s.skippedUntil, s.skippedUntil // it has answered others
 		}
-		if s.health[pure].until > x.b.now || x.b.pressure > 0 {
-			t.Errorf("outcome %d: ejected until %v, pressure %v", how, s.health[pure].until, x.b.pressure)
+		if s.health[pure].ejectedUntil > x.b.now || x.b.overload > 0 {
+			t.Errorf("outcome %d: ejected until %v, pressure %v", how, s.health[pure].ejectedUntil, x.b.overload)
 		}
 	}
 }
@@ -1474,32 +1474,32 @@
 func TestPressureFollowsReports(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
 	report := func(held float64) {
-		for _, s := range x.b.ring {
-			x.b.report(s, LoadReport{Known: true, InFlight: -1, Queue: held, ServiceTime: 20 * ms})
+		for _, s := range x.b.servers {
+			x.b.recordReport(s, LoadReport{Known: true, InFlight: -1, Queue: held, ServiceTime: 20 * ms})
 		}
 	}
 	for range 20 {
 		report(2)
 	}
-	x.b.pressure = mostPressure
+	x.b.overload = maxOverload
 	for range 12 {
 		report(0)
 	}
-	if x.b.pressure > 0 {
-		t.Errorf("pressure %v, though all reports tell of room", x.b.pressure)
+	if x.b.overload > 0 {
+		t.Errorf("pressure %v, though all reports tell of room", x.b.overload)
 	}
-	for _, s := range x.b.ring {
-		s.full = x.now + time.Second
+	for _, s := range x.b.servers {
+		s.skippedUntil = x.now + time.Second
 	}
-	if one(t, x.ask(1, pure), ActionReject); x.b.pressure > 0 {
-		t.Errorf("pressure %v for a pair that is passed by", x.b.pressure)
+	if one(t, x.ask(1, pure), ActionReject); x.b.overload > 0 {
+		t.Errorf("pressure %v for a pair that is passed by", x.b.overload)
 	}
-	for _, s := range x.b.ring {
-		s.full = 0
+	for _, s := range x.b.servers {
+		s.skippedUntil = 0
 	}
 	report(40)
-	x.b.pressure = 0
-	if one(t, x.ask(2, pure), ActionReject); x.b.pressure == 0 {
+	x.b.overload = 0
+	if one(t, x.ask(2, pure), ActionReject); x.b.overload == 0 {
 		t.Error("no pressure for a pair that is crowded")
 	}
 }
@@ -1548,8 +1548,8 @@
 	x := start(t, settings(), fleet(8)...)
 	on := func(class int, id ServerID) bool {
 		c := x.b.classes[class]
-		x.b.draw(c)
-		return slices.Contains(c.line.servers, x.b.servers[id])
+		x.b.pickPair(c)
+		return slices.Contains(c.candidates.servers, x.b.serversByID[id])
 	}
 	bad := one(t, x.ask(1, unsafe), ActionSend).Server
 	x.now += 900 * ms
@@ -1558,23 +1558,23 @@
 		t.Fatalf("after a silent unsafe request: out for unsafe %v, for pure %v", !on(unsafe, bad), !on(pure, bad))
 	}
 	for range 20 {
-		x.b.judge(x.b.classes[pure], &attempt{server: x.b.servers[bad]}, OutcomeOK, 0.1)
+		x.b.recordOutcome(x.b.classes[pure], &attempt{server: x.b.serversByID[bad]}, OutcomeOK, 0.1)
 	}
 	if on(unsafe, bad) {
 		t.Error("good answers of another class brought it back")
 	}
 	x.b.now += 500 * ms // and it has not answered for a while
-	x.b.judge(x.b.classes[pure], &attempt{server: x.b.servers[bad]}, OutcomeError, 0.1)
+	x.b.recordOutcome(x.b.classes[pure], &attempt{server: x.b.serversByID[bad]}, OutcomeError, 0.1)
 	for class := range x.b.classes {
 		if on(class, bad) {
 			t.Errorf("failed two classes, but serves class %d", class)
 		}
 	}
-	other := x.b.ring[0].ID
+	other := x.b.servers[0].ID
 	if other == bad {
-		other = x.b.ring[1].ID
+		other = x.b.servers[1].ID
 	}
-	x.b.judge(x.b.classes[pure], &attempt{server: x.b.servers[other]}, OutcomeConnectFailed, 0.1)
+	x.b.recordOutcome(x.b.classes[pure], &attempt{server: x.b.serversByID[other]}, OutcomeConnectFailed, 0.1)
 	if on(unsafe, other) {
 		t.Error("it takes no connections, but it is still sent unsafe requests")
 	}
@@ -1584,24 +1584,24 @@
 // not have healthy servers ejected. Several in a row eject.
 func TestOneResetEjectsNobody(t *testing.T) {
 	x := start(t, settings(), fleet(8)...)
-	s := x.b.ring[0]
+	s := x.b.servers[0]
 	for _, quiet := range []time.Duration{0, 100 * ms, 5 * time.Second} {
-		x.b.judge(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
+		x.b.recordOutcome(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
 		x.b.now += quiet
-		x.b.judge(x.b.classes[pure], &attempt{server: s}, OutcomeReset, 0.1)
+		x.b.recordOutcome(x.b.classes[pure], &attempt{server: s}, OutcomeReset, 0.1)
 		for class := range x.b.classes {
-			if s.health[class].until > x.b.now {
+			if s.health[class].ejectedUntil > x.b.now {
 				t.Errorf("ejected for class %d by one reset, %v after an answer", class, quiet)
 			}
 		}
 	}
-	dead := x.b.ring[1]
+	dead := x.b.servers[1]
 	for _, how := range []Outcome{OutcomeReset, OutcomeConnectFailed} { // its process has died
-		x.b.judge(x.b.classes[pure], &attempt{server: s}, OutcomeReset, 0.1)
-		x.b.judge(x.b.classes[pure], &attempt{server: dead, sent: x.b.now}, how, 0.1)
+		x.b.recordOutcome(x.b.classes[pure], &attempt{server: s}, OutcomeReset, 0.1)
+		x.b.recordOutcome(x.b.classes[pure], &attempt{server: dead, sentAt: x.b.now}, how, 0.1)
 	}
 	for _, s := range []*server{s, dead} {
-		if s.health[unsafe].until <= x.b.now {
+		if s.health[unsafe].ejectedUntil <= x.b.now {
 			t.Error("not ejected by three resets in a row, or one and a refused connection")
 		}
 	}
@@ -1611,15 +1611,15 @@
 func TestCostlyRequestEjectsNobody(t *testing.T) {
 	x := start(t, settings(), fleet(8)...)
 	for i := range x.b.classes {
-		x.b.classes[i].usual = mean{0.02, true} // the others are quick
+		x.b.classes[i].latencySeconds = mean{0.02, true} // the others are quick
 	}
 	sent := x.ask(1, pure)
-	s, check := x.b.servers[one(t, sent, ActionSend).Server], one(t, sent, ActionSetTimer)
+	s, check := x.b.serversByID[one(t, sent, ActionSend).Server], one(t, sent, ActionSetTimer)
 	aim := x.b.classes[pure].LatencyObjective
 	for x.now += check.Delay; x.now <= time.Hour+aim; x.now += check.Delay {
 		x.on(Event{Kind: EventTimer, TimerID: check.TimerID})
 	}
-	if s.health[pure].until > x.now {
+	if s.health[pure].ejectedUntil > x.now {
 		t.Error("ejected within the aim")
 	}
 }
@@ -1628,21 +1628,21 @@
 func TestSilenceIsCountedOnce(t *testing.T) {
 	x := start(t, settings(), fleet(6)...)
 	acts := x.ask(1, unsafe)
-	s := x.b.servers[one(t, acts, ActionSend).Server]
+	s := x.b.serversByID[one(t, acts, ActionSend).Server]
 	h := &s.health[unsafe]
 	for _, want := range []float64{0.5, 1} {
 		a := one(t, acts, ActionSetTimer)
 		x.now += a.Delay
-		before := h.until
+		before := h.ejectedUntil
 		acts = x.on(Event{Kind: EventTimer, TimerID: a.TimerID})
-		if ejected := h.until > before; ejected != (want == 1) {
+		if ejected := h.ejectedUntil > before; ejected != (want == 1) {
 			t.Fatalf("after silence worth %v: ejected %v", want, ejected)
 		}
 	}
-	h.until, h.bad = 0, 0
+	h.ejectedUntil, h.failures = 0, 0
 	x.ends(1, 0, OutcomeTimeout)
-	if h.bad != 0 {
-		t.Errorf("the time-out counted %v again", h.bad)
+	if h.failures != 0 {
+		t.Errorf("the time-out counted %v again", h.failures)
 	}
 }
 
@@ -1674,13 +1674,13 @@
 	for part, want := range map[float64]bool{0.1: false, 0.9: true} {
 		x := start(t, settings(), fleet(9)...)
 		for range 20 {
-			x.b.late.add(part, gain)
+			x.b.objectiveUsage.add(part, sampleWeight)
 		}
 		for i := range 4 {
-			x.b.silent(x.b.classes[pure], &attempt{server: x.b.ring[i]}, 0.5)
+			x.b.recordSilence(x.b.classes[pure], &attempt{server: x.b.servers[i]}, 0.5)
 		}
-		if got := x.b.pressure > slack; got != want {
-			t.Errorf("answers take %v of their aims: pressure %v after four servers fell silent", part, x.b.pressure)
+		if got := x.b.overload > toleratedOverload; got != want {
+			t.Errorf("answers take %v of their aims: pressure %v after four servers fell silent", part, x.b.overload)
 		}
 	}
 }
@@ -1691,15 +1691,15 @@
 	s.AdviseRetryAfter = true
 	x := start(t, s)
 	calm := one(t, x.ask(1, pure), ActionReject).RetryAfter
-	x.b.pressure = 1
+	x.b.overload = 1
 	if busy := one(t, x.ask(2, unsafe), ActionReject).RetryAfter; calm <= 0 || busy <= calm {
 		t.Errorf("advice %v, under pressure %v", calm, busy)
 	}
-	x.b.set.MaxRetryAfter = calm / 2
+	x.b.settings.MaxRetryAfter = calm / 2
 	if a := one(t, x.ask(3, pure), ActionReject); a.RetryAfter != calm/2 {
 		t.Errorf("advice %v where clients heed %v at most", a.RetryAfter, calm/2)
 	}
-	x.b.set.AdviseRetryAfter = false
+	x.b.settings.AdviseRetryAfter = false
 	if a := one(t, x.ask(4, pure), ActionReject); a.RetryAfter != 0 {
 		t.Errorf("advice %v where the settings allow none", a.RetryAfter)
 	}
@@ -1722,18 +1722,18 @@
 // A server that answers other classes and swallows one is ejected for that one by its time-outs.
 func TestSwallowedClassIsEjected(t *testing.T) {
 	x := start(t, settings(), fleet(8)...)
-	s, c := x.b.ring[0], x.b.classes[unsafe]
-	x.b.judge(c, &attempt{server: s}, OutcomeOK, 0.1)
+	s, c := x.b.servers[0], x.b.classes[unsafe]
+	x.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
 	for range 3 {
-		a := attempt{server: s, sent: x.b.now}
+		a := attempt{server: s, sentAt: x.b.now}
 		x.b.now += time.Second
-		x.b.judge(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
-		x.b.judge(c, &a, OutcomeTimeout, 1)
+		x.b.recordOutcome(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
+		x.b.recordOutcome(c, &a, OutcomeTimeout, 1)
 	}
-	if s.health[unsafe].until <= x.b.now {
+	if s.health[unsafe].ejectedUntil <= x.b.now {
 		t.Error("not ejected for the class that it swallows")
 	}
-	if s.health[pure].until > x.b.now {
+	if s.health[pure].ejectedUntil > x.b.now {
 		t.Error("ejected for a class that it answers")
 	}
 }
@@ -1741,17 +1741,17 @@
 // A server counts as avoided while it is ejected for all classes, and only while it is in the list.
 func TestAvoided(t *testing.T) {
 	x := start(t, settings(), fleet(5)...)
-	s := x.b.servers[1]
+	s := x.b.serversByID[1]
 	x.b.now = x.now
-	x.b.blame(x.b.classes[pure], s, 1, "test")
+	x.b.recordFailure(x.b.classes[pure], s, 1, "test")
 	if n := x.b.EjectedEndpoints(x.now); n != 0 {
 		t.Errorf("ejected for one class: %d avoided", n)
 	}
-	x.b.blame(x.b.classes[unsafe], s, 1, "test") // the second class has all eject it
+	x.b.recordFailure(x.b.classes[unsafe], s, 1, "test") // the second class has all eject it
 	if n := x.b.EjectedEndpoints(x.now); n != 1 {
 		t.Errorf("ejected for all classes: %d avoided", n)
 	}
-	if n := x.b.EjectedEndpoints(s.health[pure].until + time.Hour); n != 0 {
+	if n := x.b.EjectedEndpoints(s.health[pure].ejectedUntil + time.Hour); n != 0 {
 		t.Errorf("when it is over: %d avoided", n)
 	}
 	s.State = Removed
@@ -1765,15 +1765,15 @@
 func TestAdopt(t *testing.T) {
 	s := settings()
 	x := start(t, s, fleet(3)...)
-	x.b.classes[unsafe].usual = mean{0.123, true}
-	x.b.blame(x.b.classes[unsafe], x.b.servers[1], 0.5, "test")
+	x.b.classes[unsafe].latencySeconds = mean{0.123, true}
+	x.b.recordFailure(x.b.classes[unsafe], x.b.serversByID[1], 0.5, "test")
 	x.ask(1, pure)
 	x.ask(2, byAll)
 
 	broken := settings()
 	broken.MaxAttempts = 0
-	if err := x.b.Adopt(broken); err == nil || x.b.set.MaxAttempts != s.MaxAttempts {
-		t.Fatalf("broken settings: error %v, %d attempts", err, x.b.set.MaxAttempts)
+	if err := x.b.Adopt(broken); err == nil || x.b.settings.MaxAttempts != s.MaxAttempts {
+		t.Fatalf("broken settings: error %v, %d attempts", err, x.b.settings.MaxAttempts)
 	}
 
 	next := settings()
@@ -1785,16 +1785,16 @@
 		t.Fatal(err)
 	}
 	c := x.b.classes[1]
-	if c.usual.v != 0.123 || x.b.servers[1].health[c.index].bad != 0.5 || x.b.servers[1].health[x.b.classes[0].index].bad != 0 {
-		t.Errorf("what was learnt has not stayed with its class: %+v", x.b.servers[1].health)
+	if c.latencySeconds.value != 0.123 || x.b.serversByID[1].health[c.index].failures != 0.5 || x.b.serversByID[1].health[x.b.classes[0].index].failures != 0 {
+		t.Errorf("what was learnt has not stayed with its class: %+v", x.b.serversByID[1].health)
 	}
 	none(t, x.ends(1, 0, OutcomeConnectFailed), ActionSend) // one attempt is all
-	if acts := x.ends(2, 0, OutcomeOK); len(x.b.open) > 0 {
+	if acts := x.ends(2, 0, OutcomeOK); len(x.b.requests) > 0 {
 		t.Errorf("requests under way are still open after %+v", acts)
 	}
 	send := one(t, x.ask(3, 0), ActionSend)
 	none(t, x.ends(3, 0, OutcomeReset), ActionSend, ActionReject) // it may have run, and never twice
-	if send.Request != 3 || x.b.open[3] != nil {
+	if send.Request != 3 || x.b.requests[3] != nil {
 		t.Errorf("a request of the new class: %+v", send)
 	}
 }
@@ -1835,20 +1835,20 @@
 		x.ask(1, pure)
 		x.on(Event{Kind: EventStreaming, Request: 1})
 		acts := x.ends(1, 0, how)
-		if none(t, acts, ActionSend); one(t, acts, ActionReject).Request != 1 || len(x.b.open) > 0 {
+		if none(t, acts, ActionSend); one(t, acts, ActionReject).Request != 1 || len(x.b.requests) > 0 {
 			t.Errorf("outcome %d: %+v", how, acts)
 		}
 	}
 	x := start(t, settings(), fleet(3)...)
 	acts := x.ask(1, pure)
-	s, check := x.b.servers[one(t, acts, ActionSend).Server], one(t, acts, ActionSetTimer)
-	usual := x.b.classes[pure].usual
+	s, check := x.b.serversByID[one(t, acts, ActionSend).Server], one(t, acts, ActionSetTimer)
+	usual := x.b.classes[pure].latencySeconds
 	x.on(Event{Kind: EventStreaming, Request: 1})
 	x.now += 20 * time.Second
 	none(t, x.on(Event{Kind: EventTimer, TimerID: check.TimerID}), ActionSend, ActionSetTimer)
 	x.ends(1, 0, OutcomeOK)
-	if s.health[pure].bad > 0 || x.b.classes[pure].usual != usual || x.b.ahead.known || len(x.b.open) > 0 {
-		t.Errorf("blamed %v, usual answer %v, was %v", s.health[pure].bad, x.b.classes[pure].usual, usual)
+	if s.health[pure].failures > 0 || x.b.classes[pure].latencySeconds != usual || x.b.queueDepth.known || len(x.b.requests) > 0 {
+		t.Errorf("blamed %v, usual answer %v, was %v", s.health[pure].failures, x.b.classes[pure].latencySeconds, usual)
 	}
 }
 
@@ -1867,18 +1867,18 @@
 	}{{[]string{"large", "small"}, true}, {[]string{"small", "large"}, false}, {nil, false}} {
 		x := start(t, set, list...)
 		for i := range 80 {
-			s := x.b.ring[i%8]
-			x.b.observe(x.b.classes[pure], &attempt{server: s, ahead: 1}, []float64{0.1, 0.2}[s.Kind])
+			s := x.b.servers[i%8]
+			x.b.recordLatency(x.b.classes[pure], &attempt{server: s, queueDepth: 1}, []float64{0.1, 0.2}[s.Kind])
 		}
-		for _, s := range x.b.ring {
-			s.slow = 1
+		for _, s := range x.b.servers {
+			s.slowdown = 1
 		}
 		next := set
 		next.Kinds = c.kinds
 		if err := x.b.Adopt(next); err != nil {
 			t.Fatal(err)
 		}
-		ratio := x.b.speed(x.b.servers[1]) / x.b.speed(x.b.servers[2])
+		ratio := x.b.speed(x.b.serversByID[1]) / x.b.speed(x.b.serversByID[2])
 		if c.stays != (ratio > 1.5) {
 			t.Errorf("kinds are %v now: the speeds' ratio is %v", c.kinds, ratio)
 		}
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	dedicated       = 0.1 // p: a little blind traffic keeps agents from moving as one
-	epsilonShare    = 0.5 // of the bound on epsilon: farthest from both ends, where a pair starves
-	agentsPerServer = 12  // agents that share a server: fewer spread unevenly, more know it late
-	requestsEach    = 10  // requests in retrySpan for each server of the line: busier agents use more servers
-	shortestLine    = 6   // servers on a line at least: two may be out and pairs still differ
-	speedStep       = 0.1 // change of speed that is worth a new line; less is noise
+	singleServerShare    = 0.1 // p: a little blind traffic keeps agents from moving as one
+	epsilonShare         = 0.5 // of the bound on epsilon: farthest from both ends, where a pair starves
+	agentsPerServer      = 12  // agents that share a server: fewer spread unevenly, more know it late
+	requestsPerCandidate = 10  // recent requests for each server of the line: busier agents use more servers
+	minCandidates        = 6   // servers on a line at least: two may be out and pairs still differ
+	speedTolerance       = 0.1 // change of speed that is worth a new line; less is noise
 )
 
-// line is what the requests of one class are drawn from: only servers that are open to it.
-type line struct {
-	servers  []*server // in the design's order
-	mu       []float64 // their present speeds
-	speeds   sums      // of these
-	pairs    sums      // of the pairs' weights
-	farther  float64
-	pass     []float64     // chance that a send to a server is let through while it is cold
-	usualSum float64       // speed of the line when all of it is warm, its highest of late
-	epoch    int           // of the Balancer when it was built
-	next     time.Duration // when time alone changes it
+// candidateSet is what the requests of one class are drawn from: only servers that are open to it.
+type candidateSet struct {
+	servers      []*server // in the design's order
+	weights      []float64 // their present speeds
+	weightSums   sums      // of these
+	pairSums     sums      // of the pairs' weights
+	remoteWeight float64
+	sendChances  []float64     // chance that a send to a server is let through while it is cold
+	peakSpeed    float64       // speed of the line when all of it is warm, its highest of late
+	epoch        int           // of the Balancer when it was built
+	expiresAt    time.Duration // when time alone changes it
 }
 
 // eligible is placement: whether a class may ever go to a server.
@@ -35,25 +35,25 @@
 		(c.Kinds == nil || slices.Contains(c.Kinds, s.Kind))
 }
 
-// rebuild makes a class's line, the first open to it on this agent's ring of those near and of those far, and the
-// sums that its draws use.
-func (b *Balancer) rebuild(c *class) {
-	l := &c.line
-	l.epoch, l.next, l.servers, l.farther = b.epoch, math.MaxInt64, l.servers[:0], b.farther()
+// rebuildCandidates makes a class's line, the first open to it on this agent's ring of those near and of those far,
+// and the sums that its draws use.
+func (b *Balancer) rebuildCandidates(c *class) {
+	l := &c.candidates
+	l.epoch, l.expiresAt, l.servers, l.remoteWeight = b.candidateEpoch, math.MaxInt64, l.servers[:0], b.remoteWeight()
 	// Danger: agents x servers connections fill all tables; many teach little, few are overloaded.
-	size := max(shortestLine, agentsPerServer*len(b.ring)/b.set.Agents,
-		b.taken.since(b.now-seconds(retrySpan))/requestsEach)
+	size := max(minCandidates, agentsPerServer*len(b.servers)/b.settings.Agents,
+		b.requestTimes.countSince(b.now-seconds(defaultRetryBudgetSeconds))/requestsPerCandidate)
 	var usual, cold float64 // speed of all servers when they are warm, and of the cold ones on the line
 	var on, of [2]float64   // servers on the line and open to it, far and near
-	for _, s := range b.ring {
-		until, near := s.health[c.index].until, b.near(s)
+	for _, s := range b.servers {
+		until, near := s.health[c.index].ejectedUntil, b.localityOf(s)
 		if s.State != Ready || !c.eligible(s) {
 			continue
 		}
 		usual += b.speed(s)
 		of[near]++
 		if until > b.now {
-			l.next = min(l.next, until)
+			l.expiresAt = min(l.expiresAt, until)
 		} else if int(on[near]) < size {
 			on[near]++
 			l.servers = append(l.servers, s)
@@ -61,41 +61,41 @@
 	}
 	// Neighbours are of like size: ties are broken evenly and would blur unlike speeds, or send to and fro.
 	slices.SortStableFunc(l.servers, func(x, y *server) int {
-		return cmp.Or(cmp.Compare(b.near(x), b.near(y)), cmp.Compare(x.base, y.base))
+		return cmp.Or(cmp.Compare(b.localityOf(x), b.localityOf(y)), cmp.Compare(x.listedSpeed, y.listedSpeed))
 	})
-	l.speeds, l.pass, l.mu = l.speeds[:0], l.pass[:0], l.mu[:0]
+	l.weightSums, l.sendChances, l.weights = l.weightSums[:0], l.sendChances[:0], l.weights[:0]
 	for _, s := range l.servers {
-		speed, w := b.speed(s), b.warmth(s)
-		s.built = speed * b.likely(s)
-		drawn := s.built
-		if b.near(s) == 0 && on[1] > 0 {
-			drawn *= l.farther
+		speed, w := b.speed(s), b.minWarmth(s)
+		s.candidateSpeed = speed * b.expectedWarmth(s)
+		drawn := s.candidateSpeed
+		if b.localityOf(s) == 0 && on[1] > 0 {
+			drawn *= l.remoteWeight
 		}
-		l.mu, l.speeds = append(l.mu, drawn), l.speeds.add(drawn)
+		l.weights, l.weightSums = append(l.weights, drawn), l.weightSums.add(drawn)
 		if w < 1 {
 			cold += drawn
-			l.next = min(l.next, b.now+b.set.SlowStartDuration/64)
+			l.expiresAt = min(l.expiresAt, b.now+b.settings.SlowStartDuration/64)
 		}
 	}
-	sum := l.speeds.span(0, len(l.servers))
-	l.usualSum = max(usual, l.usualSum*0.99)
-	l.pairs = pairSums(l.mu, l.pairs[:0])
+	sum := l.weightSums.span(0, len(l.servers))
+	l.peakSpeed = max(usual, l.peakSpeed*0.99)
+	l.pairSums = appendPairSums(l.weights, l.pairSums[:0])
 	for j, s := range l.servers {
 		pass := 1.0
-		if w := b.warmth(s); w < 1 {
+		if w := b.minWarmth(s); w < 1 {
 			// Danger: all agents together push it over. Even if it wins each of its pairs, and what it turns
 			// away comes again, it gets its present share of the traffic of the agents that have it on their line.
-			inflow := (dedicated*l.mu[j] + (1-dedicated)*l.pairs.span(j-1, j+1)) / sum
-			share := b.speed(s) / l.usualSum * of[b.near(s)] / on[b.near(s)]
-			pass = min(1, coldMargin*b.set.OverloadFactor*w*share/inflow)
-			pass /= 1 + (draws-1)*cold/sum*(1-pass)
+			inflow := (singleServerShare*l.weights[j] + (1-singleServerShare)*l.pairSums.span(j-1, j+1)) / sum
+			share := b.speed(s) / l.peakSpeed * of[b.localityOf(s)] / on[b.localityOf(s)]
+			pass = min(1, slowStartMargin*b.settings.OverloadFactor*w*share/inflow)
+			pass /= 1 + (maxPicks-1)*cold/sum*(1-pass)
 		}
-		l.pass = append(l.pass, pass)
+		l.sendChances = append(l.sendChances, pass)
 	}
 }
 
-// pairSums appends the running sums of the pairs' weights, speed plus epsilon.
-func pairSums(mu []float64, sums sums) sums {
+// appendPairSums appends the running sums of the pairs' weights, speed plus epsilon.
+func appendPairSums(mu []float64, sums sums) sums {
 	n := len(mu)
 	if n < 2 {
 		return sums
--- a/internal/balancer/cold_test.go
+++ b/internal/balancer/cold_test.go
@@ -82,7 +82,7 @@
 			case ActionSetTimer:
 				heap.Push(&due, happening{now + a.Delay, p, lives[p], Event{Kind: EventTimer, TimerID: a.TimerID}})
 			case ActionSend:
-				r := all[p].open[a.Request]
+				r := all[p].requests[a.Request]
 				if now >= started && int(a.Server) <= c.cold {
 					sent[a.Server] = append(sent[a.Server], now)
 				}
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -47,78 +47,78 @@
 
 type server struct {
 	Endpoint
-	rank     float64       // place on the ring of all servers
-	base     float64       // speed by the list's first weight
-	slow     float64       // times slower than its kind, learnt
-	built    float64       // speed in the present line
-	used     time.Duration // when it last answered over a connection, 0 if never
-	inFlight int           // own attempts out
-	silent   int           // of these, those that have been silent for longer than the patience
-	since    int           // sends since the last report
-	load     LoadReport    // its last report
-	loadAt   time.Duration
-	probing  bool
-	full     time.Duration // passed by until then: it had no room
-	resets   int           // of its connections since it last answered
-	health   []health      // by class
+	hashKey            float64       // place on the ring of all servers
+	listedSpeed        float64       // speed by the list's first weight
+	slowdown           float64       // times slower than its kind, learnt
+	candidateSpeed     float64       // speed in the present line
+	lastAnswer         time.Duration // when it last answered over a connection, 0 if never
+	inFlight           int           // own attempts out
+	silentAttempts     int           // of these, those that have been silent for longer than the patience
+	sentSinceReport    int           // sends since the last report
+	lastReport         LoadReport    // its last report
+	reportedAt         time.Duration
+	healthCheckPending bool
+	skippedUntil       time.Duration // passed by until then: it had no room
+	resetsInRow        int           // of its connections since it last answered
+	health             []classHealth // by class
 }
 
 func (s *server) restart(e *Endpoint) {
-	s.slow, s.full, s.resets, s.used, s.load.Known = 1, 0, 0, 0, false
+	s.slowdown, s.skippedUntil, s.resetsInRow, s.lastAnswer, s.lastReport.Known = 1, 0, 0, 0, false
 	clear(s.health)
-	if s.base = e.Weight; !(e.Weight > 0 && e.Weight < math.MaxFloat32) {
-		s.base = 1
+	if s.listedSpeed = e.Weight; !(e.Weight > 0 && e.Weight < math.MaxFloat32) {
+		s.listedSpeed = 1
 	}
 }
 
-func (b *Balancer) onList(ev *Event) {
+func (b *Balancer) onDiscovery(ev *Event) {
 	if ev.Update.KeepsEndpoints() {
-		b.scheduleListCall(ev)
+		b.schedulePoll(ev)
 		return
 	}
-	b.epoch, b.listFailures, b.listRefusals = b.epoch+1, 0, 0
-	if ev.Update == EndpointsCached && b.set.PollEndpoints {
-		b.scheduleListCall(ev)
+	b.candidateEpoch, b.pollFailures, b.pollRejections = b.candidateEpoch+1, 0, 0
+	if ev.Update == EndpointsCached && b.settings.PollEndpoints {
+		b.schedulePoll(ev)
 	}
 	if ev.Update != EndpointsChanged {
-		for _, s := range b.ring { // who is absent from a whole list is gone
+		for _, s := range b.servers { // who is absent from a whole list is gone
 			s.State = Removed
 		}
 	}
 	for i := range ev.Endpoints {
 		e := &ev.Endpoints[i]
-		if s := b.entry(e); s != nil {
-			if s.base == 0 || s.Start != e.Start {
+		if s := b.findOrAdd(e); s != nil {
+			if s.listedSpeed == 0 || s.Start != e.Start {
 				s.restart(e) // a new process: nothing learnt of the old one holds
 			}
 			s.Endpoint = *e
 		}
 	}
-	b.ring = slices.DeleteFunc(b.ring, func(s *server) bool {
+	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
 		if s.State != Removed || s.inFlight > 0 {
 			return false
 		}
-		delete(b.servers, s.ID)
+		delete(b.serversByID, s.ID)
 		return true
 	})
-	b.sortRing()
+	b.sortServers()
 }
 
-// entry finds the server of a line of the list, or puts it last on the ring; one not known that is gone stays so.
-func (b *Balancer) entry(e *Endpoint) *server {
-	s := b.servers[e.ID]
+// findOrAdd finds the server of a line of the list, or puts it last on the ring; one not known that is gone stays so.
+func (b *Balancer) findOrAdd(e *Endpoint) *server {
+	s := b.serversByID[e.ID]
 	if s == nil && e.State != Removed {
-		s = &server{rank: b.order(e.ID), health: make([]health, len(b.names))}
-		b.servers[e.ID], b.ring = s, append(b.ring, s)
+		s = &server{hashKey: b.hashKey(e.ID), health: make([]classHealth, len(b.classNames))}
+		b.serversByID[e.ID], b.servers = s, append(b.servers, s)
 	}
 	return s
 }
 
-// order places a server on this agent's ring by rendezvous hashing: one that comes or goes moves no other.
-func (b *Balancer) order(id ServerID) float64 {
-	return -float64(rand.NewPCG(uint64(id), uint64(b.set.Rank)).Uint64())
+// hashKey places a server on this agent's ring by rendezvous hashing: one that comes or goes moves no other.
+func (b *Balancer) hashKey(id ServerID) float64 {
+	return -float64(rand.NewPCG(uint64(id), uint64(b.settings.Rank)).Uint64())
 }
 
-func (b *Balancer) sortRing() {
-	slices.SortFunc(b.ring, func(x, y *server) int { return cmp.Compare(x.rank, y.rank) })
+func (b *Balancer) sortServers() {
+	slices.SortFunc(b.servers, func(x, y *server) int { return cmp.Compare(x.hashKey, y.hashKey) })
 }
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -198,8 +198,8 @@
 				t.Fatalf("request %d was lost", id)
 			}
 		}
-		if len(b.open) != 0 {
-			t.Fatalf("%d requests left in the table", len(b.open))
+		if len(b.requests) != 0 {
+			t.Fatalf("%d requests left in the table", len(b.requests))
 		}
 	})
 }
--- a/internal/balancer/speed.go
+++ b/internal/balancer/speed.go
@@ -6,51 +6,51 @@
 )
 
 const (
-	gain      = 0.15 // weight of a sample of one server: a dozen settle a mean
-	fleetGain = gain / 4
-	kindDoubt = 8.0 // answers after which a kind's learnt speed counts as much as the list's weights
-	maxSlow   = 8.0 // slower than this is the business of ejection
+	sampleWeight      = 0.15 // weight of a sample of one server: a dozen settle a mean
+	fleetSampleWeight = sampleWeight / 4
+	kindPriorAnswers  = 8.0 // answers after which a kind's learnt speed counts as much as the list's weights
+	maxSlowdown       = 8.0 // slower than this is the business of ejection
 )
 
-// kind is what servers of one kind of machine have in common.
-type kind struct {
-	ratio mean    // time of an answer over its class's
-	seen  float64 // answers that its pace was learnt from
+// machineKind is what servers of one kind of machine have in common.
+type machineKind struct {
+	latencyRatio mean    // time of an answer over its class's
+	answers      float64 // answers that its pace was learnt from
 }
 
-func (b *Balancer) kind(s *server) *kind {
-	k := b.kinds[s.Kind]
+func (b *Balancer) kindOf(s *server) *machineKind {
+	k := b.machineKinds[s.Kind]
 	if k == nil {
-		k = &kind{ratio: mean{1, true}}
-		b.kinds[s.Kind] = k
+		k = &machineKind{latencyRatio: mean{1, true}}
+		b.machineKinds[s.Kind] = k
 	}
 	return k
 }
 
-// observe learns from how long an answer took beside others of its class, for each request that was ahead of it
+// recordLatency learns from how long an answer took beside others of its class, for each request that was ahead of it
 // and itself. Danger: the service time that servers report covers the last request or two, and a server that is
 // done with a costly one tells of it until the next.
-func (b *Balancer) observe(c *class, a *attempt, took float64) {
+func (b *Balancer) recordLatency(c *class, a *attempt, took float64) {
 	s := a.server
 	if took <= 0 {
 		return // within a tick: it tells no speed
 	}
-	b.ahead.add(a.ahead, fleetGain)
-	ratio, k := took/c.usual.v*b.ahead.v/a.ahead, b.kind(s)
-	c.usual.add(min(took, 4*c.usual.v), fleetGain)
-	b.service.add(took, fleetGain)
-	if b.warmth(s) == 1 || k.seen == 0 { // a cold server is no example
-		k.seen, b.seen = k.seen+1, b.seen+1
-		k.ratio.add(min(ratio, 4), max(fleetGain, 1/(k.seen+kindDoubt/2)))
+	b.queueDepth.add(a.queueDepth, fleetSampleWeight)
+	ratio, k := took/c.latencySeconds.value*b.queueDepth.value/a.queueDepth, b.kindOf(s)
+	c.latencySeconds.add(min(took, 4*c.latencySeconds.value), fleetSampleWeight)
+	b.latencySeconds.add(took, fleetSampleWeight)
+	if b.minWarmth(s) == 1 || k.answers == 0 { // a cold server is no example
+		k.answers, b.kindAnswers = k.answers+1, b.kindAnswers+1
+		k.latencyRatio.add(min(ratio, 4), max(fleetSampleWeight, 1/(k.answers+kindPriorAnswers/2)))
 	}
-	b.slower(s, ratio*b.likely(s)/k.ratio.v, gain/3)
+	b.recordSlowdown(s, ratio*b.expectedWarmth(s)/k.latencyRatio.value, sampleWeight/3)
 }
 
-// slower takes in a sample of how many times slower than usual a server is.
-func (b *Balancer) slower(s *server, ratio, weight float64) {
-	s.slow += weight * (min(max(ratio, 1/maxSlow), maxSlow) - s.slow)
-	if math.Abs(b.speed(s)*b.likely(s)-s.built) > speedStep*s.built {
-		b.epoch++
+// recordSlowdown takes in a sample of how many times slower than usual a server is.
+func (b *Balancer) recordSlowdown(s *server, ratio, weight float64) {
+	s.slowdown += weight * (min(max(ratio, 1/maxSlowdown), maxSlowdown) - s.slowdown)
+	if math.Abs(b.speed(s)*b.expectedWarmth(s)-s.candidateSpeed) > speedTolerance*s.candidateSpeed {
+		b.candidateEpoch++
 	}
 }
 
@@ -58,14 +58,14 @@
 // weights without the cores' speed overload the slow kind; single servers are seen too seldom to mend that.
 // How many are in work has no part in it: who is sent more would look faster and be sent more again.
 func (b *Balancer) speed(s *server) float64 {
-	k, known := b.kind(s), b.seen/(b.seen+kindDoubt)
-	return math.Pow(s.base, 1-known) * math.Pow(max(k.ratio.v, 1e-3), -known) / s.slow
+	k, known := b.kindOf(s), b.kindAnswers/(b.kindAnswers+kindPriorAnswers)
+	return math.Pow(s.listedSpeed, 1-known) * math.Pow(max(k.latencyRatio.value, 1e-3), -known) / s.slowdown
 }
 
-// each is how long a request of the usual size takes on a server, in seconds.
-func (b *Balancer) each(s *server) float64 {
-	if !b.ahead.known {
-		return cmp.Or(max(0, s.load.ServiceTime.Seconds()), b.classes[0].usual.v)
+// serviceSeconds is how long a request of the usual size takes on a server, in seconds.
+func (b *Balancer) serviceSeconds(s *server) float64 {
+	if !b.queueDepth.known {
+		return cmp.Or(max(0, s.lastReport.ServiceTime.Seconds()), b.classes[0].latencySeconds.value)
 	}
-	return b.service.v / b.ahead.v * b.kind(s).ratio.v * s.slow
+	return b.latencySeconds.value / b.queueDepth.value * b.kindOf(s).latencyRatio.value * s.slowdown
 }
--- a/internal/balancer/sums.go
+++ b/internal/balancer/sums.go
@@ -29,31 +29,31 @@
 
 // mean is a moving mean; its first sample is taken whole.
 type mean struct {
-	v     float64
+	value float64
 	known bool
 }
 
 func (m *mean) add(x, weight float64) {
 	if !m.known {
-		m.v, m.known = x, true
+		m.value, m.known = x, true
 	}
-	m.v += weight * (x - m.v)
+	m.value += weight * (x - m.value)
 }
 
 // history keeps when things happened, oldest first, as far back as anyone asks.
 type history []time.Duration
 
-const longestHistory = 4096
+const maxHistoryLength = 4096
 
 func (h *history) add(at time.Duration) {
-	if len(*h) >= longestHistory {
-		*h = append((*h)[:0], (*h)[longestHistory/2:]...)
+	if len(*h) >= maxHistoryLength {
+		*h = append((*h)[:0], (*h)[maxHistoryLength/2:]...)
 	}
 	*h = append(*h, at)
 }
 
-// since counts what happened at a time or later.
-func (h history) since(from time.Duration) int {
+// countSince counts what happened at a time or later.
+func (h history) countSince(from time.Duration) int {
 	i, _ := slices.BinarySearch(h, from)
 	return len(h) - i
 }
--- a/internal/balancer/timers.go
+++ b/internal/balancer/timers.go
@@ -9,28 +9,28 @@
 func (b *Balancer) onTimer(token TimerID) {
 	switch token >> 56 << 56 {
 	case timerPoll:
-		if token == b.listTimer() {
+		if token == b.pollTimerID() {
 			b.act(Action{Kind: ActionPollEndpoints})
 		}
 	case timerCheck:
 		n := int(token >> 32 & 0xff)
-		if r := b.open[RequestID(token)]; r != nil && !r.begun && n < len(r.attempts) && r.attempts[n].out {
+		if r := b.requests[RequestID(token)]; r != nil && !r.streaming && n < len(r.attempts) && r.attempts[n].inFlight {
 			// Danger: a costly request, or one on a connection that has gone dead, is no silence of its server,
 			// which answers others meanwhile.
-			a, answers := &r.attempts[n], r.attempts[n].server.used > r.attempts[n].sent
-			much := a.blamed
+			a, answers := &r.attempts[n], r.attempts[n].server.lastAnswer > r.attempts[n].sentAt
+			much := a.silenceWeight
 			if !answers {
-				much = min(much+0.5*b.doubt(r.class, a.server), 1)
+				much = min(much+0.5*b.failureWeight(r.class, a.server), 1)
 			}
-			b.silent(r.class, a, much)
-			if a.checks == 0 {
-				a.server.silent++
+			b.recordSilence(r.class, a, much)
+			if a.silenceChecks == 0 {
+				a.server.silentAttempts++
 			}
-			if a.checks++; a.blamed < 1 && (!answers || a.checks < 2) {
-				b.act(Action{Kind: ActionSetTimer, TimerID: token, Delay: r.class.patient()})
+			if a.silenceChecks++; a.silenceWeight < 1 && (!answers || a.silenceChecks < 2) {
+				b.act(Action{Kind: ActionSetTimer, TimerID: token, Delay: r.class.silenceTimeout()})
 			}
-			if a.checks > 1 || a.lost() {
-				b.again(r)
+			if a.silenceChecks > 1 || a.isLost() {
+				b.hedge(r)
 			}
 		}
 	}
