--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -109,10 +109,11 @@
 	RetryBudgetRatio  float64
 }
 
-// SettingError says which field of Settings has a value that it cannot have.
+// SettingError reports an invalid setting.
 type SettingError struct {
 	// Field is the path of the field, such as Classes[1].Deadline.
 	Field string
+	// Value is the invalid value.
 	Value any
 }
 
@@ -120,41 +121,55 @@
 	return fmt.Sprintf("setting %s cannot be %v", e.Field, e.Value)
 }
 
-// check returns a *SettingError of the first field that has a value that it cannot have.
+// validation keeps the first invalid setting that it is told of.
+type validation struct {
+	err *SettingError
+}
+
+// reject keeps a setting as invalid if it is the first one.
+func (v *validation) reject(field string, value any, invalid bool) {
+	if invalid && v.err == nil {
+		v.err = &SettingError{Field: field, Value: value}
+	}
+}
+
+// check returns a *SettingError of the first invalid setting. Comparisons are negated where NaN has to be rejected too.
 func (s *Settings) check() error {
-	var first error
-	wrong := func(field string, value any, is bool) {
-		if is && first == nil {
-			first = &SettingError{Field: field, Value: value}
-		}
+	var v validation
+	v.reject("Agents", s.Agents, s.Agents < 1)
+	v.reject("Rank", s.Rank, s.Rank < 0 || s.Rank >= s.Agents)
+	v.reject("MaxAttempts", s.MaxAttempts, s.MaxAttempts < 1)
+	v.reject("SlowStartMinWeight", s.SlowStartMinWeight, !(s.SlowStartMinWeight > 0 && s.SlowStartMinWeight <= 1))
+	v.reject("SlowStartDuration", s.SlowStartDuration, s.SlowStartDuration < 0)
+	v.reject("OverloadFactor", s.OverloadFactor, !(s.OverloadFactor > 0))
+	v.reject("RetryBudgetWindow", s.RetryBudgetWindow, s.RetryBudgetWindow < 0)
+	v.reject("RetryBudgetMin", s.RetryBudgetMin, !(s.RetryBudgetMin >= 0))
+	v.reject("RetryBudgetRatio", s.RetryBudgetRatio, !(s.RetryBudgetRatio >= 0))
+	v.reject("Tick", s.Tick, s.Tick < 0)
+	v.reject("MaxPollInterval", s.MaxPollInterval, s.PollEndpoints && s.MaxPollInterval <= 0)
+	v.reject("Classes", "empty", len(s.Classes) == 0)
+	for i := range s.Classes {
+		s.Classes[i].check(&v, fmt.Sprintf("Classes[%d].", i))
 	}
-	wrong("Agents", s.Agents, s.Agents < 1)
-	wrong("Rank", s.Rank, s.Rank < 0 || s.Rank >= s.Agents)
-	wrong("MaxAttempts", s.MaxAttempts, s.MaxAttempts < 1)
-	wrong("SlowStartMinWeight", s.SlowStartMinWeight, !(s.SlowStartMinWeight > 0 && s.SlowStartMinWeight <= 1))
-	wrong("SlowStartDuration", s.SlowStartDuration, s.SlowStartDuration < 0)
-	wrong("OverloadFactor", s.OverloadFactor, !(s.OverloadFactor > 0))
-	wrong("RetryBudgetWindow", s.RetryBudgetWindow, s.RetryBudgetWindow < 0)
-	wrong("RetryBudgetMin", s.RetryBudgetMin, !(s.RetryBudgetMin >= 0))
-	wrong("RetryBudgetRatio", s.RetryBudgetRatio, !(s.RetryBudgetRatio >= 0))
-	wrong("Tick", s.Tick, s.Tick < 0)
-	wrong("MaxPollInterval", s.MaxPollInterval, s.PollEndpoints && s.MaxPollInterval <= 0)
-	wrong("Classes", "empty", len(s.Classes) == 0)
-	for i, c := range s.Classes {
-		at := fmt.Sprintf("Classes[%d].", i)
-		wrong(at+"LatencyObjective", c.LatencyObjective, c.LatencyObjective <= 0)
-		wrong(at+"Deadline", c.Deadline, c.Deadline < c.LatencyObjective)
-		wrong(at+"PriorityWeight", c.PriorityWeight, !(c.PriorityWeight >= 0))
-		wrong(at+"Idempotency", c.Idempotency, c.Idempotency > NonIdempotent)
-		wrong(at+"DedupScope", c.DedupScope, c.DedupScope > DedupScopeCell)
-		wrong(at+"DedupWindow", c.DedupWindow, c.DedupWindow < 0)
-		wrong(at+"Zones", c.Zones, slices.ContainsFunc(c.Zones, negative))
-		wrong(at+"Kinds", c.Kinds, slices.ContainsFunc(c.Kinds, negative))
+	for i, tenant := range s.Tenants {
+		v.reject(fmt.Sprintf("Tenants[%d].Quota", i), tenant.Quota, !(tenant.Quota >= 0))
 	}
-	for i, t := range s.Tenants {
-		wrong(fmt.Sprintf("Tenants[%d].Quota", i), t.Quota, !(t.Quota >= 0))
+	if v.err != nil {
+		return v.err
 	}
-	return first
+	return nil
+}
+
+// check tells v of the invalid settings of a class; path is that of the class.
+func (c *Class) check(v *validation, path string) {
+	v.reject(path+"LatencyObjective", c.LatencyObjective, c.LatencyObjective <= 0)
+	v.reject(path+"Deadline", c.Deadline, c.Deadline < c.LatencyObjective)
+	v.reject(path+"PriorityWeight", c.PriorityWeight, !(c.PriorityWeight >= 0))
+	v.reject(path+"Idempotency", c.Idempotency, c.Idempotency > NonIdempotent)
+	v.reject(path+"DedupScope", c.DedupScope, c.DedupScope > DedupScopeCell)
+	v.reject(path+"DedupWindow", c.DedupWindow, c.DedupWindow < 0)
+	v.reject(path+"Zones", c.Zones, slices.ContainsFunc(c.Zones, isNegative))
+	v.reject(path+"Kinds", c.Kinds, slices.ContainsFunc(c.Kinds, isNegative))
 }
 
-func negative(i int) bool { return i < 0 }
+func isNegative(i int) bool { return i < 0 }
