--- a/internal/balancer/admission.go
+++ b/internal/balancer/admission.go
@@ -7,27 +7,51 @@
 )
 
 const (
-	targetUtilization          = 0.5   // of the aim that a usual answer may take before work is shed
-	maxOverload                = 2.0   // clients that repeat what is refused take more than one refusal to stop
-	toleratedOverload          = 1.0   // pressure that queues of single servers build: it sheds nothing
-	overloadGain               = 0.2   // of the intake shed for an answer one aim off: a few late answers halve it
-	overloadHalfLifeObjectives = 16.0  // aims in which pressure halves by itself
-	minAdmittedShare           = 0.03  // let through under any pressure, to learn when it is over
-	tenantShareRequests        = 200.0 // requests over which the tenants' mix is remembered
+	// targetUtilization is the utilization at which overload neither rises nor falls: answers that take half of their
+	// latency objective.
+	targetUtilization = 0.5
+	// maxUtilization bounds a single sample.
+	maxUtilization = 2.0
+	// overloadGain is how much of the difference from targetUtilization one sample adds to the overload.
+	overloadGain = 0.2
+	// maxOverload bounds the overload. It exceeds toleratedOverload by 1, since clients that retry need more than one
+	// rejection to stop.
+	maxOverload = 2.0
+	// toleratedOverload is the overload that the queues of single servers cause; nothing is shed up to it.
+	toleratedOverload = 1.0
+	// overloadHalfLifeObjectives is the time in which overload halves by itself, in latency objectives.
+	overloadHalfLifeObjectives = 16.0
+	// minAdmittedShare is admitted under any overload, so that answers show when it is over.
+	minAdmittedShare = 0.03
+	// tenantShareRequests is over how many requests the shares of the tenants are averaged.
+	tenantShareRequests = 200.0
 )
 
-// shouldShed says whether there is no room for the request: tenants over their share and low worth go first.
+// adoptTenants starts each tenant's share of the requests at its quota.
+func (b *Balancer) adoptTenants(tenants []Tenant) {
+	b.tenantShares = nil
+	for _, tenant := range tenants {
+		b.tenantShares = append(b.tenantShares, tenant.Quota)
+	}
+}
+
+// shouldShed decides by chance whether a request is shed. Tenants over their quota and low priorities are shed first.
 func (b *Balancer) shouldShed(r *request) bool {
-	over := b.quotaUsage(r.tenant)
-	// Danger: under pressure little is let through to tell that servers are idle again, so it eases by itself.
-	halfLife := overloadHalfLifeObjectives * b.classes[0].LatencyObjective.Seconds()
-	ease := (b.overloadDecayedAt - b.now).Seconds() / halfLife
-	b.overload, b.overloadDecayedAt = b.overload*math.Exp2(ease), b.now
-	chance := max(0, b.overload-toleratedOverload) * over * over * b.meanPriorityWeight / r.class.PriorityWeight
+	usage := b.quotaUsage(r.tenant)
+	b.decayOverload()
+	excess := max(0, b.overload-toleratedOverload)
+	chance := excess * usage * usage * b.meanPriorityWeight / r.class.PriorityWeight
 	return b.rng.Float64() < min(chance, 1-minAdmittedShare)
 }
 
-// quotaUsage counts a request and returns its tenant's part of the recent ones over its share.
+// decayOverload lowers the overload with time: while most requests are shed few answers show that it is over.
+func (b *Balancer) decayOverload() {
+	halfLife := overloadHalfLifeObjectives * b.classes[0].LatencyObjective.Seconds()
+	b.overload *= math.Exp2((b.overloadDecayedAt - b.now).Seconds() / halfLife)
+	b.overloadDecayedAt = b.now
+}
+
+// quotaUsage counts a request of a tenant, and returns the tenant's share of the recent requests over its quota.
 func (b *Balancer) quotaUsage(tenant int) float64 {
 	if tenant < 0 || tenant >= len(b.settings.Tenants) || !(b.settings.Tenants[tenant].Quota > 0) {
 		return 1
@@ -39,13 +63,14 @@
 	return b.tenantShares[tenant] / b.settings.Tenants[tenant].Quota
 }
 
-// recordUtilization moves the shed share by how full servers are or how long answers take, 1 being what no aim allows.
-func (b *Balancer) recordUtilization(part float64) {
-	b.overload = min(max(0, b.overload+overloadGain*(min(part, 2)-targetUtilization)), maxOverload)
+// recordUtilization moves the overload by a sample of the servers' utilization; at 1 answers just meet their objective.
+func (b *Balancer) recordUtilization(utilization float64) {
+	difference := min(utilization, maxUtilization) - targetUtilization
+	b.overload = min(max(0, b.overload+overloadGain*difference), maxOverload)
 }
 
-// retryAfter is when a refused client may come again: when the servers have answered what they hold, later the
-// more is shed. Danger: clients left to themselves come again at once and keep the overload up.
+// retryAfter returns when a rejected client may retry, 0 for no advice: once the servers have answered what they hold,
+// and later under overload. Clients without advice retry at once and sustain the overload.
 func (b *Balancer) retryAfter(c *class) time.Duration {
 	if !b.settings.AdviseRetryAfter {
 		return 0
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -5,94 +5,161 @@
 	"time"
 )
 
+// The retry budget where the settings have none.
 const (
-	defaultRetryBudgetRatio   = 0.2 // retry budget where none is stated: further attempts for each request, as usual
-	defaultRetryBudgetMin     = 3.0 // and so many besides,
-	defaultRetryBudgetSeconds = 5.0 // in any so many seconds
+	defaultRetryBudgetWindow = 5 * time.Second
+	defaultRetryBudgetMin    = 3.0
+	defaultRetryBudgetRatio  = 0.2
 )
 
+// request is an open request of a client.
 type request struct {
-	id                  RequestID
-	class               *class
-	tenant              int
-	deadline, objective time.Duration
-	attempts            []attempt
-	unsentAttempts      int // of these, those that ended as Leaving
-	inFlight            int // attempts out
-	finished            bool
-	streaming           bool // it cannot be had again, nor its answer
-	picks               int
+	id             RequestID
+	class          *class
+	tenant         int
+	deadline       time.Duration // when the client gives up
+	objective      time.Duration // when an answer begins to be late
+	attempts       []attempt
+	unsentAttempts int  // attempts that ended as OutcomeServerDraining
+	inFlight       int  // attempts without an outcome
+	picks          int  // picks since the last outcome
+	finished       bool // the client is owed nothing more
+	streaming      bool // its body or answer flows, so that it cannot be retried
 }
 
+// attempt is a request that was sent to a server.
 type attempt struct {
 	server        *server
 	sentAt        time.Duration
-	queueDepth    float64 // requests that its server held, and itself
-	silenceWeight float64 // for its silence
-	silenceChecks int     // for it
+	queueDepth    float64 // requests that its server held, with this one
+	silenceWeight float64 // what its silence has counted against its server
+	silenceChecks int     // expiries of its silence timer
 	inFlight      bool
-	mayHaveRun    bool // may have run
+	mayHaveRun    bool
 }
 
-// isLost says that its server, which has reported since, holds less than this agent alone has sent it.
+// sentAttempts counts the attempts that were sent.
+func (r *request) sentAttempts() int { return len(r.attempts) - r.unsentAttempts }
+
+// isInFlight reports whether the attempt at a position is in flight.
+func (r *request) isInFlight(position int) bool {
+	return position >= 0 && position < len(r.attempts) && r.attempts[position].inFlight
+}
+
+// isLost reports whether the server has reported since the attempt and holds less than this agent alone has sent it.
 func (a *attempt) isLost() bool {
 	s := a.server
-	return s.lastReport.Known && s.reportedAt > a.sentAt &&
-		s.lastReport.InFlight >= 0 && s.lastReport.InFlight < float64(s.inFlight)
+	reportedSince := s.lastReport.Known && s.reportedAt > a.sentAt && s.lastReport.InFlight >= 0
+	return reportedSince && s.lastReport.InFlight < float64(s.inFlight)
 }
 
+// onRequest admits a request and sends it, or rejects it.
 func (b *Balancer) onRequest(ev *Event) {
 	if ev.Class < 0 || ev.Class >= len(b.classes) || b.requests[ev.Request] != nil {
 		return
 	}
 	c := b.classes[ev.Class]
-	r := &request{id: ev.Request, class: c, tenant: ev.Tenant}
-	r.deadline, r.objective = b.now+ev.Remaining, b.now+c.LatencyObjective
-	if passed := max(0, c.Deadline-ev.Remaining); !ev.Retry {
-		c.firstTryTimeout = ev.Remaining
-	} else if (ev.Remaining - c.firstTryTimeout).Abs() > 2*b.settings.Tick { // it has all that remains
-		r.objective -= passed
-	} else {
-		// Danger: a repeat with a first try's share came soon, after a refusal. Were all that may have passed taken
-		// off its aim, a short refusal would be a lasting one. Half of it is the mean.
-		r.objective -= passed / 2
+	if !ev.Retry {
+		c.firstRequestTimeout = ev.Remaining
+	}
+	r := &request{
+		id: ev.Request, class: c, tenant: ev.Tenant,
+		deadline: b.now + ev.Remaining, objective: b.objective(c, ev),
 	}
 	if b.now >= r.objective && c.LateWeight > 0 {
-		r.objective = r.deadline // late is still worth something
+		r.objective = r.deadline // a late answer is still worth something
 	}
 	b.requests[r.id] = r
 	b.requestTimes.add(b.now)
 	if b.now >= r.objective || b.shouldShed(r) || !b.dispatch(r) {
-		b.finish(r, true)
+		b.giveUp(r)
+	}
+}
+
+// objective returns when an answer to a request begins to be late. The time before a retry counts, as far as it is
+// known.
+func (b *Balancer) objective(c *class, ev *Event) time.Duration {
+	objective := b.now + c.LatencyObjective
+	if !ev.Retry {
+		return objective
+	}
+	passed := max(0, c.Deadline-ev.Remaining)
+	hasAllRemaining := (ev.Remaining - c.firstRequestTimeout).Abs() > 2*b.settings.Tick
+	if hasAllRemaining {
+		return objective - passed
 	}
+	// A retry with the timeout of a first request came soon after a rejection. Half of what may have passed is the mean;
+	// all of it would have every such retry rejected as late.
+	return objective - passed/2
 }
 
-// canSend is the right to send: the one place that knows placement, effects, groups, windows and drains.
+// onStreaming notes that a request cannot be retried any more.
+func (b *Balancer) onStreaming(ev *Event) {
+	if r := b.requests[ev.Request]; r != nil {
+		r.streaming = true
+	}
+}
+
+// onClientClosed ends a request that nobody waits for any more.
+func (b *Balancer) onClientClosed(ev *Event) {
+	if r := b.requests[ev.Request]; r != nil {
+		b.finish(r)
+	}
+}
+
+// canSend reports whether a request may be sent to a server now. It is the only place that checks placement, draining,
+// idempotency, deduplication, the number of attempts and the retry budget.
 func (b *Balancer) canSend(r *request, s *server) bool {
-	if r.finished || r.streaming || b.now >= r.deadline || s.State != Ready || !r.class.eligible(s) ||
-		len(r.attempts)-r.unsentAttempts >= b.settings.MaxAttempts || r.inFlight > 0 && !b.settings.Hedging ||
-		len(r.attempts) > r.unsentAttempts && !b.withinRetryBudget() {
+	if r.finished || r.streaming || b.now >= r.deadline {
+		return false
+	}
+	if s.State != Ready || !r.class.eligible(s) {
+		return false
+	}
+	if r.sentAttempts() >= b.settings.MaxAttempts || r.inFlight > 0 && !b.settings.Hedging {
+		return false
+	}
+	if r.sentAttempts() > 0 && !b.withinRetryBudget() {
 		return false
 	}
 	for i := range r.attempts {
-		a := &r.attempts[i]
-		switch {
-		case a.inFlight && a.server == s:
-			return false // danger: what swallows one copy swallows the other
-		case !a.mayHaveRun:
-		case r.class.Idempotency == NonIdempotent:
-			return false // danger: the effect would happen twice
-		case r.class.Idempotency == IdempotentWithKey && (b.now >= a.sentAt+r.class.DedupWindow ||
-			r.class.DedupScope == DedupScopeZone && a.server.Zone != s.Zone ||
-			r.class.DedupScope == DedupScopeCell && a.server.Cell != s.Cell):
-			return false // danger: this server does not, or no longer, know the key
+		if !b.canFollow(&r.attempts[i], r.class, s) {
+			return false
 		}
 	}
 	return true
 }
 
-// dedupRemaining is how long the servers go on to drop a repeat of the request, 0 if they need not. Danger: a
-// connection takes time to come up, and a repeat sent when it is up may be too late.
+// canFollow reports whether an earlier attempt leaves the request free to be sent to a server.
+func (b *Balancer) canFollow(earlier *attempt, c *class, s *server) bool {
+	if earlier.inFlight && earlier.server == s {
+		return false // what swallows one attempt would swallow the other
+	}
+	if !earlier.mayHaveRun {
+		return true
+	}
+	switch c.Idempotency {
+	case NonIdempotent:
+		return false
+	case IdempotentWithKey:
+		return b.now < earlier.sentAt+c.DedupWindow && c.DedupScope.shared(earlier.server, s)
+	}
+	return true
+}
+
+// shared reports whether two servers recognize each other's idempotency keys.
+func (scope DedupScope) shared(x, y *server) bool {
+	switch scope {
+	case DedupScopeZone:
+		return x.Zone == y.Zone
+	case DedupScopeCell:
+		return x.Cell == y.Cell
+	}
+	return true
+}
+
+// dedupRemaining returns for how long the servers will go on to drop a repeat of the request, 0 if they need not. A
+// repeat that waits for a connection could reach its server too late.
 func (r *request) dedupRemaining(now time.Duration) time.Duration {
 	first := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
 	if first < 0 || r.class.Idempotency != IdempotentWithKey {
@@ -101,122 +168,141 @@
 	return r.attempts[first].sentAt + r.class.DedupWindow - now
 }
 
-// withinRetryBudget says whether one more attempt beyond a request's first keeps the retry budget, a window that
-// slides over this agent's requests and further attempts. Danger: retries feed the overload that causes them.
+// withinRetryBudget reports whether the retry budget has room for one more retry.
 func (b *Balancer) withinRetryBudget() bool {
-	from := b.now - b.settings.RetryBudgetWindow
-	taken, extra := b.requestTimes.countSince(from+1), b.retryTimes.countSince(from) // an edge counts against us
-	allowed := b.settings.RetryBudgetMin + b.settings.RetryBudgetRatio*float64(taken)
-	return float64(extra+1) <= min(allowed, maxHistoryLength/2)
+	start := b.now - b.settings.RetryBudgetWindow
+	// Whichever way the platform counts the edge of the window, the budget holds.
+	requests := b.requestTimes.countSince(start + 1)
+	retries := b.retryTimes.countSince(start)
+	allowed := b.settings.RetryBudgetMin + b.settings.RetryBudgetRatio*float64(requests)
+	return float64(retries+1) <= min(allowed, maxHistoryLength/2)
 }
 
-// canReject answers whether the client may be told that a further try is harmless.
+// canReject reports whether the client may be told that a retry is harmless.
 func (b *Balancer) canReject(r *request) bool {
-	return r.class.Idempotency == Idempotent || !slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		known := r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
+	if r.class.Idempotency == Idempotent {
+		return true
+	}
+	return !slices.ContainsFunc(r.attempts, func(a attempt) bool {
+		// The client's retry may reach any server, and is dropped only within the window.
+		isDropped := r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
 			b.now < a.sentAt+r.class.DedupWindow
-		return a.mayHaveRun && !known // danger: past the window nobody drops the client's repeat
+		return a.mayHaveRun && !isDropped
 	})
 }
 
-// send is the only way to a server.
+// send sends a request to a server if it may. It is the only way to a server. It reports whether the request was sent.
 func (b *Balancer) send(r *request, s *server) bool {
-	if !b.canSend(r, s) {
+	if !b.canSend(r, s) || b.withholdSlowStart(r.class, s) {
 		return false
 	}
-	if l := &r.class.candidates; b.minWarmth(s) < 1 {
-		if i := slices.Index(l.servers, s); i >= 0 && b.rng.Float64() >= l.sendChances[i] {
-			return false
-		}
-	}
-	if len(r.attempts) > r.unsentAttempts {
+	if r.sentAttempts() > 0 {
 		b.retryTimes.add(b.now)
 	}
-	within := r.dedupRemaining(b.now)
+	dispatchWithin := r.dedupRemaining(b.now)
+	position := len(r.attempts)
 	r.attempts = append(r.attempts, attempt{
 		server: s, sentAt: b.now, queueDepth: b.inFlightEstimate(s) + 1, inFlight: true, mayHaveRun: true,
 	})
 	r.inFlight++
 	s.inFlight++
 	s.sentSinceReport++
-	b.act(Action{Kind: ActionSend, Request: r.id, Server: s.ID, Timeout: r.deadline - b.now, DispatchWithin: within})
-	token := timerCheck | TimerID(len(r.attempts)-1)<<32 | TimerID(r.id)
-	b.act(Action{Kind: ActionSetTimer, TimerID: token, Delay: r.class.silenceTimeout()})
+	b.act(Action{
+		Kind: ActionSend, Request: r.id, Server: s.ID, Timeout: r.deadline - b.now, DispatchWithin: dispatchWithin,
+	})
+	b.act(Action{Kind: ActionSetTimer, TimerID: newSilenceTimerID(r.id, position), Delay: r.class.silenceTimeout()})
 	return true
 }
 
+// onOutcome takes in the end of an attempt, and answers or retries its request.
 func (b *Balancer) onOutcome(ev *Event) {
 	r := b.requests[ev.Request]
-	if r == nil || ev.Attempt < 0 || ev.Attempt >= len(r.attempts) || !r.attempts[ev.Attempt].inFlight {
+	if r == nil || !r.isInFlight(ev.Attempt) {
 		return
 	}
 	a := &r.attempts[ev.Attempt]
-	s := a.server
-	a.inFlight, a.mayHaveRun = false, !ev.Outcome.neverRan()
-	if ev.Outcome == OutcomeServerDraining {
+	b.endAttempt(r, a, ev.Outcome)
+	b.recordReport(a.server, ev.Load)
+	latencySeconds := (b.now - a.sentAt).Seconds()
+	if r.streaming { // the client took a part of it
+		latencySeconds = 0
+	}
+	b.recordOutcome(r.class, a, ev.Outcome, latencySeconds/r.class.LatencyObjective.Seconds())
+	if ev.Outcome == OutcomeOK {
+		b.recordLatency(r.class, a, latencySeconds)
+	}
+	r.picks = 0
+	if ev.Answered || ev.Outcome == OutcomeOK || r.finished {
+		b.finish(r)
+		return
+	}
+	if r.inFlight > 0 {
+		return // the other attempt may still serve it
+	}
+	isWorthRetry := ev.Outcome != OutcomeTimeout && b.now < r.objective
+	if !isWorthRetry || !b.dispatch(r) {
+		b.giveUp(r)
+	}
+}
+
+// endAttempt counts an attempt as no longer in flight.
+func (b *Balancer) endAttempt(r *request, a *attempt, outcome Outcome) {
+	a.inFlight = false
+	a.mayHaveRun = !outcome.neverRan()
+	if outcome == OutcomeServerDraining {
 		r.unsentAttempts++
 	}
 	r.inFlight--
-	s.inFlight--
+	a.server.inFlight--
 	if a.silenceChecks > 0 {
-		s.silentAttempts--
+		a.server.silentAttempts--
 	}
-	b.recordReport(s, ev.Load)
-	took := (b.now - a.sentAt).Seconds()
-	if r.streaming { // in the time that the client took for it
-		took = 0
-	}
-	b.recordOutcome(r.class, a, ev.Outcome, took/r.class.LatencyObjective.Seconds())
-	if ev.Outcome == OutcomeOK {
-		b.recordLatency(r.class, a, took)
+}
+
+// hedge sends a second attempt of a request whose only attempt is silent, while an answer can still be in time. Servers
+// may swallow single requests, and connections may be dead, which only silence shows. Under overload hedging ends by
+// itself: the silence timeout exceeds the objective, servers are overloaded and the retry budget is spent.
+func (b *Balancer) hedge(r *request) {
+	inTime := b.now+seconds(r.class.latencySeconds.value) < r.objective
+	if r.class.Idempotency == NonIdempotent || r.inFlight != 1 || !inTime {
+		return
 	}
 	r.picks = 0
-	switch {
-	case ev.Answered || ev.Outcome == OutcomeOK || r.finished:
-		b.finish(r, false)
-	case r.inFlight > 0:
-	case ev.Outcome == OutcomeTimeout || b.now >= r.objective || !b.dispatch(r): // a further attempt, if it is worth one
-		b.finish(r, true)
-	}
+	b.dispatch(r)
 }
 
-// finish is the only place where a request ends: by the answer of ours that promises most, or as it has one or
-// is gone. A request with attempts out stays known until they are back.
-func (b *Balancer) finish(r *request, ours bool) {
-	if ours && r.inFlight > 0 {
-		return // an attempt is still out and may yet serve it
+// giveUp answers a request that no server has answered, unless an attempt in flight may still serve it.
+func (b *Balancer) giveUp(r *request) {
+	if r.inFlight > 0 {
+		return
 	}
+	if b.canReject(r) {
+		b.act(Action{Kind: ActionReject, Request: r.id, RetryAfter: b.retryAfter(r.class)})
+	} else {
+		b.act(Action{Kind: ActionFail, Request: r.id})
+	}
+	b.finish(r)
+}
+
+// finish ends a request that is owed nothing more. It stays known until its attempts in flight have ended.
+func (b *Balancer) finish(r *request) {
 	if !r.finished {
 		r.finished = true
-		if ours && b.canReject(r) {
-			b.act(Action{Kind: ActionReject, Request: r.id, RetryAfter: b.retryAfter(r.class)})
-		} else if ours {
-			b.act(Action{Kind: ActionFail, Request: r.id})
-		}
-		for i := range r.attempts {
-			if b.settings.CancelAttempts && r.attempts[i].inFlight {
-				b.act(Action{Kind: ActionCancel, Request: r.id, Attempt: i})
-			}
-		}
+		b.cancelAttempts(r)
 	}
 	if r.inFlight == 0 {
 		delete(b.requests, r.id)
 	}
 }
 
-// hedge sends a second copy of a request whose attempt is silent, while one may still be in time. Danger:
-// servers may swallow some requests and answer others, and only silence tells; dead connections are covered
-// too. Where many are late copies would add to it: then patience outlasts the aim, pairs are crowded and the
-// retry budget ends. It hurts where answers vary widely though nothing is lost.
-func (b *Balancer) hedge(r *request) {
-	if r.class.Idempotency != NonIdempotent && r.inFlight == 1 &&
-		b.now+seconds(r.class.latencySeconds.value) < r.objective {
-		r.picks = 0
-		b.dispatch(r)
+// cancelAttempts cancels the attempts of a request that are in flight.
+func (b *Balancer) cancelAttempts(r *request) {
+	if !b.settings.CancelAttempts {
+		return
+	}
+	for i := range r.attempts {
+		if r.attempts[i].inFlight {
+			b.act(Action{Kind: ActionCancel, Request: r.id, Attempt: i})
+		}
 	}
-}
-
-// silenceTimeout is how long a server's silence is no sign.
-func (c *class) silenceTimeout() time.Duration {
-	return max(seconds(silenceLatencies*c.latencySeconds.value), c.LatencyObjective)
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -8,97 +8,133 @@
 	"time"
 )
 
-type class struct {
-	Class
-	index           int           // of its name, here and in servers' health
-	firstTryTimeout time.Duration // how long a client's first try waits
-	latencySeconds  mean          // time of an answer, seconds
-	candidates      candidateSet
-}
+// maxLogLinesPerMinute bounds the log lines of one agent, so that it does not drown those of the others.
+const maxLogLinesPerMinute = 20
 
-// Balancer decides for one agent. It is not safe for concurrent use.
+// Balancer makes all decisions of one agent. It owns what the agent has learnt about its servers, and the attempts of
+// the open requests. It starts no goroutine, reads no clock and does no I/O. It is not safe for concurrent use: one
+// goroutine calls all methods.
 type Balancer struct {
-	settings           Settings
-	rng                *rand.Rand
-	now                time.Duration
-	actions            []Action
-	classes            []*class
-	classNames         []string // of all classes that there have been, by index
-	serversByID        map[ServerID]*server
-	servers            []*server // all servers, by rank
-	candidateEpoch     int       // counts the changes that are worth new lines
-	kindAnswers        float64   // answers that kinds' paces were learnt from
-	requests           map[RequestID]*request
-	machineKinds       map[int]*machineKind
-	latencySeconds     mean      // time of an answer, seconds
-	queueLength        [2]mean   // requests that servers say wait, at far ones and at near ones
-	queueDepth         mean      // requests that were ahead of it, and itself
-	typicalWait        mean      // held over speed of the pairs' shorter, as drawn
-	overloadQueue      float64   // between loneAgentOverloadQueue and crowd
-	objectiveUsage     mean      // time of an answer over its aim
-	overload           float64   // share of the usual requests to shed
-	tenantShares       []float64 // of late, by tenant
-	meanPriorityWeight float64   // mean worth of the classes
-	requestTimes       history   // requests, for the retry budget and the size of the line
-	retryTimes         history   // attempts beyond a request's first
-	pollFailures       int       // calls for the list that failed in a row
-	pollRejections     int       // the last of them that were refused at once
-	pollTimers         uint64    // timers for the next one, so far; only the last one counts
-	logLines           int       // lines since logWindowStart
-	logWindowStart     time.Duration
-	overloadDecayedAt  time.Duration // when pressure last went down by itself
+	settings   Settings
+	classes    []*class
+	classNames []string // names of all classes adopted so far, by index
+	rng        *rand.Rand
+
+	now     time.Duration // time of the latest event
+	actions []Action      // actions of the event that is being handled
+
+	serversByID map[ServerID]*server
+	servers     []*server // the same servers in the order of their hash keys
+	requests    map[RequestID]*request
+
+	// Candidate sets that were built at an earlier epoch are out of date.
+	candidateEpoch int
+
+	machineKinds   map[int]*machineKind
+	kindAnswers    float64          // answers that the latency ratios of the kinds were learnt from
+	latencySeconds mean             // latency of an answer
+	queueDepth     mean             // requests on the server when one was sent, with that one
+	queueLength    [localities]mean // reported number of waiting requests
+	typicalWait    mean             // in-flight estimate over speed of the less loaded server of a pair
+	overloadQueue  float64          // limit of the waiting requests on one server
+
+	overload           float64 // 0 is none; what exceeds toleratedOverload is the share of requests to shed
+	overloadDecayedAt  time.Duration
+	objectiveUsage     mean      // latency of an answer over the latency objective
+	meanPriorityWeight float64   // mean PriorityWeight of the classes
+	tenantShares       []float64 // shares of the recent requests, by tenant
+
+	requestTimes history
+	retryTimes   history // when attempts after a request's first were made
+
+	pollFailures   int    // failed polls in a row
+	pollRejections int    // rejected polls in a row
+	pollTimers     uint64 // poll timers set so far; only the latest counts
+
+	logLines       int // log lines since logWindowStart
+	logWindowStart time.Duration
+}
+
+// class is a Class with what has been learnt about its requests.
+type class struct {
+	Class
+	index               int           // position in classNames and in a server's health
+	firstRequestTimeout time.Duration // how long a client waits for the answer to a request that is no retry
+	latencySeconds      mean          // latency of an answer
+	candidates          candidateSet
 }
 
-// New returns a Balancer that knows no server yet. Its error names the setting that cannot be right.
+// New returns a Balancer that knows no server yet. Its random numbers depend on the seed only. An error wraps a
+// *SettingError that names the invalid setting.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	b := &Balancer{
-		rng: rand.New(rand.NewPCG(seed, 0)), serversByID: map[ServerID]*server{}, requests: map[RequestID]*request{},
+		rng:         rand.New(rand.NewPCG(seed, 0)),
+		serversByID: map[ServerID]*server{},
+		requests:    map[RequestID]*request{},
 	}
-	return b, b.Adopt(s)
+	if err := b.Adopt(s); err != nil {
+		return nil, err
+	}
+	return b, nil
 }
 
-// Adopt takes settings in place of the present ones, all or none. What is learnt of servers stays, and of classes under
-// their names; a request under way keeps the class it was taken with.
+// Adopt replaces all settings, or none if one of them is invalid; the error then wraps a *SettingError. What has been
+// learnt of servers stays, and of classes that keep their names; an open request keeps the class that it came with.
 func (b *Balancer) Adopt(s Settings) error {
 	if err := s.check(); err != nil {
 		return fmt.Errorf("balancer: %w", err)
 	}
 	if s.RetryBudgetWindow == 0 {
-		s.RetryBudgetWindow = seconds(defaultRetryBudgetSeconds)
-		s.RetryBudgetMin, s.RetryBudgetRatio = defaultRetryBudgetMin, defaultRetryBudgetRatio
+		s.RetryBudgetWindow = defaultRetryBudgetWindow
+		s.RetryBudgetMin = defaultRetryBudgetMin
+		s.RetryBudgetRatio = defaultRetryBudgetRatio
 	}
-	old := b.classes
-	if b.machineKinds == nil || !slices.Equal(b.settings.Kinds, s.Kinds) { // what is learnt of them goes by place
-		b.machineKinds, b.kindAnswers = map[int]*machineKind{}, 0
+	kindsStay := slices.Equal(b.settings.Kinds, s.Kinds)
+	if b.machineKinds == nil || !kindsStay { // kinds are known by their positions in the settings
+		b.machineKinds = map[int]*machineKind{}
+		b.kindAnswers = 0
 	}
-	b.settings, b.candidateEpoch, b.classes, b.meanPriorityWeight, b.tenantShares = s, b.candidateEpoch+1, nil, 0, nil
-	// What a server is sent by others between its report and a request is unknown, and grows with their number.
+	b.settings = s
+	b.candidateEpoch++
+	// What other agents send to a server between its report and a request is unknown, and grows with their number.
 	b.overloadQueue = manyAgentsOverloadQueue +
 		(loneAgentOverloadQueue-manyAgentsOverloadQueue)/math.Sqrt(float64(s.Agents))
-	for _, c := range s.Classes {
-		n := &class{Class: c, index: slices.Index(b.classNames, c.Name)}
-		n.latencySeconds = mean{c.LatencyObjective.Seconds() / 3, true}
-		if i := slices.IndexFunc(old, func(o *class) bool { return o.Name == c.Name }); i >= 0 {
-			n.latencySeconds, n.firstTryTimeout = old[i].latencySeconds, old[i].firstTryTimeout
-		}
-		if n.index < 0 {
-			n.index, b.classNames = len(b.classNames), append(b.classNames, c.Name)
-		}
-		b.classes, b.meanPriorityWeight = append(b.classes, n), b.meanPriorityWeight+c.PriorityWeight/float64(len(s.Classes))
-	}
-	for _, t := range s.Tenants {
-		b.tenantShares = append(b.tenantShares, t.Quota) // until they are seen
-	}
-	for _, s := range b.servers {
-		s.hashKey, s.health = b.hashKey(s.ID), append(s.health, make([]classHealth, len(b.classNames)-len(s.health))...)
+	b.adoptClasses(s.Classes)
+	b.adoptTenants(s.Tenants)
+	for _, server := range b.servers {
+		server.hashKey = b.hashKey(server.ID)
+		added := len(b.classNames) - len(server.health)
+		server.health = append(server.health, make([]classHealth, added)...)
 	}
 	b.sortServers()
 	return nil
 }
 
-// Handle takes one event and appends what must be done to out.
+// adoptClasses replaces the classes. Open requests refer to the old ones until they are finished.
+func (b *Balancer) adoptClasses(classes []Class) {
+	old := b.classes
+	b.classes = nil
+	b.meanPriorityWeight = 0
+	for _, adopted := range classes {
+		c := &class{Class: adopted, index: slices.Index(b.classNames, adopted.Name)}
+		c.latencySeconds = mean{value: adopted.LatencyObjective.Seconds() / 3, known: true}
+		if i := slices.IndexFunc(old, func(o *class) bool { return o.Name == adopted.Name }); i >= 0 {
+			c.latencySeconds = old[i].latencySeconds
+			c.firstRequestTimeout = old[i].firstRequestTimeout
+		}
+		if c.index < 0 {
+			c.index = len(b.classNames)
+			b.classNames = append(b.classNames, adopted.Name)
+		}
+		b.classes = append(b.classes, c)
+		b.meanPriorityWeight += adopted.PriorityWeight / float64(len(classes))
+	}
+}
+
+// Handle takes one event that happened at now, and appends to out what the caller must do about it.
 func (b *Balancer) Handle(now time.Duration, ev Event, out []Action) []Action {
-	b.now, b.actions = max(now, b.now), out
+	b.now = max(now, b.now)
+	b.actions = out
 	switch ev.Kind {
 	case EventDiscovery:
 		b.onDiscovery(&ev)
@@ -107,32 +143,33 @@
 	case EventOutcome:
 		b.onOutcome(&ev)
 	case EventStreaming:
-		if r := b.requests[ev.Request]; r != nil {
-			r.streaming = true
-		}
+		b.onStreaming(&ev)
 	case EventClientClosed:
-		if r := b.requests[ev.Request]; r != nil {
-			b.finish(r, false)
-		}
+		b.onClientClosed(&ev)
 	case EventTimer:
 		b.onTimer(ev.TimerID)
 	case EventHealthCheck:
 		b.onHealthCheck(&ev)
 	}
-	out, b.actions = b.actions, nil
+	out = b.actions
+	b.actions = nil // they are the caller's from here on
 	return out
 }
 
+// act appends an action to those of the present event.
 func (b *Balancer) act(a Action) { b.actions = append(b.actions, a) }
 
-// log writes a line for the operators, 20 in any minute: one agent must not drown the others' lines.
+// log writes a line for the operators, unless there have been too many in this minute.
 func (b *Balancer) log(format string, args ...any) {
 	if b.now-b.logWindowStart >= time.Minute {
-		b.logWindowStart, b.logLines = b.now, 0
+		b.logWindowStart = b.now
+		b.logLines = 0
 	}
-	if b.logLines++; b.logLines <= 20 {
+	b.logLines++
+	if b.logLines <= maxLogLinesPerMinute {
 		b.act(Action{Kind: ActionLog, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
+// seconds turns a number of seconds into a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -8,111 +8,139 @@
 )
 
 const (
-	singleServerShare    = 0.1 // p: a little blind traffic keeps agents from moving as one
-	epsilonShare         = 0.5 // of the bound on epsilon: farthest from both ends, where a pair starves
-	agentsPerServer      = 12  // agents that share a server: fewer spread unevenly, more know it late
-	requestsPerCandidate = 10  // recent requests for each server of the line: busier agents use more servers
-	minCandidates        = 6   // servers on a line at least: two may be out and pairs still differ
-	speedTolerance       = 0.1 // change of speed that is worth a new line; less is noise
+	// agentsPerServer is how many agents share a server. Fewer spread the requests unevenly, with more each of them
+	// hears of its servers too seldom, and the servers hold too many connections.
+	agentsPerServer = 12
+	// requestsPerCandidate is how many requests within candidateWindow warrant one more candidate.
+	requestsPerCandidate = 10
+	candidateWindow      = 5 * time.Second
+	// minCandidates leaves different pairs while two of them are ejected.
+	minCandidates = 6
+	// singleServerShare is the share of requests that get a single server rather than the better of a pair: a little
+	// blind traffic keeps the agents from moving as one. It is p in He and Down.
+	singleServerShare = 0.1
+	// epsilonShare is the part of epsilon's upper bound that is used. A pair starves at either end of its range.
+	epsilonShare = 0.5
+	// speedTolerance is the relative change of a speed that warrants a rebuild; less is noise.
+	speedTolerance = 0.1
+	// peakSpeedDecay is what each rebuild leaves of a peak speed that is no longer reached.
+	peakSpeedDecay = 0.99
 )
 
-// candidateSet is what the requests of one class are drawn from: only servers that are open to it.
+// candidateSet holds the servers that one class picks from, and the sums that picks use. It follows the line variant of
+// the policy for unequal speeds by He and Down: a pair is two neighbours in the order of the set.
 type candidateSet struct {
-	servers      []*server // in the design's order
-	weights      []float64 // their present speeds
-	weightSums   sums      // of these
-	pairSums     sums      // of the pairs' weights
+	servers      []*server // remote ones first, then by listed speed
+	weights      []float64 // present speeds, those of remote servers reduced by remoteWeight
+	weightSums   sums      // of weights
+	pairSums     sums      // of the weights of pairs
+	sendChances  []float64 // chance that a send is not withheld from a server that is warming up
 	remoteWeight float64
-	sendChances  []float64     // chance that a send to a server is let through while it is cold
-	peakSpeed    float64       // speed of the line when all of it is warm, its highest of late
-	epoch        int           // of the Balancer when it was built
-	expiresAt    time.Duration // when time alone changes it
+	peakSpeed    float64       // speed of all eligible servers once they are warm, the highest of late
+	epoch        int           // Balancer.candidateEpoch when it was built
+	expiresAt    time.Duration // when it is out of date though nothing has happened
 }
 
-// eligible is placement: whether a class may ever go to a server.
+// selection counts what selectCandidates saw.
+type selection struct {
+	warmSpeed float64         // speed of all eligible servers once they are warm
+	eligible  [localities]int // ready servers that the class may be sent to
+	chosen    [localities]int // candidates
+}
+
+// eligible reports whether the class may ever be sent to a server.
 func (c *class) eligible(s *server) bool {
 	return (c.Zones == nil || slices.Contains(c.Zones, s.Zone)) &&
 		(c.Kinds == nil || slices.Contains(c.Kinds, s.Kind))
 }
 
-// rebuildCandidates makes a class's line, the first open to it on this agent's ring of those near and of those far,
-// and the sums that its draws use.
+// candidatesOutdated reports whether a candidate set has to be rebuilt.
+func (b *Balancer) candidatesOutdated(set *candidateSet) bool {
+	return set.epoch != b.candidateEpoch || b.now >= set.expiresAt ||
+		math.Abs(set.remoteWeight-b.remoteWeight()) > speedTolerance*set.remoteWeight
+}
+
+// rebuildCandidates makes a class's candidate set: of either locality the first eligible servers in this agent's order.
 func (b *Balancer) rebuildCandidates(c *class) {
-	l := &c.candidates
-	l.epoch, l.expiresAt, l.servers, l.remoteWeight = b.candidateEpoch, math.MaxInt64, l.servers[:0], b.remoteWeight()
-	// Danger: agents x servers connections fill all tables; many teach little, few are overloaded.
-	size := max(minCandidates, agentsPerServer*len(b.servers)/b.settings.Agents,
-		b.requestTimes.countSince(b.now-seconds(defaultRetryBudgetSeconds))/requestsPerCandidate)
-	var usual, cold float64 // speed of all servers when they are warm, and of the cold ones on the line
-	var on, of [2]float64   // servers on the line and open to it, far and near
+	set := &c.candidates
+	set.epoch = b.candidateEpoch
+	set.expiresAt = math.MaxInt64
+	set.remoteWeight = b.remoteWeight()
+	selected := b.selectCandidates(c)
+	// Neighbours have similar speeds: ties between them are broken evenly, which would even out unlike speeds.
+	slices.SortStableFunc(set.servers, func(x, y *server) int {
+		return cmp.Or(cmp.Compare(b.localityOf(x), b.localityOf(y)), cmp.Compare(x.listedSpeed, y.listedSpeed))
+	})
+	warmingWeight := b.weighCandidates(set, selected)
+	set.peakSpeed = max(selected.warmSpeed, set.peakSpeed*peakSpeedDecay)
+	set.pairSums = appendPairSums(set.weights, set.pairSums[:0])
+	b.limitSlowStart(set, selected, warmingWeight)
+}
+
+// selectCandidates chooses the servers of a class's candidate set.
+func (b *Balancer) selectCandidates(c *class) selection {
+	set := &c.candidates
+	set.servers = set.servers[:0]
+	bySharing := agentsPerServer * len(b.servers) / b.settings.Agents
+	byTraffic := b.requestTimes.countSince(b.now-candidateWindow) / requestsPerCandidate
+	size := max(minCandidates, bySharing, byTraffic)
+	var selected selection
 	for _, s := range b.servers {
-		until, near := s.health[c.index].ejectedUntil, b.localityOf(s)
 		if s.State != Ready || !c.eligible(s) {
 			continue
 		}
-		usual += b.speed(s)
-		of[near]++
-		if until > b.now {
-			l.expiresAt = min(l.expiresAt, until)
-		} else if int(on[near]) < size {
-			on[near]++
-			l.servers = append(l.servers, s)
+		loc := b.localityOf(s)
+		selected.warmSpeed += b.speed(s)
+		selected.eligible[loc]++
+		ejectedUntil := s.health[c.index].ejectedUntil
+		if ejectedUntil > b.now {
+			set.expiresAt = min(set.expiresAt, ejectedUntil)
+		} else if selected.chosen[loc] < size {
+			selected.chosen[loc]++
+			set.servers = append(set.servers, s)
 		}
 	}
-	// Neighbours are of like size: ties are broken evenly and would blur unlike speeds, or send to and fro.
-	slices.SortStableFunc(l.servers, func(x, y *server) int {
-		return cmp.Or(cmp.Compare(b.localityOf(x), b.localityOf(y)), cmp.Compare(x.listedSpeed, y.listedSpeed))
-	})
-	l.weightSums, l.sendChances, l.weights = l.weightSums[:0], l.sendChances[:0], l.weights[:0]
-	for _, s := range l.servers {
-		speed, w := b.speed(s), b.minWarmth(s)
-		s.candidateSpeed = speed * b.expectedWarmth(s)
-		drawn := s.candidateSpeed
-		if b.localityOf(s) == 0 && on[1] > 0 {
-			drawn *= l.remoteWeight
-		}
-		l.weights, l.weightSums = append(l.weights, drawn), l.weightSums.add(drawn)
-		if w < 1 {
-			cold += drawn
-			l.expiresAt = min(l.expiresAt, b.now+b.settings.SlowStartDuration/64)
+	return selected
+}
+
+// weighCandidates sets the weights of the candidates and returns the sum of those that are warming up.
+func (b *Balancer) weighCandidates(set *candidateSet, selected selection) (warmingWeight float64) {
+	set.weights = set.weights[:0]
+	set.weightSums = set.weightSums[:0]
+	for _, s := range set.servers {
+		s.candidateSpeed = b.speed(s) * b.expectedWarmth(s)
+		weight := s.candidateSpeed
+		if b.localityOf(s) == remote && selected.chosen[local] > 0 {
+			weight *= set.remoteWeight
 		}
-	}
-	sum := l.weightSums.span(0, len(l.servers))
-	l.peakSpeed = max(usual, l.peakSpeed*0.99)
-	l.pairSums = appendPairSums(l.weights, l.pairSums[:0])
-	for j, s := range l.servers {
-		pass := 1.0
-		if w := b.minWarmth(s); w < 1 {
-			// Danger: all agents together push it over. Even if it wins each of its pairs, and what it turns
-			// away comes again, it gets its present share of the traffic of the agents that have it on their line.
-			inflow := (singleServerShare*l.weights[j] + (1-singleServerShare)*l.pairSums.span(j-1, j+1)) / sum
-			share := b.speed(s) / l.peakSpeed * of[b.localityOf(s)] / on[b.localityOf(s)]
-			pass = min(1, slowStartMargin*b.settings.OverloadFactor*w*share/inflow)
-			pass /= 1 + (maxPicks-1)*cold/sum*(1-pass)
+		set.weights = append(set.weights, weight)
+		set.weightSums = set.weightSums.add(weight)
+		if b.minWarmth(s) < 1 {
+			warmingWeight += weight
+			set.expiresAt = min(set.expiresAt, b.now+b.settings.SlowStartDuration/slowStartSteps)
 		}
-		l.sendChances = append(l.sendChances, pass)
 	}
+	return warmingWeight
 }
 
-// appendPairSums appends the running sums of the pairs' weights, speed plus epsilon.
-func appendPairSums(mu []float64, sums sums) sums {
-	n := len(mu)
+// appendPairSums appends to pairs the running sums of the weights of pairs. A pair weighs the speed of its first server
+// plus epsilon; the last pair weighs what its two servers lack.
+func appendPairSums(speeds []float64, pairs sums) sums {
+	n := len(speeds)
 	if n < 2 {
-		return sums
+		return pairs
 	}
-	eps := 0.0
+	epsilon := 0.0
 	if n > 2 {
-		bound := (mu[n-1] + mu[n-2]) / float64(n-2)
+		bound := (speeds[n-1] + speeds[n-2]) / float64(n-2)
 		for j := 1; j < n-1; j++ {
-			bound = min(bound, mu[j]/float64(j))
+			bound = min(bound, speeds[j]/float64(j))
 		}
-		eps = epsilonShare * bound
+		epsilon = epsilonShare * bound
 	}
-	for j, m := range mu[:n-1] {
-		if j == n-2 {
-			eps = mu[n-1] - float64(n-2)*eps
-		}
-		sums = sums.add(m + eps)
+	for _, speed := range speeds[:n-2] {
+		pairs = pairs.add(speed + epsilon)
 	}
-	return sums
+	rest := speeds[n-1] - float64(n-2)*epsilon
+	return pairs.add(speeds[n-2] + rest)
 }
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -14,7 +14,7 @@
 // EndpointState is the state of a server in the endpoint list.
 type EndpointState uint8
 
-// The values of EndpointState.
+// The values of EndpointState. Only servers that are Ready are sent requests.
 const (
 	Removed EndpointState = iota
 	Ready
@@ -28,93 +28,109 @@
 	Kind  int
 	Cell  int
 	State EndpointState
-	// Weight is the server's relative capacity; not above 0 it is not known.
+	// Weight is the server's relative capacity; a weight that is not above 0 is unknown.
 	Weight float64
 	// Start is when the server's process started; 0 is long ago.
 	Start time.Duration
 }
 
-// LoadReport is what a server reports of its own load. A field that is negative or NaN is absent, and all of them are
-// unless Known.
-type LoadReport struct {
-	Known bool
-	// InFlight counts the requests that the server holds, Queue those of them that wait.
-	InFlight float64
-	Queue    float64
-	// ServiceTime is the time that recent requests took, without waiting.
-	ServiceTime time.Duration
-}
-
+// server is an endpoint with what this agent knows about it.
 type server struct {
 	Endpoint
-	hashKey            float64       // place on the ring of all servers
-	listedSpeed        float64       // speed by the list's first weight
-	slowdown           float64       // times slower than its kind, learnt
-	candidateSpeed     float64       // speed in the present line
-	lastAnswer         time.Duration // when it last answered over a connection, 0 if never
-	inFlight           int           // own attempts out
-	silentAttempts     int           // of these, those that have been silent for longer than the patience
-	sentSinceReport    int           // sends since the last report
-	lastReport         LoadReport    // its last report
-	reportedAt         time.Duration
+	hashKey        float64 // place among this agent's servers
+	listedSpeed    float64 // speed by the weight that the endpoint list gave when the process was first listed
+	slowdown       float64 // learnt: how many times slower it is than others of its kind
+	candidateSpeed float64 // present speed, when a candidate set was last built with it
+
+	inFlight        int // attempts of this agent
+	silentAttempts  int // of these, those that have been silent for the class's silence timeout
+	sentSinceReport int // attempts sent since lastReport
+	lastReport      LoadReport
+	reportedAt      time.Duration
+
 	healthCheckPending bool
-	skippedUntil       time.Duration // passed by until then: it had no room
-	resetsInRow        int           // of its connections since it last answered
-	health             []classHealth // by class
+	lastAnswer         time.Duration // 0 if it has not answered yet
+	skippedUntil       time.Duration // its capacity was exhausted a moment ago
+	resetsInRow        int           // connections that were reset since the last answer
+	health             []classHealth // by class.index
 }
 
+// restart forgets what was learnt of the server's previous process.
 func (s *server) restart(e *Endpoint) {
-	s.slowdown, s.skippedUntil, s.resetsInRow, s.lastAnswer, s.lastReport.Known = 1, 0, 0, 0, false
+	s.slowdown = 1
+	s.skippedUntil = 0
+	s.resetsInRow = 0
+	s.lastAnswer = 0
+	s.lastReport.Known = false
 	clear(s.health)
-	if s.listedSpeed = e.Weight; !(e.Weight > 0 && e.Weight < math.MaxFloat32) {
-		s.listedSpeed = 1
+	s.listedSpeed = 1
+	if e.Weight > 0 && e.Weight < math.MaxFloat32 {
+		s.listedSpeed = e.Weight
 	}
 }
 
+// onDiscovery takes in a change of the endpoint list, or schedules a poll where the update brings none.
 func (b *Balancer) onDiscovery(ev *Event) {
 	if ev.Update.KeepsEndpoints() {
 		b.schedulePoll(ev)
 		return
 	}
-	b.candidateEpoch, b.pollFailures, b.pollRejections = b.candidateEpoch+1, 0, 0
+	b.candidateEpoch++
+	b.pollFailures = 0
+	b.pollRejections = 0
 	if ev.Update == EndpointsCached && b.settings.PollEndpoints {
 		b.schedulePoll(ev)
 	}
-	if ev.Update != EndpointsChanged {
-		for _, s := range b.servers { // who is absent from a whole list is gone
+	if ev.Update != EndpointsChanged { // a complete list: servers that are absent from it are removed
+		for _, s := range b.servers {
 			s.State = Removed
 		}
 	}
 	for i := range ev.Endpoints {
-		e := &ev.Endpoints[i]
-		if s := b.findOrAdd(e); s != nil {
-			if s.listedSpeed == 0 || s.Start != e.Start {
-				s.restart(e) // a new process: nothing learnt of the old one holds
-			}
-			s.Endpoint = *e
-		}
+		b.updateEndpoint(&ev.Endpoints[i])
 	}
-	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
-		if s.State != Removed || s.inFlight > 0 {
-			return false
-		}
-		delete(b.serversByID, s.ID)
-		return true
-	})
+	b.forgetRemoved()
 	b.sortServers()
 }
 
-// findOrAdd finds the server of a line of the list, or puts it last on the ring; one not known that is gone stays so.
+// updateEndpoint takes in one entry of the endpoint list.
+func (b *Balancer) updateEndpoint(e *Endpoint) {
+	s := b.findOrAdd(e)
+	if s == nil {
+		return
+	}
+	isNew := s.listedSpeed == 0
+	if isNew || s.Start != e.Start {
+		s.restart(e)
+	}
+	s.Endpoint = *e
+}
+
+// findOrAdd returns the server of an entry, and adds one that is not known. It returns nil for a server that was
+// removed before it was known.
 func (b *Balancer) findOrAdd(e *Endpoint) *server {
 	s := b.serversByID[e.ID]
 	if s == nil && e.State != Removed {
 		s = &server{hashKey: b.hashKey(e.ID), health: make([]classHealth, len(b.classNames))}
-		b.serversByID[e.ID], b.servers = s, append(b.servers, s)
+		b.serversByID[e.ID] = s
+		b.servers = append(b.servers, s)
 	}
 	return s
 }
 
-// hashKey places a server on this agent's ring by rendezvous hashing: one that comes or goes moves no other.
+// forgetRemoved drops the servers that were removed, once none of their attempts is in flight.
+func (b *Balancer) forgetRemoved() {
+	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
+		if s.State != Removed || s.inFlight > 0 {
+			return false
+		}
+		delete(b.serversByID, s.ID)
+		return true
+	})
+}
+
+// hashKey gives a server its place among this agent's servers by rendezvous hashing: a server that comes or goes does
+// not move the others.
 func (b *Balancer) hashKey(id ServerID) float64 {
 	return -float64(rand.NewPCG(uint64(id), uint64(b.settings.Rank)).Uint64())
 }
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -1,51 +1,72 @@
 package balancer
 
-const (
-	freshReportLatencies = 2.0 // usual answers' time that a report is news and no probe is due
-)
+import "time"
 
+// freshReportLatencies is the age up to which no health check asks for a new report, in mean latencies of the class.
+const freshReportLatencies = 2.0
+
+// LoadReport is what a server reports of its own load. A field that is negative or NaN is absent; all of them are
+// absent unless Known is set.
+type LoadReport struct {
+	Known bool
+	// InFlight counts the requests that the server holds, Queue those of them that wait.
+	InFlight float64
+	Queue    float64
+	// ServiceTime is how long recent requests took, without waiting.
+	ServiceTime time.Duration
+}
+
+// reportsQueue reports whether the server's last report said how many requests wait.
 func (s *server) reportsQueue() bool { return s.lastReport.Known && s.lastReport.Queue >= 0 }
 
-// recordReport takes in a server's own figures.
-func (b *Balancer) recordReport(s *server, l LoadReport) {
-	if !l.Known {
+// recordReport takes in a server's report of its load.
+func (b *Balancer) recordReport(s *server, report LoadReport) {
+	if !report.Known {
 		return
 	}
-	if l.Queue >= 0 {
-		b.queueLength[b.localityOf(s)].add(l.Queue, fleetSampleWeight)
+	if report.Queue >= 0 {
+		b.queueLength[b.localityOf(s)].add(report.Queue, fleetSampleWeight)
 	}
-	if l.InFlight < 0 && l.Queue >= 0 {
-		// Danger: where reports tell only who waits, a server with a long queue would look like an idle one.
-		if l.InFlight = l.Queue; l.Queue > 0 {
-			l.InFlight++
+	if report.InFlight < 0 && report.Queue >= 0 {
+		// Without this a server that reports only a long queue would count as idle.
+		report.InFlight = report.Queue
+		if report.Queue > 0 {
+			report.InFlight++ // at least one request is served while others wait
 		}
 	}
-	s.lastReport, s.reportedAt, s.sentSinceReport = l, b.now, 0
-	// Danger: where most is shed few answers come, and only reports of idle servers can end that. One server's queue
-	// is not the fleet's.
+	s.lastReport = report
+	s.reportedAt = b.now
+	s.sentSinceReport = 0
 	if s.reportsQueue() {
-		b.recordUtilization(min(max(0, l.InFlight-1)/(2*b.overloadQueue), 0.9*targetUtilization))
+		// When most requests are shed few answers come, and only reports of idle servers can end the overload. The
+		// bound keeps the queue of a single server from raising it.
+		utilization := max(0, report.InFlight-1) / (2 * b.overloadQueue)
+		b.recordUtilization(min(utilization, 0.9*targetUtilization))
 	}
 }
 
-// checkHealth asks what was drawn for its figures if the last are old, for the requests to come, where no answer tells
-// them. Danger: at few requests an agent all reports are old, and a fleet would probe more than it sends. One that
-// waited for the answers would wait a round trip to the farthest zone, which no setting tells.
-func (b *Balancer) checkHealth(r *request, pair ...*server) {
-	for _, s := range pair {
-		if !b.settings.HealthChecks || b.settings.Reports != ReportsOnHealthCheck || s == nil || s.healthCheckPending ||
-			s.lastReport.Known && b.now-s.reportedAt < seconds(freshReportLatencies*r.class.latencySeconds.value) {
-			continue
-		}
-		s.healthCheckPending = true
-		b.act(Action{Kind: ActionHealthCheck, Server: s.ID})
+// checkHealth asks a server for a report if none comes with its answers and the last one is old. The request that it
+// was picked for does not wait for the report: that would cost a round trip to the farthest zone.
+func (b *Balancer) checkHealth(c *class, s *server) {
+	if !b.settings.HealthChecks || b.settings.Reports != ReportsOnHealthCheck || s.healthCheckPending {
+		return
 	}
+	isFresh := s.lastReport.Known && b.now-s.reportedAt < seconds(freshReportLatencies*c.latencySeconds.value)
+	if isFresh {
+		return
+	}
+	s.healthCheckPending = true
+	b.act(Action{Kind: ActionHealthCheck, Server: s.ID})
 }
 
+// onHealthCheck takes in the end of a health check.
 func (b *Balancer) onHealthCheck(ev *Event) {
-	if s := b.serversByID[ev.Server]; s != nil {
-		if s.healthCheckPending = false; ev.Outcome == OutcomeOK {
-			b.recordReport(s, ev.Load)
-		}
+	s := b.serversByID[ev.Server]
+	if s == nil {
+		return
+	}
+	s.healthCheckPending = false
+	if ev.Outcome == OutcomeOK {
+		b.recordReport(s, ev.Load)
 	}
 }
--- a/internal/balancer/locality.go
+++ b/internal/balancer/locality.go
@@ -3,25 +3,39 @@
 import "math"
 
 const (
-	minRemoteWeight   = 0.05 // part of their speed that far servers are drawn by at least, to hear of them
-	remoteQueueMargin = 0.5  // requests more that wait at near servers than at far ones when far ones are drawn in full
-	remoteQueueSlope  = 2.0  // how fast that part falls as fewer do: a request less divides it by e to this
+	// minRemoteWeight is the least part of its speed that a remote server is weighted by, so that some answers still
+	// tell how it does.
+	minRemoteWeight = 0.05
+	// remoteQueueMargin is by how many waiting requests local servers must exceed remote ones until remote servers are
+	// weighted by their full speed.
+	remoteQueueMargin = 0.5
+	// remoteQueueSlope is how fast that weight falls below the margin: one request less divides it by e to this power.
+	remoteQueueSlope = 2.0
 )
 
-// localityOf is 1 for a server in this agent's zone and 0 for others.
-func (b *Balancer) localityOf(s *server) int {
+// locality says whether a server is in this agent's zone.
+type locality uint8
+
+const (
+	remote locality = iota
+	local
+	localities // how many there are
+)
+
+// localityOf returns the locality of a server.
+func (b *Balancer) localityOf(s *server) locality {
 	if s.Zone == b.settings.Zone {
-		return 1
+		return local
 	}
-	return 0
+	return remote
 }
 
-// remoteWeight is the part of their speed that servers in other zones are drawn by: all of it once the near ones have
-// longer queues. Danger: a zone may have more traffic than its servers can carry, or lose them.
+// remoteWeight returns the part of their speed that remote servers are weighted by. It is all of it while local servers
+// have longer queues, since a zone may have more traffic than its servers can carry.
 func (b *Balancer) remoteWeight() float64 {
-	if b.settings.Zone < 0 || !b.queueLength[1].known || !b.queueLength[0].known {
+	if b.settings.Zone < 0 || !b.queueLength[local].known || !b.queueLength[remote].known {
 		return 1
 	}
-	longer := b.queueLength[1].value - b.queueLength[0].value - remoteQueueMargin
-	return min(max(minRemoteWeight, math.Exp(longer*remoteQueueSlope)), 1)
+	excess := b.queueLength[local].value - b.queueLength[remote].value - remoteQueueMargin
+	return min(max(minRemoteWeight, math.Exp(excess*remoteQueueSlope)), 1)
 }
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -6,142 +6,230 @@
 )
 
 const (
-	skipLatencies        = 3.0  // usual answers' time that a server which was full stays passed by
-	maxEjectedShare      = 0.3  // of the servers at most, or one: more at once are overload or our own blindness
-	ejectionObjectives   = 4.0  // aims that a first ejection lasts
-	maxEjectionDoublings = 3    // times that this doubles while the server stays bad
-	silenceLatencies     = 6.0  // usual answers' time until an attempt hangs; the aim at least
-	singleFailureWeight  = 0.34 // of one that a failure counts soon after an answer: three in a row eject
-	maxResetsInRow       = 3    // resets of connections without an answer between them: the server has died
+	// skipLatencies is how long a server without capacity is skipped, in mean latencies.
+	skipLatencies = 3.0
+	// maxEjectedShare bounds the ejected part of the servers of a class. When more look bad, the cause is overload or
+	// this agent's own network.
+	maxEjectedShare = 0.3
+	// ejectionObjectives is how long a first ejection lasts, in latency objectives.
+	ejectionObjectives = 4.0
+	// maxEjectionDoublings is how many times that doubles while the server goes on failing.
+	maxEjectionDoublings = 3
+	// ejectedFailures is what an ejection leaves of the failures: the server is readmitted on trial.
+	ejectedFailures = 0.5
+	// singleFailureWeight is the weight of a failure soon after an answer: three in a row eject.
+	singleFailureWeight = 0.34
+	// fullFailureWeight is the weight that ejects at once.
+	fullFailureWeight = 1.0
+	// maxResetsInRow is how many connection resets without an answer between them show that the server has died.
+	maxResetsInRow = 3
+	// silenceLatencies is after how many mean latencies an attempt counts as silent; it is the latency objective at
+	// least.
+	silenceLatencies = 6.0
+	// silenceFailureStep is the weight that each expiry of the silence timer adds, in failure weights.
+	silenceFailureStep = 0.5
+	// healthyFailures is below which failures a server that falls silent counts as having been healthy.
+	healthyFailures = 0.25
+	// silenceUtilizationFactor scales objectiveUsage to the utilization that the silence of a healthy server stands for.
+	silenceUtilizationFactor = 4.0
 )
 
-// classHealth is what a server's answers to one class say.
+// failureReason says in the log why a server was ejected.
+type failureReason string
+
+const (
+	reasonErrors         failureReason = "errors"
+	reasonResets         failureReason = "resets"
+	reasonConnections    failureReason = "connections"
+	reasonSilence        failureReason = "silence"
+	reasonSeveralClasses failureReason = "several classes"
+)
+
+// classHealth is how a server has answered one class.
 type classHealth struct {
-	failures     float64       // failures of late, halved by each success
-	ejectedUntil time.Duration // ejected until then
-	ejections    int           // ejections in a row
-	lastAnswer   time.Duration // when it last answered, 0 if never
+	failures     float64 // weighted failures of late, halved by each success
+	ejectedUntil time.Duration
+	ejections    int           // in a row
+	lastAnswer   time.Duration // 0 if it has not answered yet
 }
 
-// recordOutcome draws the conclusions from an outcome.
-func (b *Balancer) recordOutcome(c *class, a *attempt, how Outcome, part float64) {
+// recordOutcome draws the conclusions from the outcome of an attempt; objectiveUsage is its latency over the latency
+// objective.
+func (b *Balancer) recordOutcome(c *class, a *attempt, outcome Outcome, objectiveUsage float64) {
 	s := a.server
-	switch how {
+	switch outcome {
 	case OutcomeOK:
-		s.lastAnswer, s.resetsInRow = b.now, 0
-		h := &s.health[c.index]
-		h.failures, h.ejections, h.lastAnswer = h.failures/2, 0, b.now
-		b.objectiveUsage.add(min(part, 1), sampleWeight)
-		if !s.reportsQueue() {
-			b.recordUtilization(part) // where queues are reported those have said it: one costly request is no crowd
-		}
+		b.recordSuccess(c, s, objectiveUsage)
 	case OutcomeTimeout:
 		b.recordSlowdown(s, maxSlowdown/2, sampleWeight)
-		if s.health[c.index].lastAnswer <= a.sentAt { // it may answer others and swallow this class
-			b.recordSilence(c, a, 1)
+		if s.health[c.index].lastAnswer <= a.sentAt { // it may have answered other classes
+			b.recordSilence(c, a, fullFailureWeight)
 		}
 	case OutcomeRejected:
-		// Danger: a server that turns requests away has few in flight and would win every pair. One that tells
-		// its load may have reasons of its own to; were that taken for a crowd, its rejections alone would have
-		// all requests shed from idle servers. What such a server holds is judged whenever it is drawn.
-		b.skip(s)
-		if !s.lastReport.Known {
-			b.recordUtilization(2)
-		}
+		b.recordRejection(s)
 	case OutcomeError:
-		// Danger: a quick error looks like a quick answer. It teaches no speed and counts against the server.
-		if b.failureWeight(c, s) == 1 {
-			b.recordFailureForAllClasses(s, "errors")
+		// Errors return early, so their latency would overstate the server's speed and is not recorded.
+		if b.failureWeight(c, s) == fullFailureWeight {
+			b.recordFailureForAllClasses(s, reasonErrors)
 		} else {
-			b.recordFailure(c, s, singleFailureWeight, "errors")
+			b.recordFailure(c, s, singleFailureWeight, reasonErrors)
 		}
 	case OutcomeReset:
-		// Danger: networks cut connections to healthy servers. One that has died resets all, or refuses the next.
-		if s.resetsInRow++; s.resetsInRow < maxResetsInRow {
-			b.recordFailure(c, s, singleFailureWeight, "resets")
+		// Networks reset connections to healthy servers; a server that has died resets all, or refuses the next.
+		s.resetsInRow++
+		if s.resetsInRow < maxResetsInRow {
+			b.recordFailure(c, s, singleFailureWeight, reasonResets)
 		} else {
-			b.recordFailureForAllClasses(s, "resets")
+			b.recordFailureForAllClasses(s, reasonResets)
 		}
 	case OutcomeConnectFailed:
-		if s.resetsInRow > 0 || b.failureWeight(c, s) == 1 {
-			b.recordFailureForAllClasses(s, "connections")
-		} else { // danger: it takes no more connections, and those out for it would make others take more
-			b.skip(s)
+		if s.resetsInRow > 0 || b.failureWeight(c, s) == fullFailureWeight {
+			b.recordFailureForAllClasses(s, reasonConnections)
+		} else {
+			b.skip(s) // it answers over other connections: its backlog is full
 		}
 	}
 }
 
-// recordFailureForAllClasses ejects a server from all lines: no class is served over connections that break.
-func (b *Balancer) recordFailureForAllClasses(s *server, why string) {
-	for _, c := range b.classes {
-		b.recordFailure(c, s, 1, why)
+// recordSuccess takes in an answer.
+func (b *Balancer) recordSuccess(c *class, s *server, objectiveUsage float64) {
+	s.lastAnswer = b.now
+	s.resetsInRow = 0
+	h := &s.health[c.index]
+	h.failures /= 2
+	h.ejections = 0
+	h.lastAnswer = b.now
+	b.objectiveUsage.add(min(objectiveUsage, 1), sampleWeight)
+	if !s.reportsQueue() { // a reported queue tells more than one costly request
+		b.recordUtilization(objectiveUsage)
 	}
 }
 
-// recordFailure counts failures of a class against a server and ejects it from the class's line when there are too
-// many; once two classes have, all do. Danger: a server may fail one class and serve the others well.
-func (b *Balancer) recordFailure(c *class, s *server, much float64, why string) {
-	h := &s.health[c.index]
-	if h.failures += much; h.failures < 1 || h.ejectedUntil > b.now || s.State != Ready {
-		return
+// recordRejection skips a server that has rejected an attempt: it has few requests in flight and would win every pair.
+func (b *Balancer) recordRejection(s *server) {
+	b.skip(s)
+	// A server that reports its load may reject for reasons of its own. Its load is judged whenever it is picked.
+	if !s.lastReport.Known {
+		b.recordUtilization(maxUtilization)
 	}
-	out, of := 1, 0
-	for _, o := range b.servers {
-		if o.State == Ready && c.eligible(o) {
-			of++
-			if o.health[c.index].ejectedUntil > b.now {
-				out++
-			}
-		}
+}
+
+// skip keeps requests from a server without capacity for a while.
+func (b *Balancer) skip(s *server) {
+	s.skippedUntil = b.now + seconds(skipLatencies*b.latencySeconds.value)
+}
+
+// failureWeight returns the weight of a failure that does not show by itself that the server has died. It is less soon
+// after an answer: busy agents meet single failures all the time.
+func (b *Balancer) failureWeight(c *class, s *server) float64 {
+	if s.lastAnswer > 0 && b.now-s.lastAnswer < c.LatencyObjective {
+		return singleFailureWeight
+	}
+	return fullFailureWeight
+}
+
+// recordFailureForAllClasses ejects a server for all classes.
+func (b *Balancer) recordFailureForAllClasses(s *server, reason failureReason) {
+	for _, c := range b.classes {
+		b.recordFailure(c, s, fullFailureWeight, reason)
 	}
-	if float64(out) > max(maxEjectedShare*float64(of), float64(min(1, of-1))) {
+}
+
+// recordFailure counts a failure of one class against a server and ejects it for that class when there are too many:
+// a server may fail one class and serve the others well. One that is ejected for two classes is ejected for all.
+func (b *Balancer) recordFailure(c *class, s *server, weight float64, reason failureReason) {
+	h := &s.health[c.index]
+	h.failures += weight
+	if h.failures < fullFailureWeight || h.ejectedUntil > b.now || s.State != Ready || !b.mayEjectAnother(c) {
 		return
 	}
-	wait := ejectionObjectives * c.LatencyObjective.Seconds() * float64(int(1)<<min(h.ejections, maxEjectionDoublings))
-	h.ejectedUntil = b.now + seconds(wait*(0.75+b.rng.Float64()/2))
-	h.ejections++
-	h.failures = 0.5 // half bad: it will be readmitted on trial
-	b.candidateEpoch++
-	b.log("server %d ejected for class %d for %.1f s: %s", s.ID, c.index, wait, why)
+	b.eject(c, s, reason)
 	for i := range s.health {
-		if o := &s.health[i]; o.ejectedUntil > b.now && i != c.index {
-			b.recordFailureForAllClasses(s, "several classes")
+		if i != c.index && s.health[i].ejectedUntil > b.now {
+			b.recordFailureForAllClasses(s, reasonSeveralClasses)
 			return
 		}
 	}
 }
 
-// recordSilence counts an attempt's silence against its server, up to so much. Danger: servers fall silent before
-// they choke: where other answers are late too, the silence of one that was well is crowding.
-func (b *Balancer) recordSilence(c *class, a *attempt, much float64) {
-	if a.server.health[c.index].failures < 0.25 && !a.server.reportsQueue() {
-		b.recordUtilization(4 * b.objectiveUsage.value)
+// mayEjectAnother reports whether a class has enough servers left to eject one more.
+func (b *Balancer) mayEjectAnother(c *class) bool {
+	ejected, eligible := 0, 0
+	for _, s := range b.servers {
+		if s.State != Ready || !c.eligible(s) {
+			continue
+		}
+		eligible++
+		if s.health[c.index].ejectedUntil > b.now {
+			ejected++
+		}
 	}
-	b.recordFailure(c, a.server, much-a.silenceWeight, "silence")
-	a.silenceWeight = much
+	allowed := max(maxEjectedShare*float64(eligible), float64(min(1, eligible-1)))
+	return float64(ejected+1) <= allowed
 }
 
-// failureWeight is what a failure says against a server. Danger: a busy agent meets single failures all the time; if
-// one were enough though answers come in between, half of the healthy would be out and the rest crowded.
-func (b *Balancer) failureWeight(c *class, s *server) float64 {
-	if s.lastAnswer > 0 && b.now-s.lastAnswer < c.LatencyObjective {
-		return singleFailureWeight
+// eject takes a server out of the candidate set of a class, for longer the more often in a row.
+func (b *Balancer) eject(c *class, s *server, reason failureReason) {
+	h := &s.health[c.index]
+	doublings := min(h.ejections, maxEjectionDoublings)
+	durationSeconds := ejectionObjectives * c.LatencyObjective.Seconds() * float64(int(1)<<doublings)
+	jitter := 0.75 + b.rng.Float64()/2
+	h.ejectedUntil = b.now + seconds(durationSeconds*jitter)
+	h.ejections++
+	h.failures = ejectedFailures
+	b.candidateEpoch++
+	b.log("server %d ejected for class %d for %.1f s: %s", s.ID, c.index, durationSeconds, reason)
+}
+
+// silenceTimeout returns after how long without an answer an attempt counts as silent.
+func (c *class) silenceTimeout() time.Duration {
+	return max(seconds(silenceLatencies*c.latencySeconds.value), c.LatencyObjective)
+}
+
+// onSilenceTimer looks at an attempt that has been in flight for another silence timeout.
+func (b *Balancer) onSilenceTimer(id TimerID) {
+	requestID, position := id.attempt()
+	r := b.requests[requestID]
+	if r == nil || r.streaming || !r.isInFlight(position) {
+		return
+	}
+	a := &r.attempts[position]
+	// A server that answers others meanwhile is not silent: the request is costly, or its connection is dead.
+	serverAnswers := a.server.lastAnswer > a.sentAt
+	weight := a.silenceWeight
+	if !serverAnswers {
+		weight = min(weight+silenceFailureStep*b.failureWeight(r.class, a.server), fullFailureWeight)
+	}
+	b.recordSilence(r.class, a, weight)
+	if a.silenceChecks == 0 {
+		a.server.silentAttempts++
+	}
+	a.silenceChecks++
+	if a.silenceWeight < fullFailureWeight && (!serverAnswers || a.silenceChecks < 2) {
+		b.act(Action{Kind: ActionSetTimer, TimerID: id, Delay: r.class.silenceTimeout()})
+	}
+	if a.silenceChecks > 1 || a.isLost() {
+		b.hedge(r)
 	}
-	return 1
 }
 
-// skip leaves a server without room alone for a while.
-func (b *Balancer) skip(s *server) {
-	s.skippedUntil = b.now + seconds(skipLatencies*b.latencySeconds.value)
+// recordSilence raises what the silence of an attempt counts against its server to a weight. Overloaded servers fall
+// silent too: where other answers are late, the silence of a server that was healthy counts as utilization.
+func (b *Balancer) recordSilence(c *class, a *attempt, weight float64) {
+	if a.server.health[c.index].failures < healthyFailures && !a.server.reportsQueue() {
+		b.recordUtilization(silenceUtilizationFactor * b.objectiveUsage.value)
+	}
+	b.recordFailure(c, a.server, weight-a.silenceWeight, reasonSilence)
+	a.silenceWeight = weight
 }
 
 // EjectedEndpoints counts the listed servers that are ejected for every class.
-func (b *Balancer) EjectedEndpoints(now time.Duration) (n int) {
+func (b *Balancer) EjectedEndpoints(now time.Duration) (count int) {
 	for _, s := range b.servers {
-		in := slices.ContainsFunc(b.classes, func(c *class) bool { return s.health[c.index].ejectedUntil <= now })
-		if !in && s.State != Removed {
-			n++
+		isAdmitted := slices.ContainsFunc(b.classes, func(c *class) bool { return s.health[c.index].ejectedUntil <= now })
+		if !isAdmitted && s.State != Removed {
+			count++
 		}
 	}
-	return n
+	return count
 }
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -3,96 +3,124 @@
 import "math"
 
 const (
-	maxPicks                   = 3    // draws before a request has nowhere to go
-	manyAgentsOverloadQueue    = 1.4  // waiting requests over the root of those served at once: beyond, servers jam,
-	loneAgentOverloadQueue     = 3.0  // where this agent is the only one and knows all that is sent
-	reportHalfLifeServiceTimes = 24.0 // service times, over the agents, that half of a report's news lasts: others send on
+	// maxPicks is how many times a request picks servers before it is given up.
+	maxPicks = 3
+	// manyAgentsOverloadQueue is the queue on a server beyond which it counts as overloaded where many agents send to
+	// it, in requests over the root of those that are served at once.
+	manyAgentsOverloadQueue = 1.4
+	// loneAgentOverloadQueue is the same for a single agent, which knows all that is sent.
+	loneAgentOverloadQueue = 3.0
+	// reportHalfLifeServiceTimes is after how many service times half of a report is out of date, times the number of
+	// agents: the others go on sending.
+	reportHalfLifeServiceTimes = 24.0
 )
 
-// dispatch sends the request to a server, or says that there is no room.
+// dispatch picks servers for a request and sends it. It reports whether the request was sent.
 func (b *Balancer) dispatch(r *request) bool {
 	for ; r.picks < maxPicks; r.picks++ {
-		a, c := b.pickPair(r.class)
-		if a == nil {
+		first, second := b.pickPair(r.class)
+		if first == nil {
 			return false
 		}
-		b.checkHealth(r, a, c)
-		if b.sendToPair(r, a, c) {
+		b.checkHealth(r.class, first)
+		if second != nil {
+			b.checkHealth(r.class, second)
+		}
+		if b.sendToPair(r, first, second) {
 			return true
 		}
 	}
 	return false
 }
 
-// pickPair picks a dedicated server (c is nil), or a pair. Both are nil when no server is ready.
-func (b *Balancer) pickPair(of *class) (a, c *server) {
-	l := &of.candidates
-	if l.epoch != b.candidateEpoch || b.now >= l.expiresAt ||
-		math.Abs(l.remoteWeight-b.remoteWeight()) > speedTolerance*l.remoteWeight {
-		b.rebuildCandidates(of)
+// pickPair picks two neighbours of the candidate set, or one server alone; then second is nil. Both are nil when there
+// is no candidate.
+func (b *Balancer) pickPair(c *class) (first, second *server) {
+	set := &c.candidates
+	if b.candidatesOutdated(set) {
+		b.rebuildCandidates(c)
 	}
-	switch n := len(l.servers); {
-	case n == 0:
+	if len(set.servers) == 0 {
 		return nil, nil
-	case n == 1 || b.rng.Float64() < singleServerShare:
-		return l.servers[l.weightSums.pick(b.rng.Float64())], nil
 	}
-	j := l.pairSums.pick(b.rng.Float64())
-	return l.servers[j], l.servers[j+1]
+	if len(set.servers) == 1 || b.rng.Float64() < singleServerShare {
+		return set.servers[set.weightSums.pick(b.rng.Float64())], nil
+	}
+	j := set.pairSums.pick(b.rng.Float64())
+	return set.servers[j], set.servers[j+1]
 }
 
-// lessLoaded puts the shorter expected wait of a pair, in flight over speed, first; ties at random.
-func (b *Balancer) lessLoaded(a, c *server) (first, second *server) {
-	if c == nil {
-		return a, nil
+// lessLoaded orders a pair by expected wait, requests in flight over speed, shortest first. Ties are broken at random.
+func (b *Balancer) lessLoaded(x, y *server) (first, second *server) {
+	if y == nil {
+		return x, nil
 	}
-	x, y := b.inFlightEstimate(a)*c.candidateSpeed, b.inFlightEstimate(c)*a.candidateSpeed
-	if x < y || x == y && b.rng.IntN(2) == 0 {
-		return a, c
+	xLoad := b.inFlightEstimate(x) * y.candidateSpeed
+	yLoad := b.inFlightEstimate(y) * x.candidateSpeed
+	xFirst := xLoad < yLoad
+	if xLoad == yLoad {
+		xFirst = b.rng.IntN(2) == 0
 	}
-	return c, a
+	if xFirst {
+		return x, y
+	}
+	return y, x
 }
 
-// sendToPair decides between a pair and sends. A crowded or cold server is passed by for the other.
-func (b *Balancer) sendToPair(r *request, a, c *server) bool {
-	a, c = b.lessLoaded(a, c)
-	aFull, cFull := b.isOverloaded(r, a), c == nil || b.isOverloaded(r, c)
-	if c != nil { // another pair may be idle: this one is longer than what is chosen usually
-		wait, typical := b.inFlightEstimate(a)/a.candidateSpeed, b.typicalWait.value
-		if b.typicalWait.add(wait, fleetSampleWeight); r.picks < maxPicks-1 && wait > typical {
-			return false
+// sendToPair sends a request to the less loaded server of a pair, or to the other if that one cannot take it. It
+// reports whether the request was sent.
+func (b *Balancer) sendToPair(r *request, x, y *server) bool {
+	first, second := b.lessLoaded(x, y)
+	firstOverloaded := b.isOverloaded(r, first)
+	secondOverloaded := second == nil || b.isOverloaded(r, second)
+	if second != nil {
+		wait := b.inFlightEstimate(first) / first.candidateSpeed
+		typicalWait := b.typicalWait.value
+		b.typicalWait.add(wait, fleetSampleWeight)
+		if r.picks < maxPicks-1 && wait > typicalWait {
+			return false // another pair is probably less loaded
 		}
 	}
-	// Danger: a pair that has rejected something a moment ago is no crowd. It would press at every draw, and the
-	// refusals make themselves lasting.
-	if aFull && cFull && b.now >= a.skippedUntil {
+	// A server that is skipped has had its rejection counted; were it counted at every pick, rejections would sustain
+	// themselves.
+	if firstOverloaded && secondOverloaded && b.now >= first.skippedUntil {
 		b.recordUtilization(1)
 	}
-	return !aFull && b.send(r, a) || !cFull && b.send(r, c)
+	if !firstOverloaded && b.send(r, first) {
+		return true
+	}
+	return !secondOverloaded && b.send(r, second)
 }
 
-// inFlightEstimate is what a server has in hand: our own attempts, or its report as far as that holds, or the usual.
+// inFlightEstimate returns how many requests a server holds: the attempts of this agent, or more if a report says so.
 func (b *Balancer) inFlightEstimate(s *server) float64 {
-	held, own := 0.0, float64(s.inFlight)
+	reported := 0.0
+	own := float64(s.inFlight)
 	if s.lastReport.Known && s.lastReport.InFlight >= 0 {
-		// Danger: attempts that are lost stay out until they time out, and their server would look busy all the
-		// while. Of those that are silent a fresh report knows better, but not of those on their way.
 		halfLife := reportHalfLifeServiceTimes / float64(b.settings.Agents) * b.serviceSeconds(s)
-		news := math.Exp2(-(b.now - s.reportedAt).Seconds() / halfLife)
-		held += (s.lastReport.InFlight-held)*news + float64(s.sentSinceReport)
-		own -= news * float64(s.silentAttempts)
+		freshness := math.Exp2(-(b.now - s.reportedAt).Seconds() / halfLife)
+		reported = s.lastReport.InFlight*freshness + float64(s.sentSinceReport)
+		// Lost attempts stay in flight until they time out, and a fresh report does not count them.
+		own -= freshness * float64(s.silentAttempts)
 	}
 	if s.reportsQueue() {
-		held = (held + own) / 2 // who waits was counted a while ago, and who is in work is a guess
+		reported = (reported + own) / 2 // the queue is out of date, and how many are being served is not reported
 	}
-	return max(held, own)
+	return max(reported, own)
 }
 
-// isOverloaded says that a request would be late behind what the server holds, or help to jam it. Who had room is
-// not crowded: where nobody sends, old figures stay for good.
+// isOverloaded reports whether a server has no capacity for a request: it was skipped, its queue is too long, or the
+// answer would miss the request's objective. A server that holds nothing is not overloaded, or nothing would be sent
+// to it and its last report would stay for good.
 func (b *Balancer) isOverloaded(r *request, s *server) bool {
-	held, hadNoRoom := b.inFlightEstimate(s), b.now < s.skippedUntil
-	jams := s.reportsQueue() && held >= 1+2*b.overloadQueue
-	late := (held+1)*b.serviceSeconds(s) > (r.objective - b.now).Seconds()
-	return hadNoRoom || s.lastReport.Known && held >= 1 && (jams || late)
+	if b.now < s.skippedUntil {
+		return true
+	}
+	inFlight := b.inFlightEstimate(s)
+	if !s.lastReport.Known || inFlight < 1 {
+		return false
+	}
+	queueTooLong := s.reportsQueue() && inFlight >= 1+2*b.overloadQueue
+	tooLate := (inFlight+1)*b.serviceSeconds(s) > (r.objective - b.now).Seconds()
+	return queueTooLong || tooLate
 }
--- a/internal/balancer/polling.go
+++ b/internal/balancer/polling.go
@@ -1,27 +1,44 @@
 package balancer
 
-// When the agent asks for the list of servers. All agents share one list service, which works through calls in
-// turn, and each has to have a change by the time that the platform gives for it.
-
 import (
 	"cmp"
 	"time"
 )
 
+// When the agent polls the endpoint list. All agents share one discovery service, which answers polls in turn, and each
+// agent has to hear of a change within the time that the platform allows.
+
 const (
-	// minPollInterval is the time between two agents' first calls for the list, where nothing tells how long the
-	// service takes for one. It is also the shortest time between two calls of an agent.
+	// minPollInterval is the least time between two polls of an agent. It is also the turn of each agent in a first
+	// poll where the latency of the service is not known.
 	minPollInterval = 300 * time.Millisecond
-	// pollReserve is what calls for the list need of the time that is left: one that is lost, and one more.
+	// pollReserve is the part of the remaining time that is kept for a poll that is lost and for another one.
 	pollReserve = 1500 * time.Millisecond
-	// maxQuickPolls is how many calls in a row that were refused at once are followed by another one soon. Danger:
-	// a service that is down refuses at once as well, and has to find its callers spread when it is back.
+	// maxQuickPolls is how many rejected polls in a row are followed by another one soon. A service that is down
+	// rejects as well, and has to find its callers spread when it is back.
 	maxQuickPolls = 2
 )
 
-// schedulePoll sets when to ask for the list next, after a call that failed [Left, Answer], a move of the
-// service [Left, Answer], or a start with an old list. It replaces what was set before.
+// schedulePoll sets the timer for the next poll, after a poll that failed, a migration, or a start with a cached
+// list. It replaces the timer that was set before.
 func (b *Balancer) schedulePoll(ev *Event) {
+	b.countPollFailure(ev)
+	// The first delay is computed in any case: it consumes a random number, and decisions follow their sequence.
+	delay := b.firstPollDelay(ev)
+	if b.pollFailures > 1 {
+		if ev.PollLatency > 0 {
+			delay = b.pacedPollDelay(ev)
+		} else {
+			delay = b.nextPollDelay(ev)
+		}
+	}
+	b.pollTimers++
+	b.act(Action{Kind: ActionSetTimer, TimerID: newPollTimerID(b.pollTimers), Delay: delay})
+}
+
+// countPollFailure counts a failed poll. A migration counts as the first failure, since the service at the new place
+// has not failed yet.
+func (b *Balancer) countPollFailure(ev *Event) {
 	switch ev.Update {
 	case PollFailed:
 		b.pollFailures++
@@ -29,65 +46,60 @@
 		if ev.Outcome != OutcomeRejected {
 			b.pollRejections = 0
 		}
-	case DiscoveryMigrated: // the service at the new place has not failed yet
-		b.pollFailures, b.pollRejections = 1, 0
-	}
-	wait := b.firstPollDelay(ev)
-	switch {
-	case b.pollFailures <= 1:
-	case ev.PollLatency <= 0:
-		wait = b.nextPollDelay(ev)
-	default:
-		wait = b.pacedPollDelay(ev)
+	case DiscoveryMigrated:
+		b.pollFailures = 1
+		b.pollRejections = 0
 	}
-	b.pollTimers++
-	b.act(Action{Kind: ActionSetTimer, TimerID: b.pollTimerID(), Delay: wait})
 }
 
-// pollTimerID is the token of the timer that counts.
-func (b *Balancer) pollTimerID() TimerID { return timerPoll | TimerID(b.pollTimers) }
+// onPollTimer polls the endpoint list if the timer is the latest one.
+func (b *Balancer) onPollTimer(id TimerID) {
+	if id == newPollTimerID(b.pollTimers) {
+		b.act(Action{Kind: ActionPollEndpoints})
+	}
+}
 
-// firstPollDelay is the wait for the first call after a start, a move or a success. Agents that start together or
-// fail together and ask together fail again, so they ask in turn, by rank, in short turns: until then they use
-// servers that may have gone.
+// firstPollDelay returns the wait for the first poll after a start, a migration or a success. Agents that start or fail
+// together take turns by rank, or their polls would fail together again; the turns are short, since until then requests
+// are sent to servers that may have been removed.
 func (b *Balancer) firstPollDelay(ev *Event) time.Duration {
-	turns := max(minPollInterval, ev.PollLatency).Seconds() * float64(b.settings.Agents)
+	allTurns := max(minPollInterval, ev.PollLatency).Seconds() * float64(b.settings.Agents)
 	turn := (float64(b.settings.Rank) + b.rng.Float64()) / float64(b.settings.Agents)
-	return seconds(min(b.pollWindow(ev.Remaining).Seconds(), turns) * turn)
+	return seconds(min(b.pollWindow(ev.Remaining).Seconds(), allTurns) * turn)
 }
 
-// nextPollDelay is the wait for a further call where nothing tells how long the service takes: a third of what is left
-// at least.
+// nextPollDelay returns the wait for a further poll where the latency of the service is not known: a third of the
+// remaining time at least.
 func (b *Balancer) nextPollDelay(ev *Event) time.Duration {
-	wait := b.pollWindow(ev.Remaining).Seconds() * (1 + 2*b.rng.Float64()) / 3
-	return max(minPollInterval, seconds(wait))
+	delay := b.pollWindow(ev.Remaining).Seconds() * (1 + 2*b.rng.Float64()) / 3
+	return max(minPollInterval, seconds(delay))
 }
 
-// pacedPollDelay is the wait for a further call where it is known how long the service takes: half of a round to
-// one and a half, a round being the time in which it can answer each agent once. Were calls much closer it would
-// spend its time on those that come to nothing, and answer none in time. While there is time for more calls after
-// the next one, the next comes sooner; sooner still after one or two calls that were refused at once, which have
-// cost the service nothing.
+// pacedPollDelay returns the wait for a further poll where the latency of the service is known: half of a round to
+// one and a half, a round being the time in which the service answers each agent once. Polls that came much faster
+// would keep it busy with polls that are given up. A poll that leaves time for another one comes sooner, and sooner
+// still after one or two rejections, which have cost the service nothing.
 func (b *Balancer) pacedPollDelay(ev *Event) time.Duration {
 	round := ev.PollLatency * time.Duration(b.settings.Agents)
-	wait := seconds(round.Seconds() * (0.5 + b.rng.Float64()))
-	part := time.Duration(2)
+	delay := seconds(round.Seconds() * (0.5 + b.rng.Float64()))
+	divisor := time.Duration(2)
 	if b.pollRejections > 0 && b.pollRejections <= maxQuickPolls {
-		part = 4
+		divisor = 4
 	}
-	if spare := b.pollBound(ev.Remaining) - 2*ev.PollLatency; spare > 0 {
-		wait = min(wait, max(spare/part, round/part))
+	unused := b.pollBound(ev.Remaining) - 2*ev.PollLatency
+	if unused > 0 {
+		delay = min(delay, max(unused/divisor, round/divisor))
 	}
-	return max(minPollInterval, min(wait, b.pollWindow(0)))
+	return max(minPollInterval, min(delay, b.pollWindow(0)))
 }
 
-// pollBound is how long the agent may go without an answer, with so much time left; 0 is all of
+// pollBound returns how long the agent may go without an answer when so much time remains; 0 stands for all of
 // NotifyBoundAfterFailure.
-func (b *Balancer) pollBound(left time.Duration) time.Duration {
-	return min(cmp.Or(left, NotifyBoundAfterFailure), b.settings.MaxPollInterval)
+func (b *Balancer) pollBound(remaining time.Duration) time.Duration {
+	return min(cmp.Or(remaining, NotifyBoundAfterFailure), b.settings.MaxPollInterval)
 }
 
-// pollWindow is the part of it in which the next call has to begin.
-func (b *Balancer) pollWindow(left time.Duration) time.Duration {
-	return max(0, b.pollBound(left)-pollReserve)
+// pollWindow returns the part of pollBound within which the next poll has to start.
+func (b *Balancer) pollWindow(remaining time.Duration) time.Duration {
+	return max(0, b.pollBound(remaining)-pollReserve)
 }
--- a/internal/balancer/speed.go
+++ b/internal/balancer/speed.go
@@ -6,63 +6,80 @@
 )
 
 const (
-	sampleWeight      = 0.15 // weight of a sample of one server: a dozen settle a mean
+	// sampleWeight is the weight of a sample of a single server: a dozen settle a mean.
+	sampleWeight = 0.15
+	// fleetSampleWeight is the weight of a sample in a mean over all servers.
 	fleetSampleWeight = sampleWeight / 4
-	kindPriorAnswers  = 8.0 // answers after which a kind's learnt speed counts as much as the list's weights
-	maxSlowdown       = 8.0 // slower than this is the business of ejection
+	// slowdownSampleWeight is the weight of an answer in the slowdown of its server.
+	slowdownSampleWeight = sampleWeight / 3
+	// kindPriorAnswers is after how many answers the learnt speed of a kind counts as much as the listed weights.
+	kindPriorAnswers = 8.0
+	// maxSlowdown bounds the slowdown of a server; a slower one is up to outlier detection.
+	maxSlowdown = 8.0
+	// maxLatencyRatio bounds a latency sample, in mean latencies.
+	maxLatencyRatio = 4.0
+	// minLatencyRatio keeps the speed of a kind finite.
+	minLatencyRatio = 1e-3
 )
 
-// machineKind is what servers of one kind of machine have in common.
+// machineKind is what has been learnt about the servers of one kind of machine.
 type machineKind struct {
-	latencyRatio mean    // time of an answer over its class's
-	answers      float64 // answers that its pace was learnt from
+	latencyRatio mean    // latency of an answer over the mean of its class
+	answers      float64 // answers that latencyRatio was learnt from
 }
 
+// kindOf returns the kind of machine of a server.
 func (b *Balancer) kindOf(s *server) *machineKind {
 	k := b.machineKinds[s.Kind]
 	if k == nil {
-		k = &machineKind{latencyRatio: mean{1, true}}
+		k = &machineKind{latencyRatio: mean{value: 1, known: true}}
 		b.machineKinds[s.Kind] = k
 	}
 	return k
 }
 
-// recordLatency learns from how long an answer took beside others of its class, for each request that was ahead of it
-// and itself. Danger: the service time that servers report covers the last request or two, and a server that is
-// done with a costly one tells of it until the next.
-func (b *Balancer) recordLatency(c *class, a *attempt, took float64) {
-	s := a.server
-	if took <= 0 {
-		return // within a tick: it tells no speed
+// recordLatency learns the speed of a server from an answer: its latency over the mean of the class, per request that
+// the server held. Reported service times are not used, since they cover only the last request or two.
+func (b *Balancer) recordLatency(c *class, a *attempt, latencySeconds float64) {
+	if latencySeconds <= 0 {
+		return // shorter than a tick
 	}
+	s := a.server
+	kind := b.kindOf(s)
 	b.queueDepth.add(a.queueDepth, fleetSampleWeight)
-	ratio, k := took/c.latencySeconds.value*b.queueDepth.value/a.queueDepth, b.kindOf(s)
-	c.latencySeconds.add(min(took, 4*c.latencySeconds.value), fleetSampleWeight)
-	b.latencySeconds.add(took, fleetSampleWeight)
-	if b.minWarmth(s) == 1 || k.answers == 0 { // a cold server is no example
-		k.answers, b.kindAnswers = k.answers+1, b.kindAnswers+1
-		k.latencyRatio.add(min(ratio, 4), max(fleetSampleWeight, 1/(k.answers+kindPriorAnswers/2)))
+	ratio := latencySeconds / c.latencySeconds.value * b.queueDepth.value / a.queueDepth
+	c.latencySeconds.add(min(latencySeconds, maxLatencyRatio*c.latencySeconds.value), fleetSampleWeight)
+	b.latencySeconds.add(latencySeconds, fleetSampleWeight)
+	if b.minWarmth(s) == 1 || kind.answers == 0 { // a server that warms up is no example of its kind
+		kind.answers++
+		b.kindAnswers++
+		weight := max(fleetSampleWeight, 1/(kind.answers+kindPriorAnswers/2))
+		kind.latencyRatio.add(min(ratio, maxLatencyRatio), weight)
 	}
-	b.recordSlowdown(s, ratio*b.expectedWarmth(s)/k.latencyRatio.value, sampleWeight/3)
+	b.recordSlowdown(s, ratio*b.expectedWarmth(s)/kind.latencyRatio.value, slowdownSampleWeight)
 }
 
-// recordSlowdown takes in a sample of how many times slower than usual a server is.
-func (b *Balancer) recordSlowdown(s *server, ratio, weight float64) {
-	s.slowdown += weight * (min(max(ratio, 1/maxSlowdown), maxSlowdown) - s.slowdown)
-	if math.Abs(b.speed(s)*b.expectedWarmth(s)-s.candidateSpeed) > speedTolerance*s.candidateSpeed {
+// recordSlowdown takes in a sample of how many times slower a server is than others of its kind.
+func (b *Balancer) recordSlowdown(s *server, slowdown, weight float64) {
+	s.slowdown += weight * (min(max(slowdown, 1/maxSlowdown), maxSlowdown) - s.slowdown)
+	change := b.speed(s)*b.expectedWarmth(s) - s.candidateSpeed
+	if math.Abs(change) > speedTolerance*s.candidateSpeed {
 		b.candidateEpoch++
 	}
 }
 
-// speed is what a server can do when warm: by the list's weight, then by how long its kind takes. Danger:
-// weights without the cores' speed overload the slow kind; single servers are seen too seldom to mend that.
-// How many are in work has no part in it: who is sent more would look faster and be sent more again.
+// speed returns the relative speed of a server once it is warm. Listed weights alone would overload kinds with slow
+// cores, and single servers are seen too seldom to correct that, so a kind's latency takes their place. The requests in
+// flight have no part in it: a server that is sent more would look faster and be sent more still.
 func (b *Balancer) speed(s *server) float64 {
-	k, known := b.kindOf(s), b.kindAnswers/(b.kindAnswers+kindPriorAnswers)
-	return math.Pow(s.listedSpeed, 1-known) * math.Pow(max(k.latencyRatio.value, 1e-3), -known) / s.slowdown
+	kind := b.kindOf(s)
+	confidence := b.kindAnswers / (b.kindAnswers + kindPriorAnswers)
+	listed := math.Pow(s.listedSpeed, 1-confidence)
+	learnt := math.Pow(max(kind.latencyRatio.value, minLatencyRatio), -confidence)
+	return listed * learnt / s.slowdown
 }
 
-// serviceSeconds is how long a request of the usual size takes on a server, in seconds.
+// serviceSeconds returns how long a server takes for an average request, without waiting.
 func (b *Balancer) serviceSeconds(s *server) float64 {
 	if !b.queueDepth.known {
 		return cmp.Or(max(0, s.lastReport.ServiceTime.Seconds()), b.classes[0].latencySeconds.value)
--- a/internal/balancer/sums.go
+++ b/internal/balancer/sums.go
@@ -5,46 +5,53 @@
 	"time"
 )
 
-// sums are running sums of weights, for draws by weight in logarithmic time.
+// maxHistoryLength bounds a history. A full one drops its older half, so no count may be relied on beyond the other
+// half.
+const maxHistoryLength = 4096
+
+// sums are running sums of weights, for picks by weight in logarithmic time.
 type sums []float64
 
+// add appends a weight.
 func (s sums) add(weight float64) sums { return append(s, s.span(0, len(s))+weight) }
 
-// span is the sum of the weights i to j-1, those that exist.
-func (s sums) span(i, j int) float64 {
-	upTo := func(k int) float64 {
-		if k = min(k, len(s)); k <= 0 {
-			return 0
-		}
-		return s[k-1]
+// span returns the sum of the weights i to j-1; positions that do not exist count as 0.
+func (s sums) span(i, j int) float64 { return s.upTo(j) - s.upTo(i) }
+
+// upTo returns the sum of the first n weights.
+func (s sums) upTo(n int) float64 {
+	n = min(n, len(s))
+	if n <= 0 {
+		return 0
 	}
-	return upTo(j) - upTo(i)
+	return s[n-1]
 }
 
-// pick draws an index by weight, u being uniform in [0, 1).
+// pick returns an index by weight; u is uniform in [0, 1).
 func (s sums) pick(u float64) int {
 	i, _ := slices.BinarySearch(s, u*s[len(s)-1])
 	return min(i, len(s)-1)
 }
 
-// mean is a moving mean; its first sample is taken whole.
+// mean is an exponentially weighted moving average; it starts at its first sample.
 type mean struct {
 	value float64
 	known bool
 }
 
-func (m *mean) add(x, weight float64) {
+// add takes in a sample.
+func (m *mean) add(sample, weight float64) {
 	if !m.known {
-		m.value, m.known = x, true
+		m.value = sample
+		m.known = true
 	}
-	m.value += weight * (x - m.value)
+	m.value += weight * (sample - m.value)
 }
 
-// history keeps when things happened, oldest first, as far back as anyone asks.
+// history holds the times of past events, oldest first.
 type history []time.Duration
 
-const maxHistoryLength = 4096
-
+// add appends a time, and drops the older half when the history is full.
 func (h *history) add(at time.Duration) {
 	if len(*h) >= maxHistoryLength {
 		*h = append((*h)[:0], (*h)[maxHistoryLength/2:]...)
@@ -52,7 +59,7 @@
 	*h = append(*h, at)
 }
 
-// countSince counts what happened at a time or later.
+// countSince counts the events at a time or later.
 func (h history) countSince(from time.Duration) int {
 	i, _ := slices.BinarySearch(h, from)
 	return len(h) - i
--- a/internal/balancer/timers.go
+++ b/internal/balancer/timers.go
@@ -1,37 +1,43 @@
 package balancer
 
-// The upper bits of a TimerID say what the timer is for; of timerCheck the lower ones hold an attempt and its request.
+// A TimerID holds the purpose of the timer in its upper byte. Below that a poll timer holds its number, and a silence
+// timer the position of an attempt and the id of its request.
 const (
-	timerPoll  TimerID = 1 << 56
-	timerCheck TimerID = 3 << 56
+	timerPurposeShift = 56
+	timerAttemptShift = 32
+	timerAttemptMask  = 0xff
 )
 
-func (b *Balancer) onTimer(token TimerID) {
-	switch token >> 56 << 56 {
+// timerPurpose says what a timer is for.
+type timerPurpose uint8
+
+const (
+	timerPoll    timerPurpose = 1
+	timerSilence timerPurpose = 3
+)
+
+// newPollTimerID returns the id of the n-th poll timer.
+func newPollTimerID(n uint64) TimerID { return TimerID(timerPoll)<<timerPurposeShift | TimerID(n) }
+
+// newSilenceTimerID returns the id of the silence timer of an attempt, which is given by its position in the request.
+func newSilenceTimerID(request RequestID, attempt int) TimerID {
+	return TimerID(timerSilence)<<timerPurposeShift | TimerID(attempt)<<timerAttemptShift | TimerID(request)
+}
+
+// purpose returns what the timer is for.
+func (id TimerID) purpose() timerPurpose { return timerPurpose(id >> timerPurposeShift) }
+
+// attempt returns the request of a silence timer and the position of the attempt.
+func (id TimerID) attempt() (request RequestID, attempt int) {
+	return RequestID(id), int(id >> timerAttemptShift & timerAttemptMask)
+}
+
+// onTimer hands a timer that has fired to the concern that set it.
+func (b *Balancer) onTimer(id TimerID) {
+	switch id.purpose() {
 	case timerPoll:
-		if token == b.pollTimerID() {
-			b.act(Action{Kind: ActionPollEndpoints})
-		}
-	case timerCheck:
-		n := int(token >> 32 & 0xff)
-		if r := b.requests[RequestID(token)]; r != nil && !r.streaming && n < len(r.attempts) && r.attempts[n].inFlight {
-			// Danger: a costly request, or one on a connection that has gone dead, is no silence of its server,
-			// which answers others meanwhile.
-			a, answers := &r.attempts[n], r.attempts[n].server.lastAnswer > r.attempts[n].sentAt
-			much := a.silenceWeight
-			if !answers {
-				much = min(much+0.5*b.failureWeight(r.class, a.server), 1)
-			}
-			b.recordSilence(r.class, a, much)
-			if a.silenceChecks == 0 {
-				a.server.silentAttempts++
-			}
-			if a.silenceChecks++; a.silenceWeight < 1 && (!answers || a.silenceChecks < 2) {
-				b.act(Action{Kind: ActionSetTimer, TimerID: token, Delay: r.class.silenceTimeout()})
-			}
-			if a.silenceChecks > 1 || a.isLost() {
-				b.hedge(r)
-			}
-		}
+		b.onPollTimer(id)
+	case timerSilence:
+		b.onSilenceTimer(id)
 	}
 }
