--- /dev/null
+++ b/internal/balancer/admission_test.go
@@ -0,0 +1,116 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+// A crowded fleet turns requests away early, and tenants over their share go first.
+func TestShedsTenantsOverTheirShare(t *testing.T) {
+	s := settings()
+	s.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
+	x := start(t, s, fleet(6)...)
+	var refused [2]int
+	for id := range RequestID(2000) {
+		x.b.overload = toleratedOverload + 0.35
+		tenant := 0
+		if id%10 == 0 {
+			tenant = 1
+		}
+		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Tenant: tenant, Remaining: 1000 * ms}) {
+			if a.Kind == ActionReject {
+				refused[tenant]++
+			}
+			if a.Kind == ActionSend {
+				x.ends(id, 0, OutcomeOK)
+			}
+		}
+	}
+	if over, under := float64(refused[0])/1800, float64(refused[1])/200; over < 0.9 || under > 0.1 {
+		t.Errorf("refused %v of the tenant over its share, %v of the other", over, under)
+	}
+}
+
+// Incident i4d2661: under high pressure only 4% was let through, too little to tell that servers were idle again.
+func TestPressureEasesWithoutNews(t *testing.T) {
+	x := start(t, settings(), fleet(4)...)
+	x.b.overloadDecayedAt = x.now
+	x.b.overload = maxOverload
+	x.now += seconds(4 * overloadHalfLifeObjectives * 0.4) // four half-lives
+	x.ask(1, pure)
+	if got := x.b.overload; got > maxOverload/15 || got <= 0 {
+		t.Errorf("pressure %v after four half-lives", got)
+	}
+}
+
+// Pressure is no belief that keeps itself: reports of room take it back though few answers come, and a pair that
+// rejected something a moment ago adds nothing. A crowded pair does.
+func TestPressureFollowsReports(t *testing.T) {
+	x := start(t, settings(), fleet(2)...)
+	report := func(held float64) {
+		for _, s := range x.b.servers {
+			x.b.recordReport(s, LoadReport{Known: true, InFlight: -1, Queue: held, ServiceTime: 20 * ms})
+		}
+	}
+	for range 20 {
+		report(2)
+	}
+	x.b.overload = maxOverload
+	for range 12 {
+		report(0)
+	}
+	if x.b.overload > 0 {
+		t.Errorf("pressure %v, though all reports tell of room", x.b.overload)
+	}
+	for _, s := range x.b.servers {
+		s.skippedUntil = x.now + time.Second
+	}
+	if one(t, x.ask(1, pure), ActionReject); x.b.overload > 0 {
+		t.Errorf("pressure %v for a pair that is passed by", x.b.overload)
+	}
+	for _, s := range x.b.servers {
+		s.skippedUntil = 0
+	}
+	report(40)
+	x.b.overload = 0
+	if one(t, x.ask(2, pure), ActionReject); x.b.overload == 0 {
+		t.Error("no pressure for a pair that is crowded")
+	}
+}
+
+// Incidents i6871ee, ie92136: silence of servers that were well is crowding where other answers are late too, and
+// none where they are quick: then the silent ones are ill.
+func TestSilenceIsCrowdingWhereAnswersAreLate(t *testing.T) {
+	for part, want := range map[float64]bool{0.1: false, 0.9: true} {
+		x := start(t, settings(), fleet(9)...)
+		for range 20 {
+			x.b.objectiveUsage.add(part, sampleWeight)
+		}
+		for i := range 4 {
+			x.b.recordSilence(x.b.classes[pure], &attempt{server: x.b.servers[i]}, 0.5)
+		}
+		if got := x.b.overload > toleratedOverload; got != want {
+			t.Errorf("answers take %v of their aims: pressure %v after four servers fell silent", part, x.b.overload)
+		}
+	}
+}
+
+// A refusal tells when to come again, later under pressure.
+func TestRefusalsCarryAdvice(t *testing.T) {
+	s := settings()
+	s.AdviseRetryAfter = true
+	x := start(t, s)
+	calm := one(t, x.ask(1, pure), ActionReject).RetryAfter
+	x.b.overload = 1
+	if busy := one(t, x.ask(2, unsafe), ActionReject).RetryAfter; calm <= 0 || busy <= calm {
+		t.Errorf("advice %v, under pressure %v", calm, busy)
+	}
+	x.b.settings.MaxRetryAfter = calm / 2
+	if a := one(t, x.ask(3, pure), ActionReject); a.RetryAfter != calm/2 {
+		t.Errorf("advice %v where clients heed %v at most", a.RetryAfter, calm/2)
+	}
+	x.b.settings.AdviseRetryAfter = false
+	if a := one(t, x.ask(4, pure), ActionReject); a.RetryAfter != 0 {
+		t.Errorf("advice %v where the settings allow none", a.RetryAfter)
+	}
+}
--- /dev/null
+++ b/internal/balancer/candidates_test.go
@@ -0,0 +1,141 @@
+package balancer
+
+import (
+	"math"
+	"slices"
+	"testing"
+	"time"
+)
+
+func TestPairWeightsByHand(t *testing.T) {
+	for _, c := range []struct {
+		speeds, want []float64
+	}{
+		{[]float64{3}, nil},
+		{[]float64{1, 2}, []float64{3}},                     // one pair gets all
+		{[]float64{1, 2, 3}, []float64{2, 4}},               // bound min(2/1, 5/1) = 2, eps 1
+		{[]float64{2, 2, 1, 4}, []float64{2.25, 2.25, 4.5}}, // bound min(2/1, 1/2, 5/2) = 0.5, eps 0.25
+		{[]float64{4, 4, 4, 0.1}, []float64{5, 5, 2.1}},     // bound min(4, 2, 4.1/2) = 2, eps 1: the last is negative
+	} {
+		got := appendPairSums(c.speeds, nil)
+		sum := 0.0
+		if len(got) != len(c.want) {
+			t.Fatalf("speeds %v: %d pairs", c.speeds, len(got))
+		}
+		for j, w := range c.want {
+			sum += w
+			if math.Abs(got[j]-sum) > 1e-12 {
+				t.Errorf("speeds %v: pair %d weighs %v, want %v", c.speeds, j, got.span(j, j+1), w)
+			}
+		}
+	}
+}
+
+// Among many agents each keeps to a few servers, which it hears of often; among few each uses all.
+func TestLineFitsTheFleet(t *testing.T) {
+	for _, c := range []struct{ agents, servers, want int }{{80, 60, 9}, {40, 60, 18}, {3, 15, 15}, {80, 15, minCandidates}} {
+		s := settings()
+		s.Agents = c.agents
+		x := start(t, s, fleet(c.servers)...)
+		if x.draw(); len(x.line().servers) != c.want {
+			t.Errorf("%d agents and %d servers: a line of %d, want %d", c.agents, c.servers, len(x.line().servers), c.want)
+		}
+	}
+}
+
+// Lines are this agent's own: a server that comes or goes changes one place on them.
+func TestLinesAreStable(t *testing.T) {
+	for rank := range 20 {
+		s := settings()
+		s.Agents, s.Rank = 100, rank
+		x := start(t, s, fleet(40)...)
+		x.draw()
+		before := slices.Clone(x.line().servers)
+		x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{ready(99, 1), {ID: before[0].ID, State: Removed}}})
+		x.draw()
+		kept := 0
+		for _, s := range x.line().servers {
+			if slices.Contains(before, s) {
+				kept++
+			}
+		}
+		if kept < len(before)-2 {
+			t.Errorf("rank %d: %d of %d servers kept", rank, kept, len(before))
+		}
+	}
+}
+
+// Rule 5: a bound class goes to the servers open to it and to no other, at every attempt, whatever their state.
+func TestPlacement(t *testing.T) {
+	list := fleet(40)
+	for i := range list {
+		list[i].Zone, list[i].Kind = i%4, i/4%2
+	}
+	for name, c := range map[string]struct {
+		zones, kinds []int
+		open         func(Endpoint) bool
+	}{
+		"zones":     {[]int{1, 3}, nil, func(e Endpoint) bool { return e.Zone%2 == 1 }},
+		"kinds":     {nil, []int{1}, func(e Endpoint) bool { return e.Kind == 1 }},
+		"both":      {[]int{2}, []int{0}, func(e Endpoint) bool { return e.Zone == 2 && e.Kind == 0 }},
+		"unmatched": {[]int{9}, nil, func(Endpoint) bool { return false }},
+		"empty":     {nil, []int{}, func(Endpoint) bool { return false }},
+	} {
+		s := settings()
+		s.Agents, s.Rank = 50, 7 // a small window
+		s.Classes[pure].Zones, s.Classes[pure].Kinds = c.zones, c.kinds
+		x := start(t, s, list...)
+		any := slices.ContainsFunc(list, c.open)
+		sent := 0
+		check := func(acts []Action) {
+			for _, a := range acts {
+				if a.Kind == ActionSend {
+					if sent++; !c.open(list[a.Server-1]) {
+						t.Fatalf("%s: sent to %+v", name, list[a.Server-1])
+					}
+				}
+			}
+		}
+		for id := range RequestID(60) {
+			x.b.overload, x.b.retryTimes = 0, nil
+			acts := x.ask(id, pure)
+			if check(acts); any && id == 0 {
+				one(t, acts, ActionSend)
+			} else if !any {
+				one(t, acts, ActionReject)
+			}
+			for n, how := range []Outcome{OutcomeConnectFailed, OutcomeRejected, OutcomeError, OutcomeReset} {
+				check(x.ends(id, n, how))
+			}
+			x.now += time.Minute // whoever was ejected is back
+		}
+		for _, e := range list { // all that are open to it are gone: hold or end
+			if c.open(e) {
+				e.State = Draining
+				x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{e}})
+			}
+		}
+		before := sent
+		check(x.ask(1000, pure))
+		if sent != before || any && before < 60 {
+			t.Errorf("%s: %d sent, then %d", name, before, sent)
+		}
+	}
+}
+
+// Whatever else is on the list, a window holds servers for a bound class as long as there are any.
+func TestSmallWindowHoldsBoundServers(t *testing.T) {
+	for rank := range 50 {
+		list := fleet(100)
+		for i := range list {
+			list[i].Zone = min(i, 1)
+		}
+		s := settings()
+		s.Agents, s.Rank = 50, rank
+		s.Classes[unsafe].Zones = []int{0}
+		x := start(t, s, list...)
+		if a := one(t, x.ask(1, unsafe), ActionSend); a.Server != 1 {
+			t.Fatalf("rank %d: sent to %d", rank, a.Server)
+		}
+	}
+}
--- /dev/null
+++ b/internal/balancer/polling_test.go
@@ -0,0 +1,118 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+func TestFailedListKeepsServersAndBacksOff(t *testing.T) {
+	s := settings()
+	s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, 10*time.Second, 4, 2
+	x := start(t, s)
+	first := one(t, x.on(Event{Kind: EventDiscovery, Update: EndpointsCached, Endpoints: fleet(2)}), ActionSetTimer)
+	if first.Delay < 600*ms || first.Delay > 900*ms {
+		t.Errorf("rank 2 of 4 asks after %v, want its slot of 0.3 s", first.Delay)
+	}
+	one(t, x.on(Event{Kind: EventTimer, TimerID: first.TimerID}), ActionPollEndpoints)
+	last := time.Duration(0)
+	for n := range 4 {
+		a := one(t, x.on(Event{Kind: EventDiscovery, Update: PollFailed}), ActionSetTimer)
+		if n == 0 && a.Delay > 1500*ms {
+			t.Errorf("waits %v after one failure", a.Delay)
+		}
+		if a.Delay > NotifyBoundAfterFailure-1500*ms {
+			t.Errorf("waits %v", a.Delay)
+		}
+		last = a.Delay
+	}
+	if last < 2250*ms {
+		t.Errorf("the fourth failure in a row waits only %v", last)
+	}
+	one(t, x.ask(1, pure), ActionSend)
+}
+
+// The next call for the list leaves time for its answer, and for another, before what was missed counts as told; without
+// such a bound calls are made in turn, and then ever more seldom, but within MaxPollInterval.
+func TestAsksWithinWhatIsLeft(t *testing.T) {
+	for _, mustAskIn := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
+		for _, agents := range []int{1, 6, 350} {
+			s := settings()
+			s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, mustAskIn, agents, agents-1
+			for _, c := range []struct {
+				before      int // failures in a row
+				left        time.Duration
+				least, most time.Duration
+			}{
+				{0, 1400 * ms, 0, 0},
+				{1, 700 * ms, 50 * ms, 300 * ms},
+				{5, 700 * ms, 50 * ms, 300 * ms},
+				{0, 4 * time.Second, 0, 2500 * ms},
+				{0, 1, 0, 0},
+				{0, 0, 0, min(mustAskIn*6/10, 4500*ms)},
+				{1, 0, 50 * ms, min(mustAskIn, 4500*ms)},
+				{9, 0, min(mustAskIn/4, 2250*ms), min(mustAskIn, 4500*ms)},
+				{9, 6 * time.Second, min(mustAskIn/4, 2250*ms), min(mustAskIn, 4500*ms)},
+			} {
+				x := start(t, s, fleet(2)...)
+				for range c.before {
+					x.on(Event{Kind: EventDiscovery, Update: PollFailed})
+				}
+				a := one(t, x.on(Event{Kind: EventDiscovery, Update: PollFailed, Remaining: c.left}), ActionSetTimer)
+				if a.Delay < c.least || a.Delay > c.most {
+					t.Errorf("%d agents, %v: %d failures and %v left: waits %v, want %v to %v", agents, mustAskIn, c.before+1,
+						c.left, a.Delay, c.least, c.most)
+				}
+			}
+		}
+	}
+}
+
+// Where it is known how long the list service takes for a call, further calls come at a rate that it can answer: each agent one
+// in half of a round to one and a half, sooner while there is time for one more, and within the bound at the latest. After
+// a move they begin anew, in turn.
+func TestPacesCallsByWhatTheServiceTakes(t *testing.T) {
+	for name, c := range map[string]struct {
+		agents      int
+		answer      time.Duration
+		mode        DiscoveryUpdate
+		before      int // failures in a row
+		left        time.Duration
+		least, most time.Duration
+	}{
+		"the first failure":              {6, 450 * ms, PollFailed, 0, 6 * time.Second, 2250 * ms, 2700 * ms}, // the last of 6 in turn
+		"a further one":                  {6, 450 * ms, PollFailed, 1, 6 * time.Second, 1350 * ms, 2550 * ms},
+		"little time left":               {6, 450 * ms, PollFailed, 1, 1500 * ms, 1350 * ms, 1350 * ms},
+		"no time left":                   {6, 450 * ms, PollFailed, 1, 1, 1350 * ms, 4050 * ms},
+		"many, no time left":             {6, 450 * ms, PollFailed, 9, 1, 1350 * ms, 4050 * ms},
+		"a quick service":                {6, 10 * ms, PollFailed, 1, 6 * time.Second, 300 * ms, 300 * ms},
+		"a large fleet":                  {350, 5700 * time.Microsecond, PollFailed, 1, 6 * time.Second, 997 * ms, 2995 * ms},
+		"a slow service, no time left":   {6, 500 * ms, PollFailed, 1, 1, 1500 * ms, 4500 * ms},
+		"a slower one is given the time": {6, time.Second, PollFailed, 1, 1, 3 * time.Second, 4500 * ms},
+		"a move after failures":          {6, 450 * ms, DiscoveryMigrated, 9, 4 * time.Second, 2083 * ms, 2500 * ms},
+		"a failure after a move":         {6, 450 * ms, PollFailed, 1, 2 * time.Second, 1350 * ms, 1350 * ms},
+	} {
+		for seed := range uint64(20) {
+			s := settings()
+			s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, 10*time.Second, c.agents, c.agents-1
+			x := startSeeded(t, s, seed, fleet(2)...)
+			for range c.before {
+				x.on(Event{Kind: EventDiscovery, Update: PollFailed, PollLatency: c.answer})
+			}
+			a := one(t, x.on(Event{Kind: EventDiscovery, Update: c.mode, Remaining: c.left, PollLatency: c.answer}), ActionSetTimer)
+			if a.Delay < c.least || a.Delay > c.most {
+				t.Errorf("%s, seed %d: waits %v, want %v to %v", name, seed, a.Delay, c.least, c.most)
+			}
+		}
+	}
+}
+
+// Only the last timer for the list counts: one set before a move or a failure would have the agent ask too soon.
+func TestLastListTimerCounts(t *testing.T) {
+	s := settings()
+	s.PollEndpoints, s.MaxPollInterval = true, 10*time.Second
+	x := start(t, s, fleet(2)...)
+	first := one(t, x.on(Event{Kind: EventDiscovery, Update: DiscoveryMigrated, Remaining: 4 * time.Second}), ActionSetTimer)
+	second := one(t, x.on(Event{Kind: EventDiscovery, Update: PollFailed, Remaining: 3 * time.Second}), ActionSetTimer)
+	none(t, x.on(Event{Kind: EventTimer, TimerID: first.TimerID}), ActionPollEndpoints)
+	one(t, x.on(Event{Kind: EventTimer, TimerID: second.TimerID}), ActionPollEndpoints)
+}
--- /dev/null
+++ b/internal/balancer/slowstart_test.go
@@ -0,0 +1,104 @@
+package balancer
+
+import (
+	"testing"
+	"time"
+)
+
+// A server that is cold gets no more than its present share even if it wins every pair.
+func TestColdServerBudget(t *testing.T) {
+	list := fleet(4)
+	list[3].Start = time.Hour
+	x := start(t, settings(), list...)
+	count := func(n int) (cold float64) {
+		for id := range RequestID(n) {
+			x.b.overload = 0
+			for _, a := range x.ask(id, pure) {
+				if a.Kind == ActionSend {
+					if a.Server == 4 {
+						cold++
+					}
+					x.ends(id, 0, OutcomeOK)
+				}
+			}
+		}
+		return cold / float64(n)
+	}
+	if got := count(4000); got < 0.01 || got > slowStartMargin*2.5*0.2/4*1.2 {
+		t.Errorf("a server at a fifth of its capacity got %v of the traffic of 4", got)
+	}
+	x.now += 10 * time.Second
+	if got := count(4000); got < 0.15 {
+		t.Errorf("once warm it got %v", got)
+	}
+	for i := range list {
+		list[i].Start = x.now
+	}
+	x.on(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: list})
+	sent := 0
+	for id := range RequestID(4000) {
+		x.b.overload = 0
+		for _, a := range x.ask(id, pure) {
+			if a.Kind == ActionSend {
+				sent++
+				x.ends(id, 0, OutcomeOK)
+			}
+		}
+	}
+	if share := float64(sent) / 4000; share > slowStartMargin*2.5*0.2 || share < 0.1 {
+		t.Errorf("a fleet that is all cold got %v of the traffic", share)
+	}
+}
+
+// Where most of a fleet is cold its servers are drawn by what they can likely do, and what is let through at once is
+// not held back as if it were drawn again: the few that are warm cannot carry the rest.
+func TestColdFleetIsUsed(t *testing.T) {
+	list := fleet(10)
+	for i := range 6 {
+		list[i].Start = time.Hour
+	}
+	x := start(t, settings(), list...)
+	x.now += settings().SlowStartDuration / 2
+	cold := 0.0
+	for id := range RequestID(4000) {
+		for _, a := range x.ask(id, pure) {
+			if a.Kind == ActionSend {
+				if a.Server <= 6 {
+					cold += 1.0 / 4000
+				}
+				x.ends(id, 0, OutcomeOK)
+			}
+		}
+	}
+	if cold < 0.32 || cold > 0.6 {
+		t.Errorf("six servers half warm of ten got %v of the traffic, want 0.32 to 0.6", cold)
+	}
+}
+
+// Two processes of one agent that divide its traffic send a cold server no more than one with all of it: the budget is a
+// share of what is sent.
+func TestColdBudgetOfTwoProcesses(t *testing.T) {
+	sent := func(processes int) (n int) {
+		set := settings()
+		set.Agents = 4
+		var all []*bench
+		for range processes {
+			list := fleet(10)
+			list[0].Start = time.Hour - ms // it has just started
+			all = append(all, start(t, set, list...))
+		}
+		for id := range RequestID(8000) {
+			x := all[int(id)%processes]
+			for _, a := range x.ask(id+1, pure) {
+				if a.Kind == ActionSend && a.Server == 1 {
+					n++
+				}
+			}
+			x.ends(id+1, 0, OutcomeOK)
+		}
+		return n
+	}
+	if one, two := sent(1), sent(2); two > one+one/4 {
+		t.Errorf("one process sends %d to the cold server, two send %d", one, two)
+	}
+}
