--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -6,7 +6,7 @@
 )
 
 // A crowded fleet turns requests away early, and tenants over their share go first.
-func TestShedsTenantsOverTheirShare(t *testing.T) {
+func TestShedsTenantsOverQuota(t *testing.T) {
 	s := settings()
 	s.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
 	x := start(t, s, fleet(6)...)
@@ -32,7 +32,7 @@
 }
 
 // Incident i4d2661: under high pressure only 4% was let through, too little to tell that servers were idle again.
-func TestPressureEasesWithoutNews(t *testing.T) {
+func TestOverloadDecays(t *testing.T) {
 	x := start(t, settings(), fleet(4)...)
 	x.b.overloadDecayedAt = x.now
 	x.b.overload = maxOverload
@@ -45,7 +45,7 @@
 
 // Pressure is no belief that keeps itself: reports of room take it back though few answers come, and a pair that
 // rejected something a moment ago adds nothing. A crowded pair does.
-func TestPressureFollowsReports(t *testing.T) {
+func TestOverloadFollowsReports(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
 	report := func(held float64) {
 		for _, s := range x.b.servers {
@@ -80,7 +80,7 @@
 
 // Incidents i6871ee, ie92136: silence of servers that were well is crowding where other answers are late too, and
 // none where they are quick: then the silent ones are ill.
-func TestSilenceIsCrowdingWhereAnswersAreLate(t *testing.T) {
+func TestSilenceIsOverloadWhereAnswersAreLate(t *testing.T) {
 	for part, want := range map[float64]bool{0.1: false, 0.9: true} {
 		x := start(t, settings(), fleet(9)...)
 		for range 20 {
@@ -96,7 +96,7 @@
 }
 
 // A refusal tells when to come again, later under pressure.
-func TestRefusalsCarryAdvice(t *testing.T) {
+func TestRejectionsCarryRetryAfter(t *testing.T) {
 	s := settings()
 	s.AdviseRetryAfter = true
 	x := start(t, s)
--- a/internal/balancer/attempts_test.go
+++ b/internal/balancer/attempts_test.go
@@ -6,7 +6,7 @@
 )
 
 // What may be sent again, and how a request ends, by class and outcome.
-func TestEffects(t *testing.T) {
+func TestIdempotency(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		class int
@@ -73,7 +73,7 @@
 
 // What was not sent as its server had begun to leave is no attempt: every class may go on to another server, within any
 // budget, and nobody is blamed.
-func TestUnsentIsNoAttempt(t *testing.T) {
+func TestUnsentAttemptDoesNotCount(t *testing.T) {
 	s := settings()
 	s.MaxAttempts, s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 1, time.Second, 0, 0
 	for class := range s.Classes {
@@ -120,7 +120,7 @@
 	}
 }
 
-func TestHangupEndsOnceAndCancels(t *testing.T) {
+func TestClientClosedCancelsOnce(t *testing.T) {
 	x := start(t, settings(), fleet(3)...)
 	one(t, x.ask(1, unsafe), ActionSend)
 	if a := one(t, x.on(Event{Kind: EventClientClosed, Request: 1}), ActionCancel); a.Attempt != 0 {
@@ -137,7 +137,7 @@
 	}
 }
 
-func TestMayKeepsToOneAttemptAtATime(t *testing.T) {
+func TestCanSendOneAttemptAtATime(t *testing.T) {
 	for _, second := range []bool{false, true} {
 		s := settings()
 		s.Hedging = second
@@ -183,7 +183,7 @@
 
 // Danger: a client's last try has all the rest of its deadline, longer than a first one. First tries must not
 // look late for that, or they are refused without hope.
-func TestFirstTriesAreNotTakenForLaterOnes(t *testing.T) {
+func TestFirstRequestsAreNotTakenForRetries(t *testing.T) {
 	x := start(t, settings(), fleet(4)...)
 	late := 0
 	for id := range RequestID(60) {
@@ -209,7 +209,7 @@
 
 // A repeat with a first try's share of the deadline came soon and keeps half of what may have passed; one with less
 // has been long, and is late by all of it.
-func TestEarlyRepeatsKeepHalf(t *testing.T) {
+func TestEarlyRetriesKeepHalfOfObjective(t *testing.T) {
 	x := start(t, settings(), fleet(3)...)
 	for id := range RequestID(10) {
 		x.on(Event{Kind: EventRequest, Request: id + 1, Class: pure, Remaining: 600 * ms})
@@ -224,7 +224,7 @@
 
 // A silent request is sent again once, elsewhere and in time, if its class may be and second copies are allowed: at
 // the second look, or at the first if its server has reported since and no longer holds it.
-func TestSilentRequestsGetASecondCopy(t *testing.T) {
+func TestSilentRequestsAreHedged(t *testing.T) {
 	for _, c := range []struct {
 		class  int
 		copies bool
@@ -261,7 +261,7 @@
 }
 
 // A keyed repeat says until when it may reach a server; what cannot be repeated or has not run does not.
-func TestKeyedRepeatsSayUntilWhen(t *testing.T) {
+func TestKeyedRetriesHaveDispatchLimit(t *testing.T) {
 	for how, want := range map[Outcome]time.Duration{OutcomeError: 200 * ms, OutcomeRejected: 0} {
 		x := start(t, settings(), fleet(6)...)
 		if first := one(t, x.ask(1, byAll), ActionSend); first.DispatchWithin != 0 {
@@ -276,7 +276,7 @@
 
 // A request whose body or answer flows cannot be had again: nothing repeats it, its silence blames nobody, and the time
 // that its client took teaches no speed.
-func TestBegun(t *testing.T) {
+func TestStreamingRequests(t *testing.T) {
 	for _, how := range []Outcome{OutcomeRejected, OutcomeConnectFailed, OutcomeReset, OutcomeError, OutcomeExpired} {
 		x := start(t, settings(), fleet(3)...)
 		x.ask(1, pure)
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -181,7 +181,7 @@
 }
 
 // A long day leaves nothing behind.
-func TestTablesAreBounded(t *testing.T) {
+func TestStateIsBounded(t *testing.T) {
 	x := start(t, settings(), fleet(5)...)
 	for id := range RequestID(5000) {
 		x.now += ms
@@ -201,7 +201,7 @@
 	return x.b.Handle(x.now, Event{Kind: EventOutcome, Request: id, Outcome: OutcomeOK, Answered: true}, out[:0])
 }
 
-func TestOrdinaryPathAllocations(t *testing.T) {
+func TestHandleAllocations(t *testing.T) {
 	x := start(t, settings(), fleet(50)...)
 	out, id := make([]Action, 0, 16), RequestID(0)
 	n := testing.AllocsPerRun(2000, func() { id++; out = cycle(x, id, out) })
--- a/internal/balancer/candidates_test.go
+++ b/internal/balancer/candidates_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestPairWeightsByHand(t *testing.T) {
+func TestPairWeights(t *testing.T) {
 	for _, c := range []struct {
 		speeds, want []float64
 	}{
@@ -32,7 +32,7 @@
 }
 
 // Among many agents each keeps to a few servers, which it hears of often; among few each uses all.
-func TestLineFitsTheFleet(t *testing.T) {
+func TestCandidateSetSize(t *testing.T) {
 	for _, c := range []struct{ agents, servers, want int }{{80, 60, 9}, {40, 60, 18}, {3, 15, 15}, {80, 15, minCandidates}} {
 		s := settings()
 		s.Agents = c.agents
@@ -44,7 +44,7 @@
 }
 
 // Lines are this agent's own: a server that comes or goes changes one place on them.
-func TestLinesAreStable(t *testing.T) {
+func TestCandidateSetIsStable(t *testing.T) {
 	for rank := range 20 {
 		s := settings()
 		s.Agents, s.Rank = 100, rank
@@ -124,7 +124,7 @@
 }
 
 // Whatever else is on the list, a window holds servers for a bound class as long as there are any.
-func TestSmallWindowHoldsBoundServers(t *testing.T) {
+func TestSmallCandidateSetHoldsPlacedServers(t *testing.T) {
 	for rank := range 50 {
 		list := fleet(100)
 		for i := range list {
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -6,7 +6,7 @@
 )
 
 // The order of those who stay does not change when a server joins or leaves.
-func TestOrderStays(t *testing.T) {
+func TestServerOrderIsStable(t *testing.T) {
 	x := start(t, settings(), fleet(9)...)
 	x.draw()
 	order := func() (ids []ServerID) {
@@ -26,7 +26,7 @@
 }
 
 // Danger: a drain learnt in any of the list's ways must stop sends at once.
-func TestDrains(t *testing.T) {
+func TestRemovedAndDrainingServersAreNotUsed(t *testing.T) {
 	for name, list := range map[string]Event{
 		"delta":  {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Draining, Weight: 1}}},
 		"gone":   {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Removed}}},
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -6,7 +6,7 @@
 )
 
 // No request waits for a probe, and a server whose probe is out is neither probed again nor passed by for it.
-func TestProbesHoldNothing(t *testing.T) {
+func TestHealthChecksDelayNothing(t *testing.T) {
 	s := settings()
 	s.HealthChecks, s.Reports = true, ReportsOnHealthCheck
 	x := start(t, s, fleet(2)...)
@@ -50,7 +50,7 @@
 
 // Where answers carry reports nothing is probed, however old the last report is: among many agents that see few
 // requests each every report is old, and all of them together would probe more than they send.
-func TestReportsWithAnswersNeedNoProbes(t *testing.T) {
+func TestInlineReportsNeedNoHealthChecks(t *testing.T) {
 	s := settings()
 	s.HealthChecks, s.Reports, s.Agents = true, ReportsInline, 80
 	x := start(t, s, fleet(22)...)
--- a/internal/balancer/locality_test.go
+++ b/internal/balancer/locality_test.go
@@ -27,7 +27,7 @@
 
 // Servers in the agent's own zone are drawn before others until more waits there than elsewhere; an agent that is not
 // told its zone draws all alike.
-func TestNearServersAreDrawnMore(t *testing.T) {
+func TestLocalServersArePreferred(t *testing.T) {
 	for _, c := range []struct {
 		zone        int
 		near        float64 // that waits at the servers of zone 1, nothing at the others
@@ -47,7 +47,7 @@
 }
 
 // Agents of a zone that draw its servers first keep a cold one's budget all the same, which all agents share.
-func TestNearColdServerKeepsItsBudget(t *testing.T) {
+func TestLocalServerKeepsSlowStartBudget(t *testing.T) {
 	s := settings()
 	s.Zone = 1
 	list := fleet(8)
--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -7,7 +7,7 @@
 )
 
 // Danger: quick errors look like quick, idle servers. One that errs leaves the line; it learns no speed.
-func TestErrorsEjectAndTeachNothing(t *testing.T) {
+func TestErrorsEjectAndTeachNoSpeed(t *testing.T) {
 	x := start(t, settings(), fleet(6)...)
 	x.b.retryTimes = slices.Repeat(history{x.now}, 9) // none left in the retry budget
 	bad := one(t, x.ask(1, unsafe), ActionSend).Server
@@ -33,7 +33,7 @@
 
 // An error of a server that has answered nothing of late speaks for all classes: at few requests an agent each class
 // would pay for the lesson. One amid answers speaks for its class alone, and not loudly.
-func TestErrorWithoutAnswersIsForAllClasses(t *testing.T) {
+func TestErrorWithoutAnswersEjectsForAllClasses(t *testing.T) {
 	for _, answered := range []bool{false, true} {
 		x := start(t, settings(), fleet(6)...)
 		s, c := x.b.servers[0], x.b.classes[pure]
@@ -64,7 +64,7 @@
 }
 
 // Incident i4fd1b4: a server that turns requests away at once has few in flight and won every pair.
-func TestFullServerIsPassedBy(t *testing.T) {
+func TestRejectingServerIsSkipped(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
 	for id := range RequestID(10) { // teach the usual time
 		x.ask(id, pure)
@@ -137,7 +137,7 @@
 
 // A server that takes no more connections while it answers over others, or turns requests away, is passed by for a
 // while and stays in; only one that is loaded says that there is a crowd.
-func TestServerWithoutRoomIsPassedBy(t *testing.T) {
+func TestServerWithoutCapacityIsSkipped(t *testing.T) {
 	for _, how := range []Outcome{OutcomeConnectFailed, OutcomeRejected} {
 		x := start(t, settings(), fleet(3)...)
 		s, c := x.b.serversByID[1], x.b.classes[pure]
@@ -197,7 +197,7 @@
 
 // One reset tells of one connection, however long ago the server answered last: a network that cuts one in ten must
 // not have healthy servers ejected. Several in a row eject.
-func TestOneResetEjectsNobody(t *testing.T) {
+func TestSingleResetDoesNotEject(t *testing.T) {
 	x := start(t, settings(), fleet(8)...)
 	s := x.b.servers[0]
 	for _, quiet := range []time.Duration{0, 100 * ms, 5 * time.Second} {
@@ -223,7 +223,7 @@
 }
 
 // A server that is busy with one costly request, and answers nothing for half an aim, is not ejected for it.
-func TestCostlyRequestEjectsNobody(t *testing.T) {
+func TestCostlyRequestDoesNotEject(t *testing.T) {
 	x := start(t, settings(), fleet(8)...)
 	for i := range x.b.classes {
 		x.b.classes[i].latencySeconds = mean{0.02, true} // the others are quick
@@ -262,7 +262,7 @@
 }
 
 // A server that answers other classes and swallows one is ejected for that one by its time-outs.
-func TestSwallowedClassIsEjected(t *testing.T) {
+func TestTimeoutsOfOneClassEject(t *testing.T) {
 	x := start(t, settings(), fleet(8)...)
 	s, c := x.b.servers[0], x.b.classes[unsafe]
 	x.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
@@ -281,7 +281,7 @@
 }
 
 // A server counts as avoided while it is ejected for all classes, and only while it is in the list.
-func TestAvoided(t *testing.T) {
+func TestEjectedEndpoints(t *testing.T) {
 	x := start(t, settings(), fleet(5)...)
 	s := x.b.serversByID[1]
 	x.b.now = x.now
--- a/internal/balancer/pick_test.go
+++ b/internal/balancer/pick_test.go
@@ -8,7 +8,7 @@
 )
 
 // Draws follow the weights: chi-square against the design's own, far under what a uniform draw gives.
-func TestDrawFrequencies(t *testing.T) {
+func TestPickFrequencies(t *testing.T) {
 	x := start(t, settings(), ready(1, 1), ready(2, 2), ready(3, 3), ready(4, 6))
 	const n = 40000
 	var single, pair [4]float64
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestShorterQueueOverSpeed(t *testing.T) {
+func TestLessLoadedIsQueueOverSpeed(t *testing.T) {
 	x := start(t, settings(), ready(1, 1), ready(2, 3))
 	x.draw()
 	slow, fast := x.line().servers[0], x.line().servers[1]
@@ -87,7 +87,7 @@
 }
 
 // Where reports tell only who waits, those count as held, and a few requests of our own on a server are no crowd.
-func TestQueueAloneIsHeld(t *testing.T) {
+func TestReportedQueueCountsAsInFlight(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
 	s, r := x.b.servers[0], &request{class: x.b.classes[pure], objective: x.now + time.Second}
 	told := func(queue float64) {
@@ -109,7 +109,7 @@
 }
 
 // A pair that is busier than usual is passed by for another, but the last one drawn is taken as it is.
-func TestBusyPairIsDrawnAgain(t *testing.T) {
+func TestLoadedPairIsPickedAnew(t *testing.T) {
 	x := start(t, settings(), fleet(8)...)
 	line := func() []*server { x.draw(); return x.line().servers }()
 	x.b.typicalWait = mean{1, true}
@@ -127,7 +127,7 @@
 }
 
 // Attempts that a fresh report does not know are lost: they take no room until the report is old.
-func TestLostAttemptsTakeNoRoom(t *testing.T) {
+func TestLostAttemptsAreNotInFlight(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
 	s := x.b.servers[0]
 	looks := make([]Action, 0, 8)
@@ -158,7 +158,7 @@
 }
 
 // Where no report tells a server's width, the number it holds says nothing: requests may wait on others.
-func TestCrowdNeedsAWidth(t *testing.T) {
+func TestOverloadNeedsReportedQueue(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
 	load := LoadReport{Known: true, InFlight: 8, Queue: -1, ServiceTime: 10 * ms}
 	s := x.b.servers[0]
@@ -185,7 +185,7 @@
 
 // What a report tells is soon past where many agents send to the server: all of them act on old reports alike, and
 // what looked full is left idle while what looked idle fills up.
-func TestReportsAgeWithTheFleet(t *testing.T) {
+func TestReportsAgeWithAgents(t *testing.T) {
 	after := func(agents int) float64 {
 		set := settings()
 		set.Agents = agents
@@ -200,7 +200,7 @@
 }
 
 // An agent among few knows most of what a server is sent, and calls it crowded later than one among many.
-func TestFewAgentsCrowdLater(t *testing.T) {
+func TestOverloadLimitIsHigherForFewAgents(t *testing.T) {
 	crowdedAt := func(agents int) int {
 		set := settings()
 		set.Agents = agents
@@ -219,7 +219,7 @@
 }
 
 // Idle servers whose last report was bad must be used: nobody would ever hear better of them.
-func TestIdleServerIsNeverCrowded(t *testing.T) {
+func TestIdleServerIsNeverOverloaded(t *testing.T) {
 	s := settings()
 	s.HealthChecks, s.Reports = true, ReportsOnHealthCheck
 	x := start(t, s, fleet(2)...)
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-func TestFailedListKeepsServersAndBacksOff(t *testing.T) {
+func TestFailedPollKeepsServersAndBacksOff(t *testing.T) {
 	s := settings()
 	s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, 10*time.Second, 4, 2
 	x := start(t, s)
@@ -33,7 +33,7 @@
 
 // The next call for the list leaves time for its answer, and for another, before what was missed counts as told; without
 // such a bound calls are made in turn, and then ever more seldom, but within MaxPollInterval.
-func TestAsksWithinWhatIsLeft(t *testing.T) {
+func TestPollsWithinRemainingTime(t *testing.T) {
 	for _, mustAskIn := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
 		for _, agents := range []int{1, 6, 350} {
 			s := settings()
@@ -70,7 +70,7 @@
 // Where it is known how long the list service takes for a call, further calls come at a rate that it can answer: each agent one
 // in half of a round to one and a half, sooner while there is time for one more, and within the bound at the latest. After
 // a move they begin anew, in turn.
-func TestPacesCallsByWhatTheServiceTakes(t *testing.T) {
+func TestPollsArePacedByLatency(t *testing.T) {
 	for name, c := range map[string]struct {
 		agents      int
 		answer      time.Duration
@@ -107,7 +107,7 @@
 }
 
 // Only the last timer for the list counts: one set before a move or a failure would have the agent ask too soon.
-func TestLastListTimerCounts(t *testing.T) {
+func TestLatestPollTimerCounts(t *testing.T) {
 	s := settings()
 	s.PollEndpoints, s.MaxPollInterval = true, 10*time.Second
 	x := start(t, s, fleet(2)...)
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestNewNamesTheField(t *testing.T) {
+func TestNewNamesTheInvalidSetting(t *testing.T) {
 	for field, spoil := range map[string]func(*Settings){
 		"Agents":                      func(s *Settings) { s.Agents = 0 },
 		"Rank":                        func(s *Settings) { s.Rank = 1 },
--- a/internal/balancer/slowstart_fleet_test.go
+++ b/internal/balancer/slowstart_fleet_test.go
@@ -143,7 +143,7 @@
 // that the settings name: N + 2 sqrt(N) + 2 requests, N being what the settings allow for the least that it can do then. So with
 // few processes and many, uneven traffic, several servers that start at once, processes that start again and know nothing
 // but the list, failed attempts that are made again, and more traffic than the servers can carry.
-func TestColdBudgetOfTheFleet(t *testing.T) {
+func TestSlowStartBudgetOfFleet(t *testing.T) {
 	set := settings()
 	for i := range set.Classes {
 		set.Classes[i].LatencyObjective, set.Classes[i].Deadline = 2500*ms, 6*time.Second
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -6,7 +6,7 @@
 )
 
 // A server that is cold gets no more than its present share even if it wins every pair.
-func TestColdServerBudget(t *testing.T) {
+func TestSlowStartBudget(t *testing.T) {
 	list := fleet(4)
 	list[3].Start = time.Hour
 	x := start(t, settings(), list...)
@@ -52,7 +52,7 @@
 
 // Where most of a fleet is cold its servers are drawn by what they can likely do, and what is let through at once is
 // not held back as if it were drawn again: the few that are warm cannot carry the rest.
-func TestColdFleetIsUsed(t *testing.T) {
+func TestWarmingFleetIsUsed(t *testing.T) {
 	list := fleet(10)
 	for i := range 6 {
 		list[i].Start = time.Hour
@@ -77,7 +77,7 @@
 
 // Two processes of one agent that divide its traffic send a cold server no more than one with all of it: the budget is a
 // share of what is sent.
-func TestColdBudgetOfTwoProcesses(t *testing.T) {
+func TestSlowStartBudgetOfTwoProcesses(t *testing.T) {
 	sent := func(processes int) (n int) {
 		set := settings()
 		set.Agents = 4
--- a/internal/balancer/speed_test.go
+++ b/internal/balancer/speed_test.go
@@ -7,7 +7,7 @@
 )
 
 // Danger: weights that leave out how fast a kind's cores are overload the slow kind.
-func TestKindsSpeedsAreLearnt(t *testing.T) {
+func TestKindSpeedIsLearnt(t *testing.T) {
 	list := fleet(8)
 	for i := range list {
 		list[i].Kind = i % 2
@@ -63,7 +63,7 @@
 }
 
 // A kind that is sent less and so has less in work is neither slower nor narrower for it.
-func TestTrafficIsNoSpeed(t *testing.T) {
+func TestTrafficDoesNotChangeSpeed(t *testing.T) {
 	list := fleet(4)
 	for i := range list {
 		list[i].Kind = i % 2
@@ -85,7 +85,7 @@
 }
 
 // A class that takes ten times as long is no slow server, even where one server happens to get all of it.
-func TestLongClassIsNoSlowServer(t *testing.T) {
+func TestSlowClassDoesNotSlowServer(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
 	long, short := x.b.servers[0], x.b.servers[1]
 	for range 200 {
@@ -108,7 +108,7 @@
 
 // A cold server's answers take as long as it is cold: that is known, and were it learnt as slowness too it would be
 // sent a part of a part, and less for long after it is warm.
-func TestColdnessIsNoSlowness(t *testing.T) {
+func TestSlowStartIsNotSlowdown(t *testing.T) {
 	list := fleet(2)
 	list[1].Start = time.Hour
 	x := start(t, settings(), list...)
@@ -123,7 +123,7 @@
 }
 
 // Our own queue at a server is not its slowness.
-func TestOwnQueueIsNoSlowness(t *testing.T) {
+func TestOwnQueueIsNotSlowdown(t *testing.T) {
 	x := start(t, settings(), fleet(2)...)
 	busy, idle := x.b.servers[0], x.b.servers[1]
 	for range 300 {
