--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -7,22 +7,22 @@
 
 // A crowded fleet turns requests away early, and tenants over their share go first.
 func TestShedsTenantsOverQuota(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.Tenants = []Tenant{{Quota: 0.5}, {Quota: 0.5}}
-	x := start(t, s, fleet(6)...)
+	h := newHarness(t, s, readyEndpoints(6)...)
 	var refused [2]int
 	for id := range RequestID(2000) {
-		x.b.overload = toleratedOverload + 0.35
+		h.b.overload = toleratedOverload + 0.35
 		tenant := 0
 		if id%10 == 0 {
 			tenant = 1
 		}
-		for _, a := range x.on(Event{Kind: EventRequest, Request: id, Tenant: tenant, Remaining: 1000 * ms}) {
+		for _, a := range h.handle(Event{Kind: EventRequest, Request: id, Tenant: tenant, Remaining: 1000 * ms}) {
 			if a.Kind == ActionReject {
 				refused[tenant]++
 			}
 			if a.Kind == ActionSend {
-				x.ends(id, 0, OutcomeOK)
+				h.endAttempt(id, 0, OutcomeOK)
 			}
 		}
 	}
@@ -33,12 +33,12 @@
 
 // Incident i4d2661: under high pressure only 4% was let through, too little to tell that servers were idle again.
 func TestOverloadDecays(t *testing.T) {
-	x := start(t, settings(), fleet(4)...)
-	x.b.overloadDecayedAt = x.now
-	x.b.overload = maxOverload
-	x.now += seconds(4 * overloadHalfLifeObjectives * 0.4) // four half-lives
-	x.ask(1, pure)
-	if got := x.b.overload; got > maxOverload/15 || got <= 0 {
+	h := newHarness(t, testSettings(), readyEndpoints(4)...)
+	h.b.overloadDecayedAt = h.now
+	h.b.overload = maxOverload
+	h.now += seconds(4 * overloadHalfLifeObjectives * 0.4) // four half-lives
+	h.request(1, idempotent)
+	if got := h.b.overload; got > maxOverload/15 || got <= 0 {
 		t.Errorf("pressure %v after four half-lives", got)
 	}
 }
@@ -46,34 +46,34 @@
 // Pressure is no belief that keeps itself: reports of room take it back though few answers come, and a pair that
 // rejected something a moment ago adds nothing. A crowded pair does.
 func TestOverloadFollowsReports(t *testing.T) {
-	x := start(t, settings(), fleet(2)...)
+	h := newHarness(t, testSettings(), readyEndpoints(2)...)
 	report := func(held float64) {
-		for _, s := range x.b.servers {
-			x.b.recordReport(s, LoadReport{Known: true, InFlight: -1, Queue: held, ServiceTime: 20 * ms})
+		for _, s := range h.b.servers {
+			h.b.recordReport(s, LoadReport{Known: true, InFlight: -1, Queue: held, ServiceTime: 20 * ms})
 		}
 	}
 	for range 20 {
 		report(2)
 	}
-	x.b.overload = maxOverload
+	h.b.overload = maxOverload
 	for range 12 {
 		report(0)
 	}
-	if x.b.overload > 0 {
-		t.Errorf("pressure %v, though all reports tell of room", x.b.overload)
+	if h.b.overload > 0 {
+		t.Errorf("pressure %v, though all reports tell of room", h.b.overload)
 	}
-	for _, s := range x.b.servers {
-		s.skippedUntil = x.now + time.Second
+	for _, s := range h.b.servers {
+		s.skippedUntil = h.now + time.Second
 	}
-	if one(t, x.ask(1, pure), ActionReject); x.b.overload > 0 {
-		t.Errorf("pressure %v for a pair that is passed by", x.b.overload)
+	if onlyAction(t, h.request(1, idempotent), ActionReject); h.b.overload > 0 {
+		t.Errorf("pressure %v for a pair that is passed by", h.b.overload)
 	}
-	for _, s := range x.b.servers {
+	for _, s := range h.b.servers {
 		s.skippedUntil = 0
 	}
 	report(40)
-	x.b.overload = 0
-	if one(t, x.ask(2, pure), ActionReject); x.b.overload == 0 {
+	h.b.overload = 0
+	if onlyAction(t, h.request(2, idempotent), ActionReject); h.b.overload == 0 {
 		t.Error("no pressure for a pair that is crowded")
 	}
 }
@@ -82,35 +82,35 @@
 // none where they are quick: then the silent ones are ill.
 func TestSilenceIsOverloadWhereAnswersAreLate(t *testing.T) {
 	for part, want := range map[float64]bool{0.1: false, 0.9: true} {
-		x := start(t, settings(), fleet(9)...)
+		h := newHarness(t, testSettings(), readyEndpoints(9)...)
 		for range 20 {
-			x.b.objectiveUsage.add(part, sampleWeight)
+			h.b.objectiveUsage.add(part, sampleWeight)
 		}
 		for i := range 4 {
-			x.b.recordSilence(x.b.classes[pure], &attempt{server: x.b.servers[i]}, 0.5)
+			h.b.recordSilence(h.b.classes[idempotent], &attempt{server: h.b.servers[i]}, 0.5)
 		}
-		if got := x.b.overload > toleratedOverload; got != want {
-			t.Errorf("answers take %v of their aims: pressure %v after four servers fell silent", part, x.b.overload)
+		if got := h.b.overload > toleratedOverload; got != want {
+			t.Errorf("answers take %v of their aims: pressure %v after four servers fell silent", part, h.b.overload)
 		}
 	}
 }
 
 // A refusal tells when to come again, later under pressure.
 func TestRejectionsCarryRetryAfter(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.AdviseRetryAfter = true
-	x := start(t, s)
-	calm := one(t, x.ask(1, pure), ActionReject).RetryAfter
-	x.b.overload = 1
-	if busy := one(t, x.ask(2, unsafe), ActionReject).RetryAfter; calm <= 0 || busy <= calm {
+	h := newHarness(t, s)
+	calm := onlyAction(t, h.request(1, idempotent), ActionReject).RetryAfter
+	h.b.overload = 1
+	if busy := onlyAction(t, h.request(2, nonIdempotent), ActionReject).RetryAfter; calm <= 0 || busy <= calm {
 		t.Errorf("advice %v, under pressure %v", calm, busy)
 	}
-	x.b.settings.MaxRetryAfter = calm / 2
-	if a := one(t, x.ask(3, pure), ActionReject); a.RetryAfter != calm/2 {
+	h.b.settings.MaxRetryAfter = calm / 2
+	if a := onlyAction(t, h.request(3, idempotent), ActionReject); a.RetryAfter != calm/2 {
 		t.Errorf("advice %v where clients heed %v at most", a.RetryAfter, calm/2)
 	}
-	x.b.settings.AdviseRetryAfter = false
-	if a := one(t, x.ask(4, pure), ActionReject); a.RetryAfter != 0 {
+	h.b.settings.AdviseRetryAfter = false
+	if a := onlyAction(t, h.request(4, idempotent), ActionReject); a.RetryAfter != 0 {
 		t.Errorf("advice %v where the settings allow none", a.RetryAfter)
 	}
 }
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -12,8 +12,8 @@
 
 const ms = time.Millisecond
 
-// settings are those of a small site: pure, keyed by cell, keyed everywhere, and unsafe classes.
-func settings() Settings {
+// testSettings are those of a small site: pure, keyed by cell, keyed everywhere, and unsafe classes.
+func testSettings() Settings {
 	class := func(e Idempotency, s DedupScope, w time.Duration) Class {
 		return Class{LatencyObjective: 400 * ms, Deadline: 1000 * ms, PriorityWeight: 1, Idempotency: e, DedupScope: s, DedupWindow: w}
 	}
@@ -30,64 +30,64 @@
 }
 
 const (
-	pure = iota
-	byCell
-	byAll
-	unsafe
-	byZone
+	idempotent = iota
+	keyedByCell
+	keyedByFleet
+	nonIdempotent
+	keyedByZone
 )
 
-// bench drives one Balancer with literal events.
-type bench struct {
+// harness drives one Balancer with literal events.
+type harness struct {
 	t   *testing.T
 	b   *Balancer
 	now time.Duration
 }
 
-func start(t *testing.T, s Settings, servers ...Endpoint) *bench {
+func newHarness(t *testing.T, s Settings, servers ...Endpoint) *harness {
 	t.Helper()
-	return startSeeded(t, s, 7, servers...)
+	return newSeededHarness(t, s, 7, servers...)
 }
 
-// startSeeded has the module draw its random numbers by a seed.
-func startSeeded(t *testing.T, s Settings, seed uint64, servers ...Endpoint) *bench {
+// newSeededHarness has the module draw its random numbers by a seed.
+func newSeededHarness(t *testing.T, s Settings, seed uint64, servers ...Endpoint) *harness {
 	t.Helper()
 	b, err := New(s, seed)
 	if err != nil {
 		t.Fatal(err)
 	}
-	x := &bench{t: t, b: b, now: time.Hour}
-	x.on(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: servers})
-	return x
+	h := &harness{t: t, b: b, now: time.Hour}
+	h.handle(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: servers})
+	return h
 }
 
-func (x *bench) on(ev Event) []Action { return x.b.Handle(x.now, ev, nil) }
+func (h *harness) handle(ev Event) []Action { return h.b.Handle(h.now, ev, nil) }
 
-func (x *bench) ask(id RequestID, class int) []Action {
-	return x.on(Event{Kind: EventRequest, Request: id, Class: class, Remaining: 1000 * ms})
+func (h *harness) request(id RequestID, class int) []Action {
+	return h.handle(Event{Kind: EventRequest, Request: id, Class: class, Remaining: 1000 * ms})
 }
 
-func (x *bench) ends(id RequestID, attempt int, how Outcome) []Action {
-	return x.on(Event{Kind: EventOutcome, Request: id, Attempt: attempt, Outcome: how, Answered: how == OutcomeOK})
+func (h *harness) endAttempt(id RequestID, attempt int, how Outcome) []Action {
+	return h.handle(Event{Kind: EventOutcome, Request: id, Attempt: attempt, Outcome: how, Answered: how == OutcomeOK})
 }
 
-// draw and line are those of the first class.
-func (x *bench) draw() (a, c *server) { return x.b.pickPair(x.b.classes[0]) }
-func (x *bench) line() *candidateSet  { return &x.b.classes[0].candidates }
+// pickPair and line are those of the first class.
+func (h *harness) pickPair() (a, c *server)  { return h.b.pickPair(h.b.classes[0]) }
+func (h *harness) candidates() *candidateSet { return &h.b.classes[0].candidates }
 
-func ready(id ServerID, weight float64) Endpoint {
+func readyEndpoint(id ServerID, weight float64) Endpoint {
 	return Endpoint{ID: id, Cell: int(id), Zone: int(id), State: Ready, Weight: weight}
 }
 
-func fleet(n int) (list []Endpoint) {
+func readyEndpoints(n int) (list []Endpoint) {
 	for i := range n {
-		list = append(list, ready(ServerID(i+1), 1))
+		list = append(list, readyEndpoint(ServerID(i+1), 1))
 	}
 	return list
 }
 
-// one returns the only action of a kind.
-func one(t *testing.T, acts []Action, kind ActionKind) Action {
+// onlyAction returns the only action of a kind.
+func onlyAction(t *testing.T, acts []Action, kind ActionKind) Action {
 	t.Helper()
 	var found []Action
 	for _, a := range acts {
@@ -101,7 +101,7 @@
 	return found[0]
 }
 
-func none(t *testing.T, acts []Action, kinds ...ActionKind) {
+func noAction(t *testing.T, acts []Action, kinds ...ActionKind) {
 	t.Helper()
 	for _, a := range acts {
 		if slices.Contains(kinds, a.Kind) {
@@ -161,50 +161,50 @@
 
 // Events with ids never seen, and figures that are none, do nothing.
 func TestStrayEvents(t *testing.T) {
-	x := start(t, settings(), fleet(3)...)
+	h := newHarness(t, testSettings(), readyEndpoints(3)...)
 	for kind := EventDiscovery; kind <= EventHealthCheck+1; kind++ {
 		if kind == EventRequest || kind == EventDiscovery {
 			continue
 		}
-		acts := x.on(Event{Kind: kind, Request: 99, Server: 99, Attempt: 200, TimerID: math.MaxUint64,
+		acts := h.handle(Event{Kind: kind, Request: 99, Server: 99, Attempt: 200, TimerID: math.MaxUint64,
 			Class: -1})
 		if len(acts) != 0 {
 			t.Errorf("event kind %d: %+v", kind, acts)
 		}
 	}
-	none(t, x.on(Event{Kind: EventRequest, Request: 1, Class: 77, Remaining: ms}), ActionSend)
-	x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{ready(9, math.NaN()), ready(10, -3), ready(11, math.Inf(1))}})
-	x.draw()
-	if sum := x.line().weightSums.span(0, 99); math.Abs(sum-6) > 1e-9 {
+	noAction(t, h.handle(Event{Kind: EventRequest, Request: 1, Class: 77, Remaining: ms}), ActionSend)
+	h.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{readyEndpoint(9, math.NaN()), readyEndpoint(10, -3), readyEndpoint(11, math.Inf(1))}})
+	h.pickPair()
+	if sum := h.candidates().weightSums.span(0, 99); math.Abs(sum-6) > 1e-9 {
 		t.Errorf("six servers of weight 1 sum to %v", sum)
 	}
 }
 
 // A long day leaves nothing behind.
 func TestStateIsBounded(t *testing.T) {
-	x := start(t, settings(), fleet(5)...)
+	h := newHarness(t, testSettings(), readyEndpoints(5)...)
 	for id := range RequestID(5000) {
-		x.now += ms
-		x.ask(id, int(id)%5)
-		x.ends(id, 0, OutcomeOK)
-		x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{
-			ready(ServerID(id+10), 1), {ID: ServerID(id + 9), State: Removed}}})
+		h.now += ms
+		h.request(id, int(id)%5)
+		h.endAttempt(id, 0, OutcomeOK)
+		h.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{
+			readyEndpoint(ServerID(id+10), 1), {ID: ServerID(id + 9), State: Removed}}})
 	}
-	if len(x.b.requests) != 0 || len(x.b.serversByID) > 7 || len(x.b.servers) > 7 {
-		t.Errorf("%d requests, %d servers left", len(x.b.requests), len(x.b.serversByID))
+	if len(h.b.requests) != 0 || len(h.b.serversByID) > 7 || len(h.b.servers) > 7 {
+		t.Errorf("%d requests, %d servers left", len(h.b.requests), len(h.b.serversByID))
 	}
 }
 
-func cycle(x *bench, id RequestID, out []Action) []Action {
-	x.now += ms
-	out = x.b.Handle(x.now, Event{Kind: EventRequest, Request: id, Remaining: 1000 * ms}, out[:0])
-	return x.b.Handle(x.now, Event{Kind: EventOutcome, Request: id, Outcome: OutcomeOK, Answered: true}, out[:0])
+func sendAndAnswer(h *harness, id RequestID, out []Action) []Action {
+	h.now += ms
+	out = h.b.Handle(h.now, Event{Kind: EventRequest, Request: id, Remaining: 1000 * ms}, out[:0])
+	return h.b.Handle(h.now, Event{Kind: EventOutcome, Request: id, Outcome: OutcomeOK, Answered: true}, out[:0])
 }
 
 func TestHandleAllocations(t *testing.T) {
-	x := start(t, settings(), fleet(50)...)
+	h := newHarness(t, testSettings(), readyEndpoints(50)...)
 	out, id := make([]Action, 0, 16), RequestID(0)
-	n := testing.AllocsPerRun(2000, func() { id++; out = cycle(x, id, out) })
+	n := testing.AllocsPerRun(2000, func() { id++; out = sendAndAnswer(h, id, out) })
 	if n > 2 { // the request and its first attempt
 		t.Errorf("%v allocations a request", n)
 	}
@@ -213,18 +213,18 @@
 func BenchmarkHandle(b *testing.B) {
 	for name, n := range map[string]int{"small": 12, "large": 500} {
 		b.Run(name, func(b *testing.B) {
-			bal, err := New(settings(), 1)
+			bal, err := New(testSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			x := &bench{b: bal, now: time.Hour}
-			x.on(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: fleet(n)})
+			h := &harness{b: bal, now: time.Hour}
+			h.handle(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: readyEndpoints(n)})
 			out := make([]Action, 0, 16)
 			b.ReportAllocs()
 			id := RequestID(0)
 			for b.Loop() {
 				id++
-				out = cycle(x, id, out)
+				out = sendAndAnswer(h, id, out)
 			}
 		})
 	}
@@ -233,38 +233,38 @@
 // New settings find classes by their names: what is learnt of them and of servers stays, a request under way keeps its
 // class, and fewer attempts bind at once. Settings that cannot be right change nothing.
 func TestAdopt(t *testing.T) {
-	s := settings()
-	x := start(t, s, fleet(3)...)
-	x.b.classes[unsafe].latencySeconds = mean{0.123, true}
-	x.b.recordFailure(x.b.classes[unsafe], x.b.serversByID[1], 0.5, "test")
-	x.ask(1, pure)
-	x.ask(2, byAll)
+	s := testSettings()
+	h := newHarness(t, s, readyEndpoints(3)...)
+	h.b.classes[nonIdempotent].latencySeconds = mean{0.123, true}
+	h.b.recordFailure(h.b.classes[nonIdempotent], h.b.serversByID[1], 0.5, "test")
+	h.request(1, idempotent)
+	h.request(2, keyedByFleet)
 
-	broken := settings()
+	broken := testSettings()
 	broken.MaxAttempts = 0
-	if err := x.b.Adopt(broken); err == nil || x.b.settings.MaxAttempts != s.MaxAttempts {
-		t.Fatalf("broken settings: error %v, %d attempts", err, x.b.settings.MaxAttempts)
+	if err := h.b.Adopt(broken); err == nil || h.b.settings.MaxAttempts != s.MaxAttempts {
+		t.Fatalf("broken settings: error %v, %d attempts", err, h.b.settings.MaxAttempts)
 	}
 
-	next := settings()
+	next := testSettings()
 	next.MaxAttempts = 1
-	fresh := next.Classes[pure]
+	fresh := next.Classes[idempotent]
 	fresh.Name, fresh.Idempotency = "fresh", NonIdempotent
-	next.Classes = []Class{fresh, next.Classes[unsafe], next.Classes[byAll]} // "pure" and others have gone
-	if err := x.b.Adopt(next); err != nil {
+	next.Classes = []Class{fresh, next.Classes[nonIdempotent], next.Classes[keyedByFleet]} // "pure" and others have gone
+	if err := h.b.Adopt(next); err != nil {
 		t.Fatal(err)
 	}
-	c := x.b.classes[1]
-	if c.latencySeconds.value != 0.123 || x.b.serversByID[1].health[c.index].failures != 0.5 || x.b.serversByID[1].health[x.b.classes[0].index].failures != 0 {
-		t.Errorf("what was learnt has not stayed with its class: %+v", x.b.serversByID[1].health)
+	c := h.b.classes[1]
+	if c.latencySeconds.value != 0.123 || h.b.serversByID[1].health[c.index].failures != 0.5 || h.b.serversByID[1].health[h.b.classes[0].index].failures != 0 {
+		t.Errorf("what was learnt has not stayed with its class: %+v", h.b.serversByID[1].health)
 	}
-	none(t, x.ends(1, 0, OutcomeConnectFailed), ActionSend) // one attempt is all
-	if acts := x.ends(2, 0, OutcomeOK); len(x.b.requests) > 0 {
+	noAction(t, h.endAttempt(1, 0, OutcomeConnectFailed), ActionSend) // one attempt is all
+	if acts := h.endAttempt(2, 0, OutcomeOK); len(h.b.requests) > 0 {
 		t.Errorf("requests under way are still open after %+v", acts)
 	}
-	send := one(t, x.ask(3, 0), ActionSend)
-	none(t, x.ends(3, 0, OutcomeReset), ActionSend, ActionReject) // it may have run, and never twice
-	if send.Request != 3 || x.b.requests[3] != nil {
+	send := onlyAction(t, h.request(3, 0), ActionSend)
+	noAction(t, h.endAttempt(3, 0, OutcomeReset), ActionSend, ActionReject) // it may have run, and never twice
+	if send.Request != 3 || h.b.requests[3] != nil {
 		t.Errorf("a request of the new class: %+v", send)
 	}
 }
--- a/internal/balancer/candidates_test.go
+++ b/internal/balancer/candidates_test.go
@@ -34,11 +34,11 @@
 // Among many agents each keeps to a few servers, which it hears of often; among few each uses all.
 func TestCandidateSetSize(t *testing.T) {
 	for _, c := range []struct{ agents, servers, want int }{{80, 60, 9}, {40, 60, 18}, {3, 15, 15}, {80, 15, minCandidates}} {
-		s := settings()
+		s := testSettings()
 		s.Agents = c.agents
-		x := start(t, s, fleet(c.servers)...)
-		if x.draw(); len(x.line().servers) != c.want {
-			t.Errorf("%d agents and %d servers: a line of %d, want %d", c.agents, c.servers, len(x.line().servers), c.want)
+		h := newHarness(t, s, readyEndpoints(c.servers)...)
+		if h.pickPair(); len(h.candidates().servers) != c.want {
+			t.Errorf("%d agents and %d servers: a line of %d, want %d", c.agents, c.servers, len(h.candidates().servers), c.want)
 		}
 	}
 }
@@ -46,15 +46,15 @@
 // Lines are this agent's own: a server that comes or goes changes one place on them.
 func TestCandidateSetIsStable(t *testing.T) {
 	for rank := range 20 {
-		s := settings()
+		s := testSettings()
 		s.Agents, s.Rank = 100, rank
-		x := start(t, s, fleet(40)...)
-		x.draw()
-		before := slices.Clone(x.line().servers)
-		x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{ready(99, 1), {ID: before[0].ID, State: Removed}}})
-		x.draw()
+		h := newHarness(t, s, readyEndpoints(40)...)
+		h.pickPair()
+		before := slices.Clone(h.candidates().servers)
+		h.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{readyEndpoint(99, 1), {ID: before[0].ID, State: Removed}}})
+		h.pickPair()
 		kept := 0
-		for _, s := range x.line().servers {
+		for _, s := range h.candidates().servers {
 			if slices.Contains(before, s) {
 				kept++
 			}
@@ -67,7 +67,7 @@
 
 // Rule 5: a bound class goes to the servers open to it and to no other, at every attempt, whatever their state.
 func TestPlacement(t *testing.T) {
-	list := fleet(40)
+	list := readyEndpoints(40)
 	for i := range list {
 		list[i].Zone, list[i].Kind = i%4, i/4%2
 	}
@@ -81,10 +81,10 @@
 		"unmatched": {[]int{9}, nil, func(Endpoint) bool { return false }},
 		"empty":     {nil, []int{}, func(Endpoint) bool { return false }},
 	} {
-		s := settings()
+		s := testSettings()
 		s.Agents, s.Rank = 50, 7 // a small window
-		s.Classes[pure].Zones, s.Classes[pure].Kinds = c.zones, c.kinds
-		x := start(t, s, list...)
+		s.Classes[idempotent].Zones, s.Classes[idempotent].Kinds = c.zones, c.kinds
+		h := newHarness(t, s, list...)
 		any := slices.ContainsFunc(list, c.open)
 		sent := 0
 		check := func(acts []Action) {
@@ -97,26 +97,26 @@
 			}
 		}
 		for id := range RequestID(60) {
-			x.b.overload, x.b.retryTimes = 0, nil
-			acts := x.ask(id, pure)
+			h.b.overload, h.b.retryTimes = 0, nil
+			acts := h.request(id, idempotent)
 			if check(acts); any && id == 0 {
-				one(t, acts, ActionSend)
+				onlyAction(t, acts, ActionSend)
 			} else if !any {
-				one(t, acts, ActionReject)
+				onlyAction(t, acts, ActionReject)
 			}
 			for n, how := range []Outcome{OutcomeConnectFailed, OutcomeRejected, OutcomeError, OutcomeReset} {
-				check(x.ends(id, n, how))
+				check(h.endAttempt(id, n, how))
 			}
-			x.now += time.Minute // whoever was ejected is back
+			h.now += time.Minute // whoever was ejected is back
 		}
 		for _, e := range list { // all that are open to it are gone: hold or end
 			if c.open(e) {
 				e.State = Draining
-				x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{e}})
+				h.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{e}})
 			}
 		}
 		before := sent
-		check(x.ask(1000, pure))
+		check(h.request(1000, idempotent))
 		if sent != before || any && before < 60 {
 			t.Errorf("%s: %d sent, then %d", name, before, sent)
 		}
@@ -126,15 +126,15 @@
 // Whatever else is on the list, a window holds servers for a bound class as long as there are any.
 func TestSmallCandidateSetHoldsPlacedServers(t *testing.T) {
 	for rank := range 50 {
-		list := fleet(100)
+		list := readyEndpoints(100)
 		for i := range list {
 			list[i].Zone = min(i, 1)
 		}
-		s := settings()
+		s := testSettings()
 		s.Agents, s.Rank = 50, rank
-		s.Classes[unsafe].Zones = []int{0}
-		x := start(t, s, list...)
-		if a := one(t, x.ask(1, unsafe), ActionSend); a.Server != 1 {
+		s.Classes[nonIdempotent].Zones = []int{0}
+		h := newHarness(t, s, list...)
+		if a := onlyAction(t, h.request(1, nonIdempotent), ActionSend); a.Server != 1 {
 			t.Fatalf("rank %d: sent to %d", rank, a.Server)
 		}
 	}
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -7,10 +7,10 @@
 
 // The order of those who stay does not change when a server joins or leaves.
 func TestServerOrderIsStable(t *testing.T) {
-	x := start(t, settings(), fleet(9)...)
-	x.draw()
+	h := newHarness(t, testSettings(), readyEndpoints(9)...)
+	h.pickPair()
 	order := func() (ids []ServerID) {
-		for _, s := range x.line().servers {
+		for _, s := range h.candidates().servers {
 			if s.ID != 5 && s.ID != 50 {
 				ids = append(ids, s.ID)
 			}
@@ -18,8 +18,8 @@
 		return ids
 	}
 	before := order()
-	x.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{{ID: 5, State: Removed}, ready(50, 1)}})
-	x.draw()
+	h.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{{ID: 5, State: Removed}, readyEndpoint(50, 1)}})
+	h.pickPair()
 	if after := order(); !slices.Equal(before, after) || len(after) != 8 {
 		t.Errorf("order %v became %v", before, after)
 	}
@@ -30,21 +30,21 @@
 	for name, list := range map[string]Event{
 		"delta":  {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Draining, Weight: 1}}},
 		"gone":   {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Removed}}},
-		"full":   {Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: []Endpoint{{ID: 1, State: Draining}, ready(2, 1)}},
-		"absent": {Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: []Endpoint{ready(2, 1)}},
-		"cached": {Kind: EventDiscovery, Update: EndpointsCached, Endpoints: []Endpoint{ready(2, 1)}},
+		"full":   {Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: []Endpoint{{ID: 1, State: Draining}, readyEndpoint(2, 1)}},
+		"absent": {Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: []Endpoint{readyEndpoint(2, 1)}},
+		"cached": {Kind: EventDiscovery, Update: EndpointsCached, Endpoints: []Endpoint{readyEndpoint(2, 1)}},
 	} {
-		x := start(t, settings(), fleet(2)...)
+		h := newHarness(t, testSettings(), readyEndpoints(2)...)
 		met := map[ServerID]bool{}
 		for id := range RequestID(40) {
-			met[one(t, x.ask(id, pure), ActionSend).Server] = true
+			met[onlyAction(t, h.request(id, idempotent), ActionSend).Server] = true
 		}
 		if !met[1] || !met[2] {
 			t.Fatalf("%s: before the drain only %v were used", name, met)
 		}
-		x.on(list)
+		h.handle(list)
 		for id := range RequestID(40) {
-			if a := one(t, x.ask(100+id, pure), ActionSend); a.Server != 2 {
+			if a := onlyAction(t, h.request(100+id, idempotent), ActionSend); a.Server != 2 {
 				t.Fatalf("%s: sent to server %d", name, a.Server)
 			}
 		}
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -6,51 +6,51 @@
 	"time"
 )
 
-// try is what the checker knows of a request: what was sent for it, and whether it has its final answer.
-type try struct {
+// trackedRequest is what the checker knows of a request: what was sent for it, and whether it has its final answer.
+type trackedRequest struct {
 	class    Class
 	deadline time.Duration
-	sends    []sent
-	ended    bool
+	attempts []trackedAttempt
+	answered bool
 }
 
-type sent struct {
-	server   Endpoint
-	at       time.Duration
-	out, ran bool
-	unsent   bool // it ended as Leaving: no attempt
+type trackedAttempt struct {
+	server               Endpoint
+	sentAt               time.Duration
+	inFlight, mayHaveRun bool
+	unsent               bool // it ended as Leaving: no attempt
 }
 
-// checker holds a Balancer from outside to the rules on answers, effects, drains, placement and the retry budget.
-type checker struct {
-	taken   []time.Duration // when requests came
-	extra   []time.Duration // when attempts beyond a request's first were made
-	t       *testing.T
-	b       *Balancer
-	set     Settings
-	now     time.Duration
-	tries   map[RequestID]*try
-	list    map[ServerID]Endpoint
-	timers  []Action
-	probes  []ServerID
-	pending []Action // sends without an outcome
+// ruleChecker holds a Balancer from outside to the rules on answers, effects, drains, placement and the retry budget.
+type ruleChecker struct {
+	requestTimes []time.Duration // when requests came
+	retryTimes   []time.Duration // when attempts beyond a request's first were made
+	t            *testing.T
+	b            *Balancer
+	settings     Settings
+	now          time.Duration
+	requests     map[RequestID]*trackedRequest
+	endpoints    map[ServerID]Endpoint
+	timers       []Action
+	healthChecks []ServerID
+	pending      []Action // sends without an outcome
 }
 
-func (c *checker) on(ev Event) {
+func (c *ruleChecker) handle(ev Event) {
 	for _, a := range c.b.Handle(c.now, ev, nil) {
-		r := c.tries[a.Request]
+		r := c.requests[a.Request]
 		switch a.Kind {
 		case ActionSend:
-			c.send(r, a)
+			c.checkSend(r, a)
 		case ActionReject, ActionFail:
-			if r == nil || r.ended {
+			if r == nil || r.answered {
 				c.t.Fatalf("a second final answer: %+v", a)
 			}
-			r.ended = true
-			for _, s := range r.sends {
+			r.answered = true
+			for _, s := range r.attempts {
 				harmless := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
-					c.now < s.at+r.class.DedupWindow
-				if a.Kind == ActionReject && (s.ran || s.out) && !harmless {
+					c.now < s.sentAt+r.class.DedupWindow
+				if a.Kind == ActionReject && (s.mayHaveRun || s.inFlight) && !harmless {
 					c.t.Fatalf("refused a request that may have run")
 				}
 			}
@@ -58,28 +58,28 @@
 			a.Delay += c.now
 			c.timers = append(c.timers, a)
 		case ActionHealthCheck:
-			c.probes = append(c.probes, a.Server)
+			c.healthChecks = append(c.healthChecks, a.Server)
 		}
 	}
 }
 
-func (c *checker) send(r *try, a Action) {
-	s, known := c.list[a.Server]
+func (c *ruleChecker) checkSend(r *trackedRequest, a Action) {
+	s, known := c.endpoints[a.Server]
 	made := 0
 	if r != nil {
-		for _, p := range r.sends {
+		for _, p := range r.attempts {
 			if !p.unsent {
 				made++
 			}
 		}
 	}
 	switch {
-	case r == nil || r.ended:
+	case r == nil || r.answered:
 		c.t.Fatalf("sent for a request that is over: %+v", a)
 	case !known || s.State != Ready:
 		c.t.Fatalf("sent to a server that is not ready: %+v", a)
-	case made >= c.set.MaxAttempts:
-		c.t.Fatalf("attempt %d of %d", made+1, c.set.MaxAttempts)
+	case made >= c.settings.MaxAttempts:
+		c.t.Fatalf("attempt %d of %d", made+1, c.settings.MaxAttempts)
 	case c.now+a.Timeout > r.deadline || a.Timeout <= 0:
 		c.t.Fatalf("timeout %v with %v left", a.Timeout, r.deadline-c.now)
 	}
@@ -88,73 +88,73 @@
 		c.t.Fatalf("a bound class sent to %+v", s)
 	}
 	if made > 0 {
-		c.extra = append(c.extra, c.now)
-		most := c.set.RetryBudgetMin + c.set.RetryBudgetRatio*c.within(c.taken, false)
-		if n := c.within(c.extra, true); c.set.RetryBudgetWindow > 0 && n > most {
+		c.retryTimes = append(c.retryTimes, c.now)
+		most := c.settings.RetryBudgetMin + c.settings.RetryBudgetRatio*c.countInWindow(c.requestTimes, false)
+		if n := c.countInWindow(c.retryTimes, true); c.settings.RetryBudgetWindow > 0 && n > most {
 			c.t.Fatalf("%v further attempts in the window, %v allowed", n, most)
 		}
 	}
-	for _, p := range r.sends {
-		if p.out && !c.set.Hedging {
+	for _, p := range r.attempts {
+		if p.inFlight && !c.settings.Hedging {
 			c.t.Fatal("two attempts out at once")
 		}
-		if !p.ran && !p.out {
+		if !p.mayHaveRun && !p.inFlight {
 			continue
 		}
 		if r.class.Idempotency == NonIdempotent {
 			c.t.Fatal("an unsafe request sent again")
 		}
-		if r.class.Idempotency == IdempotentWithKey && (c.now >= p.at+r.class.DedupWindow ||
+		if r.class.Idempotency == IdempotentWithKey && (c.now >= p.sentAt+r.class.DedupWindow ||
 			r.class.DedupScope == DedupScopeCell && p.server.Cell != s.Cell ||
 			r.class.DedupScope == DedupScopeZone && p.server.Zone != s.Zone) {
 			c.t.Fatal("a keyed request sent where its key is not known")
 		}
 	}
-	a.Attempt = len(r.sends)
-	r.sends = append(r.sends, sent{server: s, at: c.now, out: true})
+	a.Attempt = len(r.attempts)
+	r.attempts = append(r.attempts, trackedAttempt{server: s, sentAt: c.now, inFlight: true})
 	c.pending = append(c.pending, a)
 }
 
-// within counts what lies in the retry budget's window; edge says whether its far edge belongs to it.
-func (c *checker) within(times []time.Duration, edge bool) (n float64) {
+// countInWindow counts what lies in the retry budget's window; edge says whether its far edge belongs to it.
+func (c *ruleChecker) countInWindow(times []time.Duration, edge bool) (n float64) {
 	for _, at := range times {
-		if from := c.now - c.set.RetryBudgetWindow; at > from || edge && at == from {
+		if from := c.now - c.settings.RetryBudgetWindow; at > from || edge && at == from {
 			n++
 		}
 	}
 	return n
 }
 
-// finish ends the attempt at place i of the pending ones.
-func (c *checker) finish(i int, how Outcome) {
+// endAttempt ends the attempt at place i of the pending ones.
+func (c *ruleChecker) endAttempt(i int, how Outcome) {
 	a := c.pending[i]
 	c.pending = append(c.pending[:i:i], c.pending[i+1:]...)
-	r := c.tries[a.Request]
-	s := &r.sends[a.Attempt]
-	s.out, s.ran, s.unsent = false, how != OutcomeRejected && how != OutcomeConnectFailed && how != OutcomeExpired && how != OutcomeServerDraining, how == OutcomeServerDraining
+	r := c.requests[a.Request]
+	s := &r.attempts[a.Attempt]
+	s.inFlight, s.mayHaveRun, s.unsent = false, how != OutcomeRejected && how != OutcomeConnectFailed && how != OutcomeExpired && how != OutcomeServerDraining, how == OutcomeServerDraining
 	if how == OutcomeOK {
-		r.ended = true
+		r.answered = true
 	}
-	c.on(Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Outcome: how,
-		Answered: r.ended, Load: LoadReport{Known: true, InFlight: float64(i % 9), Queue: float64(i % 5)}})
+	c.handle(Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Outcome: how,
+		Answered: r.answered, Load: LoadReport{Known: true, InFlight: float64(i % 9), Queue: float64(i % 5)}})
 }
 
-// pass lets time go by; what is due happens on the way.
-func (c *checker) pass(by time.Duration) {
+// advance lets time go by; what is due happens on the way.
+func (c *ruleChecker) advance(by time.Duration) {
 	for end := c.now + by; c.now < end; {
 		c.now = min(end, c.now+5*time.Millisecond)
 		due := c.timers
 		c.timers = nil
 		for _, a := range due {
 			if a.Delay <= c.now {
-				c.on(Event{Kind: EventTimer, TimerID: a.TimerID})
+				c.handle(Event{Kind: EventTimer, TimerID: a.TimerID})
 			} else {
 				c.timers = append(c.timers, a)
 			}
 		}
 		for i := 0; i < len(c.pending); i++ {
-			if c.tries[c.pending[i].Request].deadline <= c.now {
-				c.finish(i, OutcomeTimeout)
+			if c.requests[c.pending[i].Request].deadline <= c.now {
+				c.endAttempt(i, OutcomeTimeout)
 				i--
 			}
 		}
@@ -172,7 +172,7 @@
 		if len(data) == 0 || len(data) > 2000 {
 			return
 		}
-		s := settings()
+		s := testSettings()
 		s.Hedging = data[0]&1 != 0
 		if data[0]&2 != 0 {
 			s.HealthChecks, s.Reports = true, ReportsOnHealthCheck
@@ -182,19 +182,19 @@
 			s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 100*ms, 1, 0.25
 		}
 		if data[0]&32 != 0 {
-			s.Classes[unsafe].Zones, s.Classes[pure].Kinds, s.Classes[byAll].Zones = []int{1}, []int{0}, []int{}
+			s.Classes[nonIdempotent].Zones, s.Classes[idempotent].Kinds, s.Classes[keyedByFleet].Zones = []int{1}, []int{0}, []int{}
 		}
 		b, err := New(s, uint64(data[0]))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &checker{t: t, b: b, set: s, now: time.Hour, tries: map[RequestID]*try{}, list: map[ServerID]Endpoint{}}
+		c := &ruleChecker{t: t, b: b, settings: s, now: time.Hour, requests: map[RequestID]*trackedRequest{}, endpoints: map[ServerID]Endpoint{}}
 		for id := range RequestID(len(data)) {
 			c.step(id, data[id]>>4, int(data[id]&15))
 		}
-		c.pass(2 * time.Second)
-		for id, r := range c.tries {
-			if !r.ended {
+		c.advance(2 * time.Second)
+		for id, r := range c.requests {
+			if !r.answered {
 				t.Fatalf("request %d was lost", id)
 			}
 		}
@@ -205,35 +205,35 @@
 }
 
 // step does one legal thing: what is the kind, arg a detail of it.
-func (c *checker) step(id RequestID, what byte, arg int) {
+func (c *ruleChecker) step(id RequestID, what byte, arg int) {
 	switch {
 	case what < 5:
-		class := c.set.Classes[arg%len(c.set.Classes)]
+		class := c.settings.Classes[arg%len(c.settings.Classes)]
 		left := time.Duration(1+arg) * 60 * time.Millisecond
-		c.tries[id] = &try{class: class, deadline: c.now + left}
-		c.taken = append(c.taken, c.now)
-		c.on(Event{Kind: EventRequest, Request: id, Class: arg % len(c.set.Classes), Remaining: left, Retry: arg == 15})
+		c.requests[id] = &trackedRequest{class: class, deadline: c.now + left}
+		c.requestTimes = append(c.requestTimes, c.now)
+		c.handle(Event{Kind: EventRequest, Request: id, Class: arg % len(c.settings.Classes), Remaining: left, Retry: arg == 15})
 	case what < 9 && len(c.pending) > 0:
-		c.finish(arg%len(c.pending), Outcome(what*5+byte(arg))%(OutcomeServerDraining+1))
+		c.endAttempt(arg%len(c.pending), Outcome(what*5+byte(arg))%(OutcomeServerDraining+1))
 	case what < 11:
-		c.pass(time.Duration(arg) * 20 * time.Millisecond)
-	case what < 12 && len(c.probes) > 0:
-		p := c.probes[0]
-		c.probes = c.probes[1:]
-		c.on(Event{Kind: EventHealthCheck, Server: p, Outcome: Outcome(arg) % (OutcomeExpired + 1),
+		c.advance(time.Duration(arg) * 20 * time.Millisecond)
+	case what < 12 && len(c.healthChecks) > 0:
+		p := c.healthChecks[0]
+		c.healthChecks = c.healthChecks[1:]
+		c.handle(Event{Kind: EventHealthCheck, Server: p, Outcome: Outcome(arg) % (OutcomeExpired + 1),
 			Load: LoadReport{Known: true, InFlight: float64(arg), Queue: -1, ServiceTime: time.Duration(arg) * ms}})
 	case what < 13 && len(c.pending) > 0:
-		r := c.tries[c.pending[arg%len(c.pending)].Request]
-		if !r.ended {
-			r.ended = true
-			c.on(Event{Kind: EventClientClosed, Request: c.pending[arg%len(c.pending)].Request})
+		r := c.requests[c.pending[arg%len(c.pending)].Request]
+		if !r.answered {
+			r.answered = true
+			c.handle(Event{Kind: EventClientClosed, Request: c.pending[arg%len(c.pending)].Request})
 		}
 	default:
 		e := Endpoint{ID: ServerID(arg), Cell: arg % 3, Zone: arg % 2, Kind: arg / 2 % 2, State: EndpointState(what % 3), Weight: float64(arg)}
 		if what == 15 {
 			e.State, e.Start = Ready, c.now
 		}
-		c.list[e.ID] = e
-		c.on(Event{Kind: EventDiscovery, Endpoints: []Endpoint{e}})
+		c.endpoints[e.ID] = e
+		c.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{e}})
 	}
 }
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -7,30 +7,30 @@
 
 // No request waits for a probe, and a server whose probe is out is neither probed again nor passed by for it.
 func TestHealthChecksDelayNothing(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.HealthChecks, s.Reports = true, ReportsOnHealthCheck
-	x := start(t, s, fleet(2)...)
+	h := newHarness(t, s, readyEndpoints(2)...)
 	asked := map[ServerID]int{}
 	id := RequestID(0)
 	ask := func() Action {
 		id++
-		acts := x.ask(id, pure)
+		acts := h.request(id, idempotent)
 		for _, a := range acts {
 			if a.Kind == ActionHealthCheck {
 				asked[a.Server]++
 			}
 		}
-		return one(t, acts, ActionSend)
+		return onlyAction(t, acts, ActionSend)
 	}
 	for range 40 { // no probe is answered
 		ask()
-		x.ends(id, 0, OutcomeOK)
+		h.endAttempt(id, 0, OutcomeOK)
 	}
 	if asked[1] != 1 || asked[2] != 1 {
 		t.Errorf("probes out: %v, want one to each", asked)
 	}
 	for server, held := range map[ServerID]float64{1: 60, 2: 0} {
-		x.on(Event{Kind: EventHealthCheck, Server: server, Outcome: OutcomeOK,
+		h.handle(Event{Kind: EventHealthCheck, Server: server, Outcome: OutcomeOK,
 			Load: LoadReport{Known: true, InFlight: held, Queue: -1, ServiceTime: 50 * ms}})
 	}
 	joined := map[ServerID]int{}
@@ -40,7 +40,7 @@
 	if joined[2] != 2 || asked[1] != 1 || asked[2] != 1 {
 		t.Errorf("joined %v, 1 holding 60 and 2 nothing; probed %v though the reports are fresh", joined, asked)
 	}
-	if x.now += time.Minute; len(joined) > 0 {
+	if h.now += time.Minute; len(joined) > 0 {
 		ask()
 	}
 	if asked[1]+asked[2] < 3 {
@@ -51,12 +51,12 @@
 // Where answers carry reports nothing is probed, however old the last report is: among many agents that see few
 // requests each every report is old, and all of them together would probe more than they send.
 func TestInlineReportsNeedNoHealthChecks(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.HealthChecks, s.Reports, s.Agents = true, ReportsInline, 80
-	x := start(t, s, fleet(22)...)
+	h := newHarness(t, s, readyEndpoints(22)...)
 	for id := RequestID(1); id <= 200; id++ {
-		none(t, x.ask(id, pure), ActionHealthCheck)
-		x.ends(id, 0, OutcomeOK)
-		x.now += time.Second
+		noAction(t, h.request(id, idempotent), ActionHealthCheck)
+		h.endAttempt(id, 0, OutcomeOK)
+		h.now += time.Second
 	}
 }
--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -8,23 +8,23 @@
 
 // Danger: quick errors look like quick, idle servers. One that errs leaves the line; it learns no speed.
 func TestErrorsEjectAndTeachNoSpeed(t *testing.T) {
-	x := start(t, settings(), fleet(6)...)
-	x.b.retryTimes = slices.Repeat(history{x.now}, 9) // none left in the retry budget
-	bad := one(t, x.ask(1, unsafe), ActionSend).Server
-	x.now += ms
-	x.ends(1, 0, OutcomeError)
-	if s := x.b.serversByID[bad]; s.slowdown != 1 {
+	h := newHarness(t, testSettings(), readyEndpoints(6)...)
+	h.b.retryTimes = slices.Repeat(history{h.now}, 9) // none left in the retry budget
+	bad := onlyAction(t, h.request(1, nonIdempotent), ActionSend).Server
+	h.now += ms
+	h.endAttempt(1, 0, OutcomeError)
+	if s := h.b.serversByID[bad]; s.slowdown != 1 {
 		t.Errorf("an error taught that the server is %v times slower", s.slowdown)
 	}
 	for id := range RequestID(60) {
-		if a := one(t, x.ask(10+id, unsafe), ActionSend); a.Server == bad {
+		if a := onlyAction(t, h.request(10+id, nonIdempotent), ActionSend); a.Server == bad {
 			t.Fatal("sent to the ejected server")
 		}
 	}
-	x.now += 6 * time.Second
+	h.now += 6 * time.Second
 	back := false
 	for id := range RequestID(60) {
-		back = back || one(t, x.ask(100+id, unsafe), ActionSend).Server == bad
+		back = back || onlyAction(t, h.request(100+id, nonIdempotent), ActionSend).Server == bad
 	}
 	if !back {
 		t.Error("never readmitted")
@@ -35,15 +35,15 @@
 // would pay for the lesson. One amid answers speaks for its class alone, and not loudly.
 func TestErrorWithoutAnswersEjectsForAllClasses(t *testing.T) {
 	for _, answered := range []bool{false, true} {
-		x := start(t, settings(), fleet(6)...)
-		s, c := x.b.servers[0], x.b.classes[pure]
-		x.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
+		h := newHarness(t, testSettings(), readyEndpoints(6)...)
+		s, c := h.b.servers[0], h.b.classes[idempotent]
+		h.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
 		if !answered {
-			x.b.now += c.LatencyObjective
+			h.b.now += c.LatencyObjective
 		}
-		x.b.recordOutcome(c, &attempt{server: s}, OutcomeError, 0.1)
+		h.b.recordOutcome(c, &attempt{server: s}, OutcomeError, 0.1)
 		for i := range s.health {
-			if out := s.health[i].ejectedUntil > x.b.now; out == answered {
+			if out := s.health[i].ejectedUntil > h.b.now; out == answered {
 				t.Errorf("answered a moment ago: %v, class %d ejected: %v", answered, i, out)
 			}
 		}
@@ -52,38 +52,38 @@
 
 // Danger: when all servers look bad it is overload or our own blindness; a quarter must stay in use.
 func TestEjectionIsCapped(t *testing.T) {
-	x := start(t, settings(), fleet(9)...)
-	for _, s := range slices.Clone(x.b.servers) {
-		x.draw()
-		x.b.recordFailure(x.b.classes[pure], s, 5, "test")
+	h := newHarness(t, testSettings(), readyEndpoints(9)...)
+	for _, s := range slices.Clone(h.b.servers) {
+		h.pickPair()
+		h.b.recordFailure(h.b.classes[idempotent], s, 5, "test")
 	}
-	x.draw()
-	if n := len(x.line().servers); n != 7 {
+	h.pickPair()
+	if n := len(h.candidates().servers); n != 7 {
 		t.Errorf("%d of 9 servers left on the line, want 7", n)
 	}
 }
 
 // Incident i4fd1b4: a server that turns requests away at once has few in flight and won every pair.
 func TestRejectingServerIsSkipped(t *testing.T) {
-	x := start(t, settings(), fleet(2)...)
+	h := newHarness(t, testSettings(), readyEndpoints(2)...)
 	for id := range RequestID(10) { // teach the usual time
-		x.ask(id, pure)
-		x.now += 100 * ms
-		x.ends(id, 0, OutcomeOK)
+		h.request(id, idempotent)
+		h.now += 100 * ms
+		h.endAttempt(id, 0, OutcomeOK)
 	}
-	full := one(t, x.ask(100, pure), ActionSend).Server
-	x.ends(100, 0, OutcomeRejected)
+	full := onlyAction(t, h.request(100, idempotent), ActionSend).Server
+	h.endAttempt(100, 0, OutcomeRejected)
 	for id := range RequestID(20) {
-		for _, a := range x.ask(200+id, pure) {
+		for _, a := range h.request(200+id, idempotent) {
 			if a.Kind == ActionSend && a.Server == full {
 				t.Fatal("sent to the server that was full")
 			}
 		}
 	}
-	x.now += time.Second
-	x.b.overload = 0
+	h.now += time.Second
+	h.b.overload = 0
 	for id := range RequestID(20) { // the other has all the rest in flight
-		if a := one(t, x.ask(300+id, pure), ActionSend); a.Server == full {
+		if a := onlyAction(t, h.request(300+id, idempotent), ActionSend); a.Server == full {
 			return
 		}
 	}
@@ -94,43 +94,43 @@
 // a row are too many, and so is silence towards all.
 func TestBusyServerSurvivesSingleFailures(t *testing.T) {
 	for _, how := range []Outcome{OutcomeError, OutcomeReset} {
-		x := start(t, settings(), fleet(3)...)
-		s, c := x.b.serversByID[1], x.b.classes[pure]
+		h := newHarness(t, testSettings(), readyEndpoints(3)...)
+		s, c := h.b.serversByID[1], h.b.classes[idempotent]
 		for range 20 {
-			x.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
-			x.b.recordOutcome(c, &attempt{server: s}, how, 0.1)
+			h.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
+			h.b.recordOutcome(c, &attempt{server: s}, how, 0.1)
 		}
-		if s.health[pure].ejectedUntil > x.b.now {
+		if s.health[idempotent].ejectedUntil > h.b.now {
 			t.Errorf("outcome %d: ejected for single failures", how)
 		}
 		for range 2 {
-			x.b.recordOutcome(c, &attempt{server: s}, how, 0.1)
+			h.b.recordOutcome(c, &attempt{server: s}, how, 0.1)
 		}
-		if s.health[pure].ejectedUntil <= x.b.now {
+		if s.health[idempotent].ejectedUntil <= h.b.now {
 			t.Errorf("outcome %d: three failures in a row did not eject", how)
 		}
 	}
-	x := start(t, settings(), fleet(3)...)
-	sent := x.ask(1, pure)
-	s, check := x.b.serversByID[one(t, sent, ActionSend).Server], one(t, sent, ActionSetTimer)
-	x.now += check.Delay / 2
-	x.on(Event{Kind: EventTimer}) // brings the module's clock up to date
-	x.b.recordOutcome(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
-	x.now += check.Delay / 2
-	if x.on(Event{Kind: EventTimer, TimerID: check.TimerID}); s.health[pure].failures > 0 {
-		t.Errorf("blamed %v for a costly request", s.health[pure].failures)
-	}
-	x.now += time.Second
+	h := newHarness(t, testSettings(), readyEndpoints(3)...)
+	sent := h.request(1, idempotent)
+	s, check := h.b.serversByID[onlyAction(t, sent, ActionSend).Server], onlyAction(t, sent, ActionSetTimer)
+	h.now += check.Delay / 2
+	h.handle(Event{Kind: EventTimer}) // brings the module's clock up to date
+	h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: s}, OutcomeOK, 0.1)
+	h.now += check.Delay / 2
+	if h.handle(Event{Kind: EventTimer, TimerID: check.TimerID}); s.health[idempotent].failures > 0 {
+		t.Errorf("blamed %v for a costly request", s.health[idempotent].failures)
+	}
+	h.now += time.Second
 	for s.inFlight < 2 { // one that it does not answer, and nothing else
-		id := RequestID(len(x.b.requests) + 2)
-		sent = x.ask(id, pure)
+		id := RequestID(len(h.b.requests) + 2)
+		sent = h.request(id, idempotent)
 	}
-	check = one(t, sent, ActionSetTimer)
+	check = onlyAction(t, sent, ActionSetTimer)
 	for range 3 {
-		x.now += check.Delay
-		x.on(Event{Kind: EventTimer, TimerID: check.TimerID})
+		h.now += check.Delay
+		h.handle(Event{Kind: EventTimer, TimerID: check.TimerID})
 	}
-	if s.health[pure].ejectedUntil <= x.now {
+	if s.health[idempotent].ejectedUntil <= h.now {
 		t.Error("a server that has fallen silent was not ejected")
 	}
 }
@@ -139,20 +139,20 @@
 // while and stays in; only one that is loaded says that there is a crowd.
 func TestServerWithoutCapacityIsSkipped(t *testing.T) {
 	for _, how := range []Outcome{OutcomeConnectFailed, OutcomeRejected} {
-		x := start(t, settings(), fleet(3)...)
-		s, c := x.b.serversByID[1], x.b.classes[pure]
-		x.b.recordReport(s, LoadReport{Known: true, InFlight: 2, Queue: -1, ServiceTime: 10 * ms})
-		x.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
-		x.b.latencySeconds.add(0.01, 1)
+		h := newHarness(t, testSettings(), readyEndpoints(3)...)
+		s, c := h.b.serversByID[1], h.b.classes[idempotent]
+		h.b.recordReport(s, LoadReport{Known: true, InFlight: 2, Queue: -1, ServiceTime: 10 * ms})
+		h.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
+		h.b.latencySeconds.add(0.01, 1)
 		for range 5 {
-			x.b.recordOutcome(c, &attempt{server: s, sentAt: x.b.now}, how, 0.1)
-			if s.skippedUntil <= x.b.now {
+			h.b.recordOutcome(c, &attempt{server: s, sentAt: h.b.now}, how, 0.1)
+			if s.skippedUntil <= h.b.now {
 				t.Errorf("outcome %d: not passed by", how)
 			}
-			x.b.now, s.lastAnswer = s.skippedUntil, s.skippedUntil // it has answered others
+			h.b.now, s.lastAnswer = s.skippedUntil, s.skippedUntil // it has answered others
 		}
-		if s.health[pure].ejectedUntil > x.b.now || x.b.overload > 0 {
-			t.Errorf("outcome %d: ejected until %v, pressure %v", how, s.health[pure].ejectedUntil, x.b.overload)
+		if s.health[idempotent].ejectedUntil > h.b.now || h.b.overload > 0 {
+			t.Errorf("outcome %d: ejected until %v, pressure %v", how, s.health[idempotent].ejectedUntil, h.b.overload)
 		}
 	}
 }
@@ -160,37 +160,37 @@
 // Danger: a server that fails one class and serves the others well is out for that class alone, and their good
 // answers do not bring it back. Once it fails two, or its connections break, it is out for all.
 func TestHealthIsByClass(t *testing.T) {
-	x := start(t, settings(), fleet(8)...)
+	h := newHarness(t, testSettings(), readyEndpoints(8)...)
 	on := func(class int, id ServerID) bool {
-		c := x.b.classes[class]
-		x.b.pickPair(c)
-		return slices.Contains(c.candidates.servers, x.b.serversByID[id])
+		c := h.b.classes[class]
+		h.b.pickPair(c)
+		return slices.Contains(c.candidates.servers, h.b.serversByID[id])
 	}
-	bad := one(t, x.ask(1, unsafe), ActionSend).Server
-	x.now += 900 * ms
-	x.ends(1, 0, OutcomeTimeout)
-	if on(unsafe, bad) || !on(pure, bad) {
-		t.Fatalf("after a silent unsafe request: out for unsafe %v, for pure %v", !on(unsafe, bad), !on(pure, bad))
+	bad := onlyAction(t, h.request(1, nonIdempotent), ActionSend).Server
+	h.now += 900 * ms
+	h.endAttempt(1, 0, OutcomeTimeout)
+	if on(nonIdempotent, bad) || !on(idempotent, bad) {
+		t.Fatalf("after a silent unsafe request: out for unsafe %v, for pure %v", !on(nonIdempotent, bad), !on(idempotent, bad))
 	}
 	for range 20 {
-		x.b.recordOutcome(x.b.classes[pure], &attempt{server: x.b.serversByID[bad]}, OutcomeOK, 0.1)
+		h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: h.b.serversByID[bad]}, OutcomeOK, 0.1)
 	}
-	if on(unsafe, bad) {
+	if on(nonIdempotent, bad) {
 		t.Error("good answers of another class brought it back")
 	}
-	x.b.now += 500 * ms // and it has not answered for a while
-	x.b.recordOutcome(x.b.classes[pure], &attempt{server: x.b.serversByID[bad]}, OutcomeError, 0.1)
-	for class := range x.b.classes {
+	h.b.now += 500 * ms // and it has not answered for a while
+	h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: h.b.serversByID[bad]}, OutcomeError, 0.1)
+	for class := range h.b.classes {
 		if on(class, bad) {
 			t.Errorf("failed two classes, but serves class %d", class)
 		}
 	}
-	other := x.b.servers[0].ID
+	other := h.b.servers[0].ID
 	if other == bad {
-		other = x.b.servers[1].ID
+		other = h.b.servers[1].ID
 	}
-	x.b.recordOutcome(x.b.classes[pure], &attempt{server: x.b.serversByID[other]}, OutcomeConnectFailed, 0.1)
-	if on(unsafe, other) {
+	h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: h.b.serversByID[other]}, OutcomeConnectFailed, 0.1)
+	if on(nonIdempotent, other) {
 		t.Error("it takes no connections, but it is still sent unsafe requests")
 	}
 }
@@ -198,25 +198,25 @@
 // One reset tells of one connection, however long ago the server answered last: a network that cuts one in ten must
 // not have healthy servers ejected. Several in a row eject.
 func TestSingleResetDoesNotEject(t *testing.T) {
-	x := start(t, settings(), fleet(8)...)
-	s := x.b.servers[0]
+	h := newHarness(t, testSettings(), readyEndpoints(8)...)
+	s := h.b.servers[0]
 	for _, quiet := range []time.Duration{0, 100 * ms, 5 * time.Second} {
-		x.b.recordOutcome(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
-		x.b.now += quiet
-		x.b.recordOutcome(x.b.classes[pure], &attempt{server: s}, OutcomeReset, 0.1)
-		for class := range x.b.classes {
-			if s.health[class].ejectedUntil > x.b.now {
+		h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: s}, OutcomeOK, 0.1)
+		h.b.now += quiet
+		h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: s}, OutcomeReset, 0.1)
+		for class := range h.b.classes {
+			if s.health[class].ejectedUntil > h.b.now {
 				t.Errorf("ejected for class %d by one reset, %v after an answer", class, quiet)
 			}
 		}
 	}
-	dead := x.b.servers[1]
+	dead := h.b.servers[1]
 	for _, how := range []Outcome{OutcomeReset, OutcomeConnectFailed} { // its process has died
-		x.b.recordOutcome(x.b.classes[pure], &attempt{server: s}, OutcomeReset, 0.1)
-		x.b.recordOutcome(x.b.classes[pure], &attempt{server: dead, sentAt: x.b.now}, how, 0.1)
+		h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: s}, OutcomeReset, 0.1)
+		h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: dead, sentAt: h.b.now}, how, 0.1)
 	}
 	for _, s := range []*server{s, dead} {
-		if s.health[unsafe].ejectedUntil <= x.b.now {
+		if s.health[nonIdempotent].ejectedUntil <= h.b.now {
 			t.Error("not ejected by three resets in a row, or one and a refused connection")
 		}
 	}
@@ -224,80 +224,80 @@
 
 // A server that is busy with one costly request, and answers nothing for half an aim, is not ejected for it.
 func TestCostlyRequestDoesNotEject(t *testing.T) {
-	x := start(t, settings(), fleet(8)...)
-	for i := range x.b.classes {
-		x.b.classes[i].latencySeconds = mean{0.02, true} // the others are quick
+	h := newHarness(t, testSettings(), readyEndpoints(8)...)
+	for i := range h.b.classes {
+		h.b.classes[i].latencySeconds = mean{0.02, true} // the others are quick
 	}
-	sent := x.ask(1, pure)
-	s, check := x.b.serversByID[one(t, sent, ActionSend).Server], one(t, sent, ActionSetTimer)
-	aim := x.b.classes[pure].LatencyObjective
-	for x.now += check.Delay; x.now <= time.Hour+aim; x.now += check.Delay {
-		x.on(Event{Kind: EventTimer, TimerID: check.TimerID})
+	sent := h.request(1, idempotent)
+	s, check := h.b.serversByID[onlyAction(t, sent, ActionSend).Server], onlyAction(t, sent, ActionSetTimer)
+	aim := h.b.classes[idempotent].LatencyObjective
+	for h.now += check.Delay; h.now <= time.Hour+aim; h.now += check.Delay {
+		h.handle(Event{Kind: EventTimer, TimerID: check.TimerID})
 	}
-	if s.health[pure].ejectedUntil > x.now {
+	if s.health[idempotent].ejectedUntil > h.now {
 		t.Error("ejected within the aim")
 	}
 }
 
 // A silent attempt counts half at three usual times and whole at six, and its time-out adds nothing.
 func TestSilenceIsCountedOnce(t *testing.T) {
-	x := start(t, settings(), fleet(6)...)
-	acts := x.ask(1, unsafe)
-	s := x.b.serversByID[one(t, acts, ActionSend).Server]
-	h := &s.health[unsafe]
+	h := newHarness(t, testSettings(), readyEndpoints(6)...)
+	acts := h.request(1, nonIdempotent)
+	s := h.b.serversByID[onlyAction(t, acts, ActionSend).Server]
+	health := &s.health[nonIdempotent]
 	for _, want := range []float64{0.5, 1} {
-		a := one(t, acts, ActionSetTimer)
-		x.now += a.Delay
-		before := h.ejectedUntil
-		acts = x.on(Event{Kind: EventTimer, TimerID: a.TimerID})
-		if ejected := h.ejectedUntil > before; ejected != (want == 1) {
+		a := onlyAction(t, acts, ActionSetTimer)
+		h.now += a.Delay
+		before := health.ejectedUntil
+		acts = h.handle(Event{Kind: EventTimer, TimerID: a.TimerID})
+		if ejected := health.ejectedUntil > before; ejected != (want == 1) {
 			t.Fatalf("after silence worth %v: ejected %v", want, ejected)
 		}
 	}
-	h.ejectedUntil, h.failures = 0, 0
-	x.ends(1, 0, OutcomeTimeout)
-	if h.failures != 0 {
-		t.Errorf("the time-out counted %v again", h.failures)
+	health.ejectedUntil, health.failures = 0, 0
+	h.endAttempt(1, 0, OutcomeTimeout)
+	if health.failures != 0 {
+		t.Errorf("the time-out counted %v again", health.failures)
 	}
 }
 
 // A server that answers other classes and swallows one is ejected for that one by its time-outs.
 func TestTimeoutsOfOneClassEject(t *testing.T) {
-	x := start(t, settings(), fleet(8)...)
-	s, c := x.b.servers[0], x.b.classes[unsafe]
-	x.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
+	h := newHarness(t, testSettings(), readyEndpoints(8)...)
+	s, c := h.b.servers[0], h.b.classes[nonIdempotent]
+	h.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
 	for range 3 {
-		a := attempt{server: s, sentAt: x.b.now}
-		x.b.now += time.Second
-		x.b.recordOutcome(x.b.classes[pure], &attempt{server: s}, OutcomeOK, 0.1)
-		x.b.recordOutcome(c, &a, OutcomeTimeout, 1)
+		a := attempt{server: s, sentAt: h.b.now}
+		h.b.now += time.Second
+		h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: s}, OutcomeOK, 0.1)
+		h.b.recordOutcome(c, &a, OutcomeTimeout, 1)
 	}
-	if s.health[unsafe].ejectedUntil <= x.b.now {
+	if s.health[nonIdempotent].ejectedUntil <= h.b.now {
 		t.Error("not ejected for the class that it swallows")
 	}
-	if s.health[pure].ejectedUntil > x.b.now {
+	if s.health[idempotent].ejectedUntil > h.b.now {
 		t.Error("ejected for a class that it answers")
 	}
 }
 
 // A server counts as avoided while it is ejected for all classes, and only while it is in the list.
 func TestEjectedEndpoints(t *testing.T) {
-	x := start(t, settings(), fleet(5)...)
-	s := x.b.serversByID[1]
-	x.b.now = x.now
-	x.b.recordFailure(x.b.classes[pure], s, 1, "test")
-	if n := x.b.EjectedEndpoints(x.now); n != 0 {
+	h := newHarness(t, testSettings(), readyEndpoints(5)...)
+	s := h.b.serversByID[1]
+	h.b.now = h.now
+	h.b.recordFailure(h.b.classes[idempotent], s, 1, "test")
+	if n := h.b.EjectedEndpoints(h.now); n != 0 {
 		t.Errorf("ejected for one class: %d avoided", n)
 	}
-	x.b.recordFailure(x.b.classes[unsafe], s, 1, "test") // the second class has all eject it
-	if n := x.b.EjectedEndpoints(x.now); n != 1 {
+	h.b.recordFailure(h.b.classes[nonIdempotent], s, 1, "test") // the second class has all eject it
+	if n := h.b.EjectedEndpoints(h.now); n != 1 {
 		t.Errorf("ejected for all classes: %d avoided", n)
 	}
-	if n := x.b.EjectedEndpoints(s.health[pure].ejectedUntil + time.Hour); n != 0 {
+	if n := h.b.EjectedEndpoints(s.health[idempotent].ejectedUntil + time.Hour); n != 0 {
 		t.Errorf("when it is over: %d avoided", n)
 	}
 	s.State = Removed
-	if n := x.b.EjectedEndpoints(x.now); n != 0 {
+	if n := h.b.EjectedEndpoints(h.now); n != 0 {
 		t.Errorf("out of the list: %d avoided", n)
 	}
 }
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -6,17 +6,17 @@
 )
 
 func TestFailedPollKeepsServersAndBacksOff(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, 10*time.Second, 4, 2
-	x := start(t, s)
-	first := one(t, x.on(Event{Kind: EventDiscovery, Update: EndpointsCached, Endpoints: fleet(2)}), ActionSetTimer)
+	h := newHarness(t, s)
+	first := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: EndpointsCached, Endpoints: readyEndpoints(2)}), ActionSetTimer)
 	if first.Delay < 600*ms || first.Delay > 900*ms {
 		t.Errorf("rank 2 of 4 asks after %v, want its slot of 0.3 s", first.Delay)
 	}
-	one(t, x.on(Event{Kind: EventTimer, TimerID: first.TimerID}), ActionPollEndpoints)
+	onlyAction(t, h.handle(Event{Kind: EventTimer, TimerID: first.TimerID}), ActionPollEndpoints)
 	last := time.Duration(0)
 	for n := range 4 {
-		a := one(t, x.on(Event{Kind: EventDiscovery, Update: PollFailed}), ActionSetTimer)
+		a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: PollFailed}), ActionSetTimer)
 		if n == 0 && a.Delay > 1500*ms {
 			t.Errorf("waits %v after one failure", a.Delay)
 		}
@@ -28,7 +28,7 @@
 	if last < 2250*ms {
 		t.Errorf("the fourth failure in a row waits only %v", last)
 	}
-	one(t, x.ask(1, pure), ActionSend)
+	onlyAction(t, h.request(1, idempotent), ActionSend)
 }
 
 // The next call for the list leaves time for its answer, and for another, before what was missed counts as told; without
@@ -36,7 +36,7 @@
 func TestPollsWithinRemainingTime(t *testing.T) {
 	for _, mustAskIn := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
 		for _, agents := range []int{1, 6, 350} {
-			s := settings()
+			s := testSettings()
 			s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, mustAskIn, agents, agents-1
 			for _, c := range []struct {
 				before      int // failures in a row
@@ -53,11 +53,11 @@
 				{9, 0, min(mustAskIn/4, 2250*ms), min(mustAskIn, 4500*ms)},
 				{9, 6 * time.Second, min(mustAskIn/4, 2250*ms), min(mustAskIn, 4500*ms)},
 			} {
-				x := start(t, s, fleet(2)...)
+				h := newHarness(t, s, readyEndpoints(2)...)
 				for range c.before {
-					x.on(Event{Kind: EventDiscovery, Update: PollFailed})
+					h.handle(Event{Kind: EventDiscovery, Update: PollFailed})
 				}
-				a := one(t, x.on(Event{Kind: EventDiscovery, Update: PollFailed, Remaining: c.left}), ActionSetTimer)
+				a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: PollFailed, Remaining: c.left}), ActionSetTimer)
 				if a.Delay < c.least || a.Delay > c.most {
 					t.Errorf("%d agents, %v: %d failures and %v left: waits %v, want %v to %v", agents, mustAskIn, c.before+1,
 						c.left, a.Delay, c.least, c.most)
@@ -92,13 +92,13 @@
 		"a failure after a move":         {6, 450 * ms, PollFailed, 1, 2 * time.Second, 1350 * ms, 1350 * ms},
 	} {
 		for seed := range uint64(20) {
-			s := settings()
+			s := testSettings()
 			s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, 10*time.Second, c.agents, c.agents-1
-			x := startSeeded(t, s, seed, fleet(2)...)
+			h := newSeededHarness(t, s, seed, readyEndpoints(2)...)
 			for range c.before {
-				x.on(Event{Kind: EventDiscovery, Update: PollFailed, PollLatency: c.answer})
+				h.handle(Event{Kind: EventDiscovery, Update: PollFailed, PollLatency: c.answer})
 			}
-			a := one(t, x.on(Event{Kind: EventDiscovery, Update: c.mode, Remaining: c.left, PollLatency: c.answer}), ActionSetTimer)
+			a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: c.mode, Remaining: c.left, PollLatency: c.answer}), ActionSetTimer)
 			if a.Delay < c.least || a.Delay > c.most {
 				t.Errorf("%s, seed %d: waits %v, want %v to %v", name, seed, a.Delay, c.least, c.most)
 			}
@@ -108,11 +108,11 @@
 
 // Only the last timer for the list counts: one set before a move or a failure would have the agent ask too soon.
 func TestLatestPollTimerCounts(t *testing.T) {
-	s := settings()
+	s := testSettings()
 	s.PollEndpoints, s.MaxPollInterval = true, 10*time.Second
-	x := start(t, s, fleet(2)...)
-	first := one(t, x.on(Event{Kind: EventDiscovery, Update: DiscoveryMigrated, Remaining: 4 * time.Second}), ActionSetTimer)
-	second := one(t, x.on(Event{Kind: EventDiscovery, Update: PollFailed, Remaining: 3 * time.Second}), ActionSetTimer)
-	none(t, x.on(Event{Kind: EventTimer, TimerID: first.TimerID}), ActionPollEndpoints)
-	one(t, x.on(Event{Kind: EventTimer, TimerID: second.TimerID}), ActionPollEndpoints)
+	h := newHarness(t, s, readyEndpoints(2)...)
+	first := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: DiscoveryMigrated, Remaining: 4 * time.Second}), ActionSetTimer)
+	second := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: PollFailed, Remaining: 3 * time.Second}), ActionSetTimer)
+	noAction(t, h.handle(Event{Kind: EventTimer, TimerID: first.TimerID}), ActionPollEndpoints)
+	onlyAction(t, h.handle(Event{Kind: EventTimer, TimerID: second.TimerID}), ActionPollEndpoints)
 }
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -29,7 +29,7 @@
 		"RetryBudgetRatio":            func(s *Settings) { s.RetryBudgetRatio = -0.1 },
 		"Tenants[0].Quota":            func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
 	} {
-		s := settings()
+		s := testSettings()
 		spoil(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v", field, err)
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -7,18 +7,18 @@
 
 // A server that is cold gets no more than its present share even if it wins every pair.
 func TestSlowStartBudget(t *testing.T) {
-	list := fleet(4)
+	list := readyEndpoints(4)
 	list[3].Start = time.Hour
-	x := start(t, settings(), list...)
+	h := newHarness(t, testSettings(), list...)
 	count := func(n int) (cold float64) {
 		for id := range RequestID(n) {
-			x.b.overload = 0
-			for _, a := range x.ask(id, pure) {
+			h.b.overload = 0
+			for _, a := range h.request(id, idempotent) {
 				if a.Kind == ActionSend {
 					if a.Server == 4 {
 						cold++
 					}
-					x.ends(id, 0, OutcomeOK)
+					h.endAttempt(id, 0, OutcomeOK)
 				}
 			}
 		}
@@ -27,21 +27,21 @@
 	if got := count(4000); got < 0.01 || got > slowStartMargin*2.5*0.2/4*1.2 {
 		t.Errorf("a server at a fifth of its capacity got %v of the traffic of 4", got)
 	}
-	x.now += 10 * time.Second
+	h.now += 10 * time.Second
 	if got := count(4000); got < 0.15 {
 		t.Errorf("once warm it got %v", got)
 	}
 	for i := range list {
-		list[i].Start = x.now
+		list[i].Start = h.now
 	}
-	x.on(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: list})
+	h.handle(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: list})
 	sent := 0
 	for id := range RequestID(4000) {
-		x.b.overload = 0
-		for _, a := range x.ask(id, pure) {
+		h.b.overload = 0
+		for _, a := range h.request(id, idempotent) {
 			if a.Kind == ActionSend {
 				sent++
-				x.ends(id, 0, OutcomeOK)
+				h.endAttempt(id, 0, OutcomeOK)
 			}
 		}
 	}
@@ -53,20 +53,20 @@
 // Where most of a fleet is cold its servers are drawn by what they can likely do, and what is let through at once is
 // not held back as if it were drawn again: the few that are warm cannot carry the rest.
 func TestWarmingFleetIsUsed(t *testing.T) {
-	list := fleet(10)
+	list := readyEndpoints(10)
 	for i := range 6 {
 		list[i].Start = time.Hour
 	}
-	x := start(t, settings(), list...)
-	x.now += settings().SlowStartDuration / 2
+	h := newHarness(t, testSettings(), list...)
+	h.now += testSettings().SlowStartDuration / 2
 	cold := 0.0
 	for id := range RequestID(4000) {
-		for _, a := range x.ask(id, pure) {
+		for _, a := range h.request(id, idempotent) {
 			if a.Kind == ActionSend {
 				if a.Server <= 6 {
 					cold += 1.0 / 4000
 				}
-				x.ends(id, 0, OutcomeOK)
+				h.endAttempt(id, 0, OutcomeOK)
 			}
 		}
 	}
@@ -79,22 +79,22 @@
 // share of what is sent.
 func TestSlowStartBudgetOfTwoProcesses(t *testing.T) {
 	sent := func(processes int) (n int) {
-		set := settings()
+		set := testSettings()
 		set.Agents = 4
-		var all []*bench
+		var all []*harness
 		for range processes {
-			list := fleet(10)
+			list := readyEndpoints(10)
 			list[0].Start = time.Hour - ms // it has just started
-			all = append(all, start(t, set, list...))
+			all = append(all, newHarness(t, set, list...))
 		}
 		for id := range RequestID(8000) {
-			x := all[int(id)%processes]
-			for _, a := range x.ask(id+1, pure) {
+			h := all[int(id)%processes]
+			for _, a := range h.request(id+1, idempotent) {
 				if a.Kind == ActionSend && a.Server == 1 {
 					n++
 				}
 			}
-			x.ends(id+1, 0, OutcomeOK)
+			h.endAttempt(id+1, 0, OutcomeOK)
 		}
 		return n
 	}
--- a/internal/balancer/speed_test.go
+++ b/internal/balancer/speed_test.go
@@ -8,29 +8,29 @@
 
 // Danger: weights that leave out how fast a kind's cores are overload the slow kind.
 func TestKindSpeedIsLearnt(t *testing.T) {
-	list := fleet(8)
+	list := readyEndpoints(8)
 	for i := range list {
 		list[i].Kind = i % 2
 	}
-	for name, learn := range map[string]func(x *bench, s *server){
-		"answers": func(x *bench, s *server) {
-			x.b.recordLatency(x.b.classes[pure], &attempt{server: s, queueDepth: 1}, []float64{0.1, 0.2}[s.Kind])
+	for name, learn := range map[string]func(h *harness, s *server){
+		"answers": func(h *harness, s *server) {
+			h.b.recordLatency(h.b.classes[idempotent], &attempt{server: s, queueDepth: 1}, []float64{0.1, 0.2}[s.Kind])
 		},
-		"answers behind queues": func(x *bench, s *server) {
+		"answers behind queues": func(h *harness, s *server) {
 			took := []float64{0.1, 0.2}[s.Kind]
-			x.b.recordReport(s, LoadReport{Known: true, InFlight: -1, Queue: 3, ServiceTime: 20 * ms})
-			x.b.recordLatency(x.b.classes[pure], &attempt{server: s, queueDepth: 4}, 4*took)
+			h.b.recordReport(s, LoadReport{Known: true, InFlight: -1, Queue: 3, ServiceTime: 20 * ms})
+			h.b.recordLatency(h.b.classes[idempotent], &attempt{server: s, queueDepth: 4}, 4*took)
 		},
 	} {
-		x := start(t, settings(), list...)
+		h := newHarness(t, testSettings(), list...)
 		for i := range 80 {
-			x.b.now += 50 * ms
-			learn(x, x.b.servers[i%8])
+			h.b.now += 50 * ms
+			learn(h, h.b.servers[i%8])
 		}
-		x.b.candidateEpoch++
-		x.draw()
+		h.b.candidateEpoch++
+		h.pickPair()
 		var speeds [2]float64
-		for _, s := range x.b.servers {
+		for _, s := range h.b.servers {
 			speeds[s.Kind] = s.candidateSpeed
 		}
 		if r := speeds[0] / speeds[1]; r < 1.7 || r > 2.2 {
@@ -41,22 +41,22 @@
 
 // Where reports tell queues and no requests in flight, a server that is new is no faster than the others.
 func TestNewServerIsNoFaster(t *testing.T) {
-	x := start(t, settings(), fleet(4)...)
+	h := newHarness(t, testSettings(), readyEndpoints(4)...)
 	var id RequestID
 	for range 200 {
 		id++
-		sent := one(t, x.ask(id, pure), ActionSend)
-		x.now += 50 * ms
-		x.on(Event{Kind: EventOutcome, Request: id, Server: sent.Server, Outcome: OutcomeOK, Answered: true,
+		sent := onlyAction(t, h.request(id, idempotent), ActionSend)
+		h.now += 50 * ms
+		h.handle(Event{Kind: EventOutcome, Request: id, Server: sent.Server, Outcome: OutcomeOK, Answered: true,
 			Load: LoadReport{Known: true, InFlight: -1, Queue: 0, ServiceTime: 30 * ms}})
 	}
-	x.on(Event{Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{ready(5, 1)}})
-	fresh := x.b.serversByID[5]
-	for _, s := range x.b.servers {
-		if r := x.b.speed(fresh) / x.b.speed(s); r < 0.8 || r > 1.25 {
+	h.handle(Event{Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{readyEndpoint(5, 1)}})
+	fresh := h.b.serversByID[5]
+	for _, s := range h.b.servers {
+		if r := h.b.speed(fresh) / h.b.speed(s); r < 0.8 || r > 1.25 {
 			t.Errorf("a new server is %.2f times as fast as server %d", r, s.ID)
 		}
-		if each := x.b.serviceSeconds(s); each < 0.03 || each > 0.08 {
+		if each := h.b.serviceSeconds(s); each < 0.03 || each > 0.08 {
 			t.Errorf("a request takes %.3f s on server %d, want 0.05", each, s.ID)
 		}
 	}
@@ -64,42 +64,42 @@
 
 // A kind that is sent less and so has less in work is neither slower nor narrower for it.
 func TestTrafficDoesNotChangeSpeed(t *testing.T) {
-	list := fleet(4)
+	list := readyEndpoints(4)
 	for i := range list {
 		list[i].Kind = i % 2
 	}
-	x := start(t, settings(), list...)
+	h := newHarness(t, testSettings(), list...)
 	for i := range 80 {
-		x.b.now += 50 * ms
-		s := x.b.servers[i%4]
+		h.b.now += 50 * ms
+		s := h.b.servers[i%4]
 		busy := float64(1 + 3*s.Kind)
-		x.b.recordReport(s, LoadReport{Known: true, InFlight: busy, Queue: -1, ServiceTime: 50 * ms})
+		h.b.recordReport(s, LoadReport{Known: true, InFlight: busy, Queue: -1, ServiceTime: 50 * ms})
 	}
-	x.b.candidateEpoch++
-	x.draw()
-	for _, s := range x.b.servers {
-		if math.Abs(s.candidateSpeed-x.b.servers[0].candidateSpeed) > 0.01 {
-			t.Errorf("kind %d has speed %v, kind %d %v", s.Kind, s.candidateSpeed, x.b.servers[0].Kind, x.b.servers[0].candidateSpeed)
+	h.b.candidateEpoch++
+	h.pickPair()
+	for _, s := range h.b.servers {
+		if math.Abs(s.candidateSpeed-h.b.servers[0].candidateSpeed) > 0.01 {
+			t.Errorf("kind %d has speed %v, kind %d %v", s.Kind, s.candidateSpeed, h.b.servers[0].Kind, h.b.servers[0].candidateSpeed)
 		}
 	}
 }
 
 // A class that takes ten times as long is no slow server, even where one server happens to get all of it.
 func TestSlowClassDoesNotSlowServer(t *testing.T) {
-	x := start(t, settings(), fleet(2)...)
-	long, short := x.b.servers[0], x.b.servers[1]
+	h := newHarness(t, testSettings(), readyEndpoints(2)...)
+	long, short := h.b.servers[0], h.b.servers[1]
 	for range 200 {
-		x.b.now += 50 * ms
-		x.b.recordLatency(x.b.classes[byAll], &attempt{server: long, queueDepth: 1}, 0.5)
-		x.b.recordLatency(x.b.classes[pure], &attempt{server: short, queueDepth: 1}, 0.05)
+		h.b.now += 50 * ms
+		h.b.recordLatency(h.b.classes[keyedByFleet], &attempt{server: long, queueDepth: 1}, 0.5)
+		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: short, queueDepth: 1}, 0.05)
 	}
 	if long.slowdown > 1.2 || short.slowdown < 0.8 {
 		t.Errorf("slowness %v and %v", long.slowdown, short.slowdown)
 	}
 	for range 200 {
-		x.b.now += 50 * ms
-		x.b.recordLatency(x.b.classes[pure], &attempt{server: long, queueDepth: 1}, 0.15)
-		x.b.recordLatency(x.b.classes[pure], &attempt{server: short, queueDepth: 1}, 0.05)
+		h.b.now += 50 * ms
+		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: long, queueDepth: 1}, 0.15)
+		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: short, queueDepth: 1}, 0.05)
 	}
 	if long.slowdown < 1.4*short.slowdown {
 		t.Errorf("a server three times slower: slowness %v and %v", long.slowdown, short.slowdown)
@@ -109,13 +109,13 @@
 // A cold server's answers take as long as it is cold: that is known, and were it learnt as slowness too it would be
 // sent a part of a part, and less for long after it is warm.
 func TestSlowStartIsNotSlowdown(t *testing.T) {
-	list := fleet(2)
+	list := readyEndpoints(2)
 	list[1].Start = time.Hour
-	x := start(t, settings(), list...)
-	warm, cold := x.b.serversByID[1], x.b.serversByID[2]
+	h := newHarness(t, testSettings(), list...)
+	warm, cold := h.b.serversByID[1], h.b.serversByID[2]
 	for range 200 {
-		x.b.recordLatency(x.b.classes[pure], &attempt{server: warm, queueDepth: 1}, 0.05)
-		x.b.recordLatency(x.b.classes[pure], &attempt{server: cold, queueDepth: 1}, 0.05/x.b.expectedWarmth(cold))
+		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: warm, queueDepth: 1}, 0.05)
+		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: cold, queueDepth: 1}, 0.05/h.b.expectedWarmth(cold))
 	}
 	if r := cold.slowdown / warm.slowdown; r < 0.8 || r > 1.25 {
 		t.Errorf("a cold server passes for %v times slower than a warm one of its kind", r)
@@ -124,12 +124,12 @@
 
 // Our own queue at a server is not its slowness.
 func TestOwnQueueIsNotSlowdown(t *testing.T) {
-	x := start(t, settings(), fleet(2)...)
-	busy, idle := x.b.servers[0], x.b.servers[1]
+	h := newHarness(t, testSettings(), readyEndpoints(2)...)
+	busy, idle := h.b.servers[0], h.b.servers[1]
 	for range 300 {
-		x.b.now += 50 * ms
-		x.b.recordLatency(x.b.classes[pure], &attempt{server: busy, queueDepth: 4}, 0.4)
-		x.b.recordLatency(x.b.classes[pure], &attempt{server: idle, queueDepth: 1}, 0.1)
+		h.b.now += 50 * ms
+		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: busy, queueDepth: 4}, 0.4)
+		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: idle, queueDepth: 1}, 0.1)
 	}
 	if busy.slowdown > 1.2*idle.slowdown {
 		t.Errorf("slowness %v with four times the wait for three of our own, %v with none", busy.slowdown, idle.slowdown)
@@ -139,30 +139,30 @@
 // What was learnt of a kind of machine stays with it when the settings change, and is forgotten when its place may be
 // another kind's.
 func TestAdoptKinds(t *testing.T) {
-	list := fleet(8)
+	list := readyEndpoints(8)
 	for i := range list {
 		list[i].Kind = i % 2
 	}
-	set := settings()
+	set := testSettings()
 	set.Kinds = []string{"large", "small"}
 	for _, c := range []struct {
 		kinds []string
 		stays bool
 	}{{[]string{"large", "small"}, true}, {[]string{"small", "large"}, false}, {nil, false}} {
-		x := start(t, set, list...)
+		h := newHarness(t, set, list...)
 		for i := range 80 {
-			s := x.b.servers[i%8]
-			x.b.recordLatency(x.b.classes[pure], &attempt{server: s, queueDepth: 1}, []float64{0.1, 0.2}[s.Kind])
+			s := h.b.servers[i%8]
+			h.b.recordLatency(h.b.classes[idempotent], &attempt{server: s, queueDepth: 1}, []float64{0.1, 0.2}[s.Kind])
 		}
-		for _, s := range x.b.servers {
+		for _, s := range h.b.servers {
 			s.slowdown = 1
 		}
 		next := set
 		next.Kinds = c.kinds
-		if err := x.b.Adopt(next); err != nil {
+		if err := h.b.Adopt(next); err != nil {
 			t.Fatal(err)
 		}
-		ratio := x.b.speed(x.b.serversByID[1]) / x.b.speed(x.b.serversByID[2])
+		ratio := h.b.speed(h.b.serversByID[1]) / h.b.speed(h.b.serversByID[2])
 		if c.stays != (ratio > 1.5) {
 			t.Errorf("kinds are %v now: the speeds' ratio is %v", c.kinds, ratio)
 		}
