--- /dev/null
+++ b/internal/balancer/attempts.go
@@ -0,0 +1,308 @@
+package balancer
+
+import (
+	"slices"
+	"time"
+)
+
+// The retry budget where the settings have none.
+const (
+	defaultRetryBudgetWindow = 5 * time.Second
+	defaultRetryBudgetMin    = 3.0
+	defaultRetryBudgetRatio  = 0.2
+)
+
+// request is an open request of a client.
+type request struct {
+	id             RequestID
+	class          *class
+	tenant         int
+	deadline       time.Duration // when the client gives up
+	objective      time.Duration // when an answer begins to be late
+	attempts       []attempt
+	unsentAttempts int  // attempts that ended as OutcomeServerDraining
+	inFlight       int  // attempts without an outcome
+	picks          int  // picks since the last outcome
+	finished       bool // the client is owed nothing more
+	streaming      bool // its body or answer flows, so that it cannot be retried
+}
+
+// attempt is a request that was sent to a server.
+type attempt struct {
+	server        *server
+	sentAt        time.Duration
+	queueDepth    float64 // requests that its server held, with this one
+	silenceWeight float64 // what its silence has counted against its server
+	silenceChecks int     // expiries of its silence timer
+	inFlight      bool
+	mayHaveRun    bool
+}
+
+// sentAttempts counts the attempts that were sent.
+func (r *request) sentAttempts() int { return len(r.attempts) - r.unsentAttempts }
+
+// isInFlight reports whether the attempt at a position is in flight.
+func (r *request) isInFlight(position int) bool {
+	return position >= 0 && position < len(r.attempts) && r.attempts[position].inFlight
+}
+
+// isLost reports whether the server has reported since the attempt and holds less than this agent alone has sent it.
+func (a *attempt) isLost() bool {
+	s := a.server
+	reportedSince := s.lastReport.Known && s.reportedAt > a.sentAt && s.lastReport.InFlight >= 0
+	return reportedSince && s.lastReport.InFlight < float64(s.inFlight)
+}
+
+// onRequest admits a request and sends it, or rejects it.
+func (b *Balancer) onRequest(ev *Event) {
+	if ev.Class < 0 || ev.Class >= len(b.classes) || b.requests[ev.Request] != nil {
+		return
+	}
+	c := b.classes[ev.Class]
+	if !ev.Retry {
+		c.firstRequestTimeout = ev.Remaining
+	}
+	r := &request{
+		id: ev.Request, class: c, tenant: ev.Tenant,
+		deadline: b.now + ev.Remaining, objective: b.objective(c, ev),
+	}
+	if b.now >= r.objective && c.LateWeight > 0 {
+		r.objective = r.deadline // a late answer is still worth something
+	}
+	b.requests[r.id] = r
+	b.requestTimes.add(b.now)
+	if b.now >= r.objective || b.shouldShed(r) || !b.dispatch(r) {
+		b.giveUp(r)
+	}
+}
+
+// objective returns when an answer to a request begins to be late. The time before a retry counts, as far as it is
+// known.
+func (b *Balancer) objective(c *class, ev *Event) time.Duration {
+	objective := b.now + c.LatencyObjective
+	if !ev.Retry {
+		return objective
+	}
+	passed := max(0, c.Deadline-ev.Remaining)
+	hasAllRemaining := (ev.Remaining - c.firstRequestTimeout).Abs() > 2*b.settings.Tick
+	if hasAllRemaining {
+		return objective - passed
+	}
+	// A retry with the timeout of a first request came soon after a rejection. Half of what may have passed is the mean;
+	// all of it would have every such retry rejected as late.
+	return objective - passed/2
+}
+
+// onStreaming notes that a request cannot be retried any more.
+func (b *Balancer) onStreaming(ev *Event) {
+	if r := b.requests[ev.Request]; r != nil {
+		r.streaming = true
+	}
+}
+
+// onClientClosed ends a request that nobody waits for any more.
+func (b *Balancer) onClientClosed(ev *Event) {
+	if r := b.requests[ev.Request]; r != nil {
+		b.finish(r)
+	}
+}
+
+// canSend reports whether a request may be sent to a server now. It is the only place that checks placement, draining,
+// idempotency, deduplication, the number of attempts and the retry budget.
+func (b *Balancer) canSend(r *request, s *server) bool {
+	if r.finished || r.streaming || b.now >= r.deadline {
+		return false
+	}
+	if s.State != Ready || !r.class.eligible(s) {
+		return false
+	}
+	if r.sentAttempts() >= b.settings.MaxAttempts || r.inFlight > 0 && !b.settings.Hedging {
+		return false
+	}
+	if r.sentAttempts() > 0 && !b.withinRetryBudget() {
+		return false
+	}
+	for i := range r.attempts {
+		if !b.canFollow(&r.attempts[i], r.class, s) {
+			return false
+		}
+	}
+	return true
+}
+
+// canFollow reports whether an earlier attempt leaves the request free to be sent to a server.
+func (b *Balancer) canFollow(earlier *attempt, c *class, s *server) bool {
+	if earlier.inFlight && earlier.server == s {
+		return false // what swallows one attempt would swallow the other
+	}
+	if !earlier.mayHaveRun {
+		return true
+	}
+	switch c.Idempotency {
+	case NonIdempotent:
+		return false
+	case IdempotentWithKey:
+		return b.now < earlier.sentAt+c.DedupWindow && c.DedupScope.shared(earlier.server, s)
+	}
+	return true
+}
+
+// shared reports whether two servers recognize each other's idempotency keys.
+func (scope DedupScope) shared(x, y *server) bool {
+	switch scope {
+	case DedupScopeZone:
+		return x.Zone == y.Zone
+	case DedupScopeCell:
+		return x.Cell == y.Cell
+	}
+	return true
+}
+
+// dedupRemaining returns for how long the servers will go on to drop a repeat of the request, 0 if they need not. A
+// repeat that waits for a connection could reach its server too late.
+func (r *request) dedupRemaining(now time.Duration) time.Duration {
+	first := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
+	if first < 0 || r.class.Idempotency != IdempotentWithKey {
+		return 0
+	}
+	return r.attempts[first].sentAt + r.class.DedupWindow - now
+}
+
+// withinRetryBudget reports whether the retry budget has room for one more retry.
+func (b *Balancer) withinRetryBudget() bool {
+	start := b.now - b.settings.RetryBudgetWindow
+	// Whichever way the platform counts the edge of the window, the budget holds.
+	requests := b.requestTimes.countSince(start + 1)
+	retries := b.retryTimes.countSince(start)
+	allowed := b.settings.RetryBudgetMin + b.settings.RetryBudgetRatio*float64(requests)
+	return float64(retries+1) <= min(allowed, maxHistoryLength/2)
+}
+
+// canReject reports whether the client may be told that a retry is harmless.
+func (b *Balancer) canReject(r *request) bool {
+	if r.class.Idempotency == Idempotent {
+		return true
+	}
+	return !slices.ContainsFunc(r.attempts, func(a attempt) bool {
+		// The client's retry may reach any server, and is dropped only within the window.
+		isDropped := r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
+			b.now < a.sentAt+r.class.DedupWindow
+		return a.mayHaveRun && !isDropped
+	})
+}
+
+// send sends a request to a server if it may. It is the only way to a server. It reports whether the request was sent.
+func (b *Balancer) send(r *request, s *server) bool {
+	if !b.canSend(r, s) || b.withholdSlowStart(r.class, s) {
+		return false
+	}
+	if r.sentAttempts() > 0 {
+		b.retryTimes.add(b.now)
+	}
+	dispatchWithin := r.dedupRemaining(b.now)
+	position := len(r.attempts)
+	r.attempts = append(r.attempts, attempt{
+		server: s, sentAt: b.now, queueDepth: b.inFlightEstimate(s) + 1, inFlight: true, mayHaveRun: true,
+	})
+	r.inFlight++
+	s.inFlight++
+	s.sentSinceReport++
+	b.act(Action{
+		Kind: ActionSend, Request: r.id, Server: s.ID, Timeout: r.deadline - b.now, DispatchWithin: dispatchWithin,
+	})
+	b.act(Action{Kind: ActionSetTimer, TimerID: newSilenceTimerID(r.id, position), Delay: r.class.silenceTimeout()})
+	return true
+}
+
+// onOutcome takes in the end of an attempt, and answers or retries its request.
+func (b *Balancer) onOutcome(ev *Event) {
+	r := b.requests[ev.Request]
+	if r == nil || !r.isInFlight(ev.Attempt) {
+		return
+	}
+	a := &r.attempts[ev.Attempt]
+	b.endAttempt(r, a, ev.Outcome)
+	b.recordReport(a.server, ev.Load)
+	latencySeconds := (b.now - a.sentAt).Seconds()
+	if r.streaming { // the client took a part of it
+		latencySeconds = 0
+	}
+	b.recordOutcome(r.class, a, ev.Outcome, latencySeconds/r.class.LatencyObjective.Seconds())
+	if ev.Outcome == OutcomeOK {
+		b.recordLatency(r.class, a, latencySeconds)
+	}
+	r.picks = 0
+	if ev.Answered || ev.Outcome == OutcomeOK || r.finished {
+		b.finish(r)
+		return
+	}
+	if r.inFlight > 0 {
+		return // the other attempt may still serve it
+	}
+	isWorthRetry := ev.Outcome != OutcomeTimeout && b.now < r.objective
+	if !isWorthRetry || !b.dispatch(r) {
+		b.giveUp(r)
+	}
+}
+
+// endAttempt counts an attempt as no longer in flight.
+func (b *Balancer) endAttempt(r *request, a *attempt, outcome Outcome) {
+	a.inFlight = false
+	a.mayHaveRun = !outcome.neverRan()
+	if outcome == OutcomeServerDraining {
+		r.unsentAttempts++
+	}
+	r.inFlight--
+	a.server.inFlight--
+	if a.silenceChecks > 0 {
+		a.server.silentAttempts--
+	}
+}
+
+// hedge sends a second attempt of a request whose only attempt is silent, while an answer can still be in time. Servers
+// may swallow single requests, and connections may be dead, which only silence shows. Under overload hedging ends by
+// itself: the silence timeout exceeds the objective, servers are overloaded and the retry budget is spent.
+func (b *Balancer) hedge(r *request) {
+	inTime := b.now+seconds(r.class.latencySeconds.value) < r.objective
+	if r.class.Idempotency == NonIdempotent || r.inFlight != 1 || !inTime {
+		return
+	}
+	r.picks = 0
+	b.dispatch(r)
+}
+
+// giveUp answers a request that no server has answered, unless an attempt in flight may still serve it.
+func (b *Balancer) giveUp(r *request) {
+	if r.inFlight > 0 {
+		return
+	}
+	if b.canReject(r) {
+		b.act(Action{Kind: ActionReject, Request: r.id, RetryAfter: b.retryAfter(r.class)})
+	} else {
+		b.act(Action{Kind: ActionFail, Request: r.id})
+	}
+	b.finish(r)
+}
+
+// finish ends a request that is owed nothing more. It stays known until its attempts in flight have ended.
+func (b *Balancer) finish(r *request) {
+	if !r.finished {
+		r.finished = true
+		b.cancelAttempts(r)
+	}
+	if r.inFlight == 0 {
+		delete(b.requests, r.id)
+	}
+}
+
+// cancelAttempts cancels the attempts of a request that are in flight.
+func (b *Balancer) cancelAttempts(r *request) {
+	if !b.settings.CancelAttempts {
+		return
+	}
+	for i := range r.attempts {
+		if r.attempts[i].inFlight {
+			b.act(Action{Kind: ActionCancel, Request: r.id, Attempt: i})
+		}
+	}
+}
