--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,16 +1,15 @@
-// Package config reads and checks the file that the platform starts an agent with.
+// Package config reads and checks the configuration file that the platform starts an agent with, and the files that follow
+// it at SIGHUP. It holds no state: whoever asks keeps the configuration that is in force.
 package config
 
 import (
 	"encoding/json"
 	"errors"
 	"fmt"
-	"maps"
 	"net/netip"
 	"os"
 	"slices"
 	"strconv"
-	"strings"
 
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/discovery"
@@ -18,111 +17,36 @@
 )
 
 const (
-	// ReservedSockets is for the descriptors that are neither clients' nor backends': the standard streams, the
-	// listeners, the runtime's poller, discovery, the console, the link, and connections that are just being closed.
+	// ReservedSockets is for the descriptors that are neither clients' nor servers': the standard streams, the listeners,
+	// the runtime's poller, discovery, the console, the handover, and connections that are just being closed.
 	ReservedSockets = 32
-	// MinSockets is what an agent needs to hold a few clients and backends beside its own descriptors.
+	// MinSockets is what an agent needs to hold a few clients and servers beside its own descriptors.
 	MinSockets = 2*ReservedSockets + 32
+
+	minMemoryMB = 16
+	maxCores    = 1024
+	// maxRelays bounds the list of relays; how many of them one agent tries is up to its discovery client.
+	maxRelays = 1024
 )
 
-// maxRelays bounds the list of relays as other lists are; how many of them one agent goes through is its client's affair.
-const maxRelays = 1024
+// ErrMissing is what a *settings.FieldError wraps if a key is missing.
+var ErrMissing = errors.New("missing")
 
 // Config is what the platform tells an agent at its start.
 type Config struct {
 	Name            string
 	Listen          string
 	Discovery       string
-	Relays          []string // of the list, each an IP address and port; empty: none
+	Relays          []string // of the endpoint list, each an IP address and port; empty: none
 	AdminAddr       string   // empty: none
 	Seed            uint64
 	Cores           float64
 	MemoryMB        int
 	Sockets         int
 	Settings        settings.Settings
-	CachedEndpoints discovery.EndpointList // the last one that the platform has; without a revision: none
-
-	file any // as it was read, but for the list
-}
-
-// ReloadResult is the configuration file read again, or why it cannot be used.
-type ReloadResult struct {
-	Config *Config
-	Err    error
-}
+	CachedEndpoints discovery.EndpointList // the last list that the platform has; without a revision: none
 
-// Reload reads and checks the file that is to follow a configuration. Its error names the file and the field.
-func Reload(path string, present *Config) ReloadResult {
-	next, err := read(path, func(text []byte) (*Config, error) { return ParseReload(text, present) })
-	return ReloadResult{Config: next, Err: err}
-}
-
-// ParseReload checks the text that is to follow a configuration. Danger: a text that is not written to its end, or lacks
-// a key, would fill in for what it does not say with zeros that may look like settings. Its errors name the field.
-func ParseReload(text []byte, present *Config) (*Config, error) {
-	next, err := Parse(text)
-	if err != nil {
-		return nil, err
-	}
-	if key := lacks(present.file, next.file, ""); key != "" {
-		return nil, fmt.Errorf("%s: missing", key)
-	}
-	return next, nil
-}
-
-// lacks returns the place of a key that the present file has and the next one has not, or nothing. In a list of objects
-// each has to have the keys that all of the present ones have.
-func lacks(present, next any, at string) string {
-	switch p := present.(type) {
-	case map[string]any:
-		n, ok := next.(map[string]any)
-		if !ok {
-			return at
-		}
-		for _, key := range slices.Sorted(maps.Keys(p)) {
-			inner := strings.TrimPrefix(at+"."+key, ".")
-			if p[key] != nil && n[key] == nil {
-				return inner
-			}
-			if key := lacks(p[key], n[key], inner); key != "" {
-				return key
-			}
-		}
-	case []any:
-		n, ok := next.([]any)
-		if !ok {
-			return at
-		}
-		always := common(p)
-		for i, v := range n {
-			if key := lacks(always, v, fmt.Sprintf("%s[%d]", at, i)); key != "" {
-				return key
-			}
-		}
-	}
-	return ""
-}
-
-// common returns an object of the keys that all objects of a list have, or nil if they are not all objects.
-func common(list []any) any {
-	var keys map[string]any
-	for _, v := range list {
-		o, ok := v.(map[string]any)
-		if !ok {
-			return nil
-		}
-		if keys == nil {
-			keys = map[string]any{}
-			for key, v := range o {
-				keys[key] = v != nil // whatever stands there
-			}
-		}
-		maps.DeleteFunc(keys, func(key string, _ any) bool { return o[key] == nil })
-	}
-	if keys == nil {
-		return nil
-	}
-	return keys
+	contents any // the file as it was decoded, without the endpoint list
 }
 
 // Load reads and checks the configuration file. Its errors name the file and the field that cannot be used.
@@ -141,122 +65,170 @@
 	return cfg, nil
 }
 
-// required is what a file has to say: what it leaves out would be taken for zeros.
-var required, _ = decoded([]byte(`{"name":"","listen":"","discovery":"","seed":"",
-	"limits":{"cores":1,"memory_mb":1,"sockets":1},
-	"settings":{"replicasOfMe":1,
-		"categories":[{"name":"","aim":1,"deadline":1,"credit":1,"effect":""}],
-		"limits":{"maxAttempts":1,"connectTimeout":1},
-		"rules":{"coldFrom":1,"overloadFactor":1}}}`))
+// document is the text of a configuration: the names are this program's, the tags are the keys.
+type document struct {
+	Name            string          `json:"name"`
+	Listen          string          `json:"listen"`
+	Discovery       string          `json:"discovery"`
+	Relays          []string        `json:"relays"`
+	AdminAddr       string          `json:"console"`
+	Seed            string          `json:"seed"`
+	Limits          limits          `json:"limits"`
+	CachedEndpoints json.RawMessage `json:"known"`
+	Settings        json.RawMessage `json:"settings"`
+}
 
-// Parse checks a configuration's text. Its errors name the field that cannot be used.
-func Parse(text []byte) (*Config, error) {
-	var f struct {
-		Name, Listen, Discovery, Console, Seed string
+type limits struct {
+	Cores    float64 `json:"cores"`
+	MemoryMB float64 `json:"memory_mb"`
+	Sockets  int     `json:"sockets"`
+}
 
-		Relays []string `json:"relays"`
-		Limits struct {
-			Cores    float64
-			MemoryMB float64 `json:"memory_mb"`
-			Sockets  int
-		}
-		Known    json.RawMessage
-		Settings json.RawMessage
-	}
-	if err := json.Unmarshal(text, &f); err != nil {
+// Parse reads and checks a configuration's text. Its errors name the field that cannot be used.
+func Parse(text []byte) (*Config, error) {
+	var doc document
+	if err := json.Unmarshal(text, &doc); err != nil {
 		return nil, err
 	}
-	cfg := &Config{
-		Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Relays: f.Relays, AdminAddr: f.Console,
-		Cores: f.Limits.Cores, MemoryMB: int(f.Limits.MemoryMB), Sockets: f.Limits.Sockets,
+	contents, err := decode(text)
+	if err != nil {
+		return nil, err
 	}
-	var err error
-	if cfg.file, err = decoded(text); err != nil {
+	if err := checkPresent(required, contents); err != nil {
 		return nil, err
 	}
-	if key := lacks(required, cfg.file, ""); key != "" {
-		return nil, fmt.Errorf("%s: missing", key)
+	if err := doc.checkAddresses(); err != nil {
+		return nil, err
 	}
-	if _, err = netip.ParseAddrPort(f.Listen); err != nil {
-		return nil, fmt.Errorf("listen: %w", err)
+	seed, err := strconv.ParseUint(doc.Seed, 16, 64)
+	if err != nil {
+		return nil, &settings.FieldError{Field: "seed", Err: err}
 	}
-	if _, err = netip.ParseAddrPort(f.Discovery); err != nil {
-		return nil, fmt.Errorf("discovery: %w", err)
+	if err := doc.Limits.check(); err != nil {
+		return nil, err
 	}
-	if err = checkRelays(f.Relays, f.Discovery); err != nil {
+	cached, err := doc.cachedEndpoints()
+	if err != nil {
 		return nil, err
 	}
-	if _, err = netip.ParseAddrPort(f.Console); err != nil && f.Console != "" {
-		return nil, fmt.Errorf("console: %w", err)
+	parsed, err := settings.Parse(doc.Settings)
+	if err != nil {
+		return nil, err
 	}
-	if cfg.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fmt.Errorf("seed: %w", err)
+	if err := checkSettings(&parsed); err != nil {
+		return nil, fmt.Errorf("settings: %w", err)
+	}
+	return &Config{
+		Name:            doc.Name,
+		Listen:          doc.Listen,
+		Discovery:       doc.Discovery,
+		Relays:          doc.Relays,
+		AdminAddr:       doc.AdminAddr,
+		Seed:            seed,
+		Cores:           doc.Limits.Cores,
+		MemoryMB:        int(doc.Limits.MemoryMB),
+		Sockets:         doc.Limits.Sockets,
+		Settings:        parsed,
+		CachedEndpoints: cached,
+		contents:        contents,
+	}, nil
+}
+
+// checkAddresses checks all addresses; the console's alone may be left out.
+func (d *document) checkAddresses() error {
+	if err := checkAddress("listen", d.Listen); err != nil {
+		return err
 	}
-	switch {
-	case !(cfg.Cores > 0 && cfg.Cores <= 1024):
-		return nil, fmt.Errorf("limits.cores cannot be %v", cfg.Cores)
-	case cfg.MemoryMB < 16:
-		return nil, fmt.Errorf("limits.memory_mb cannot be %v", f.Limits.MemoryMB)
-	case cfg.Sockets < MinSockets:
-		return nil, fmt.Errorf("limits.sockets cannot be %d: at least %d are needed", cfg.Sockets, MinSockets)
+	if err := checkAddress("discovery", d.Discovery); err != nil {
+		return err
 	}
-	if len(f.Known) > 0 {
-		if cfg.CachedEndpoints, err = discovery.Parse(f.Known); err != nil {
-			return nil, fmt.Errorf("known: %w", err)
-		}
+	if err := d.checkRelays(); err != nil {
+		return err
 	}
-	if cfg.Settings, err = settings.Parse(f.Settings); err != nil {
-		return nil, err
+	if d.AdminAddr == "" {
+		return nil
 	}
-	if err = checkSettings(&cfg.Settings); err != nil {
-		return nil, err
+	return checkAddress("console", d.AdminAddr)
+}
+
+func checkAddress(field, addr string) error {
+	if _, err := netip.ParseAddrPort(addr); err != nil {
+		return &settings.FieldError{Field: field, Err: err}
 	}
-	return cfg, nil
+	return nil
 }
 
-// checkRelays checks the addresses of relays. Two of the same would be tried one after the other, in time meant for others.
-func checkRelays(relays []string, discovery string) error {
-	if len(relays) > maxRelays {
-		return fmt.Errorf("relays: %d, more than %d", len(relays), maxRelays)
+// checkRelays rejects duplicates too: the second would be tried in the time that is meant for another relay.
+func (d *document) checkRelays() error {
+	if len(d.Relays) > maxRelays {
+		return &settings.FieldError{Field: "relays", Err: fmt.Errorf("%d, more than %d", len(d.Relays), maxRelays)}
 	}
-	for i, addr := range relays {
-		switch _, err := netip.ParseAddrPort(addr); {
-		case err != nil:
-			return fmt.Errorf("relays[%d]: %w", i, err)
-		case addr == discovery || slices.Contains(relays[:i], addr):
-			return fmt.Errorf("relays[%d]: %s is taken", i, addr)
+	for i, addr := range d.Relays {
+		field := fmt.Sprintf("relays[%d]", i)
+		if err := checkAddress(field, addr); err != nil {
+			return err
+		}
+		if addr == d.Discovery || slices.Contains(d.Relays[:i], addr) {
+			return &settings.FieldError{Field: field, Err: fmt.Errorf("%s is taken", addr)}
 		}
 	}
 	return nil
 }
 
-// decoded returns what a file says but for its list, which is checked by itself.
-func decoded(text []byte) (any, error) {
-	var file map[string]any
-	if err := json.Unmarshal(text, &file); err != nil {
-		return nil, err
+func (l *limits) check() error {
+	switch {
+	case !(l.Cores > 0 && l.Cores <= maxCores):
+		return &settings.FieldError{Field: "limits.cores", Problem: fmt.Sprintf("cannot be %v", l.Cores)}
+	case int(l.MemoryMB) < minMemoryMB:
+		return &settings.FieldError{Field: "limits.memory_mb", Problem: fmt.Sprintf("cannot be %v", l.MemoryMB)}
+	case l.Sockets < MinSockets:
+		return &settings.FieldError{
+			Field:   "limits.sockets",
+			Problem: fmt.Sprintf("cannot be %d: at least %d are needed", l.Sockets, MinSockets),
+		}
 	}
-	delete(file, "known")
-	return file, nil
+	return nil
 }
 
-// checkSettings checks what the agent needs beside the module, whose own check is balancer.New.
+// cachedEndpoints returns the list that the platform has, or one without a revision if it has none.
+func (d *document) cachedEndpoints() (discovery.EndpointList, error) {
+	if len(d.CachedEndpoints) == 0 {
+		return discovery.EndpointList{}, nil
+	}
+	list, err := discovery.Parse(d.CachedEndpoints)
+	if err != nil {
+		return discovery.EndpointList{}, &settings.FieldError{Field: "known", Err: err}
+	}
+	return list, nil
+}
+
+// checkSettings checks what the agent needs, and has the balancer check its part.
 func checkSettings(s *settings.Settings) error {
 	if s.ConnectTimeout <= 0 {
-		return errors.New("settings: limits.connectTimeout must be above 0")
+		return &settings.FieldError{Field: "limits.connectTimeout", Problem: "must be above 0"}
 	}
 	if s.IdleTimeout < 0 {
-		return errors.New("settings: limits.idleClose must not be below 0")
+		return &settings.FieldError{Field: "limits.idleClose", Problem: "must not be below 0"}
+	}
+	if err := checkNames("categories", s.ClassNames); err != nil {
+		return err
 	}
-	for what, names := range map[string][]string{"categories": s.ClassNames, "accounts": s.TenantNames} {
-		for i, name := range names {
-			if name == "" || slices.Contains(names[:i], name) {
-				return fmt.Errorf("settings: %s[%d].name %q is empty or taken", what, i, name)
+	if err := checkNames("accounts", s.TenantNames); err != nil {
+		return err
+	}
+	_, err := balancer.New(s.Balancer, 0)
+	return settings.WithKey(err)
+}
+
+// checkNames rejects names that are empty or stand twice: requests name their class and tenant.
+func checkNames(list string, names []string) error {
+	for i, name := range names {
+		if name == "" || slices.Contains(names[:i], name) {
+			return &settings.FieldError{
+				Field:   fmt.Sprintf("%s[%d].name", list, i),
+				Problem: fmt.Sprintf("%q is empty or taken", name),
 			}
 		}
 	}
-	if _, err := balancer.New(s.Balancer, 0); err != nil {
-		return fmt.Errorf("settings: %w", err)
-	}
 	return nil
 }
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -41,7 +41,7 @@
 		return false
 	}
 	plain := *got
-	plain.file = nil
+	plain.contents = nil
 	return reflect.DeepEqual(&plain, want)
 }
 
@@ -49,7 +49,7 @@
 func TestEveryKey(t *testing.T) {
 	want := fullConfig(t)
 	for v, i := reflect.ValueOf(*want), 0; i < v.NumField(); i++ {
-		if name := v.Type().Field(i).Name; v.Field(i).IsZero() && name != "file" {
+		if name := v.Type().Field(i).Name; v.Field(i).IsZero() && name != "contents" {
 			t.Errorf("%s is not tested: its value is zero", name)
 		}
 	}
--- /dev/null
+++ b/internal/config/reload.go
@@ -0,0 +1,137 @@
+package config
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+
+	"example.org/ryeloft/internal/settings"
+)
+
+// ReloadResult is the configuration file read again, or why it cannot be used.
+type ReloadResult struct {
+	Config *Config
+	Err    error
+}
+
+// Reload reads and checks the file that is to follow a configuration. Its error names the file and the field.
+func Reload(path string, present *Config) ReloadResult {
+	next, err := read(path, func(text []byte) (*Config, error) { return ParseReload(text, present) })
+	return ReloadResult{Config: next, Err: err}
+}
+
+// ParseReload reads and checks the text that is to follow a configuration. Its errors name the field. It rejects a text
+// that lacks a key which the present one has, since a truncated file would silently set what it does not say to zero.
+func ParseReload(text []byte, present *Config) (*Config, error) {
+	next, err := Parse(text)
+	if err != nil {
+		return nil, err
+	}
+	if err := checkPresent(present.contents, next.contents); err != nil {
+		return nil, err
+	}
+	return next, nil
+}
+
+// required is the least that a configuration has to say, since a missing key would be taken for zero.
+var required = mustDecode(`{"name":"","listen":"","discovery":"","seed":"",
+	"limits":{"cores":1,"memory_mb":1,"sockets":1},
+	"settings":{"replicasOfMe":1,
+		"categories":[{"name":"","aim":1,"deadline":1,"credit":1,"effect":""}],
+		"limits":{"maxAttempts":1,"connectTimeout":1},
+		"rules":{"coldFrom":1,"overloadFactor":1}}}`)
+
+// decode returns what a configuration says without its endpoint list, which discovery.Parse checks.
+func decode(text []byte) (any, error) {
+	var contents map[string]any
+	if err := json.Unmarshal(text, &contents); err != nil {
+		return nil, err
+	}
+	delete(contents, "known")
+	return contents, nil
+}
+
+// mustDecode decodes a text of this program.
+func mustDecode(text string) any {
+	contents, err := decode([]byte(text))
+	if err != nil {
+		panic(err)
+	}
+	return contents
+}
+
+// checkPresent returns a *settings.FieldError of the first key that the model has and the contents lack.
+func checkPresent(model, contents any) error {
+	if field := missingKey(model, contents, ""); field != "" {
+		return &settings.FieldError{Field: field, Err: ErrMissing}
+	}
+	return nil
+}
+
+// missingKey returns the path of a key that the model has and the contents lack, or nothing. The path of both is given.
+func missingKey(model, contents any, path string) string {
+	switch model := model.(type) {
+	case map[string]any:
+		return missingInObject(model, contents, path)
+	case []any:
+		return missingInList(model, contents, path)
+	}
+	return ""
+}
+
+func missingInObject(model map[string]any, contents any, path string) string {
+	object, ok := contents.(map[string]any)
+	if !ok {
+		return path
+	}
+	for _, key := range slices.Sorted(maps.Keys(model)) {
+		inner := strings.TrimPrefix(path+"."+key, ".")
+		if model[key] != nil && object[key] == nil {
+			return inner
+		}
+		if missing := missingKey(model[key], object[key], inner); missing != "" {
+			return missing
+		}
+	}
+	return ""
+}
+
+// missingInList compares each object of a list with the keys that all objects of the model have.
+func missingInList(model []any, contents any, path string) string {
+	list, ok := contents.([]any)
+	if !ok {
+		return path
+	}
+	common := commonKeys(model)
+	if common == nil {
+		return ""
+	}
+	for i, element := range list {
+		if missing := missingInObject(common, element, fmt.Sprintf("%s[%d]", path, i)); missing != "" {
+			return missing
+		}
+	}
+	return ""
+}
+
+// commonKeys returns an object of the keys that all objects of a list have, or nil if the list is empty or not all of
+// its elements are objects. The values only say that something is there, so what is nested is not compared.
+func commonKeys(list []any) map[string]any {
+	var common map[string]any
+	for _, element := range list {
+		object, ok := element.(map[string]any)
+		if !ok {
+			return nil
+		}
+		if common == nil {
+			common = map[string]any{}
+			for key, value := range object {
+				common[key] = value != nil
+			}
+		}
+		maps.DeleteFunc(common, func(key string, _ any) bool { return object[key] == nil })
+	}
+	return common
+}
