--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -60,13 +60,13 @@
 
 func (h *host) handle(now time.Duration, rec *simwire.Record) error {
 	switch rec.Kind {
-	case simwire.Create:
+	case simwire.Start:
 		b, err := balancer.New(rec.Settings, rec.Seed)
 		if err != nil {
 			return fmt.Errorf("instance %d: %w", rec.Instance, err)
 		}
 		h.instances[rec.Instance] = b
-	case simwire.Detach:
+	case simwire.Stop:
 		delete(h.instances, rec.Instance)
 	case simwire.Deliver:
 		b := h.instances[rec.Instance]
@@ -74,7 +74,7 @@
 			return nil
 		}
 		if fault := h.deliver(b, now, rec); fault != "" {
-			h.enc.Fault(rec.Instance, fault)
+			h.enc.InternalError(rec.Instance, fault)
 		}
 	}
 	return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -39,13 +39,13 @@
 	return parsed, nil
 }
 
-// maxMilliseconds bounds what Milliseconds converts: about 31 years, far below what a time.Duration holds.
-const maxMilliseconds = 1e12
+// MaxMilliseconds bounds what Milliseconds converts: about 31 years, far below what a time.Duration holds.
+const MaxMilliseconds = 1e12
 
 // Milliseconds converts milliseconds to a duration, rounded to microseconds. What is out of range becomes 0, which stands
 // for an absent value.
 func Milliseconds(ms float64) time.Duration {
-	if math.IsNaN(ms) || math.Abs(ms) > maxMilliseconds {
+	if math.IsNaN(ms) || math.Abs(ms) > MaxMilliseconds {
 		return 0
 	}
 	return time.Duration(math.Round(ms*1000)) * time.Microsecond
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -1,4 +1,3 @@
-// Package simwire translates between the bench's frames and the module's events and actions. It decides nothing.
 package simwire
 
 import (
@@ -14,275 +13,128 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// The codes of events.
-const (
-	evCreate   = 10
-	evView     = 20
-	evAsk      = 30
-	evBegun    = 40
-	evReply    = 50
-	evHangup   = 60
-	evTimer    = 70
-	evCheck    = 80
-	evDatagram = 90
-	evDetach   = 100
-	evManifest = 110
-	entrySize  = 21
-	headerSize = 20
-	clockSize  = 12 // of the header: the part that the length counts
-	manifests  = 16
-	hintBit    = 1
-	retryBit   = 2
-	maxText    = 400 // a log line longer than this is cut
-)
-
-// The codes of actions.
-const (
-	acRefuse   = 10
-	acLog      = 20
-	acFault    = 30
-	acFollow   = 40
-	acUndoSend = 60
-	acPassOn   = 70
-	acFail     = 90
-	acAlarm    = 100
-	acProbe    = 110
-)
-
-var outcomes = map[uint8]balancer.Outcome{
-	10: balancer.OutcomeOK, 20: balancer.OutcomeError, 30: balancer.OutcomeRejected, 40: balancer.OutcomeTimeout,
-	50: balancer.OutcomeConnectFailed, 60: balancer.OutcomeReset, 70: balancer.OutcomeCancelled, 80: balancer.OutcomeExpired,
+// DecodeError says what is wrong with a batch, and where.
+type DecodeError struct {
+	Batch  uint32
+	Offset int // of the first byte that was not read, from the start of the batch
+	Err    error
 }
 
-// Kind tells what a Record asks of the adapter.
-type Kind uint8
-
-// The kinds of records.
-const (
-	Create  Kind = iota // start an instance with Seed and Settings
-	Detach              // drop the instance
-	Deliver             // hand Event to the instance
-)
-
-// Record is one event for one instance.
-type Record struct {
-	Kind     Kind
-	Instance uint32
-	Seed     uint64
-	Settings balancer.Settings
-	Event    balancer.Event
+func (e *DecodeError) Error() string {
+	return fmt.Sprintf("batch %d, offset %d: %v", e.Batch, e.Offset, e.Err)
 }
 
-// Decoder reads batches from a stream.
+func (e *DecodeError) Unwrap() error { return e.Err }
+
+// Decoder reads batches from a stream. After an error, which is a *DecodeError, it reads no more.
 type Decoder struct {
-	in     io.Reader
-	body   bytes.Buffer
-	batch  uint32
-	now    time.Duration
-	buf    []byte // the rest of the batch
-	size   int    // of the body as read
-	left   uint32 // records still to come
-	err    error
-	lists  [manifests][]balancer.Endpoint
-	fields map[uint32][]string // instance -> names in its load reports
+	in          io.Reader
+	body        bytes.Buffer // of the batch, reused
+	batch       uint32
+	now         time.Duration
+	unread      []byte // the rest of body
+	size        int    // of body as read
+	recordsLeft uint32 // in the batch
+	err         error
+	lists       [endpointLists][]balancer.Endpoint
+	loadFields  map[uint32][]string // instance -> names of the values in its load reports
 }
 
 // NewDecoder returns a decoder that reads from in.
 func NewDecoder(in io.Reader) *Decoder {
-	return &Decoder{in: in, fields: map[uint32][]string{}}
+	return &Decoder{in: in, loadFields: map[uint32][]string{}}
 }
 
-// Batch reads the next frame and returns its number and clock. It returns io.EOF at a clean end of input.
+// Batch reads the next batch and returns its number and clock. It returns io.EOF at a clean end of input.
 func (d *Decoder) Batch() (uint32, time.Duration, error) {
-	if d.left > 0 || len(d.buf) > 0 {
-		return 0, 0, d.fail("records left unread")
+	if d.recordsLeft > 0 || len(d.unread) > 0 {
+		return 0, 0, d.failed("records left unread")
 	}
-	var head [headerSize]byte
-	if n, err := io.ReadFull(d.in, head[:]); err != nil {
+	var header [batchHeaderBytes]byte
+	if n, err := io.ReadFull(d.in, header[:]); err != nil {
 		if n == 0 && errors.Is(err, io.EOF) {
 			return 0, 0, io.EOF
 		}
 		d.batch++
-		return 0, 0, d.fail("truncated header")
-	}
-	d.batch = binary.BigEndian.Uint32(head[0:])
-	length := binary.BigEndian.Uint32(head[4:])
-	clock := math.Float64frombits(binary.BigEndian.Uint64(head[8:]))
-	d.left = binary.BigEndian.Uint32(head[16:])
-	d.size, d.buf = 0, nil
-	if length < clockSize {
-		return 0, 0, d.fail("length is shorter than the header")
+		return 0, 0, d.failed("truncated header")
 	}
-	if math.IsNaN(clock) || math.Abs(clock) > 1e12 || settings.Milliseconds(clock) < d.now {
-		return 0, 0, d.fail("clock is no time or runs backwards")
+	length, err := d.parseHeader(&header)
+	if err != nil {
+		return 0, 0, err
 	}
-	d.now = settings.Milliseconds(clock)
 	d.body.Reset()
 	// The buffer grows with what arrives, never by the length that the frame claims.
-	if _, err := io.CopyN(&d.body, d.in, int64(length-clockSize)); err != nil {
-		return 0, 0, d.fail("truncated batch")
+	if _, err := io.CopyN(&d.body, d.in, int64(length-countedHeaderBytes)); err != nil {
+		return 0, 0, d.failed("truncated batch")
 	}
-	d.buf, d.size = d.body.Bytes(), d.body.Len()
+	d.unread = d.body.Bytes()
+	d.size = d.body.Len()
 	return d.batch, d.now, nil
 }
 
-// Next returns the next record of the batch, or io.EOF behind the last one.
-func (d *Decoder) Next() (Record, error) {
-	for d.left > 0 {
-		d.left--
-		rec, skip := d.record()
-		if d.err != nil {
-			return Record{}, d.err
-		}
-		if !skip {
-			return rec, nil
-		}
+// parseHeader begins a batch and returns the value of its length field.
+func (d *Decoder) parseHeader(header *[batchHeaderBytes]byte) (length uint32, err error) {
+	d.batch = binary.BigEndian.Uint32(header[0:])
+	length = binary.BigEndian.Uint32(header[4:])
+	clock := math.Float64frombits(binary.BigEndian.Uint64(header[8:]))
+	d.recordsLeft = binary.BigEndian.Uint32(header[16:])
+	d.size = 0
+	d.unread = nil
+	if length < countedHeaderBytes {
+		return 0, d.failed("length is shorter than the header")
 	}
-	if len(d.buf) > 0 {
-		return Record{}, d.fail("bytes behind the last record")
+	if math.IsNaN(clock) || math.Abs(clock) > settings.MaxMilliseconds || settings.Milliseconds(clock) < d.now {
+		return 0, d.failed("clock is no time or runs backwards")
 	}
-	return Record{}, io.EOF
+	d.now = settings.Milliseconds(clock)
+	return length, nil
 }
 
-// record reads one record; skip says that it was none of an instance.
-func (d *Decoder) record() (rec Record, skip bool) {
-	code := d.u8()
-	if code == evManifest {
-		d.manifest()
-		return rec, true
-	}
-	rec.Kind, rec.Instance = Deliver, d.u32()
-	ev := &rec.Event
-	switch code {
-	case evCreate:
-		rec.Kind, rec.Seed = Create, d.u64()
-		text := d.bytes(d.u32())
+// Next returns the next record of the batch, or io.EOF behind the last one.
+func (d *Decoder) Next() (Record, error) {
+	for d.recordsLeft > 0 {
+		d.recordsLeft--
+		record, ok := d.record()
 		if d.err != nil {
-			return rec, false
-		}
-		parsed, err := settings.Parse(text)
-		if err != nil {
-			d.fail(err.Error())
+			return Record{}, d.err
 		}
-		rec.Settings, d.fields[rec.Instance] = parsed.Balancer, parsed.ReportFields
-	case evDetach:
-		rec.Kind = Detach
-	case evView:
-		ev.Kind = balancer.EventDiscovery
-		d.u64()
-		mode, list := d.u8(), d.u8()
-		ev.Update = balancer.DiscoveryUpdate(mode)
-		if mode > uint8(balancer.PollFailed) {
-			d.fail("unknown list mode")
-		} else if ev.Update != balancer.PollFailed {
-			if list >= manifests {
-				d.fail("no such list number")
-			} else {
-				ev.Endpoints = d.lists[list]
-			}
+		if ok {
+			return record, nil
 		}
-	case evAsk:
-		ev.Kind, ev.Request, ev.Tenant = balancer.EventRequest, balancer.RequestID(d.u32()), int(d.u16())
-		ev.Remaining = d.time()
-		bits := d.u8()
-		d.u64()
-		d.time()
-		ev.Retry = bits&retryBit != 0
-		ev.Class = int(d.u16())
-	case evBegun:
-		ev.Kind, ev.Request = balancer.EventStreaming, balancer.RequestID(d.u32())
-		d.time()
-		ev.Attempt, ev.Server = int(d.u8()), balancer.ServerID(d.u32())
-	case evReply:
-		ev.Kind, ev.Request = balancer.EventOutcome, balancer.RequestID(d.u32())
-		ev.Attempt, ev.Server, ev.Outcome = int(d.u8()), balancer.ServerID(d.u32()), d.outcome()
-		d.time()
-		ev.Answered = d.u8() != 0
-		ev.Load = d.load(rec.Instance)
-	case evHangup:
-		ev.Kind, ev.Request = balancer.EventClientClosed, balancer.RequestID(d.u32())
-	case evTimer:
-		ev.Kind, ev.TimerID = balancer.EventTimer, balancer.TimerID(d.u64())
-	case evCheck:
-		ev.Kind, ev.Server = balancer.EventHealthCheck, balancer.ServerID(d.u32())
-		ev.Outcome = d.outcome()
-		d.time()
-		ev.Load = d.load(rec.Instance)
-	case evDatagram:
-		d.u32()
-		d.bytes(uint32(d.u16()))
-		return rec, true // the module has no use for what other agents say
-	default:
-		d.fail(fmt.Sprintf("unknown event code %d", code))
-	}
-	return rec, false
-}
-
-func (d *Decoder) manifest() {
-	ref, n := d.u8(), d.u32()
-	if d.err == nil && ref >= manifests {
-		d.fail("no such list number")
-	}
-	if d.err == nil && uint64(n)*entrySize > uint64(len(d.buf)) {
-		d.fail("more entries than the frame holds")
 	}
-	if d.err != nil {
-		return
+	if len(d.unread) > 0 {
+		return Record{}, d.failed("bytes behind the last record")
 	}
-	list := make([]balancer.Endpoint, n)
-	for i := range list {
-		e := &list[i]
-		e.ID, e.Zone, e.Kind, e.Cell = balancer.ServerID(d.u32()), int(d.u8()), int(d.u8()), int(d.u16())
-		state := d.u8()
-		if state > uint8(balancer.Draining) {
-			d.fail("unknown server state")
-		}
-		e.State = balancer.EndpointState(state)
-		e.Weight, e.Start = d.f32(), d.time()
-	}
-	d.lists[ref] = list
-}
-
-func (d *Decoder) load(instance uint32) (l balancer.LoadReport) {
-	n := int(d.u8())
-	l = settings.UnknownLoad()
-	fields := d.fields[instance]
-	for i := range n {
-		if v := d.f32(); i < len(fields) {
-			settings.SetLoadField(&l, fields[i], v)
-		}
-	}
-	return l
+	return Record{}, io.EOF
 }
 
-func (d *Decoder) outcome() balancer.Outcome {
-	code := d.u8()
-	o, ok := outcomes[code]
-	if !ok {
-		d.fail(fmt.Sprintf("unknown outcome %d", code))
+// fail keeps the first problem and where it stands in the batch.
+func (d *Decoder) fail(err error) {
+	if d.err == nil {
+		d.err = &DecodeError{Batch: d.batch, Offset: batchHeaderBytes + d.size - len(d.unread), Err: err}
 	}
-	return o
 }
 
-// fail notes the first thing wrong and where it stands in the batch.
-func (d *Decoder) fail(what string) error {
-	if d.err == nil {
-		d.err = fmt.Errorf("batch %d, offset %d: %s", d.batch, headerSize+d.size-len(d.buf), what)
-	}
+// failed has the decoder fail and returns its first error.
+func (d *Decoder) failed(problem string) error {
+	d.fail(errors.New(problem))
 	return d.err
 }
 
 // bytes takes the next n bytes of the batch; they live until the next batch is read.
 func (d *Decoder) bytes(n uint32) []byte {
-	if d.err != nil || uint64(n) > uint64(len(d.buf)) {
-		d.fail("truncated record")
+	if d.err != nil || uint64(n) > uint64(len(d.unread)) {
+		d.fail(errors.New("truncated record"))
 		return nil
 	}
-	b := d.buf[:n]
-	d.buf = d.buf[n:]
+	b := d.unread[:n]
+	d.unread = d.unread[n:]
 	return b
 }
 
+// skip passes over the next n bytes.
+func (d *Decoder) skip(n uint32) { d.bytes(n) }
+
 func (d *Decoder) u8() uint8 {
 	if b := d.bytes(1); b != nil {
 		return b[0]
@@ -311,79 +163,8 @@
 	return 0
 }
 
-func (d *Decoder) f32() float64        { return float64(math.Float32frombits(d.u32())) }
-func (d *Decoder) time() time.Duration { return settings.Milliseconds(math.Float64frombits(d.u64())) }
-
-// Encoder builds one reply frame.
-type Encoder struct{ buf []byte }
-
-// Begin starts the reply to a batch.
-func (e *Encoder) Begin(batch uint32) {
-	e.buf = append(e.buf[:0], 0, 0, 0, 0, 0, 0, 0, 0)
-	binary.BigEndian.PutUint32(e.buf, batch)
-}
-
-// Finish returns the whole frame, which lives until the next Begin.
-func (e *Encoder) Finish() []byte {
-	binary.BigEndian.PutUint32(e.buf[4:], uint32(len(e.buf)-8))
-	return e.buf
-}
-
-// Fault writes that the module of an instance has failed.
-func (e *Encoder) Fault(instance uint32, text string) {
-	e.head(acFault, instance)
-	e.text([]byte(text), maxText)
-}
-
-// Action writes one action of an instance.
-func (e *Encoder) Action(instance uint32, a *balancer.Action) {
-	switch a.Kind {
-	case balancer.ActionSend:
-		e.head(acPassOn, instance)
-		e.u32(uint32(a.Request))
-		e.u32(uint32(a.Server))
-		e.time(a.Timeout)
-	case balancer.ActionReject:
-		e.head(acRefuse, instance)
-		e.u32(uint32(a.Request))
-		e.time(a.RetryAfter)
-	case balancer.ActionFail:
-		e.head(acFail, instance)
-		e.u32(uint32(a.Request))
-	case balancer.ActionCancel:
-		e.head(acUndoSend, instance)
-		e.u32(uint32(a.Request))
-		e.buf = append(e.buf, uint8(a.Attempt))
-	case balancer.ActionSetTimer:
-		e.head(acAlarm, instance)
-		e.time(a.Delay)
-		e.buf = binary.BigEndian.AppendUint64(e.buf, uint64(a.TimerID))
-	case balancer.ActionHealthCheck:
-		e.head(acProbe, instance)
-		e.u32(uint32(a.Server))
-	case balancer.ActionPollEndpoints:
-		e.head(acFollow, instance)
-		e.buf = append(e.buf, 1)
-	case balancer.ActionLog:
-		e.head(acLog, instance)
-		e.text([]byte(a.Text), maxText)
-	}
-}
-
-func (e *Encoder) head(code uint8, instance uint32) {
-	e.buf = append(e.buf, code)
-	e.u32(instance)
-}
-
-func (e *Encoder) u32(v uint32) { e.buf = binary.BigEndian.AppendUint32(e.buf, v) }
-
-func (e *Encoder) time(d time.Duration) {
-	ms := float64(d) / float64(time.Millisecond)
-	e.buf = binary.BigEndian.AppendUint64(e.buf, math.Float64bits(ms))
-}
+func (d *Decoder) f32() float64 { return float64(math.Float32frombits(d.u32())) }
 
-func (e *Encoder) text(b []byte, most int) {
-	b = b[:min(len(b), most)]
-	e.buf = binary.BigEndian.AppendUint16(e.buf, uint16(len(b)))
-	e.buf = append(e.buf, b...)
+func (d *Decoder) duration() time.Duration {
+	return settings.Milliseconds(math.Float64frombits(d.u64()))
 }
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -76,7 +76,7 @@
 	want := balancer.Class{Name: s.Classes[0].Name, LatencyObjective: 380 * time.Millisecond, Deadline: 949 * time.Millisecond, PriorityWeight: 8,
 		Idempotency: balancer.IdempotentWithKey, DedupScope: balancer.DedupScopeCell, DedupWindow: 600 * time.Millisecond,
 		Zones: []int{1}, Kinds: []int{}}
-	if recs[0].Kind != Create || recs[0].Seed != 7 || !reflect.DeepEqual(s.Classes[0], want) || s.Rank != 2 || s.Agents != 3 ||
+	if recs[0].Kind != Start || recs[0].Seed != 7 || !reflect.DeepEqual(s.Classes[0], want) || s.Rank != 2 || s.Agents != 3 ||
 		s.RetryBudgetWindow != 5*time.Second || s.RetryBudgetMin != 3 || s.RetryBudgetRatio != 0.2 || !s.PollEndpoints || s.MaxPollInterval != 10*time.Second || s.SlowStartMinWeight != 0.12 ||
 		s.Tick != 1500*time.Microsecond || s.Tenants[0].Quota != 0.34 || s.Reports != balancer.ReportsInline {
 		t.Errorf("settings %+v", s)
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -28,8 +28,8 @@
 		want    []Record
 	}{
 		"create": {1, createRecord(`{"tick":1.5}`),
-			[]Record{{Kind: Create, Instance: 3, Seed: 7, Settings: balancer.Settings{Zone: -1, Tick: 1500 * time.Microsecond}}}},
-		"detach":   {1, "64 00000005", []Record{{Kind: Detach, Instance: 5}}},
+			[]Record{{Kind: Start, Instance: 3, Seed: 7, Settings: balancer.Settings{Zone: -1, Tick: 1500 * time.Microsecond}}}},
+		"detach":   {1, "64 00000005", []Record{{Kind: Stop, Instance: 5}}},
 		"manifest": {1, manifest, nil},
 		"view, changes": {2, manifest + "14 00000003 0000000000000029 00 00",
 			[]Record{event(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsChanged, Endpoints: two})}},
@@ -120,7 +120,7 @@
 	}
 	var e Encoder
 	e.Begin(12)
-	e.Fault(3, "panic: x")
+	e.InternalError(3, "panic: x")
 	if got, want := hex.EncodeToString(e.Finish()), replyFrame("1e 00000003 0008 70616e69633a2078"); got != want {
 		t.Errorf("fault\ngot  %s\nwant %s", got, want)
 	}
