--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,5 +1,6 @@
-// Package simwire translates between the simulator's binary frames and the balancer's events and actions. It makes no
-// decisions. A Decoder and an Encoder are each used by one goroutine.
+// Package simwire hosts balancers behind the simulator's binary frames: it decodes batches of events, hands them to the balancer of
+// their instance and encodes its actions. It makes no decisions and reads no clock but that of the batches. One goroutine does
+// all of it and owns the instances.
 package simwire
 
 import "example.org/ryeloft/internal/balancer"
