--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -1,9 +1,11 @@
 package config
 
 import (
+	"context"
 	"encoding/json"
 	"fmt"
 	"maps"
+	"os"
 	"slices"
 	"strings"
 
@@ -22,6 +24,28 @@
 	return ReloadResult{Config: next, Err: err}
 }
 
+// Watch reloads the file at each signal and hands the result on, until the context ends. A file that is rejected leaves the
+// present configuration as the one that the next has to follow. Signals that come while a result is handed on are as good
+// as one, since the file is read after the last of them.
+func Watch(ctx context.Context, path string, present *Config, signals <-chan os.Signal, results chan<- ReloadResult) {
+	for {
+		select {
+		case <-signals:
+		case <-ctx.Done():
+			return
+		}
+		next := Reload(path, present)
+		if next.Err == nil {
+			present = next.Config
+		}
+		select {
+		case results <- next:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
 // ParseReload reads and checks the text that is to follow a configuration. Its errors name the field. It rejects a text
 // that lacks a key which the present one has, since a truncated file would silently set what it does not say to zero.
 func ParseReload(text []byte, present *Config) (*Config, error) {
