--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -19,7 +19,7 @@
 )
 
 // asProgram makes the test binary run the program instead of the tests.
-const asProgram = "MICALINE_TEST_AS_PROGRAM"
+const asProgram = "AGENT_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
 	if os.Getenv(asProgram) != "" {
@@ -82,6 +82,15 @@
 	return cmd, stderr, path
 }
 
+// replaceFile puts a file in the place of another at once, as operators do with configurations: no reader finds half of it.
+func replaceFile(path, text string) error {
+	next := path + ".new"
+	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
+		return err
+	}
+	return os.Rename(next, path)
+}
+
 // newDiscovery starts a service with one list; each call's query goes into the channel.
 func newDiscovery(t *testing.T) (addr string, asked chan string) {
 	asked = make(chan string, 100)
@@ -205,11 +214,7 @@
 	if !scan() || !strings.Contains(lines.Text(), "not reloaded") {
 		t.Fatalf("a bad file is told as %q", lines.Text())
 	}
-	next := path + ".new"
-	if err := os.WriteFile(next, fmt.Appendf(nil, configText, listen, second, 1), 0o600); err != nil {
-		t.Fatal(err)
-	}
-	if err := os.Rename(next, path); err != nil {
+	if err := replaceFile(path, fmt.Sprintf(configText, listen, second, 1)); err != nil {
 		t.Fatal(err)
 	}
 	notify(t, cmd, syscall.SIGHUP)
@@ -232,11 +237,7 @@
 	}
 	follows(t, asked)
 	for _, text := range []string{"", fmt.Sprintf(configText, listen, addr, 2), "{", fmt.Sprintf(configText, listen, last, 3)} {
-		next := path + ".new"
-		if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
-			t.Fatal(err)
-		}
-		if err := os.Rename(next, path); err != nil {
+		if err := replaceFile(path, text); err != nil {
 			t.Fatal(err)
 		}
 		notify(t, cmd, syscall.SIGHUP)
--- a/cmd/agent/reloads_test.go
+++ b/cmd/agent/reloads_test.go
@@ -189,12 +189,7 @@
 
 // reload moves the agent to the n-th address of discovery. The one before takes no new connections from then on.
 func (a *fleetAgent) reload(t *testing.T, n int) {
-	next := a.path + ".new"
-	if err := os.WriteFile(next, []byte(a.config(n)), 0o600); err != nil {
-		t.Error(err)
-		return
-	}
-	if err := os.Rename(next, a.path); err != nil {
+	if err := replaceFile(a.path, a.config(n)); err != nil {
 		t.Error(err)
 		return
 	}
--- a/cmd/agent/replace_test.go
+++ b/cmd/agent/replace_test.go
@@ -99,12 +99,15 @@
 			ctx, stop := context.WithCancel(t.Context())
 			var clients sync.WaitGroup
 			var pause sync.RWMutex // while it is held none that is not let in comes again
+			waitWhilePaused := func() {
+				pause.RLock()
+				defer pause.RUnlock()
+			}
 			flood := func(n int) {
 				for range n {
 					clients.Go(func() {
 						for ctx.Err() == nil {
-							pause.RLock()
-							pause.RUnlock()
+							waitWhilePaused()
 							switch ask("/c/slow") {
 							case 0:
 								away.Add(1)
