--- /dev/null
+++ b/internal/discovery/trace_amd64_test.go
@@ -0,0 +1,171 @@
+package discovery
+
+import (
+	"context"
+	"crypto/sha256"
+	"errors"
+	"fmt"
+	"hash"
+	"io"
+	"log/slog"
+	"math/rand/v2"
+	"net/http"
+	"strings"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/settings"
+)
+
+// traceRecorder is a service and a balancer that behave at random, by a seed, and a hash of all that a client does with them.
+type traceRecorder struct {
+	mu       sync.Mutex
+	answers  *rand.Rand // of the service
+	waits    *rand.Rand // of the owner between polls
+	began    time.Time
+	trace    hash.Hash
+	calls    int
+	events   int
+	pollSoon func()
+}
+
+func (r *traceRecorder) record(format string, args ...any) {
+	fmt.Fprintf(r.trace, "%d ", time.Since(r.began).Nanoseconds())
+	fmt.Fprintf(r.trace, format+"\n", args...)
+}
+
+// RoundTrip answers a call in one of the ways in which calls end.
+func (r *traceRecorder) RoundTrip(req *http.Request) (*http.Response, error) {
+	due, _ := req.Context().Deadline()
+	r.mu.Lock()
+	r.calls++
+	r.record("call %s until %d", req.URL, due.Sub(r.began).Nanoseconds())
+	way := r.answers.IntN(16)
+	delay := time.Duration(1 + r.answers.Int64N(int64(time.Second)>>r.answers.IntN(8)))
+	ahead := r.answers.IntN(3)
+	r.mu.Unlock()
+	var after int
+	_, err := fmt.Sscanf(req.URL.Query().Get("after"), "%d", &after)
+	complete := err != nil || way == 0
+	if way == 1 { // hangs
+		delay = time.Hour
+	}
+	select {
+	case <-time.After(delay):
+	case <-req.Context().Done():
+		return nil, req.Context().Err()
+	}
+	member := `{"id":"x","host_port":"10.0.0.1:80","phase":"Ready"}`
+	text := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, after+ahead, complete, member)
+	status, header := http.StatusOK, http.Header{}
+	switch way {
+	case 2:
+		return nil, errors.New("reset")
+	case 3:
+		status = http.StatusServiceUnavailable
+	case 4:
+		status = http.StatusServiceUnavailable
+		header.Set("Retry-After", fmt.Sprint(delay.Seconds()))
+	case 5:
+		status = http.StatusGone
+	case 6:
+		text = text[:len(text)/2]
+	case 7:
+		text = strings.Replace(text, fmt.Sprintf(`"revision":%d`, after+ahead), `"revision":0`, 1)
+	case 8:
+		text = fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[]}`, after, complete)
+	}
+	return &http.Response{StatusCode: status, Header: header, Body: io.NopCloser(strings.NewReader(text))}, nil
+}
+
+func (r *traceRecorder) notify(e WatchEvent) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.events++
+	r.record("event %d members %d remaining %d rejected %v latency %d revision %d",
+		e.Update, len(e.Members), e.Remaining, e.RejectedAtOnce, e.PollLatency, e.Revision)
+	if e.Update.KeepsEndpoints() {
+		longest := min(max(e.Remaining, 200*time.Millisecond), 3*time.Second)
+		time.AfterFunc(1+time.Duration(r.waits.Int64N(int64(longest))), r.pollSoon)
+	}
+}
+
+func (r *traceRecorder) onPoll(p PollResult) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.record("poll wait %d took %d failed %v", p.Wait, p.Duration, p.Err != nil)
+}
+
+// traceOf plays ten minutes of one agent whose list is polled, with migrations.
+func traceOf(t *testing.T, seed uint64) (calls, events int, trace string) {
+	synctest.Test(t, func(t *testing.T) {
+		random := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
+		r := &traceRecorder{answers: random(1), waits: random(2), began: time.Now(), trace: sha256.New()}
+		plan := random(3)
+		agents := 1 + plan.IntN(60)
+		set := &settings.Settings{Balancer: balancer.Settings{Agents: agents, Rank: plan.IntN(agents), PollEndpoints: true}}
+		relays := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}[:plan.IntN(4)]
+		d := New(Options{
+			Addr: "10.0.0.9:1", Name: "a", Relays: relays, Settings: func() *settings.Settings { return set },
+			Notify: r.notify, OnPoll: r.onPoll, Log: slog.New(slog.DiscardHandler),
+		})
+		d.Through(r)
+		r.pollSoon = d.Poll
+		ctx, stop := context.WithCancel(t.Context())
+		migrations, ended := make(chan Target), make(chan struct{})
+		go func() { d.Run(ctx, migrations); close(ended) }()
+		d.Poll()
+		for range 12 {
+			time.Sleep(time.Duration(1 + plan.Int64N(int64(100*time.Second))))
+			migrations <- Target{Addr: fmt.Sprintf("10.0.0.9:%d", 1+plan.IntN(3)), Relays: relays[:plan.IntN(len(relays)+1)]}
+		}
+		stop()
+		<-ended
+		synctest.Wait()
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		calls, events, trace = r.calls, r.events, fmt.Sprintf("%x", r.trace.Sum(nil)[:8])
+	})
+	return calls, events, trace
+}
+
+// Each call for the list, its timeout, its result and each notification come to the nanosecond as they were when these hashes were
+// recorded, whatever the service and the owner do. Hashes never change with a refactoring.
+func TestCallTrace(t *testing.T) {
+	for seed, want := range []struct {
+		calls, events int
+		trace         string
+	}{
+		{884, 842, "c0d7292e8c8c9313"},
+		{1247, 1159, "c82949d183163829"},
+		{1375, 1142, "4bb39d506b3691f5"},
+		{1590, 1296, "039c7a12a405eea6"},
+		{1402, 1024, "fea12f8757b8a495"},
+		{1109, 1014, "3775c1b0d5665884"},
+		{574, 491, "1d1ab94338b2d13a"},
+		{1177, 1100, "1711be61fdd793d2"},
+		{1264, 1197, "5b827e568ed22f45"},
+		{819, 758, "91373a3666daa52a"},
+		{1414, 1134, "24f369c4e87a920e"},
+		{1158, 956, "71282c848e72fdb9"},
+		{919, 832, "000aff212c09e1a9"},
+		{1158, 1091, "d9f120f24cdd0b98"},
+		{1101, 978, "ac948184ecdd3c16"},
+		{1485, 1183, "eaf2d83fa1595178"},
+		{1128, 991, "bf9d26f97075a5ec"},
+		{1032, 825, "cf51b52b9aa3908d"},
+		{1546, 1205, "eef9d697a0ac3717"},
+		{1289, 1013, "b189773380ef4ef7"},
+		{1410, 1124, "a4d9f701d9a7e885"},
+		{1213, 908, "fe3bed890082554e"},
+		{1200, 1060, "26be354a46e90ea1"},
+		{1284, 981, "a8a4aa39029c2fef"},
+	} {
+		if calls, events, trace := traceOf(t, uint64(seed)); calls != want.calls || events != want.events || trace != want.trace {
+			t.Errorf("seed %d: {%d, %d, %q}, want %v", seed, calls, events, trace, want)
+		}
+	}
+}
