--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -49,20 +49,20 @@
 		set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: c.ask}}
 		d := New(Options{Addr: "127.0.0.1:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
 		d.revision = c.revision
-		d.client.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
+		d.httpClient.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			if due, ok := r.Context().Deadline(); !ok || time.Until(due) > c.most {
 				t.Errorf("asked %v, list held %v: waits until %v, want %v at most", c.ask, c.revision != nil, due, c.most)
 			}
 			return nil, errors.New("no discovery")
 		})
-		wait := pushWatch
+		wait := defaultWatchWait
 		switch {
 		case c.revision == nil:
 			wait = 0
 		case c.ask:
-			wait = leastWait + askTurn
+			wait = minWatchWait + watchCycle
 		}
-		d.next(t.Context(), t.Context(), wait)
+		d.pollOrWatch(t.Context(), t.Context(), wait)
 	}
 }
 
@@ -81,7 +81,7 @@
 		{"no revision", `"revision":7,`, ``},
 		{"members[0].id", `"id":"x"`, `"id":""`},
 		{"members[1].id", `"id":"y"`, `"id":"x"`},
-		{"members[1].id", `"id":"y"`, fmt.Sprintf(`"id":%q`, strings.Repeat("y", maxServerID+1))},
+		{"members[1].id", `"id":"y"`, fmt.Sprintf(`"id":%q`, strings.Repeat("y", maxMemberIDBytes+1))},
 		{"members[0].phase", `"Ready"`, `"Odd"`},
 		{"members[0].up_since_ms", `:5}`, `:-1}`},
 		{"members[0].up_since_ms", `:5}`, `:9e12}`},
@@ -134,8 +134,8 @@
 		revision uint64
 	}{
 		{`{"revision":4,"complete":true,"members":[{"id":"x","host_port":"10.0.0.1:80","phase":"Ready"}]}`, 0, false, balancer.EndpointsReplaced, 4},
-		{`{"revision":6,"complete":false,"members":[{"id":"x","phase":"Gone"}]}`, pushWatch, false, balancer.EndpointsChanged, 6},
-		{`no list`, pushWatch, true, 0, 0},
+		{`{"revision":6,"complete":false,"members":[{"id":"x","phase":"Gone"}]}`, defaultWatchWait, false, balancer.EndpointsChanged, 6},
+		{`no list`, defaultWatchWait, true, 0, 0},
 		{`{"revision":9,"complete":true,"members":[]}`, 0, false, balancer.EndpointsReplaced, 9},
 	} {
 		select {
--- a/internal/discovery/export_test.go
+++ b/internal/discovery/export_test.go
@@ -2,5 +2,5 @@
 
 import "net/http"
 
-// Through has a client's calls go through another transport than its own.
-func (d *Client) Through(t http.RoundTripper) { d.client.Transport = t }
+// SetTransport has a client's calls go through another transport than its own.
+func (c *Client) SetTransport(t http.RoundTripper) { c.httpClient.Transport = t }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -281,7 +281,7 @@
 		d := discovery.New(discovery.Options{
 			Addr: "old", Settings: func() *settings.Settings { return &f.set }, Notify: tell, OnPoll: func(discovery.PollResult) {}, Log: discard,
 		})
-		d.Through(f)
+		d.SetTransport(f)
 		known, err := discovery.Parse(list)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/discovery/migration_test.go
+++ b/internal/discovery/migration_test.go
@@ -114,7 +114,7 @@
 						revisions = append(revisions, n.Revision)
 					},
 				})
-				d.Through(w)
+				d.SetTransport(w)
 				moves := make(chan Target)
 				ended := make(chan struct{})
 				go func() { d.Run(ctx, moves); close(ended) }()
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -9,110 +9,83 @@
 )
 
 const (
-	// oldPlaceAnswers is how long an inquiry goes on after discovery has moved: by the terms the old address closes open
-	// connections after so long.
-	oldPlaceAnswers = 1500 * time.Millisecond
-	// callsBeside is how many calls one inquiry has open at a time.
-	callsBeside = 2
-	// assumedAnswer is how long a service takes for a call that has not answered yet.
-	assumedAnswer = balancer.NotifyBoundAfterFailure / 20
-	// leastPatience is how long a call is out at least before another is made beside it.
-	leastPatience = balancer.NotifyBoundAfterFailure / 20
+	// oldTargetGrace is how long a poll goes on after a migration: the platform lets the old address close open connections
+	// after so long.
+	oldTargetGrace = 1500 * time.Millisecond
+	// maxParallelCalls is how many calls a poll has open at a time: the first and a hedge.
+	maxParallelCalls = 2
+	// minHedgeDelay is how long the first call is out at least before it is hedged.
+	minHedgeDelay = balancer.NotifyBoundAfterFailure / 20
 )
 
-// ended is how one call of an inquiry ended.
-type ended struct {
+// callResult is how one call of a poll ended.
+type callResult struct {
 	list EndpointList
 	err  error
 }
 
-// inquire asks for the list, or for what has changed, without a wait for news. A call that is not answered for a while
-// gets another beside it, and the first answer of either counts: nothing tells a call that is lost from one that waits for
-// its turn, and one that is given up keeps the service as busy as one that is answered.
+// poll gets the list, or its changes, without waiting for one. A call that is not answered for a while is hedged, and the first
+// answer counts: nothing tells a call that is lost from one that waits for its turn, and one that is given up keeps the service as
+// busy as one that is answered.
 //
-// An answer that cannot be used ends the inquiry, as it counts as notified; other errors do once no call is open. If the
-// list is to be had elsewhere, which ends the second context, the calls that are open have as long as the old place answers.
-// Danger: were they given up, a series of moves would leave the agent without a list for as long as it goes on.
-func (d *Client) inquire(life, here context.Context) (EndpointList, error) {
-	ctx, cancel := context.WithCancel(life)
+// An answer that cannot be used ends the poll, as it counts as notified; other errors do once no call is open. When discovery
+// migrates, which ends targetCtx, the open calls have as long as the old target answers: were they given up, a series of migrations
+// would leave the agent without a list for as long as it goes on.
+func (c *Client) poll(ctx, targetCtx context.Context) (EndpointList, error) {
+	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	results := make(chan ended, callsBeside)
+	// Nothing waits for calls that are still open at the end: their context has ended, and there is room for their results.
+	results := make(chan callResult, maxParallelCalls)
 	open := 0
-	begin := func() {
+	start := func() {
 		open++
-		c := d.call(0)
+		request := c.newRequest(0)
 		go func() {
-			l, err := d.get(ctx, c)
-			results <- ended{l, err}
+			list, err := c.send(ctx, request)
+			results <- callResult{list, err}
 		}()
 	}
-	begin()
-	var beside <-chan time.Time
-	if wait, ok := d.patience(); ok {
-		timer := time.NewTimer(wait)
+	start()
+	var hedge <-chan time.Time
+	if delay, ok := c.hedgeDelay(); ok {
+		timer := time.NewTimer(delay)
 		defer timer.Stop()
-		beside = timer.C
+		hedge = timer.C
 	}
-	moved := here.Done()
+	migrated := targetCtx.Done()
 	for {
 		select {
-		case r := <-results:
+		case result := <-results:
 			open--
-			if r.err == nil || open == 0 || errors.Is(r.err, ErrMalformedList) || errors.Is(r.err, ErrTruncatedList) {
-				return r.list, r.err
+			if open == 0 || endsPoll(result.err) {
+				return result.list, result.err
 			}
-		case <-beside:
-			begin()
-		case <-moved:
-			moved, beside = nil, nil
-			last := time.AfterFunc(oldPlaceAnswers, cancel)
-			defer last.Stop()
+		case <-hedge:
+			start()
+		case <-migrated:
+			migrated = nil
+			hedge = nil
+			grace := time.AfterFunc(oldTargetGrace, cancel)
+			defer grace.Stop()
 		}
 	}
 }
 
-// patience is how long an inquiry waits for its first call before it makes another beside it: half of what is left until what
-// was missed counts as notified, but half of the time at least in which the service can answer each agent once. It is false
-// where there is to be no other: relays are asked one after the other, where lists are pushed calls cost nothing and are
-// made again instead, and after a call in vain it is more likely that the service is slow than that calls are lost.
-func (d *Client) patience() (wait time.Duration, ok bool) {
-	if d.route.relayed() || !d.ask() || d.vain > 0 {
-		return 0, false
-	}
-	longest := askTimeout / 2
-	if !d.notifiedAt.IsZero() {
-		longest = min(longest, d.left()/2)
-	}
-	return max(leastPatience, longest, d.round()/2), true
+// endsPoll says whether a call ends its poll though another one may be open.
+func endsPoll(err error) bool {
+	return err == nil || errors.Is(err, ErrMalformedList) || errors.Is(err, ErrTruncatedList)
 }
 
-// round is the time in which the service can answer each agent once, as far as is known: by its answers, and by calls that
-// waited for nothing. Half of the bound is the most, as a service that is back has to be asked in time.
-func (d *Client) round() time.Duration {
-	return min(max(d.answer*time.Duration(d.set().Balancer.Agents), d.inVain), balancer.NotifyBoundAfterFailure/2)
-}
-
-// learnVain takes in that a call was out for so long and brought nothing: the service has more callers than it answers. Each
-// such call in a row doubles the round.
-func (d *Client) learnVain(took time.Duration) {
-	d.inVain = min(max(2*d.inVain, took), balancer.NotifyBoundAfterFailure/2)
-}
-
-// learnAnswer takes in how long the service took for a call. The shortest times tell of its work, the others of its queue, so
-// a shorter one counts at once and longer ones little by little.
-func (d *Client) learnAnswer(took time.Duration) {
-	const gain = 8 // one in so many parts of what is longer
-	switch {
-	case d.assumed || took < d.answer:
-		d.answer, d.assumed = took, false
-	default:
-		d.answer += (took - d.answer) / gain
+// hedgeDelay is how long a poll waits for its first call before it hedges it: half of the remaining time, but half of a round at
+// least. It returns false if it is not hedged: relays are called one after the other, pushed lists cost the service nothing, so that
+// the poll is repeated instead, and after a timeout the service is more likely to be slow than to lose calls.
+func (c *Client) hedgeDelay() (delay time.Duration, ok bool) {
+	if c.route.relayed() || !c.pollMode() || c.overload.timeouts > 0 {
+		return 0, false
 	}
-}
-
-// assumeAnswer begins anew with a service that has not answered yet: it takes as long as the one before, or so long as services
-// were seen to take.
-func (d *Client) assumeAnswer() {
-	d.answer, d.assumed = max(d.answer, assumedAnswer), true
-	d.inVain = 0
+	longest := pollTimeout / 2
+	if c.deadline.pending() {
+		longest = min(longest, c.deadline.remaining()/2)
+	}
+	return max(minHedgeDelay, longest, c.latency.round(c.agents())/2), true
 }
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -33,14 +33,14 @@
 func TestInquiry(t *testing.T) {
 	const whole, other = `{"revision":4,"complete":true,"members":[]}`, `{"revision":5,"complete":true,"members":[]}`
 	for name, c := range map[string]struct {
-		pushed bool
-		vain   int
-		left   time.Duration // until what was missed counts as notified; 0: nothing was missed
-		answer time.Duration // that the service takes for a call; 0: not known
-		calls  []scriptedCall
-		took   time.Duration
-		want   uint64 // revision; 0: none
-		made   int    // calls
+		pushed   bool
+		timeouts int
+		left     time.Duration // until what was missed counts as notified; 0: nothing was missed
+		answer   time.Duration // that the service takes for a call; 0: not known
+		calls    []scriptedCall
+		took     time.Duration
+		want     uint64 // revision; 0: none
+		made     int    // calls
 	}{
 		"answered":                     {calls: []scriptedCall{{after: time.Second, text: whole}}, took: time.Second, want: 4, made: 1},
 		"slow":                         {calls: []scriptedCall{{after: 2 * time.Second, text: whole}, {after: never}}, took: 2 * time.Second, want: 4, made: 2},
@@ -52,25 +52,25 @@
 		"the first refused, late":      {calls: []scriptedCall{{after: 2 * time.Second, err: errReset}, {after: time.Second, text: other}}, took: 2500 * time.Millisecond, want: 5, made: 2},
 		"the second refused":           {calls: []scriptedCall{{after: 2 * time.Second, text: whole}, {after: 0, err: errReset}}, took: 2 * time.Second, want: 4, made: 2},
 		"no use, a second call open":   {calls: []scriptedCall{{after: 2 * time.Second, text: "no list"}, {after: never}}, took: 2 * time.Second, made: 2},
-		"after a call in vain":         {vain: 1, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, made: 1},
+		"after a call in vain":         {timeouts: 1, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, made: 1},
 		"pushed":                       {pushed: true, calls: []scriptedCall{{after: never}}, took: time.Second, made: 1},
-		"pushed, after a call in vain": {pushed: true, vain: 1, calls: []scriptedCall{{after: 1500 * time.Millisecond, text: whole}}, took: 1500 * time.Millisecond, want: 4, made: 1},
-		"pushed, after many":           {pushed: true, vain: 9, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, made: 1},
+		"pushed, after a call in vain": {pushed: true, timeouts: 1, calls: []scriptedCall{{after: 1500 * time.Millisecond, text: whole}}, took: 1500 * time.Millisecond, want: 4, made: 1},
+		"pushed, after many":           {pushed: true, timeouts: 9, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, made: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				set := &settings.Settings{Balancer: balancer.Settings{Agents: 3, PollEndpoints: !c.pushed}}
 				d := New(Options{Addr: "x:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
-				d.vain = c.vain
+				d.overload.timeouts = c.timeouts
 				if c.left > 0 {
-					d.notifiedAt = time.Now().Add(c.left)
+					d.deadline.missed(time.Now().Add(c.left))
 				}
 				if c.answer > 0 {
-					d.learnAnswer(c.answer)
+					d.latency.recordAnswer(c.answer)
 				}
 				var mu sync.Mutex
 				made := 0
-				d.client.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
+				d.httpClient.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 					mu.Lock()
 					made++
 					if made > len(c.calls) {
@@ -92,7 +92,7 @@
 					return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(call.text))}, nil
 				})
 				begun := time.Now()
-				l, err := d.inquire(t.Context(), context.Background())
+				l, err := d.poll(t.Context(), context.Background())
 				if took := time.Since(begun); took != c.took {
 					t.Errorf("took %v, want %v", took, c.took)
 				}
@@ -115,24 +115,24 @@
 	d := New(Options{Addr: "x:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
 	expect := func(when string, want time.Duration) {
 		t.Helper()
-		if got := d.round(); got != want {
+		if got := d.latency.round(d.agents()); got != want {
 			t.Errorf("%s: %v, want %v", when, got, want)
 		}
 	}
-	expect("before any answer", 6*assumedAnswer)
-	d.learnAnswer(400 * time.Millisecond)
+	expect("before any answer", 6*assumedLatency)
+	d.latency.recordAnswer(400 * time.Millisecond)
 	expect("after the first answer", 2400*time.Millisecond)
-	d.learnAnswer(200 * time.Millisecond)
+	d.latency.recordAnswer(200 * time.Millisecond)
 	expect("after a quicker one", 1200*time.Millisecond)
-	d.learnAnswer(1000 * time.Millisecond)
+	d.latency.recordAnswer(1000 * time.Millisecond)
 	expect("after a slower one", 1800*time.Millisecond)
-	d.learnVain(time.Second)
+	d.latency.recordTimeout(time.Second)
 	expect("after a call in vain", 1800*time.Millisecond)
-	d.learnVain(time.Second)
+	d.latency.recordTimeout(time.Second)
 	expect("after another", 2*time.Second)
-	d.learnVain(time.Second)
+	d.latency.recordTimeout(time.Second)
 	expect("after a third", 3*time.Second)
-	d.assumeAnswer()
+	d.latency.migrated()
 	expect("after a move", 1800*time.Millisecond)
 }
 
--- a/internal/discovery/route_test.go
+++ b/internal/discovery/route_test.go
@@ -33,9 +33,9 @@
 			others := slices.DeleteFunc(slices.Clone(relays), func(r string) bool { return r == lost })
 			for i := range agents {
 				name := fmt.Sprintf(form, i)
-				order := ranked(name, relays)
+				order := rankRelays(name, relays)
 				first[order[0]]++
-				left := ranked(name, others)
+				left := rankRelays(name, others)
 				switch {
 				case order[0] == lost:
 					if then[left[0]]++; left[0] != order[1] {
@@ -175,7 +175,7 @@
 // could, as the module would; a turn below 0 is the longest that the module takes for what is left.
 func follows(t *testing.T, asked, known bool, turn time.Duration) *alone {
 	relays := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
-	a := &alone{hostsOf: newHosts(append(relays, service)...), order: ranked("a", relays), heard: map[uint64]time.Time{}}
+	a := &alone{hostsOf: newHosts(append(relays, service)...), order: rankRelays("a", relays), heard: map[uint64]time.Time{}}
 	set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: asked}}
 	var d *Client
 	d = New(Options{
@@ -202,7 +202,7 @@
 		one := uint64(1)
 		d.StartFrom(EndpointList{Revision: &one, Complete: true, Members: []Member{{ID: "x"}}})
 	}
-	d.Through(a.hostsOf)
+	d.SetTransport(a.hostsOf)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx, nil); close(ended) }()
@@ -232,13 +232,13 @@
 	}{
 		"reset":              {true, down, 1, 10 * time.Millisecond, "second", 0},
 		"refused":            {true, refusing, 1, 10 * time.Millisecond, "second", 0},
-		"silent":             {true, silentOn, 1, relayWatch + watchGrace, "second", 0},
+		"silent":             {true, silentOn, 1, relayWatchWait + watchGrace, "second", 0},
 		"two reset":          {true, down, 2, 10 * time.Millisecond, "third", 0},
-		"two silent":         {true, silentOn, 2, relayWatch + watchGrace + RelayTimeout, "third", 0},
+		"two silent":         {true, silentOn, 2, relayWatchWait + watchGrace + RelayTimeout, "third", 0},
 		"all reset":          {true, down, 3, turn + 10*time.Millisecond, "service", 1},
 		"all refuse":         {true, refusing, 3, turn + 10*time.Millisecond, "service", 1},
 		"pushed, reset":      {false, down, 1, 10 * time.Millisecond, "second", 0},
-		"pushed, silent":     {false, silentOn, 1, relayWatch + watchGrace, "second", 0},
+		"pushed, silent":     {false, silentOn, 1, relayWatchWait + watchGrace, "second", 0},
 		"pushed, all reset":  {false, down, 3, 10 * time.Millisecond, "service", 0},
 		"pushed, all refuse": {false, refusing, 3, 10 * time.Millisecond, "service", 0},
 	} {
@@ -312,7 +312,7 @@
 // A machine that says nothing shows in the dial already, in time for the other relays.
 func TestDialsToRelaysAreShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		dial := dialsInTime(func(ctx context.Context, _, _ string) (net.Conn, error) {
+		dial := withRelayDialTimeout(func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
 			return nil, ctx.Err()
 		})
@@ -320,7 +320,7 @@
 			ctx  context.Context
 			want time.Duration
 		}{
-			{context.WithValue(t.Context(), relayedKey{}, true), relayDial},
+			{context.WithValue(t.Context(), relayedKey{}, true), relayDialTimeout},
 			{t.Context(), time.Minute},
 		} {
 			ctx, cancel := context.WithTimeout(c.ctx, time.Minute)
@@ -331,7 +331,7 @@
 			cancel()
 		}
 	})
-	if worst := relayWatch + watchGrace + 5*relayDial; worst >= balancer.NotifyBoundAfterFailure-RelayMaxStaleness {
+	if worst := relayWatchWait + watchGrace + 5*relayDialTimeout; worst >= balancer.NotifyBoundAfterFailure-RelayMaxStaleness {
 		t.Errorf("five silent relays take %v", worst)
 	}
 }
@@ -359,7 +359,7 @@
 				t.Errorf("%d lost: the first relay is tried %d times in ten minutes", lost, tries)
 			}
 			a.become(serving, a.order...)
-			time.Sleep(homeAgain + 2*relayWatch + askTurn)
+			time.Sleep(preferredRetryInterval + 2*relayWatchWait + watchCycle)
 			_, before = a.calls()
 			time.Sleep(time.Minute)
 			if got := a.since(before); !slices.Equal(got, a.order[:1]) {
@@ -395,7 +395,7 @@
 			Addr: service, Name: "a", Settings: func() *settings.Settings { return set }, OnPoll: func(PollResult) {},
 			Log: slog.New(slog.DiscardHandler), Notify: func(WatchEvent) {},
 		})
-		d.Through(h)
+		d.SetTransport(h)
 		ctx, stop := context.WithCancel(t.Context())
 		moves, ended := make(chan Target), make(chan struct{})
 		go func() { d.Run(ctx, moves); close(ended) }()
@@ -429,11 +429,15 @@
 	for i := range all {
 		all[i] = fmt.Sprintf("10.0.%d.%d:80", i/250, i%250)
 	}
-	for _, n := range []int{0, 1, mostTried, mostTried + 1, len(all)} {
+	for _, n := range []int{0, 1, maxRelays, maxRelays + 1, len(all)} {
 		r := newRoute("agent", Target{Addr: "10.1.0.1:80", Relays: all[:n]})
-		want := append(ranked("agent", all[:n])[:min(n, mostTried)], "10.1.0.1:80")
-		if !slices.Equal(r.addrs, want) {
-			t.Errorf("of %d relays: %v, want %v", n, r.addrs, want)
+		want := append(rankRelays("agent", all[:n])[:min(n, maxRelays)], "10.1.0.1:80")
+		var got []string
+		for _, hop := range r.hops {
+			got = append(got, hop.addr)
+		}
+		if !slices.Equal(got, want) {
+			t.Errorf("of %d relays: %v, want %v", n, got, want)
 		}
 	}
 }
--- a/internal/discovery/trace_amd64_test.go
+++ b/internal/discovery/trace_amd64_test.go
@@ -112,7 +112,7 @@
 			Addr: "10.0.0.9:1", Name: "a", Relays: relays, Settings: func() *settings.Settings { return set },
 			Notify: r.notify, OnPoll: r.onPoll, Log: slog.New(slog.DiscardHandler),
 		})
-		d.Through(r)
+		d.SetTransport(r)
 		r.pollSoon = d.Poll
 		ctx, stop := context.WithCancel(t.Context())
 		migrations, ended := make(chan Target), make(chan struct{})
--- a/internal/lists/server_test.go
+++ b/internal/lists/server_test.go
@@ -324,7 +324,7 @@
 					clear(held)
 				}
 				for _, m := range l.Members {
-					if m.State == gone {
+					if m.Removed() {
 						delete(held, m.ID)
 					} else {
 						held[m.ID] = m
--- a/internal/lists/store.go
+++ b/internal/lists/store.go
@@ -17,8 +17,6 @@
 	spans = 8
 	// logLines is how many changed entries the log holds for each of its revisions, on average.
 	logLines = 16
-	// gone is the phase of an entry that whole lists leave out.
-	gone = "Gone"
 )
 
 var (
@@ -122,9 +120,9 @@
 func (s *Store) put(m discovery.Member) {
 	i, known := s.at[m.ID]
 	switch {
-	case m.State != gone && known:
+	case !m.Removed() && known:
 		s.members[i] = m
-	case m.State != gone:
+	case !m.Removed():
 		s.at[m.ID] = len(s.members)
 		s.members = append(s.members, m)
 	case known:
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -43,13 +43,13 @@
 			Zone:   slices.Index(set.ZoneNames, m.Zone),
 			Kind:   slices.Index(set.KindNames, m.Kind),
 			Cell:   m.Cell,
-			State:  discovery.EndpointStates[m.State],
+			State:  m.EndpointState(),
 			Weight: m.Weight,
 		}
 		e.Start = t.starts.of(e.ID, m)
 		old, known := t.members[e.ID]
 		if known && old.State != m.State {
-			t.states[discovery.EndpointStates[old.State]]--
+			t.states[old.EndpointState()]--
 		}
 		if !known || old.State != m.State {
 			t.states[e.State]++
@@ -72,7 +72,7 @@
 	t.starts.followed = t.starts.followed || mode != balancer.EndpointsCached
 	if mode == balancer.EndpointsChanged {
 		for _, e := range entries {
-			if m, known := t.members[e.ID]; known && discovery.EndpointStates[m.State] == balancer.Removed {
+			if m, known := t.members[e.ID]; known && m.EndpointState() == balancer.Removed {
 				t.free(e.ID)
 				gone = append(gone, e.ID)
 			}
@@ -131,7 +131,7 @@
 // free forgets a name that has left the list.
 func (t *Table) free(id balancer.ServerID) {
 	m := t.members[id]
-	t.states[discovery.EndpointStates[m.State]]--
+	t.states[m.EndpointState()]--
 	delete(t.ids, m.ID)
 	delete(t.members, id)
 	delete(t.starts.known, id)
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -102,7 +102,8 @@
 			if m, known := table.Member(ids[name]); !known || m.ID != name || m.State != phase {
 				t.Fatalf("step %d: %s is %+v", step, name, m)
 			}
-			count[discovery.EndpointStates[phase]]++
+			member := discovery.Member{State: phase}
+			count[member.EndpointState()]++
 		}
 		for _, state := range []balancer.EndpointState{balancer.Removed, balancer.Ready, balancer.Draining} {
 			if n := table.Count(state); n != count[state] {
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -201,7 +201,7 @@
 	}
 	var changed []discovery.Member
 	for _, m := range to {
-		if m.State == gonePhase {
+		if m.Removed() {
 			continue
 		}
 		if before[m.ID] != m {
@@ -211,15 +211,13 @@
 	}
 	for _, m := range from {
 		if _, left := before[m.ID]; left {
-			m.State = gonePhase
+			m.MarkRemoved()
 			changed = append(changed, m)
 		}
 	}
 	return changed
 }
 
-const gonePhase = "Gone"
-
 // answered notes that a call above was answered and what it brought is in the store.
 func (r *Relay) answered(began time.Time, revision uint64) {
 	if revision > r.store.Revision() { // of no changes, which nobody was told
