--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -118,10 +118,10 @@
 		}()
 		target, ok := c.awaitMigration(ctx, migrations, pollMode)
 		leaveTarget()
+		<-left
 		if !ok {
 			return
 		}
-		<-left
 		c.migrate(target)
 	}
 }
