--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -191,7 +191,7 @@
 	lines := bufio.NewScanner(stderr)
 	scan := func() bool { // the next line that is not about a list
 		for lines.Scan() {
-			if !strings.Contains(lines.Text(), "msg=list ") {
+			if !strings.Contains(lines.Text(), `msg="endpoint list updated" `) {
 				return true
 			}
 		}
--- a/cmd/agent/reloads_test.go
+++ b/cmd/agent/reloads_test.go
@@ -381,7 +381,7 @@
 			}
 			for _, a := range fleet {
 				a.end(t)
-				log := a.log.about("msg=reloaded", "msg=list", "discovery failed", "wall clock", "agent ends")
+				log := a.log.about("msg=reloaded", `msg="endpoint list updated"`, "discovery poll failed", "wall clock", "agent ends")
 				if t.Failed() {
 					t.Logf("agent %d:\n%s", a.rank, log)
 				}
--- a/cmd/relay/main_test.go
+++ b/cmd/relay/main_test.go
@@ -277,7 +277,7 @@
 		t.Errorf("who holds none is answered %d %s", status, text)
 	}
 	s.up(t)
-	relays[0].says(t, "msg=list")
+	relays[0].says(t, `msg="endpoint list updated"`)
 	if status, text := get(relays[0].addr, "/discovery/hosts?after=7&wait_ms=1000"); status != 200 || !strings.Contains(text, `"revision":8,"complete":false`) {
 		t.Errorf("with discovery again: %d %s", status, text)
 	}
@@ -287,7 +287,7 @@
 func TestSignals(t *testing.T) {
 	s, other := newService(t, 7, member("x", "Ready")), newService(t, 9, member("y", "Ready"))
 	p := startProgram(t, s.addr)
-	p.says(t, "msg=list")
+	p.says(t, `msg="endpoint list updated"`)
 	p.configure(t, other.addr, -1)
 	p.Process.Signal(syscall.SIGHUP)
 	p.says(t, "limits.lists_per_second")
@@ -296,7 +296,7 @@
 	}
 	p.configure(t, other.addr, 500)
 	p.Process.Signal(syscall.SIGHUP)
-	p.says(t, "msg=list")
+	p.says(t, `msg="endpoint list updated"`)
 	if _, text := get(p.addr, "/discovery/hosts"); !strings.Contains(text, `"revision":9`) {
 		t.Errorf("after a move: %s", text)
 	}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -229,8 +229,8 @@
 	if !logsFailure(c.failures, c.pollMode()) {
 		return
 	}
-	c.log.Warn("discovery failed", "from", c.route.addr(), "failures", c.failures, "error", err,
-		"waited", c.lastCall.sincePrevious, "watched", c.lastCall.duration(), "left", remaining)
+	c.log.Warn("discovery poll failed", "from", c.route.addr(), "failures", c.failures, "error", err,
+		"since_previous", c.lastCall.sincePrevious, "duration", c.lastCall.duration(), "remaining", remaining)
 }
 
 // alreadyNotified is a remaining time that is over; 0 would say that it is not known.
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -150,7 +150,7 @@
 				d.failures++
 				d.logFailure(errReset, time.Second)
 			}
-			if lines := strings.Count(text.String(), "discovery failed"); lines != c.lines {
+			if lines := strings.Count(text.String(), "discovery poll failed"); lines != c.lines {
 				t.Errorf("%d lines, want %d:\n%s", lines, c.lines, &text)
 			}
 		})
--- a/internal/discovery/route.go
+++ b/internal/discovery/route.go
@@ -195,7 +195,7 @@
 	}
 	c.httpClient.CloseIdleConnections()
 	if firstFailure {
-		c.log.Info("another relay is asked", "failed", current.addr, "error", err, "next", r.addr(), "left", c.deadline.remaining())
+		c.log.Info("discovery failover", "failed", current.addr, "error", err, "next", r.addr(), "remaining", c.deadline.remaining())
 	}
 	return true
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -109,8 +109,8 @@
 // calls are answered again.
 func (c *Client) deliver(list EndpointList, first bool) {
 	if first { // until now the agent used an older list
-		c.log.Info("list", "from", c.route.addr(), "revision", *list.Revision, "complete", list.Complete,
-			"members", len(list.Members), "took", time.Since(c.lastCall.began), "since_start", time.Since(c.startedAt))
+		c.log.Info("endpoint list updated", "from", c.route.addr(), "revision", *list.Revision, "complete", list.Complete,
+			"members", len(list.Members), "duration", time.Since(c.lastCall.began), "since_start", time.Since(c.startedAt))
 	}
 	switch {
 	case list.Complete:
