--- /dev/null
+++ b/internal/scale/sweep/output_test.go
@@ -0,0 +1,63 @@
+package sweep
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"os"
+	"testing"
+
+	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/scenario"
+)
+
+// Text, figures and runs of sweeps are read by people and programs of other days: no word and no key of them changes.
+func TestOutputStays(t *testing.T) {
+	w, err := Run(t.Context(), base(), Options{Only: []string{"agents", "depth"}, Target: target(), Play: strainedPlay})
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		file  string
+		write func(*bytes.Buffer) error
+	}{
+		{"sweep.txt", func(b *bytes.Buffer) error { return w.WriteText(b) }},
+		{"figures.json", func(b *bytes.Buffer) error {
+			all := w.Figures()
+			AddRun(all, "alone", w.Runs[0].Run)
+			return json.NewEncoder(b).Encode(all)
+		}},
+		{"played.json", func(b *bytes.Buffer) error { return json.NewEncoder(b).Encode(w.Runs[:1]) }},
+	} {
+		t.Run(c.file, func(t *testing.T) {
+			var got bytes.Buffer
+			if err := c.write(&got); err != nil {
+				t.Fatal(err)
+			}
+			want, err := os.ReadFile("testdata/" + c.file)
+			if err != nil {
+				t.Fatal(err)
+			}
+			if !bytes.Equal(got.Bytes(), want) {
+				t.Errorf("written:\n%s\nwant:\n%s", &got, want)
+			}
+		})
+	}
+}
+
+// strainedPlay is a play whose figures grow, bend and show a control side past what it carries.
+func strainedPlay(ctx context.Context, s *scenario.Scenario) (*result.Run, error) {
+	r, err := played(ctx, s)
+	if err != nil {
+		return nil, err
+	}
+	agents := float64(s.Agents())
+	r.Sizes = result.Sizes{Servers: s.Fleet.Servers, Services: s.Fleet.Services, Agents: s.Agents(), Real: s.Fleet.Real, Depth: s.Fleet.Depth, Seconds: s.Seconds, Seed: s.Seed}
+	r.Real = result.AgentControl{Agents: s.Fleet.Real, CPUPercent: agents * agents / 100, RSSBytes: result.Dist{N: 1, Max: 1e6 + 1e3*agents}}
+	r.Control = append(r.Control, result.ControlMachine{Role: "relay", Name: "relay1", Calls: int64(agents), Busy: 0.97, Refused: 3})
+	r.Hollow.Unheard = 2
+	r.Events = []result.EventResult{{Kind: "fail", Bytes: 10 * int64(agents), InForceMS: result.Dist{N: 1, Max: agents}, ServedPct: 90, FullLists: 4}}
+	r.Added = result.Added{Through: result.Dist{N: 4}, MedianMS: 0.2, P99MS: 0.4}
+	r.Budgets = []result.Budget{{Name: "agent_cpu", Measured: 0.5, Limit: 1.6, Unit: "% of a core", OK: true}}
+	return r, nil
+}
