--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -20,11 +20,11 @@
 	"github.com/alecthomas/kong"
 
 	"example.org/ryeloft/internal/scale/control"
-	"example.org/ryeloft/internal/scale/hollow"
 	"example.org/ryeloft/internal/scale/result"
 	"example.org/ryeloft/internal/scale/role"
 	"example.org/ryeloft/internal/scale/run"
 	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/simagent"
 	"example.org/ryeloft/internal/scale/sweep"
 )
 
@@ -35,7 +35,7 @@
 )
 
 // roles are the parts of a run that this program is when it finds role.Env set.
-var roles = map[string]func() error{"control": control.Main, "relay": control.RelayMain, "hollow": hollow.Main}
+var roles = map[string]func() error{"control": control.Main, "relay": control.RelayMain, "hollow": simagent.Main}
 
 func main() {
 	if part := os.Getenv(role.Env); part != "" {
--- a/internal/scale/run/gather.go
+++ b/internal/scale/run/collect.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"example.org/ryeloft/internal/scale/control"
-	"example.org/ryeloft/internal/scale/hollow"
 	"example.org/ryeloft/internal/scale/realagent"
 	"example.org/ryeloft/internal/scale/result"
+	"example.org/ryeloft/internal/scale/simagent"
 )
 
 // defaultDue is how long a change may take where the budgets do not say.
@@ -28,7 +28,7 @@
 type measured struct {
 	control  control.StatsReply // with what agents sent and heard at relays
 	machines []result.ControlMachine
-	hollow   hollow.StatsReply
+	hollow   simagent.StatsReply
 	real     realagent.Stats
 	seconds  float64 // since Begin
 }
@@ -45,7 +45,7 @@
 	all, machines, err := p.controlSide(ctx)
 	m.control, m.machines = *all, machines
 	errs = append(errs, err)
-	errs = append(errs, p.hollow.Call(ctx, "Hollow.Stats", hollow.StatsArgs{}, &m.hollow))
+	errs = append(errs, p.hollow.Call(ctx, "Hollow.Stats", simagent.StatsArgs{}, &m.hollow))
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.agents(m)
@@ -108,7 +108,7 @@
 		made := m.control.Changes[i].At
 		heard = append(heard, told{at: made, had: m.control.Changes[i].Heard})
 		own := told{at: made}
-		if j := slices.IndexFunc(m.hollow.Lists, func(l hollow.List) bool { return l.Revision == c.revision }); j >= 0 {
+		if j := slices.IndexFunc(m.hollow.Lists, func(l simagent.List) bool { return l.Revision == c.revision }); j >= 0 {
 			own.had = m.hollow.Lists[j].At
 		}
 		exact = append(exact, own)
--- a/internal/scale/run/messages_test.go
+++ b/internal/scale/run/messages_test.go
@@ -7,7 +7,7 @@
 	"testing"
 
 	"example.org/ryeloft/internal/scale/control"
-	"example.org/ryeloft/internal/scale/hollow"
+	"example.org/ryeloft/internal/scale/simagent"
 )
 
 // Parts are called by these methods, and gob sends messages by the names of their fields.
@@ -31,7 +31,7 @@
 			"Start(Name Discovery State Addrs Lists) (Ready)",
 			"Stats() (Machine In Out Heard)",
 		}},
-		{"Hollow", new(hollow.Service), []string{
+		{"Hollow", new(simagent.Service), []string{
 			"Begin() ()",
 			"Config(Revision PushMS) ()",
 			"Start(Scenario Echo Agents Discovery Relays Begin Known) (Ready)",
--- a/internal/scale/run/play.go
+++ b/internal/scale/run/runner.go
@@ -15,11 +15,11 @@
 
 	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/scale/control"
-	"example.org/ryeloft/internal/scale/hollow"
 	"example.org/ryeloft/internal/scale/realagent"
 	"example.org/ryeloft/internal/scale/result"
 	"example.org/ryeloft/internal/scale/role"
 	"example.org/ryeloft/internal/scale/scenario"
+	"example.org/ryeloft/internal/scale/simagent"
 	"example.org/ryeloft/internal/scale/world"
 )
 
@@ -204,12 +204,12 @@
 	if p.hollow, err = p.part(ctx, "hollow"); err != nil {
 		return err
 	}
-	args := hollow.StartArgs{Scenario: *p.s, Agents: p.hollows, Discovery: p.addrs, Relays: p.relaysOf(), Known: p.known(false)}
+	args := simagent.StartArgs{Scenario: *p.s, Agents: p.hollows, Discovery: p.addrs, Relays: p.relaysOf(), Known: p.known(false)}
 	if p.echo != nil {
 		args.Echo = p.echo.Addrs()
 	}
 	p.o.Progress(fmt.Sprintf("starts %d hollow agents", len(p.hollows)))
-	var reply hollow.StartReply
+	var reply simagent.StartReply
 	if err := p.hollow.Call(ctx, "Hollow.Start", args, &reply); err != nil {
 		return err
 	}
--- a/internal/scale/run/steps.go
+++ b/internal/scale/run/steps.go
@@ -11,7 +11,7 @@
 	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/lists"
 	"example.org/ryeloft/internal/scale/control"
-	"example.org/ryeloft/internal/scale/hollow"
+	"example.org/ryeloft/internal/scale/simagent"
 	"example.org/ryeloft/internal/scale/world"
 )
 
@@ -128,7 +128,7 @@
 		ls.control.add(func(ctx context.Context) error { return p.stepControl(ctx, st) })
 	}
 	ls.hollow.add(func(ctx context.Context) error {
-		if err := p.hollow.Call(ctx, "Hollow.Step", hollow.StepArgs{Step: st}, &struct{}{}); err != nil {
+		if err := p.hollow.Call(ctx, "Hollow.Step", simagent.StepArgs{Step: st}, &struct{}{}); err != nil {
 			return err
 		}
 		if len(st.Restart) > 0 && len(st.Up) == 0 {
@@ -352,7 +352,7 @@
 	p.mu.Unlock()
 	round := p.s.Control.PushMS * float64(len(p.world.Agents))
 	if n := len(p.hollows); n > 0 {
-		args := hollow.ConfigArgs{Revision: st.Config, PushMS: round / float64(n)}
+		args := simagent.ConfigArgs{Revision: st.Config, PushMS: round / float64(n)}
 		if err := p.hollow.Call(ctx, "Hollow.Config", args, &struct{}{}); err != nil {
 			return err
 		}
--- a/internal/scale/hollow/source_test.go
+++ b/internal/scale/simagent/configsource_test.go
@@ -1,4 +1,4 @@
-package hollow
+package simagent
 
 import (
 	"testing"
--- a/internal/scale/hollow/fleet.go
+++ b/internal/scale/simagent/fleet.go
@@ -1,4 +1,4 @@
-// Package hollow runs many hollow agents in one process. A hollow agent is the real thing but for the sockets towards its
+// Package simagent runs many hollow agents in one process. A hollow agent is the real thing but for the sockets towards its
 // clients and servers: its client of discovery, with real HTTP on loopback; the reading of its configurations; its table
 // of members; its decisions. Sending and answering requests, the counter servers and their applications are modelled.
 //
@@ -6,7 +6,7 @@
 // so that an application and its agent meet without locks. What happens in the model happens at its due time, however
 // late it is handled: no modelled time is longer because the process is busy, and how late it was is told as the lag.
 // What comes from discovery or the source of configuration happens when it comes.
-package hollow
+package simagent
 
 import (
 	"context"
--- a/internal/scale/hollow/model_test.go
+++ b/internal/scale/simagent/model_test.go
@@ -1,4 +1,4 @@
-package hollow
+package simagent
 
 import (
 	"math/rand/v2"
