--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -267,7 +267,7 @@
 	if err := run.WriteText(o.out, r); err != nil {
 		return err
 	}
-	if err == nil && len(run.Over(r)) > 0 {
+	if err == nil && len(run.Violations(r)) > 0 {
 		return errOver
 	}
 	return err
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -112,7 +112,7 @@
 	return l, nil
 }
 
-// awaitList waits until the list that discovery has now is here, or for so long that an old one has to do.
+// awaitFirstList waits until the list that discovery has now is here, or for so long that an old one has to do.
 func (l *loop) awaitList(ctx context.Context) {
 	look := time.NewTicker(leaveLook)
 	defer look.Stop()
@@ -259,7 +259,7 @@
 	}
 }
 
-// hangUp ends a request whose client has gone, with an answer of nothing if the handler has not heard.
+// cancelCall ends a request whose client has gone, with an answer of nothing if the handler has not heard.
 func (l *loop) hangUp(ctx context.Context, r *request) {
 	r.end(answer{})
 	l.pool.counts.count(func(t *tally) { t.gone++ })
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -165,7 +165,7 @@
 	}
 }
 
-// giveUp answers a request as failed whose answer can be waited for no longer.
+// dropAttempt answers a request as failed whose answer can be waited for no longer.
 func (s *server) giveUp(w http.ResponseWriter, r *http.Request, c *call) {
 	s.loop.send(input{event: balancer.Event{Kind: balancer.EventClientClosed}, call: c})
 	s.answer(w, r, c, answer{status: statusFailed})
--- a/internal/relay/gate.go
+++ b/internal/relay/gate.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// longestQueue is how long a caller may wait here for its whole list: less than its call may take, by what it may have
+	// maxQueueMillis is how long a caller may wait here for its whole list: less than its call may take, by what it may have
 	// waited for news (aheadHold) and what writing and reading the list may need.
 	longestQueue = discovery.RelayFullListTimeout * 5 / 8
 	// lateGrace is how long after its time a promised turn is still kept for whoever it was promised to.
@@ -21,8 +21,8 @@
 
 // gate hands whole lists out at a stated rate; changes go through at once, for they are small and have to be in time.
 //
-// Whoever cannot have its turn within longestQueue is told when to come again, and that turn is kept. Promises bear no
-// name: whoever asks takes the first turn that is due within longestQueue, so that a turn whose owner went elsewhere is
+// Whoever cannot have its turn within maxQueueMillis is told when to come again, and that turn is kept. Promises bear no
+// name: whoever asks takes the first turn that is due within maxQueueMillis, so that a turn whose owner went elsewhere is
 // not lost, and an owner that finds its turn taken gets one that comes no later than those behind it.
 type gate struct {
 	mu       sync.Mutex
--- a/internal/scale/control/control.go
+++ b/internal/scale/control/control.go
@@ -45,8 +45,8 @@
 // DownArgs say whether control is down.
 type DownArgs struct{ Down bool }
 
-// CutArgs say which agents cannot reach control, or can again.
-type CutArgs struct {
+// PartitionArgs say which agents cannot reach control, or can again.
+type PartitionArgs struct {
 	Agents []int
 	Cut    bool
 }
@@ -55,12 +55,12 @@
 type StatsReply struct {
 	Machine  result.ControlMachine
 	In, Out  [][]int64 // bytes by agent and second
-	Changes  []ChangeTold
+	Changes  []ChangeNotification
 	LateTold int // of the changes, how many were written to a waiting watch later than queue and stated costs explain
 }
 
-// ChangeTold is when a change was made and came to each agent. Times are Unix times in nanoseconds.
-type ChangeTold struct {
+// ChangeNotification is when a change was made and came to each agent. Times are Unix times in nanoseconds.
+type ChangeNotification struct {
 	Revision uint64
 	At       int64
 	Heard    []int64 // by agent: when a call of it said that it holds this revision or a newer one; 0: not yet
@@ -69,22 +69,22 @@
 }
 
 var (
-	errNotStarted = errors.New("control has not been started")
-	errStarted    = errors.New("control has been started before")
+	errNotStarted     = errors.New("control has not been started")
+	errAlreadyStarted = errors.New("control has been started before")
 )
 
 // Service holds the role's methods. Its zero value is ready for Start; all others fail before it.
 type Service struct {
-	mu    sync.Mutex // one change, or change of state, at a time
-	store *lists.Store
-	http  *http.Server
-	lists *lists.Server
-	meter *meter.Meter
-	queue *queue
-	told  *told
-	ports []*port
-	own   use // of the process, when the measured part began
-	down  bool
+	mu            sync.Mutex // one change, or change of state, at a time
+	store         *lists.Store
+	http          *http.Server
+	lists         *lists.Server
+	meter         *meter.Meter
+	queue         *workQueue
+	notifications *notificationLog
+	ports         []*port
+	usageAtStart  usage // of the process, when the measured part began
+	down          bool
 }
 
 // Start listens for all agents.
@@ -93,24 +93,24 @@
 	defer s.mu.Unlock()
 	switch {
 	case s.store != nil:
-		return errStarted
+		return errAlreadyStarted
 	case len(args.Addrs) != len(args.Agents):
 		return fmt.Errorf("%d agents have %d addresses", len(args.Agents), len(args.Addrs))
 	}
-	now, err := used()
+	now, err := currentUsage()
 	if err != nil {
 		return err
 	}
 	store := lists.NewStore(args.Costs.Log)
 	store.Reset(args.Revision, args.Members)
-	s.own, s.meter, s.queue, s.told = now, meter.New(len(args.Addrs), now.at), newQueue(args.Costs, now.at), newTold(len(args.Addrs))
-	s.lists = &lists.Server{Store: store, Limiter: s.queue, OnAcknowledge: s.told.heardAt, OnCallDone: s.told.done}
+	s.usageAtStart, s.meter, s.queue, s.notifications = now, meter.New(len(args.Addrs), now.at), newWorkQueue(args.Costs, now.at), newNotificationLog(len(args.Addrs))
+	s.lists = &lists.Server{Store: store, Limiter: s.queue, OnAcknowledge: s.notifications.acknowledge, OnCallDone: s.notifications.callDone}
 	s.http = s.lists.HTTP()
 	for agent, addr := range args.Addrs {
 		s.ports = append(s.ports, newPort(agent, addr))
 	}
 	if err := s.listen(); err != nil {
-		s.hangUp()
+		s.closePorts()
 		s.ports = nil
 		return err
 	}
@@ -131,14 +131,14 @@
 	return nil
 }
 
-func (s *Service) hangUp() {
+func (s *Service) closePorts() {
 	for _, p := range s.ports {
-		p.hangUp()
+		p.close()
 	}
 }
 
-// started locks the service if it has been started.
-func (s *Service) started() error {
+// lockStarted locks the service if it has been started.
+func (s *Service) lockStarted() error {
 	s.mu.Lock()
 	if s.store == nil {
 		s.mu.Unlock()
@@ -150,12 +150,12 @@
 // Change makes the next revision and tells the watches. It does so while control is down as well; agents hear of it
 // when they can call again.
 func (s *Service) Change(args ChangeArgs, reply *ChangeReply) error {
-	if err := s.started(); err != nil {
+	if err := s.lockStarted(); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
 	revision := s.store.Revision() + 1
-	at, err := s.told.add(revision, len(args.Members))
+	at, err := s.notifications.addChange(revision, len(args.Members))
 	if err != nil {
 		return err
 	}
@@ -169,7 +169,7 @@
 // Down takes control down, which resets all connections that can be reset and drops the work that waits, or brings it
 // back at the same addresses.
 func (s *Service) Down(args DownArgs, _ *struct{}) error {
-	if err := s.started(); err != nil {
+	if err := s.lockStarted(); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
@@ -177,10 +177,10 @@
 		return nil
 	}
 	if args.Down {
-		s.hangUp()
-		s.queue.drop()
+		s.closePorts()
+		s.queue.dropPlanned()
 	} else if err := s.listen(); err != nil {
-		s.hangUp()
+		s.closePorts()
 		return err
 	}
 	s.down = args.Down
@@ -188,62 +188,62 @@
 }
 
 // Cut makes agents' connections silent, new ones too, or ends that: silent ones are then reset.
-func (s *Service) Cut(args CutArgs, _ *struct{}) error {
-	if err := s.started(); err != nil {
+func (s *Service) Cut(args PartitionArgs, _ *struct{}) error {
+	if err := s.lockStarted(); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	return cutPorts(s.ports, args)
+	return setPartitioned(s.ports, args)
 }
 
-func cutPorts(ports []*port, args CutArgs) error {
+func setPartitioned(ports []*port, args PartitionArgs) error {
 	if i := slices.IndexFunc(args.Agents, func(a int) bool { return a < 0 || a >= len(ports) }); i >= 0 {
 		return fmt.Errorf("agent %d of %d", args.Agents[i], len(ports))
 	}
 	for _, agent := range args.Agents {
-		ports[agent].setCut(args.Cut)
+		ports[agent].setPartitioned(args.Cut)
 	}
 	return nil
 }
 
 // Begin starts all counts from 0, and forgets the changes before.
 func (s *Service) Begin(struct{}, *struct{}) error {
-	if err := s.started(); err != nil {
+	if err := s.lockStarted(); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	now, err := used()
+	now, err := currentUsage()
 	if err != nil {
 		return err
 	}
-	s.own = now
+	s.usageAtStart = now
 	s.meter.Begin()
-	s.queue.begin(now.at)
-	s.told.begin()
+	s.queue.reset(now.at)
+	s.notifications.reset()
 	return nil
 }
 
 // Stats sums up what was measured.
 func (s *Service) Stats(_ struct{}, reply *StatsReply) error {
-	if err := s.started(); err != nil {
+	if err := s.lockStarted(); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	now, err := used()
+	now, err := currentUsage()
 	if err != nil {
 		return err
 	}
 	reply.In, reply.Out = s.meter.Bins()
-	s.told.stats(reply)
+	s.notifications.fill(reply)
 	m := &reply.Machine
 	m.Role, m.Name = "control", "control"
-	m.BytesIn, m.BytesOut = total(reply.In), total(reply.Out)
-	now.fill(m, s.own)
+	m.BytesIn, m.BytesOut = sumBins(reply.In), sumBins(reply.Out)
+	now.fill(m, s.usageAtStart)
 	s.queue.stats(time.Now(), m)
 	return nil
 }
 
-func total(bins [][]int64) (sum int64) {
+func sumBins(bins [][]int64) (sum int64) {
 	for _, agent := range bins {
 		for _, n := range agent {
 			sum += n
--- a/internal/scale/control/control_test.go
+++ b/internal/scale/control/control_test.go
@@ -222,10 +222,10 @@
 	}
 	var in, out int64
 	for i, a := range first {
-		if got := total(r.Out[i : i+1]); got != a.got {
+		if got := sumBins(r.Out[i : i+1]); got != a.got {
 			t.Errorf("agent %d: %d bytes counted, %d read", i, got, a.got)
 		}
-		if put := total(r.In[i : i+1]); put != a.put {
+		if put := sumBins(r.In[i : i+1]); put != a.put {
 			t.Errorf("agent %d: %d bytes counted, %d written", i, put, a.put)
 		}
 		in, out = in+a.put, out+a.got
@@ -331,7 +331,7 @@
 	s, addrs := start(t, 2, scenario.Control{Parallel: 1, Log: 16})
 	cut := func(cut bool) {
 		t.Helper()
-		if err := s.Cut(CutArgs{[]int{0}, cut}, nil); err != nil {
+		if err := s.Cut(PartitionArgs{[]int{0}, cut}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -433,7 +433,7 @@
 	}{
 		{"change before start", func() error { return new(Service).Change(ChangeArgs{}, new(ChangeReply)) }, "not been started"},
 		{"down before start", func() error { return new(Service).Down(DownArgs{}, nil) }, "not been started"},
-		{"cut before start", func() error { return new(Service).Cut(CutArgs{}, nil) }, "not been started"},
+		{"cut before start", func() error { return new(Service).Cut(PartitionArgs{}, nil) }, "not been started"},
 		{"begin before start", func() error { return new(Service).Begin(struct{}{}, nil) }, "not been started"},
 		{"stats before start", func() error { return new(Service).Stats(struct{}{}, new(StatsReply)) }, "not been started"},
 		{"start twice", func() error { return started.Start(StartArgs{}, new(StartReply)) }, "started before"},
@@ -441,7 +441,7 @@
 		{"address taken", func() error {
 			return new(Service).Start(StartArgs{Agents: make([]string, 2), Addrs: []string{"127.0.0.1:0", taken.Addr().String()}}, new(StartReply))
 		}, "address already in use"},
-		{"no such agent", func() error { return started.Cut(CutArgs{[]int{0, 1}, true}, nil) }, "agent 1 of 1"},
+		{"no such agent", func() error { return started.Cut(PartitionArgs{[]int{0, 1}, true}, nil) }, "agent 1 of 1"},
 	} {
 		if err := c.do(); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
--- a/internal/scale/control/port.go
+++ b/internal/scale/control/port.go
@@ -15,10 +15,10 @@
 	agent int
 	addr  string
 
-	mu    sync.Mutex
-	l     *net.TCPListener // nil while closed
-	cut   bool
-	conns map[*conn]struct{}
+	mu          sync.Mutex
+	tcpListener *net.TCPListener // nil while closed
+	partitioned bool
+	conns       map[*conn]struct{}
 }
 
 func newPort(agent int, addr string) *port {
@@ -33,37 +33,37 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.l = l.(*net.TCPListener)
-	return &listener{p.l, p}, nil
+	p.tcpListener = l.(*net.TCPListener)
+	return &listener{p.tcpListener, p}, nil
 }
 
-// hangUp closes the port and resets its connections, other than silent ones: no reset reaches their agent.
-func (p *port) hangUp() {
+// cancelCall closes the port and resets its connections, other than silent ones: no reset reaches their agent.
+func (p *port) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.l != nil {
-		p.l.Close()
-		p.l = nil
+	if p.tcpListener != nil {
+		p.tcpListener.Close()
+		p.tcpListener = nil
 	}
-	if !p.cut {
+	if !p.partitioned {
 		p.resetAll()
 	}
 }
 
-// setCut makes the port silent, or resets its silent connections.
-func (p *port) setCut(cut bool) {
+// setPartitioned makes the port silent, or resets its silent connections.
+func (p *port) setPartitioned(cut bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.cut == cut {
+	if p.partitioned == cut {
 		return
 	}
-	p.cut = cut
+	p.partitioned = cut
 	if !cut {
 		p.resetAll()
 		return
 	}
 	for c := range p.conns {
-		c.silent.Store(true)
+		c.partitioned.Store(true)
 	}
 }
 
@@ -75,26 +75,26 @@
 	clear(p.conns)
 }
 
-// take makes a new connection one of the port's. It returns nil if the connection is not to be served.
-func (p *port) take(l *net.TCPListener, tcp *net.TCPConn) *conn {
-	c := &conn{TCPConn: tcp, port: p, over: make(chan struct{})}
+// track makes a new connection one of the port's. It returns nil if the connection is not to be served.
+func (p *port) track(l *net.TCPListener, tcp *net.TCPConn) *conn {
+	c := &conn{TCPConn: tcp, port: p, released: make(chan struct{})}
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case p.l != l: // closed meanwhile
+	case p.tcpListener != l: // closed meanwhile
 		c.reset()
 		return nil
-	case p.cut:
-		c.silent.Store(true)
+	case p.partitioned:
+		c.partitioned.Store(true)
 		p.conns[c] = struct{}{}
-		go c.swallow()
+		go c.discard()
 		return nil
 	}
 	p.conns[c] = struct{}{}
 	return c
 }
 
-func (p *port) drop(c *conn) {
+func (p *port) forget(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
@@ -111,7 +111,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if c := l.port.take(l.TCPListener, tcp); c != nil {
+		if c := l.port.track(l.TCPListener, tcp); c != nil {
 			return c, nil
 		}
 	}
@@ -121,44 +121,44 @@
 // when its server closes it, until the port resets it or its agent has left it.
 type conn struct {
 	*net.TCPConn
-	port   *port
-	silent atomic.Bool
-	once   sync.Once
-	over   chan struct{} // closed when the server need not wait for it any more
+	port        *port
+	partitioned atomic.Bool
+	once        sync.Once
+	released    chan struct{} // closed when the server need not wait for it any more
 }
 
 // reset ends the connection as the death of a process does.
 func (c *conn) reset() {
 	c.SetLinger(0)
 	c.TCPConn.Close()
-	c.end()
+	c.release()
 }
 
-func (c *conn) end() { c.once.Do(func() { close(c.over) }) }
+func (c *conn) release() { c.once.Do(func() { close(c.released) }) }
 
-// swallow drops what comes on a silent connection until it is over or its agent has left it, which nobody is told: the
+// discard drops what comes on a silent connection until it is over or its agent has left it, which nobody is told: the
 // connection's end goes to a socket that no longer has an owner.
-func (c *conn) swallow() {
+func (c *conn) discard() {
 	io.Copy(io.Discard, c.TCPConn)
-	c.port.drop(c)
+	c.port.forget(c)
 	c.reset()
 }
 
 // Read may be cut off while it waits; what it got then is lost.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	if !c.silent.Load() {
+	if !c.partitioned.Load() {
 		return n, err
 	}
-	<-c.over
+	<-c.released
 	return 0, net.ErrClosed
 }
 
 func (c *conn) Write(b []byte) (int, error) {
-	if !c.silent.Load() {
+	if !c.partitioned.Load() {
 		return c.TCPConn.Write(b)
 	}
-	<-c.over
+	<-c.released
 	return 0, net.ErrClosed
 }
 
@@ -166,11 +166,11 @@
 func (c *conn) Close() error {
 	c.port.mu.Lock()
 	defer c.port.mu.Unlock()
-	if c.silent.Load() {
-		c.end()
+	if c.partitioned.Load() {
+		c.release()
 		return nil
 	}
 	delete(c.port.conns, c)
-	c.end()
+	c.release()
 	return c.TCPConn.Close()
 }
--- a/internal/scale/control/relay.go
+++ b/internal/scale/control/relay.go
@@ -28,8 +28,8 @@
 	Lists     float64  // whole lists a second that it hands out
 }
 
-// Mark says that an agent's call held a revision, for the first time at this relay.
-type Mark struct {
+// Acknowledgement says that an agent's call held a revision, for the first time at this relay.
+type Acknowledgement struct {
 	Revision uint64
 	At       int64 // Unix time, nanoseconds
 }
@@ -37,50 +37,50 @@
 // RelayStats is what a relay measured since Begin, or since Start before it.
 type RelayStats struct {
 	Machine result.ControlMachine
-	In, Out [][]int64 // bytes by agent and second
-	Heard   [][]Mark  // by agent, revisions rising
+	In, Out [][]int64           // bytes by agent and second
+	Heard   [][]Acknowledgement // by agent, revisions rising
 }
 
 // RelayService holds the role's methods. Its zero value is ready for Start; all others fail before it.
 type RelayService struct {
-	mu     sync.Mutex
-	name   string
-	relay  *relay.Relay
-	http   *http.Server
-	meter  *meter.Meter
-	ports  []*port
-	own    use // of the process, when the measured part began
-	counts relay.Metrics
-	load   load
-
-	heardMu sync.Mutex
-	heard   [][]Mark
+	mu            sync.Mutex
+	name          string
+	relay         *relay.Relay
+	http          *http.Server
+	meter         *meter.Meter
+	ports         []*port
+	usageAtStart  usage // of the process, when the measured part began
+	countsAtStart relay.Metrics
+	cpuLoad       cpuLoad
+
+	acknowledgedMu sync.Mutex
+	acknowledged   [][]Acknowledgement
 }
 
-// relayCalls are the calls that a relay of a run holds at a time, for each agent that can call it.
-const relayCalls = 4
+// relayCallsPerAgent are the calls that a relay of a run holds at a time, for each agent that can call it.
+const relayCallsPerAgent = 4
 
-var errNoRelay = errors.New("the relay has not been started")
+var errRelayNotStarted = errors.New("the relay has not been started")
 
 // Start makes the relay, which reads the list that it had, and listens for all agents.
 func (s *RelayService) Start(args RelayArgs, reply *StartReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.relay != nil {
-		return errStarted
+		return errAlreadyStarted
 	}
-	now, err := used()
+	now, err := currentUsage()
 	if err != nil {
 		return err
 	}
 	r, err := relay.New(relay.Options{
-		Name: args.Name, Discovery: args.Discovery, State: args.State, FullListsPerSecond: args.Lists, MaxCallers: relayCalls * len(args.Addrs),
-		Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})), OnAcknowledge: s.heardAt,
+		Name: args.Name, Discovery: args.Discovery, State: args.State, FullListsPerSecond: args.Lists, MaxCallers: relayCallsPerAgent * len(args.Addrs),
+		Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})), OnAcknowledge: s.acknowledge,
 	})
 	if err != nil {
 		return err
 	}
-	s.heard = make([][]Mark, len(args.Addrs))
+	s.acknowledged = make([][]Acknowledgement, len(args.Addrs))
 	s.meter, s.http = meter.New(len(args.Addrs), now.at), r.HTTP()
 	for agent, addr := range args.Addrs {
 		p := newPort(agent, addr)
@@ -92,81 +92,81 @@
 		s.ports = append(s.ports, p)
 		go s.http.Serve(r.Listener(s.meter.Listener(l, agent), agent)) // until its port closes
 	}
-	s.name, s.own, s.relay = args.Name, now, r
-	s.load.begin(now)
+	s.name, s.usageAtStart, s.relay = args.Name, now, r
+	s.cpuLoad.reset(now)
 	go r.Run(context.Background()) // until the process ends
-	go s.load.follow()
+	go s.cpuLoad.run()
 	reply.Ready = len(s.ports)
 	return nil
 }
 
-// heardAt notes when an agent first says that it holds a revision.
-func (s *RelayService) heardAt(agent int, revision uint64, at time.Time) {
-	s.heardMu.Lock()
-	defer s.heardMu.Unlock()
-	marks := s.heard[agent]
+// acknowledge notes when an agent first says that it holds a revision.
+func (s *RelayService) acknowledge(agent int, revision uint64, at time.Time) {
+	s.acknowledgedMu.Lock()
+	defer s.acknowledgedMu.Unlock()
+	marks := s.acknowledged[agent]
 	if n := len(marks); n == 0 || marks[n-1].Revision < revision {
-		s.heard[agent] = append(marks, Mark{revision, at.UnixNano()})
+		s.acknowledged[agent] = append(marks, Acknowledgement{revision, at.UnixNano()})
 	}
 }
 
-// started locks the service if it has been started.
-func (s *RelayService) started() error {
+// lockStarted locks the service if it has been started.
+func (s *RelayService) lockStarted() error {
 	s.mu.Lock()
 	if s.relay == nil {
 		s.mu.Unlock()
-		return errNoRelay
+		return errRelayNotStarted
 	}
 	return nil
 }
 
 // Cut makes agents' connections silent, new ones too, or ends that: silent ones are then reset.
-func (s *RelayService) Cut(args CutArgs, _ *struct{}) error {
-	if err := s.started(); err != nil {
+func (s *RelayService) Cut(args PartitionArgs, _ *struct{}) error {
+	if err := s.lockStarted(); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	return cutPorts(s.ports, args)
+	return setPartitioned(s.ports, args)
 }
 
 // Begin starts all counts from 0. What agents hold by then is known.
 func (s *RelayService) Begin(struct{}, *struct{}) error {
-	if err := s.started(); err != nil {
+	if err := s.lockStarted(); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	now, err := used()
+	now, err := currentUsage()
 	if err != nil {
 		return err
 	}
-	s.own, s.counts = now, s.relay.Metrics()
+	s.usageAtStart, s.countsAtStart = now, s.relay.Metrics()
 	s.meter.Begin()
-	s.load.begin(now)
+	s.cpuLoad.reset(now)
 	return nil
 }
 
 // Stats sums up what was measured. A relay's cost is real processor time: no cost of it is stated.
 func (s *RelayService) Stats(_ struct{}, reply *RelayStats) error {
-	if err := s.started(); err != nil {
+	if err := s.lockStarted(); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	now, err := used()
+	now, err := currentUsage()
 	if err != nil {
 		return err
 	}
 	reply.In, reply.Out = s.meter.Bins()
-	s.heardMu.Lock()
-	for _, marks := range s.heard {
+	s.acknowledgedMu.Lock()
+	for _, marks := range s.acknowledged {
 		reply.Heard = append(reply.Heard, slices.Clone(marks))
 	}
-	s.heardMu.Unlock()
+	s.acknowledgedMu.Unlock()
 	m, f := &reply.Machine, s.relay.Metrics()
 	m.Role, m.Name = "relay", s.name
-	m.Calls, m.WholeLists, m.Refused = f.Calls-s.counts.Calls, f.FullLists-s.counts.FullLists, f.Rejected-s.counts.Rejected
-	m.BytesIn, m.BytesOut = total(reply.In), total(reply.Out)
-	now.fill(m, s.own)
+	m.Calls, m.WholeLists, m.Refused = f.Calls-s.countsAtStart.Calls, f.FullLists-s.countsAtStart.FullLists, f.Rejected-s.countsAtStart.Rejected
+	m.BytesIn, m.BytesOut = sumBins(reply.In), sumBins(reply.Out)
+	now.fill(m, s.usageAtStart)
 	m.Busy = m.CPUPercent / 100
-	m.Worst6s = s.load.worst6s()
+	m.Worst6s = s.cpuLoad.worst6s()
 	return nil
 }
--- a/internal/scale/control/relay_test.go
+++ b/internal/scale/control/relay_test.go
@@ -26,7 +26,7 @@
 	const agents = 3
 	c, above := start(t, agents+1, scenario.Control{Log: 16})
 	s, addrs := startRelayAt(t, above[agents], t.TempDir(), agents)
-	if err := s.Start(RelayArgs{}, &StartReply{}); err != errStarted {
+	if err := s.Start(RelayArgs{}, &StartReply{}); err != errAlreadyStarted {
 		t.Errorf("a second start: %v", err)
 	}
 	if err := s.Begin(struct{}{}, nil); err != nil {
@@ -70,20 +70,20 @@
 			t.Errorf("agent %d: %+v, made %+v", agent, marks, made)
 		}
 	}
-	if err := s.Cut(CutArgs{Agents: []int{agents}, Cut: true}, nil); err == nil {
+	if err := s.Cut(PartitionArgs{Agents: []int{agents}, Cut: true}, nil); err == nil {
 		t.Error("an agent that there is not can be cut off")
 	}
 	silent := dial(t, addrs[1])
 	if _, _, err := silent.call("?after=42"); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Cut(CutArgs{Agents: []int{1}, Cut: true}, nil); err != nil {
+	if err := s.Cut(PartitionArgs{Agents: []int{1}, Cut: true}, nil); err != nil {
 		t.Fatal(err)
 	}
 	if err := silent.send("?after=42"); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Cut(CutArgs{Agents: []int{1}}, nil); err != nil {
+	if err := s.Cut(PartitionArgs{Agents: []int{1}}, nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := silent.answer(); err == nil {
@@ -95,9 +95,9 @@
 func TestRelayRoleFails(t *testing.T) {
 	s := new(RelayService)
 	for name, err := range map[string]error{
-		"Begin": s.Begin(struct{}{}, nil), "Cut": s.Cut(CutArgs{}, nil), "Stats": s.Stats(struct{}{}, &RelayStats{}),
+		"Begin": s.Begin(struct{}{}, nil), "Cut": s.Cut(PartitionArgs{}, nil), "Stats": s.Stats(struct{}{}, &RelayStats{}),
 	} {
-		if err != errNoRelay {
+		if err != errRelayNotStarted {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
@@ -113,23 +113,23 @@
 
 func TestLoad(t *testing.T) {
 	begun := time.Now()
-	at := func(second int, cpu float64) use {
-		return use{at: begun.Add(time.Duration(second) * time.Second), cpu: time.Duration(cpu * float64(time.Second))}
+	at := func(second int, cpu float64) usage {
+		return usage{at: begun.Add(time.Duration(second) * time.Second), cpu: time.Duration(cpu * float64(time.Second))}
 	}
-	var l load
-	l.begin(at(0, 1))
+	var l cpuLoad
+	l.reset(at(0, 1))
 	for i, cpu := range []float64{1, 1, 2, 3, 4, 4} { // seconds of processor time by then
-		l.note(at(i+1, cpu))
+		l.sample(at(i+1, cpu))
 	}
 	if got, want := l.worst6s(), 3.0/6; got < want-1e-9 || got > want+1e-9 {
 		t.Errorf("worst %v of six seconds, want %v", got, want)
 	}
-	l.note(at(6, 9)) // no time has passed
-	l.note(at(7, 10))
+	l.sample(at(6, 9)) // no time has passed
+	l.sample(at(7, 10))
 	if got, want := l.worst6s(), 9.0/6; got < want-1e-9 || got > want+1e-9 {
 		t.Errorf("worst %v, want %v", got, want)
 	}
-	l.begin(at(7, 10))
+	l.reset(at(7, 10))
 	if got := l.worst6s(); got != 0 {
 		t.Errorf("worst %v at the begin", got)
 	}
--- a/internal/scale/control/usage.go
+++ b/internal/scale/control/usage.go
@@ -9,33 +9,33 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// use is what this process had used by a time.
-type use struct {
-	at  time.Time
-	cpu time.Duration // user and system
-	rss float64       // bytes held then
+// usage is what this process had used by a time.
+type usage struct {
+	at       time.Time
+	cpu      time.Duration // user and system
+	rssBytes float64       // bytes held then
 }
 
-func used() (use, error) {
+func currentUsage() (usage, error) {
 	var r syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &r); err != nil {
-		return use{}, fmt.Errorf("getrusage: %w", err)
+		return usage{}, fmt.Errorf("getrusage: %w", err)
 	}
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
-		return use{}, err
+		return usage{}, err
 	}
 	var size, resident int64 // pages
 	if _, err := fmt.Sscan(string(text), &size, &resident); err != nil {
-		return use{}, fmt.Errorf("/proc/self/statm: %w", err)
+		return usage{}, fmt.Errorf("/proc/self/statm: %w", err)
 	}
-	return use{time.Now(), time.Duration(r.Utime.Nano() + r.Stime.Nano()), float64(resident) * float64(os.Getpagesize())}, nil
+	return usage{time.Now(), time.Duration(r.Utime.Nano() + r.Stime.Nano()), float64(resident) * float64(os.Getpagesize())}, nil
 }
 
 // fill puts what was used since an earlier time, and is held now, into a machine's figures.
-func (u use) fill(m *result.ControlMachine, since use) {
+func (u usage) fill(m *result.ControlMachine, since usage) {
 	if wall := u.at.Sub(since.at); wall > 0 {
 		m.CPUPercent = 100 * float64(u.cpu-since.cpu) / float64(wall)
 	}
-	m.RSSBytes = u.rss
+	m.RSSBytes = u.rssBytes
 }
--- a/internal/scale/control/workqueue_test.go
+++ b/internal/scale/control/workqueue_test.go
@@ -67,7 +67,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				began := time.Now()
-				q := newQueue(c.costs, began)
+				q := newWorkQueue(c.costs, began)
 				for i, e := range c.entries {
 					go func() {
 						time.Sleep(e.at) // of the bubble's clock
@@ -96,7 +96,7 @@
 func TestQueueLeft(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
-		q := newQueue(scenario.Control{CallMS: 10, Parallel: 1}, began)
+		q := newWorkQueue(scenario.Control{CallMS: 10, Parallel: 1}, began)
 		ctx, leave := context.WithTimeout(t.Context(), 3*ms)
 		defer leave()
 		if _, err := q.Admit(ctx, lists.Work{}); !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != 3*ms {
@@ -111,10 +111,10 @@
 // What waits is forgotten when control goes down, and the worst span is the worst one, of whole seconds.
 func TestQueueDropAndWorst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		q := newQueue(scenario.Control{CallMS: 1000, Parallel: 1}, time.Now())
+		q := newWorkQueue(scenario.Control{CallMS: 1000, Parallel: 1}, time.Now())
 		q.plan(time.Now(), 100*time.Second)
 		time.Sleep(3 * time.Second)
-		q.drop()
+		q.dropPlanned()
 		time.Sleep(7 * time.Second)
 		q.plan(time.Now(), 1500*ms) // 10 to 11.5 s
 		time.Sleep(10 * time.Second)
@@ -125,19 +125,19 @@
 		}
 		q.plan(time.Now(), 20*time.Second)
 		time.Sleep(5 * time.Second)
-		q.begin(time.Now()) // with 15 s to go
+		q.reset(time.Now()) // with 15 s to go
 		time.Sleep(10 * time.Second)
 		q.stats(time.Now(), &m)
 		if m.Busy != 1 || m.Worst6s != 1 || m.QueueMS.N != 0 {
 			t.Errorf("after Begin: %+v", m)
 		}
-		q.begin(time.Now())
+		q.reset(time.Now())
 		time.Sleep(2 * maxSeconds * time.Second)
 		q.plan(time.Now(), time.Second)
 		time.Sleep(time.Second)
 		q.stats(time.Now(), &m)
-		if len(q.busy) != maxSeconds || !near(m.Busy, 6.0/(2*maxSeconds+1)) {
-			t.Errorf("after two hours: %d seconds, busy %v", len(q.busy), m.Busy)
+		if len(q.busySeconds) != maxSeconds || !near(m.Busy, 6.0/(2*maxSeconds+1)) {
+			t.Errorf("after two hours: %d seconds, busy %v", len(q.busySeconds), m.Busy)
 		}
 	})
 }
--- a/internal/scale/meter/meter.go
+++ b/internal/scale/meter/meter.go
@@ -13,29 +13,29 @@
 // Meter counts for a number of agents. What counts is what the sockets' owners read and write: neither the headers of
 // TCP and IP nor what is sent again.
 type Meter struct {
-	mu     sync.RWMutex // for writing: to begin anew
-	begin  time.Time
-	counts []count
+	mu        sync.RWMutex // for writing: to begin anew
+	startedAt time.Time
+	agents    []agentBins
 }
 
-// count is one agent's. Each has a lock of its own, so that agents do not wait for each other.
-type count struct {
+// agentBins is one agent's. Each has a lock of its own, so that agents do not wait for each other.
+type agentBins struct {
 	mu      sync.Mutex
 	in, out []int64 // by second; as long as the last one that had bytes
 }
 
 // New returns a meter whose first second starts at begin. What comes before counts in that second.
 func New(agents int, begin time.Time) *Meter {
-	return &Meter{begin: begin, counts: make([]count, agents)}
+	return &Meter{startedAt: begin, agents: make([]agentBins, agents)}
 }
 
 // Begin forgets what was counted and starts the first second now.
 func (m *Meter) Begin() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.begin = time.Now()
-	for i := range m.counts {
-		c := &m.counts[i]
+	m.startedAt = time.Now()
+	for i := range m.agents {
+		c := &m.agents[i]
 		c.in, c.out = nil, nil
 	}
 }
@@ -46,11 +46,11 @@
 	m.mu.Lock() // and so no count is being added to
 	defer m.mu.Unlock()
 	n := m.bin(time.Now()) + 1
-	for i := range m.counts {
-		n = max(n, len(m.counts[i].in), len(m.counts[i].out))
+	for i := range m.agents {
+		n = max(n, len(m.agents[i].in), len(m.agents[i].out))
 	}
-	for i := range m.counts {
-		in, out = append(in, padded(m.counts[i].in, n)), append(out, padded(m.counts[i].out, n))
+	for i := range m.agents {
+		in, out = append(in, padded(m.agents[i].in, n)), append(out, padded(m.agents[i].out, n))
 	}
 	return in, out
 }
@@ -63,25 +63,25 @@
 
 // bin is the second that a time lies in.
 func (m *Meter) bin(at time.Time) int {
-	return int(min(max(at.Sub(m.begin)/time.Second, 0), maxBins-1))
+	return int(min(max(at.Sub(m.startedAt)/time.Second, 0), maxBins-1))
 }
 
 func (m *Meter) add(agent, in, out int) {
 	now := time.Now()
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	bin, c := m.bin(now), &m.counts[agent]
+	bin, c := m.bin(now), &m.agents[agent]
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if in > 0 {
-		c.in = counted(c.in, bin, in)
+		c.in = addToBin(c.in, bin, in)
 	}
 	if out > 0 {
-		c.out = counted(c.out, bin, out)
+		c.out = addToBin(c.out, bin, out)
 	}
 }
 
-func counted(bins []int64, bin, n int) []int64 {
+func addToBin(bins []int64, bin, n int) []int64 {
 	for len(bins) <= bin {
 		bins = append(bins, 0)
 	}
@@ -94,7 +94,7 @@
 
 type listener struct {
 	net.Listener
-	m     *Meter
+	meter *Meter
 	agent int
 }
 
@@ -103,23 +103,23 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{c, l.m, l.agent}, nil
+	return &conn{c, l.meter, l.agent}, nil
 }
 
 type conn struct {
 	net.Conn
-	m     *Meter
+	meter *Meter
 	agent int
 }
 
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	c.m.add(c.agent, n, 0)
+	c.meter.add(c.agent, n, 0)
 	return n, err
 }
 
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.m.add(c.agent, 0, n)
+	c.meter.add(c.agent, 0, n)
 	return n, err
 }
--- a/internal/scale/realagent/addedlatency.go
+++ b/internal/scale/realagent/addedlatency.go
@@ -183,7 +183,7 @@
 // summary sums up what the clients measured.
 func summary(clients []*client) result.Added {
 	var sum result.Added
-	hists := [2]*result.Hist{result.NewHist(longest), result.NewHist(longest)}
+	hists := [2]*result.Histogram{result.NewHistogram(longest), result.NewHistogram(longest)}
 	var differences []time.Duration
 	for _, c := range clients {
 		sum.Failed += c.failed
@@ -194,7 +194,7 @@
 			differences = append(differences, through-direct)
 		}
 	}
-	sum.Through, sum.Direct, sum.CallsEach = hists[0].Dist(), hists[1].Dist(), len(differences)
+	sum.Through, sum.Direct, sum.CallsEach = hists[0].Distribution(), hists[1].Distribution(), len(differences)
 	sum.P99MS = sum.Through.P99 - sum.Direct.P99
 	if len(differences) > 0 {
 		slices.Sort(differences)
--- a/internal/scale/realagent/process.go
+++ b/internal/scale/realagent/process.go
@@ -80,7 +80,7 @@
 	defer a.mu.Unlock()
 	return text(a.position, world.ConfigOptions{
 		Listen: a.listen, Discovery: a.discovery, Relays: a.relays,
-		Revision: a.revision, Known: a.known, Echo: true, Seed: rand.Uint64(),
+		Revision: a.revision, CachedEndpoints: a.known, Echo: true, Seed: rand.Uint64(),
 	})
 }
 
--- a/internal/scale/realagent/realagent.go
+++ b/internal/scale/realagent/realagent.go
@@ -79,9 +79,9 @@
 	err     error
 	failed  chan struct{}
 	begun   time.Time // the measured part, as what follows
-	inForce *result.Hist
+	inForce *result.Histogram
 	changes []ConfigChange
-	ups     *result.Hist
+	ups     *result.Histogram
 }
 
 // Start starts the agents and waits until all are up. An agent that does not come up is an error with its name and its last
--- a/internal/scale/realagent/stats.go
+++ b/internal/scale/realagent/stats.go
@@ -25,11 +25,11 @@
 	// CallCPUMS is what one call costs a busy agent in processor time, ms: all that it used, less what a quiet one did.
 	// It is 0 without calls, and too large by control's part where no agent is quiet.
 	CallCPUMS   float64
-	RSSBytes    result.Dist  // now
-	PeakBytes   result.Dist  // the largest each present process has had
-	ConfInForce *result.Hist // ms, from the beginning of the change: all agents and changes
+	RSSBytes    result.Distribution // now
+	PeakBytes   result.Distribution // the largest each present process has had
+	ConfInForce *result.Histogram   // ms, from the beginning of the change: all agents and changes
 	Configs     []ConfigChange
-	UpMS        result.Dist // of restarted agents, from their process's beginning until they take clients
+	UpMS        result.Distribution // of restarted agents, from their process's beginning until they take clients
 	Each        []AgentStats
 }
 
@@ -51,7 +51,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.begun = time.Now()
-	f.inForce, f.changes, f.ups = result.NewHist(longestInForce), nil, result.NewHist(longestInForce)
+	f.inForce, f.changes, f.ups = result.NewHistogram(longestInForce), nil, result.NewHistogram(longestInForce)
 	for _, a := range f.agents {
 		a.calls.Store(0)
 		a.restarts.Store(0)
@@ -66,7 +66,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	wall := time.Since(f.begun)
-	s := Stats{Agents: len(f.agents), ConfInForce: result.NewHist(longestInForce), Configs: slices.Clone(f.changes), UpMS: f.ups.Dist()}
+	s := Stats{Agents: len(f.agents), ConfInForce: result.NewHistogram(longestInForce), Configs: slices.Clone(f.changes), UpMS: f.ups.Distribution()}
 	s.ConfInForce.Merge(f.inForce)
 	for _, a := range f.agents {
 		s.Each = append(s.Each, a.stats(wall))
@@ -77,7 +77,7 @@
 
 // sum computes the fleet's figures from the agents'.
 func (s *Stats) sum(wall time.Duration) {
-	rss, peak := result.NewHist(largestMB), result.NewHist(largestMB)
+	rss, peak := result.NewHistogram(largestMB), result.NewHistogram(largestMB)
 	quiet, busy, calls := 0.0, 0.0, int64(0)
 	for _, a := range s.Each {
 		if a.PID != 0 {
@@ -92,7 +92,7 @@
 			s.Quiet++
 		}
 	}
-	s.RSSBytes, s.PeakBytes = inBytes(rss.Dist()), inBytes(peak.Dist())
+	s.RSSBytes, s.PeakBytes = inBytes(rss.Distribution()), inBytes(peak.Distribution())
 	if s.Quiet > 0 {
 		s.CPUPercent = quiet / float64(s.Quiet)
 	}
@@ -103,7 +103,7 @@
 }
 
 // inBytes turns a distribution of megabytes into one of bytes.
-func inBytes(d result.Dist) result.Dist {
+func inBytes(d result.Distribution) result.Distribution {
 	for _, v := range []*float64{&d.Mean, &d.P50, &d.P99, &d.Max} {
 		*v *= 1 << 20
 	}
@@ -123,7 +123,7 @@
 	return s
 }
 
-// processorTime is what all processes of an agent have used so far. The mutex is held.
+// processCPU is what all processes of an agent have used so far. The mutex is held.
 func (a *agent) processorTime() time.Duration {
 	if a.proc == nil {
 		return a.spent
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -8,8 +8,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Dist is a distribution in the unit of its owner's name. N 0 means that nothing was measured.
-type Dist struct {
+// Distribution is a distribution in the unit of its owner's name. N 0 means that nothing was measured.
+type Distribution struct {
 	N    int64   `json:"n"`
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
@@ -17,39 +17,39 @@
 	Max  float64 `json:"max"`
 }
 
-// histScale is how many steps of a Hist one unit has: three digits of figures from a thousandth on.
-const histScale = 1000
+// stepsPerUnit is how many steps of a Hist one unit has: three digits of figures from a thousandth on.
+const stepsPerUnit = 1000
 
-// Hist collects figures not below 0, to three significant digits, in bounded memory.
-type Hist struct{ h *hdrhistogram.Histogram }
+// Histogram collects figures not below 0, to three significant digits, in bounded memory.
+type Histogram struct{ h *hdrhistogram.Histogram }
 
-// NewHist returns an empty histogram for figures up to the largest one; what is above counts as that.
-func NewHist(largest float64) *Hist {
-	return &Hist{hdrhistogram.New(1, int64(largest*histScale)+1, 3)}
+// NewHistogram returns an empty histogram for figures up to the largest one; what is above counts as that.
+func NewHistogram(largest float64) *Histogram {
+	return &Histogram{hdrhistogram.New(1, int64(largest*stepsPerUnit)+1, 3)}
 }
 
 // Add takes in one figure.
-func (h *Hist) Add(v float64) {
-	n := min(max(int64(v*histScale), 0), h.h.HighestTrackableValue())
+func (h *Histogram) Add(v float64) {
+	n := min(max(int64(v*stepsPerUnit), 0), h.h.HighestTrackableValue())
 	_ = h.h.RecordValue(n) // it is within the bounds
 }
 
 // AddDuration takes in a time, in milliseconds.
-func (h *Hist) AddDuration(d time.Duration) { h.Add(float64(d) / float64(time.Millisecond)) }
+func (h *Histogram) AddDuration(d time.Duration) { h.Add(float64(d) / float64(time.Millisecond)) }
 
 // Merge takes in all of another histogram.
-func (h *Hist) Merge(o *Hist) { h.h.Merge(o.h) }
+func (h *Histogram) Merge(o *Histogram) { h.h.Merge(o.h) }
 
-// Dist sums the figures up.
-func (h *Hist) Dist() Dist {
+// Distribution sums the figures up.
+func (h *Histogram) Distribution() Distribution {
 	if h.h.TotalCount() == 0 {
-		return Dist{}
+		return Distribution{}
 	}
-	return Dist{
-		N: h.h.TotalCount(), Mean: h.h.Mean() / histScale,
-		P50: float64(h.h.ValueAtQuantile(50)) / histScale,
-		P99: float64(h.h.ValueAtQuantile(99)) / histScale,
-		Max: float64(h.h.Max()) / histScale,
+	return Distribution{
+		N: h.h.TotalCount(), Mean: h.h.Mean() / stepsPerUnit,
+		P50: float64(h.h.ValueAtQuantile(50)) / stepsPerUnit,
+		P99: float64(h.h.ValueAtQuantile(99)) / stepsPerUnit,
+		Max: float64(h.h.Max()) / stepsPerUnit,
 	}
 }
 
@@ -73,34 +73,34 @@
 
 // AgentControl is what control cost the agents of one sort, hollow or real.
 type AgentControl struct {
-	Agents      int     `json:"agents"`
-	BytesIn     Dist    `json:"bytes_in_per_s"`   // mean of each agent over the run, bytes a second
-	BytesOut    Dist    `json:"bytes_out_per_s"`  //
-	Worst6s     Dist    `json:"worst_6s_per_s"`   // of each agent: in and out, bytes a second over its worst 6 s
-	CPUPercent  float64 `json:"cpu_percent"`      // of one core, an agent, for control alone
-	HeapBytes   float64 `json:"heap_bytes"`       // live, an agent; hollow ones
-	RSSBytes    Dist    `json:"rss_bytes"`        // real ones
-	ListInForce Dist    `json:"list_in_force_ms"` // hollow ones by themselves, real ones as ListHeard
-	ListHeard   Dist    `json:"list_heard_ms"`    // as control hears of it, by the agent's next call; both sorts
-	ConfInForce Dist    `json:"config_in_force_ms"`
-	Unheard     int     `json:"unheard"` // pairs of an agent and a change that had not come when the run ended, of those due
+	Agents      int          `json:"agents"`
+	BytesIn     Distribution `json:"bytes_in_per_s"`   // mean of each agent over the run, bytes a second
+	BytesOut    Distribution `json:"bytes_out_per_s"`  //
+	Worst6s     Distribution `json:"worst_6s_per_s"`   // of each agent: in and out, bytes a second over its worst 6 s
+	CPUPercent  float64      `json:"cpu_percent"`      // of one core, an agent, for control alone
+	HeapBytes   float64      `json:"heap_bytes"`       // live, an agent; hollow ones
+	RSSBytes    Distribution `json:"rss_bytes"`        // real ones
+	ListInForce Distribution `json:"list_in_force_ms"` // hollow ones by themselves, real ones as ListHeard
+	ListHeard   Distribution `json:"list_heard_ms"`    // as control hears of it, by the agent's next call; both sorts
+	ConfInForce Distribution `json:"config_in_force_ms"`
+	Unheard     int          `json:"unheard"` // pairs of an agent and a change that had not come when the run ended, of those due
 }
 
 // ControlMachine is what one machine of the control side did: control itself, a relay, or the source of configuration.
 type ControlMachine struct {
-	Role       string  `json:"role"`
-	Name       string  `json:"name"`
-	Calls      int64   `json:"calls"`
-	WholeLists int64   `json:"whole_lists"`
-	Refused    int64   `json:"refused"`
-	BytesIn    int64   `json:"bytes_in"`
-	BytesOut   int64   `json:"bytes_out"`
-	CPUPercent float64 `json:"cpu_percent"` // of one core, real processor time
-	Busy       float64 `json:"busy"`        // share of the run that its stated costs took
-	Worst6s    float64 `json:"worst_6s_busy"`
-	QueueMS    Dist    `json:"queue_ms"` // how long calls waited for their turn
-	QueueMax   int     `json:"queue_max"`
-	RSSBytes   float64 `json:"rss_bytes"`
+	Role       string       `json:"role"`
+	Name       string       `json:"name"`
+	Calls      int64        `json:"calls"`
+	WholeLists int64        `json:"whole_lists"`
+	Refused    int64        `json:"refused"`
+	BytesIn    int64        `json:"bytes_in"`
+	BytesOut   int64        `json:"bytes_out"`
+	CPUPercent float64      `json:"cpu_percent"` // of one core, real processor time
+	Busy       float64      `json:"busy"`        // share of the run that its stated costs took
+	Worst6s    float64      `json:"worst_6s_busy"`
+	QueueMS    Distribution `json:"queue_ms"` // how long calls waited for their turn
+	QueueMax   int          `json:"queue_max"`
+	RSSBytes   float64      `json:"rss_bytes"`
 }
 
 // Depth is what happened to calls at one depth below the root, 1 being the first.
@@ -130,28 +130,28 @@
 
 // EventResult is one event of the scenario as it was played.
 type EventResult struct {
-	Kind       string  `json:"kind"`
-	At         float64 `json:"at_s"`
-	Length     float64 `json:"length_s"`
-	Affects    int     `json:"affects"`     // agents, servers or machines, by its kind
-	Bytes      int64   `json:"bytes"`       // of control in and out, all agents, in the event and 6 s after it
-	InForceMS  Dist    `json:"in_force_ms"` // of the changes that it made, at each agent
-	Unheard    int     `json:"unheard"`
-	ServedPct  float64 `json:"served_percent"`  // of the calls at the root, meanwhile
-	BeforePct  float64 `json:"before_percent"`  // in the 5 s before
-	BackAfterS float64 `json:"back_after_s"`    // from its end until nine tenths of before are served again; -1: not within the run
-	FullLists  int64   `json:"whole_lists"`     // that control and relays wrote meanwhile
-	Refused    int64   `json:"control_refused"` // calls of control and relays meanwhile
+	Kind       string       `json:"kind"`
+	At         float64      `json:"at_s"`
+	Length     float64      `json:"length_s"`
+	Affects    int          `json:"affects"`     // agents, servers or machines, by its kind
+	Bytes      int64        `json:"bytes"`       // of control in and out, all agents, in the event and 6 s after it
+	InForceMS  Distribution `json:"in_force_ms"` // of the changes that it made, at each agent
+	Unheard    int          `json:"unheard"`
+	ServedPct  float64      `json:"served_percent"`  // of the calls at the root, meanwhile
+	BeforePct  float64      `json:"before_percent"`  // in the 5 s before
+	BackAfterS float64      `json:"back_after_s"`    // from its end until nine tenths of before are served again; -1: not within the run
+	FullLists  int64        `json:"whole_lists"`     // that control and relays wrote meanwhile
+	Refused    int64        `json:"control_refused"` // calls of control and relays meanwhile
 }
 
 // Added is the time that a real agent adds to a call, against the same call made directly, in turn in one run.
 type Added struct {
-	Through   Dist    `json:"through_ms"`
-	Direct    Dist    `json:"direct_ms"`
-	MedianMS  float64 `json:"added_median_ms"` // of the pairs' differences
-	P99MS     float64 `json:"added_p99_ms"`    // P99 of the one less P99 of the other
-	Failed    int     `json:"failed"`
-	CallsEach int     `json:"calls_each"`
+	Through   Distribution `json:"through_ms"`
+	Direct    Distribution `json:"direct_ms"`
+	MedianMS  float64      `json:"added_median_ms"` // of the pairs' differences
+	P99MS     float64      `json:"added_p99_ms"`    // P99 of the one less P99 of the other
+	Failed    int          `json:"failed"`
+	CallsEach int          `json:"calls_each"`
 }
 
 // Budget is one line of what the target allows.
@@ -175,21 +175,21 @@
 
 // Run is all that one run measured.
 type Run struct {
-	Scenario   string           `json:"scenario"`
-	Sizes      Sizes            `json:"sizes"`
-	Hollow     AgentControl     `json:"hollow"`
-	Real       AgentControl     `json:"real"`
-	Control    []ControlMachine `json:"control"`
-	Depths     []Depth          `json:"depths"`
-	Windows    []Window         `json:"windows"`
-	Events     []EventResult    `json:"events"`
-	Added      Added            `json:"added"`
-	Ratios     []Ratio          `json:"ratios"`
-	Budgets    []Budget         `json:"budgets"`
-	ModelLagMS Dist             `json:"model_lag_ms"`    // how late modelled calls were handled; what they found is told as of their own time
-	ModelKept  bool             `json:"model_kept_time"` // that was little enough for what is said of calls to hold
-	NotUp      int              `json:"not_up"`          // restarts of real agents after which one was not up in its time
-	LateTold   int              `json:"late_told"`       // changes that the stand-in itself told later than its stated costs explain
-	WallSecond float64          `json:"wall_s"`
-	Incomplete string           `json:"incomplete,omitempty"` // why the run was cut short
+	Scenario    string           `json:"scenario"`
+	Sizes       Sizes            `json:"sizes"`
+	Hollow      AgentControl     `json:"hollow"`
+	Real        AgentControl     `json:"real"`
+	Control     []ControlMachine `json:"control"`
+	Depths      []Depth          `json:"depths"`
+	Windows     []Window         `json:"windows"`
+	Events      []EventResult    `json:"events"`
+	Added       Added            `json:"added"`
+	Ratios      []Ratio          `json:"ratios"`
+	Budgets     []Budget         `json:"budgets"`
+	ModelLagMS  Distribution     `json:"model_lag_ms"`    // how late modelled calls were handled; what they found is told as of their own time
+	ModelKept   bool             `json:"model_kept_time"` // that was little enough for what is said of calls to hold
+	NotUp       int              `json:"not_up"`          // restarts of real agents after which one was not up in its time
+	LateTold    int              `json:"late_told"`       // changes that the stand-in itself told later than its stated costs explain
+	WallSeconds float64          `json:"wall_s"`
+	Incomplete  string           `json:"incomplete,omitempty"` // why the run was cut short
 }
--- a/internal/scale/run/budgets.go
+++ b/internal/scale/run/budgets.go
@@ -7,24 +7,24 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// kilo is how many bytes a kilobyte of the operators' limits has, mega how many a megabyte of memory.
+// bytesPerKB is how many bytes a kilobyte of the operators' limits has, mega how many a megabyte of memory.
 const (
-	kilo = 1000
-	mega = 1 << 20
+	bytesPerKB = 1000
+	bytesPerMB = 1 << 20
 )
 
-// line is one budget: what it is called, its limit (0 leaves it out) and how it is read from a run. The measured figure
+// budgetLine is one budget: what it is called, its limit (0 leaves it out) and how it is read from a run. The measured figure
 // counts only where there was something to measure it by.
-type line struct {
+type budgetLine struct {
 	name, unit string
 	limit      func(scenario.Budgets) float64
-	need       func(result.Sizes) bool // nil: each run can measure it
+	applies    func(result.Sizes) bool // nil: each run can measure it
 	measure    func(*result.Run) (v float64, ok bool)
 }
 
-// lines are all budgets, in the order in which they are printed. What an agent costs is the worse of the two sorts: a
+// budgetLines are all budgets, in the order in which they are printed. What an agent costs is the worse of the two sorts: a
 // hollow agent that is dearer than a real one is a fault of the model, which the ratios show, and no reason to pass.
-var lines = []line{
+var budgetLines = []budgetLine{
 	{"added_p99", "ms", func(b scenario.Budgets) float64 { return b.AddedP99MS }, anyReal,
 		func(r *result.Run) (float64, bool) {
 			// Failed calls have no time. More than one in a hundred and what is the 99th of the others is not the 99th.
@@ -36,19 +36,19 @@
 		}},
 	{"agent_memory", "MB", func(b scenario.Budgets) float64 { return b.AgentMemMB }, nil,
 		func(r *result.Run) (float64, bool) {
-			return worse(r, func(a result.AgentControl) float64 { return max(a.HeapBytes, a.RSSBytes.Max) / mega })
+			return worse(r, func(a result.AgentControl) float64 { return max(a.HeapBytes, a.RSSBytes.Max) / bytesPerMB })
 		}},
 	{"agent_bytes", "KB/s", func(b scenario.Budgets) float64 { return b.AgentKBps }, nil,
 		func(r *result.Run) (float64, bool) {
-			return worse(r, func(a result.AgentControl) float64 { return a.Worst6s.Max / kilo })
+			return worse(r, func(a result.AgentControl) float64 { return a.Worst6s.Max / bytesPerKB })
 		}},
 	{"in_force_list", "s", func(b scenario.Budgets) float64 { return b.InForceS }, anyListChange,
 		func(r *result.Run) (float64, bool) {
-			return inForce(r, func(a result.AgentControl) result.Dist { return a.ListInForce })
+			return inForce(r, func(a result.AgentControl) result.Distribution { return a.ListInForce })
 		}},
 	{"in_force_config", "s", func(b scenario.Budgets) float64 { return b.InForceS }, anyConfig,
 		func(r *result.Run) (float64, bool) {
-			return inForce(r, func(a result.AgentControl) result.Dist { return a.ConfInForce })
+			return inForce(r, func(a result.AgentControl) result.Distribution { return a.ConfInForce })
 		}},
 	{"control_machines", "machines", func(b scenario.Budgets) float64 { return b.ControlBusy }, nil,
 		func(r *result.Run) (float64, bool) {
@@ -80,9 +80,9 @@
 	return v, v > 0 && !math.IsInf(v, 0)
 }
 
-// inForce is the time until the last agent had a change, in seconds. It does not stand where a change that was due had
+// recordInForce is the time until the last agent had a change, in seconds. It does not stand where a change that was due had
 // not come to an agent when the run ended, or a sort of agents has not had any.
-func inForce(r *result.Run, of func(result.AgentControl) result.Dist) (float64, bool) {
+func inForce(r *result.Run, of func(result.AgentControl) result.Distribution) (float64, bool) {
 	ok := of(r.Hollow).N+of(r.Real).N > 0
 	for _, a := range []result.AgentControl{r.Hollow, r.Real} {
 		if a.Agents > 0 && (of(a).N == 0 || a.Unheard > 0) {
@@ -92,14 +92,14 @@
 	return max(of(r.Hollow).Max, of(r.Real).Max) / 1000, ok
 }
 
-// budgets holds a run against the operators' limits. A line that has not been measured in a run that should have
+// checkBudgets holds a run against the operators' limits. A line that has not been measured in a run that should have
 // measured it is not ok: its figure is then what there is of it. One that what was played leaves no way to
 // measure (no real agents, no change of the list) is left out.
-func budgets(limits scenario.Budgets, r *result.Run) []result.Budget {
+func checkBudgets(limits scenario.Budgets, r *result.Run) []result.Budget {
 	var all []result.Budget
-	for _, l := range lines {
+	for _, l := range budgetLines {
 		limit := l.limit(limits)
-		if limit <= 0 || l.need != nil && !l.need(r.Sizes) {
+		if limit <= 0 || l.applies != nil && !l.applies(r.Sizes) {
 			continue
 		}
 		v, ok := l.measure(r)
--- a/internal/scale/run/output_test.go
+++ b/internal/scale/run/output_test.go
@@ -13,22 +13,22 @@
 
 // everything is a run that has all tables and all words of the text, and every key of the JSON.
 func everything() *result.Run {
-	r := fine()
+	r := passingRun()
 	r.Hollow.CPUPercent = 2.5
-	r.LateTold, r.NotUp, r.ModelKept, r.WallSecond = 3, 1, false, 20.5
-	r.ModelLagMS = result.Dist{N: 5, Mean: 60, P50: 55, P99: 70, Max: 80}
+	r.LateTold, r.NotUp, r.ModelKept, r.WallSeconds = 3, 1, false, 20.5
+	r.ModelLagMS = result.Distribution{N: 5, Mean: 60, P50: 55, P99: 70, Max: 80}
 	r.Incomplete = "the part hollow died"
 	r.Windows = []result.Window{{Second: 0, Roots: 20, Served: 19, Percent: 95}}
 	r.Events = []result.EventResult{{
-		Kind: "fail", At: 3, Length: 1.5, Affects: 4, Bytes: 12345, InForceMS: result.Dist{N: 2, Mean: 8, P50: 7, P99: 9, Max: 10},
+		Kind: "fail", At: 3, Length: 1.5, Affects: 4, Bytes: 12345, InForceMS: result.Distribution{N: 2, Mean: 8, P50: 7, P99: 9, Max: 10},
 		Unheard: 1, ServedPct: 61.5, BeforePct: 99.25, BackAfterS: 2, FullLists: 6, Refused: 7,
 	}}
-	return judge(r, limits)
+	return evaluate(r, limits)
 }
 
 // Text and JSON of results are read by people and programs of other days: no word and no key of them changes.
 func TestPrintedStays(t *testing.T) {
-	over, held := everything(), judge(fine(), limits)
+	over, held := everything(), evaluate(passingRun(), limits)
 	for _, c := range []struct {
 		file  string
 		write func(*bytes.Buffer) error
@@ -61,18 +61,18 @@
 // The names of budgets and ratios stand in last lines, in JSON and in the figures file.
 func TestNamesStay(t *testing.T) {
 	var names []string
-	for _, b := range budgets(limits, fine()) {
+	for _, b := range checkBudgets(limits, passingRun()) {
 		names = append(names, b.Name)
 	}
 	want := []string{"added_p99", "agent_cpu", "agent_memory", "agent_bytes", "in_force_list", "in_force_config", "control_machines", "attempts_per_call"}
 	if !slices.Equal(names, want) {
 		t.Errorf("budgets %q, want %q", names, want)
 	}
-	if got := budgets(scenario.Budgets{}, fine()); got != nil {
+	if got := checkBudgets(scenario.Budgets{}, passingRun()); got != nil {
 		t.Errorf("without limits: %+v", got)
 	}
 	names = nil
-	for _, x := range hold(fine()) {
+	for _, x := range compareRatios(passingRun()) {
 		names = append(names, x.Name)
 	}
 	if want := []string{"bytes", "list_in_force", "config_in_force", "cpu"}; !slices.Equal(names, want) {
--- a/internal/scale/run/ratios.go
+++ b/internal/scale/run/ratios.go
@@ -4,18 +4,18 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// held is one figure by which the hollow agents are held against the real ones of the same run.
-type held struct {
-	name   string
-	factor float64                 // hollow over real may lie between 1/factor and factor
-	floor  float64                 // figures below it count as it: below, the clock and the scheduler speak, not the agent
-	need   func(result.Sizes) bool // nil: each run has it
-	of     func(result.AgentControl) float64
-	why    string
+// ratioRule is one figure by which the hollow agents are held against the real ones of the same run.
+type ratioRule struct {
+	name    string
+	factor  float64                 // hollow over real may lie between 1/factor and factor
+	floor   float64                 // figures below it count as it: below, the clock and the scheduler speak, not the agent
+	applies func(result.Sizes) bool // nil: each run has it
+	of      func(result.AgentControl) float64
+	why     string
 }
 
-// ratios is the one table of them.
-var ratios = []held{
+// ratioRules is the one table of them.
+var ratioRules = []ratioRule{
 	{"bytes", 1.5, 0, nil, func(a result.AgentControl) float64 { return a.BytesIn.Mean + a.BytesOut.Mean },
 		"one client sends and reads both; only the reports' figures have other lengths, and real agents serve no modelled calls"},
 	{"list_in_force", 4, 50, anyListChange, func(a result.AgentControl) float64 { return a.ListHeard.Mean },
@@ -26,15 +26,15 @@
 		"a real one's wake-ups, system calls and collector are its own, hollow ones share theirs and the fixed cost of their process; % of a core, below 0.2 as 0.2"},
 }
 
-// hold holds each figure of the hollow agents against the real ones'. There is nothing to hold where a run has only one
+// compareRatios holds each figure of the hollow agents against the real ones'. There is nothing to hold where a run has only one
 // sort, or nothing that a figure could be measured by; a figure that one sort lacks altogether is off.
-func hold(r *result.Run) []result.Ratio {
+func compareRatios(r *result.Run) []result.Ratio {
 	if r.Hollow.Agents == 0 || r.Real.Agents == 0 {
 		return nil
 	}
 	var all []result.Ratio
-	for _, h := range ratios {
-		if h.need != nil && !h.need(r.Sizes) {
+	for _, h := range ratioRules {
+		if h.applies != nil && !h.applies(r.Sizes) {
 			continue
 		}
 		x := result.Ratio{Name: h.name, Hollow: h.of(r.Hollow), Real: h.of(r.Real), Factor: h.factor}
--- a/internal/scale/run/relays.go
+++ b/internal/scale/run/relays.go
@@ -15,25 +15,25 @@
 	"example.org/ryeloft/internal/scale/role"
 )
 
-// relayPart is one relay of the run, with the life that it has now.
-type relayPart struct {
-	args   control.RelayArgs
-	region int
-	child  *role.Child // nil while it is killed
-	begun  time.Time   // of what it counts now
-	past   []relayPast
+// relayProcess is one relay of the run, with the life that it has now.
+type relayProcess struct {
+	args      control.RelayArgs
+	region    int
+	process   *role.Child // nil while it is killed
+	startedAt time.Time   // of what it counts now
+	earlier   []relayCounts
 }
 
-// relayPast is what an earlier life of a relay had counted when it was killed.
-type relayPast struct {
-	begun time.Time
-	stats control.RelayStats
+// relayCounts is what an earlier life of a relay had counted when it was killed.
+type relayCounts struct {
+	startedAt time.Time
+	stats     control.RelayStats
 }
 
 // startRelays starts the relays, each at a machine and in a region of its own as far as there are regions. Each keeps its
 // list in a directory that a later life of it finds again.
-func (p *play) startRelays(ctx context.Context) error {
-	if p.s.Relays.Count == 0 {
+func (p *runner) startRelays(ctx context.Context) error {
+	if p.scenario.Relays.Count == 0 {
 		return nil
 	}
 	dir, err := os.MkdirTemp("", "scale-relays-")
@@ -42,19 +42,19 @@
 	}
 	p.relayDir = dir
 	agents := len(p.world.Agents)
-	for k := range p.s.Relays.Count {
-		r := &relayPart{region: k % p.s.Fleet.Regions, args: control.RelayArgs{
-			Name: fmt.Sprintf("relay%d", k+1), Discovery: p.addrs[agents+k], State: filepath.Join(dir, fmt.Sprint(k)), Lists: p.s.Relays.AdmitPerS,
+	for k := range p.scenario.Relays.Count {
+		r := &relayProcess{region: k % p.scenario.Fleet.Regions, args: control.RelayArgs{
+			Name: fmt.Sprintf("relay%d", k+1), Discovery: p.discoveryAddrs[agents+k], State: filepath.Join(dir, fmt.Sprint(k)), Lists: p.scenario.Relays.AdmitPerS,
 		}}
 		p.relays = append(p.relays, r)
-		for try := range portTries {
+		for try := range portAttempts {
 			if r.args.Addrs, err = controlAddrs(1+k, agents); err != nil {
 				return err
 			}
 			if err = p.startRelay(ctx, r); err == nil {
 				break
 			}
-			p.o.Log.Warn("a relay did not start", "relay", r.args.Name, "try", try, "error", err)
+			p.options.Log.Warn("a relay did not start", "relay", r.args.Name, "try", try, "error", err)
 		}
 		if err != nil {
 			return err
@@ -64,8 +64,8 @@
 }
 
 // startRelay starts one relay, or starts it again.
-func (p *play) startRelay(ctx context.Context, r *relayPart) error {
-	child, err := p.part(ctx, "relay")
+func (p *runner) startRelay(ctx context.Context, r *relayProcess) error {
+	child, err := p.startPart(ctx, "relay")
 	if err != nil {
 		return err
 	}
@@ -74,26 +74,26 @@
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.child, r.begun = child, time.Now()
+	r.process, r.startedAt = child, time.Now()
 	return nil
 }
 
 // killRelay ends a relay as the crash of its machine would, and keeps what it had counted.
-func (p *play) killRelay(ctx context.Context, r *relayPart) error {
+func (p *runner) killRelay(ctx context.Context, r *relayProcess) error {
 	var stats control.RelayStats
-	if err := r.child.Call(ctx, "Relay.Stats", struct{}{}, &stats); err != nil {
+	if err := r.process.Call(ctx, "Relay.Stats", struct{}{}, &stats); err != nil {
 		return err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	r.past = append(r.past, relayPast{r.begun, stats})
-	r.child.Kill()
-	r.child = nil
+	r.earlier = append(r.earlier, relayCounts{r.startedAt, stats})
+	r.process.Kill()
+	r.process = nil
 	return nil
 }
 
-// relaysOf are the addresses of all relays, by agent; nil if there are none.
-func (p *play) relaysOf() [][]string {
+// relayAddrs are the addresses of all relays, by agent; nil if there are none.
+func (p *runner) relayAddrs() [][]string {
 	if len(p.relays) == 0 {
 		return nil
 	}
@@ -106,46 +106,46 @@
 	return all
 }
 
-// beginRelays begins the measured part at the relays.
-func (p *play) beginRelays(ctx context.Context) error {
+// beginRelayMeasurement begins the measured part at the relays.
+func (p *runner) beginRelayMeasurement(ctx context.Context) error {
 	for _, r := range p.relays {
-		if err := r.child.Call(ctx, "Relay.Begin", struct{}{}, &struct{}{}); err != nil {
+		if err := r.process.Call(ctx, "Relay.Begin", struct{}{}, &struct{}{}); err != nil {
 			return err
 		}
-		r.begun = time.Now()
+		r.startedAt = time.Now()
 	}
 	return nil
 }
 
-// cutRelays has regions lose or find each other, as far as relays are concerned: agents and relays of one region reach each
+// partitionRelays has regions lose or find each other, as far as relays are concerned: agents and relays of one region reach each
 // other, and control is in region 0.
-func (p *play) cutRelays(ctx context.Context, cut bool) error {
-	above := control.CutArgs{Cut: cut}
+func (p *runner) partitionRelays(ctx context.Context, cut bool) error {
+	above := control.PartitionArgs{Cut: cut}
 	for k, r := range p.relays {
 		if r.region != 0 {
 			above.Agents = append(above.Agents, len(p.world.Agents)+k)
 		}
-		if r.child == nil {
+		if r.process == nil {
 			continue
 		}
-		below := control.CutArgs{Cut: cut}
+		below := control.PartitionArgs{Cut: cut}
 		for i, a := range p.world.Agents {
 			if p.world.Servers[a.Server].Region != r.region {
 				below.Agents = append(below.Agents, i)
 			}
 		}
-		if err := r.child.Call(ctx, "Relay.Cut", below, &struct{}{}); err != nil {
+		if err := r.process.Call(ctx, "Relay.Cut", below, &struct{}{}); err != nil {
 			return err
 		}
 	}
-	return p.control.Call(ctx, "Control.Cut", above, &struct{}{})
+	return p.controlPart.Call(ctx, "Control.Cut", above, &struct{}{})
 }
 
-// controlSide asks control and the relays, and puts together what agents sent, were sent and heard at any of them. The
+// collectControlSide asks control and the relays, and puts together what agents sent, were sent and heard at any of them. The
 // machines come control first.
-func (p *play) controlSide(ctx context.Context) (*control.StatsReply, []result.ControlMachine, error) {
+func (p *runner) collectControlSide(ctx context.Context) (*control.StatsReply, []result.ControlMachine, error) {
 	var all control.StatsReply
-	if err := p.control.Call(ctx, "Control.Stats", struct{}{}, &all); err != nil {
+	if err := p.controlPart.Call(ctx, "Control.Stats", struct{}{}, &all); err != nil {
 		return &all, nil, err
 	}
 	machines := []result.ControlMachine{all.Machine}
@@ -154,29 +154,29 @@
 		all.In, all.Out = all.In[:agents], all.Out[:agents]
 	}
 	for _, r := range p.relays {
-		lives := slices.Clone(r.past)
-		if r.child != nil {
-			now := relayPast{begun: r.begun}
-			if err := r.child.Call(ctx, "Relay.Stats", struct{}{}, &now.stats); err != nil {
+		lives := slices.Clone(r.earlier)
+		if r.process != nil {
+			now := relayCounts{startedAt: r.startedAt}
+			if err := r.process.Call(ctx, "Relay.Stats", struct{}{}, &now.stats); err != nil {
 				return &all, machines, err
 			}
 			lives = append(lives, now)
 		}
-		machines = append(machines, machineOf(lives))
+		machines = append(machines, sumRelayCounts(lives))
 		for _, l := range lives {
-			from := max(0, int(l.begun.Sub(p.begun).Seconds()))
-			if p.begun.IsZero() {
+			from := max(0, int(l.startedAt.Sub(p.startedAt).Seconds()))
+			if p.startedAt.IsZero() {
 				from = 0
 			}
-			all.In, all.Out = shifted(all.In, l.stats.In, from), shifted(all.Out, l.stats.Out, from)
-			addHeard(all.Changes, l.stats.Heard)
+			all.In, all.Out = addShifted(all.In, l.stats.In, from), addShifted(all.Out, l.stats.Out, from)
+			addAcknowledgements(all.Changes, l.stats.Heard)
 		}
 	}
 	return &all, machines, nil
 }
 
-// machineOf sums up the lives of a relay.
-func machineOf(lives []relayPast) (m result.ControlMachine) {
+// sumRelayCounts sums up the lives of a relay.
+func sumRelayCounts(lives []relayCounts) (m result.ControlMachine) {
 	for i, l := range lives {
 		s := l.stats.Machine
 		if i == 0 {
@@ -191,8 +191,8 @@
 	return m
 }
 
-// shifted adds bins by agent and second to others, so many seconds later. Agents that one of them lacks have none there.
-func shifted(to, more [][]int64, from int) [][]int64 {
+// addShifted adds bins by agent and second to others, so many seconds later. Agents that one of them lacks have none there.
+func addShifted(to, more [][]int64, from int) [][]int64 {
 	for agent := range to {
 		if agent >= len(more) {
 			break
@@ -209,14 +209,14 @@
 	return to
 }
 
-// addHeard notes in changes what agents were heard to hold elsewhere, where that was sooner.
-func addHeard(changes []control.ChangeTold, heard [][]control.Mark) {
+// addAcknowledgements notes in changes what agents were heard to hold elsewhere, where that was sooner.
+func addAcknowledgements(changes []control.ChangeNotification, heard [][]control.Acknowledgement) {
 	for _, c := range changes {
 		for agent, marks := range heard {
 			if agent >= len(c.Heard) {
 				break
 			}
-			i, _ := slices.BinarySearchFunc(marks, c.Revision, func(m control.Mark, revision uint64) int {
+			i, _ := slices.BinarySearchFunc(marks, c.Revision, func(m control.Acknowledgement, revision uint64) int {
 				return cmp.Compare(m.Revision, revision)
 			})
 			if i < len(marks) && (c.Heard[agent] == 0 || marks[i].At < c.Heard[agent]) {
--- a/internal/scale/run/relays_test.go
+++ b/internal/scale/run/relays_test.go
@@ -20,7 +20,7 @@
 		{"fewer agents", [][]int64{{1}, {2}}, [][]int64{{10}}, 0, [][]int64{{11}, {2}}},
 		{"none to be added to", nil, [][]int64{{1}}, 0, nil},
 	} {
-		if got := shifted(c.to, c.more, c.from); !reflect.DeepEqual(got, c.want) {
+		if got := addShifted(c.to, c.more, c.from); !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: %v, want %v", c.name, got, c.want)
 		}
 	}
@@ -28,16 +28,18 @@
 
 // What is heard of an agent anywhere counts from when it was heard first.
 func TestAddHeard(t *testing.T) {
-	changes := []control.ChangeTold{{Revision: 5, Heard: []int64{100, 0, 0, 7}}, {Revision: 6, Heard: []int64{0, 0, 0, 7}}}
-	mark := func(revision uint64, at int64) control.Mark { return control.Mark{Revision: revision, At: at} }
-	addHeard(changes, [][]control.Mark{
+	changes := []control.ChangeNotification{{Revision: 5, Heard: []int64{100, 0, 0, 7}}, {Revision: 6, Heard: []int64{0, 0, 0, 7}}}
+	mark := func(revision uint64, at int64) control.Acknowledgement {
+		return control.Acknowledgement{Revision: revision, At: at}
+	}
+	addAcknowledgements(changes, [][]control.Acknowledgement{
 		{mark(4, 10), mark(6, 50)}, // both at once, before control heard of it
 		{mark(5, 20)},
 		nil,
 		{mark(6, 9)},
 		{mark(6, 9)}, // no agent of control's
 	})
-	want := []control.ChangeTold{{Revision: 5, Heard: []int64{50, 20, 0, 7}}, {Revision: 6, Heard: []int64{50, 0, 0, 7}}}
+	want := []control.ChangeNotification{{Revision: 5, Heard: []int64{50, 20, 0, 7}}, {Revision: 6, Heard: []int64{50, 0, 0, 7}}}
 	if !reflect.DeepEqual(changes, want) {
 		t.Errorf("%+v, want %+v", changes, want)
 	}
@@ -45,14 +47,14 @@
 
 // The lives of a relay count together; rates are the worst of them.
 func TestMachineOf(t *testing.T) {
-	life := func(calls int64, worst float64) relayPast {
-		return relayPast{stats: control.RelayStats{Machine: result.ControlMachine{Role: "relay", Name: "r", Calls: calls, WholeLists: 1, Worst6s: worst}}}
+	life := func(calls int64, worst float64) relayCounts {
+		return relayCounts{stats: control.RelayStats{Machine: result.ControlMachine{Role: "relay", Name: "r", Calls: calls, WholeLists: 1, Worst6s: worst}}}
 	}
-	got := machineOf([]relayPast{life(10, 0.5), life(5, 0.2)})
+	got := sumRelayCounts([]relayCounts{life(10, 0.5), life(5, 0.2)})
 	if got.Name != "r" || got.Calls != 15 || got.WholeLists != 2 || got.Worst6s != 0.5 {
 		t.Errorf("%+v", got)
 	}
-	if got := machineOf(nil); got != (result.ControlMachine{}) {
+	if got := sumRelayCounts(nil); got != (result.ControlMachine{}) {
 		t.Errorf("no life: %+v", got)
 	}
 }
--- a/internal/scale/run/run.go
+++ b/internal/scale/run/run.go
@@ -24,18 +24,18 @@
 }
 
 const (
-	// mostProcesses counts this program, the parts and the real agents.
-	mostProcesses = 250
-	// mostMemory of all of them together, in bytes.
-	mostMemory = 10 << 30
-	// longestStart is how long the fleet may take until every agent has heard the first revision.
-	longestStart = 3 * time.Minute
-	// longestAdded is how long the calls that measure the time added may take.
-	longestAdded = 2 * time.Minute
-	// longestEnd is how long figures may take to come and the parts to end.
-	longestEnd = 30 * time.Second
-	// addedGap is between the calls by which the time added is measured: each is alone on its way.
-	addedGap = 10 * time.Millisecond
+	// maxProcesses counts this program, the parts and the real agents.
+	maxProcesses = 250
+	// maxMemoryBytes of all of them together, in bytes.
+	maxMemoryBytes = 10 << 30
+	// startTimeout is how long the fleet may take until every agent has heard the first revision.
+	startTimeout = 3 * time.Minute
+	// addedLatencyTimeout is how long the calls that measure the time added may take.
+	addedLatencyTimeout = 2 * time.Minute
+	// endTimeout is how long figures may take to come and the parts to end.
+	endTimeout = 30 * time.Second
+	// addedCallGap is between the calls by which the time added is measured: each is alone on its way.
+	addedCallGap = 10 * time.Millisecond
 	// echoServers answer the real agents' calls.
 	echoServers = 4
 )
@@ -47,8 +47,8 @@
 
 // Check says what of a scenario cannot be played on one machine, beyond what its own checks do, and names the field.
 func Check(s *scenario.Scenario) error {
-	if n := s.Fleet.Real + s.Relays.Count + parts; n > mostProcesses {
-		return fmt.Errorf("fleet.real: %d real agents make %d processes with the parts, there may be %d", s.Fleet.Real, n, mostProcesses)
+	if n := s.Fleet.Real + s.Relays.Count + fixedProcesses; n > maxProcesses {
+		return fmt.Errorf("fleet.real: %d real agents make %d processes with the parts, there may be %d", s.Fleet.Real, n, maxProcesses)
 	}
 	if s.Fleet.Real > s.Agents() {
 		return fmt.Errorf("fleet.real: %d of %d agents", s.Fleet.Real, s.Agents())
@@ -72,33 +72,33 @@
 		o.Stderr = io.Discard
 	}
 	begun := time.Now()
-	ctx, stop := context.WithTimeoutCause(ctx, longest(s), errors.New("the run took longer than it may"))
+	ctx, stop := context.WithTimeoutCause(ctx, runTimeout(s), errors.New("the run took longer than it may"))
 	defer stop()
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
-	p := &play{s: s, o: o, fail: fail, result: &result.Run{Scenario: s.Name, Sizes: sizesOf(s)}}
-	err := p.run(ctx)
+	p := &runner{scenario: s, options: o, fail: fail, result: &result.Run{Scenario: s.Name, Sizes: sizesOf(s)}}
+	err := p.play(ctx)
 	if err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause // what came of it in the middle of a call says less
 		}
 		o.Log.Error("the run failed", "error", err)
-		p.result.Incomplete = brief(err)
+		p.result.Incomplete = truncated(err)
 	}
 	if ended := p.close(); ended != nil && err == nil {
 		err = ended
-		p.result.Incomplete = brief(ended)
+		p.result.Incomplete = truncated(ended)
 	}
-	p.result.Budgets, p.result.Ratios = budgets(s.Budgets, p.result), hold(p.result)
-	p.result.WallSecond = time.Since(begun).Seconds()
+	p.result.Budgets, p.result.Ratios = checkBudgets(s.Budgets, p.result), compareRatios(p.result)
+	p.result.WallSeconds = time.Since(begun).Seconds()
 	if err != nil {
 		err = fmt.Errorf("the run failed: %s", p.result.Incomplete)
 	}
 	return p.result, err
 }
 
-// brief is an error without the most of what agents' logs add to it; the log has it whole.
-func brief(err error) string {
+// truncated is an error without the most of what agents' logs add to it; the log has it whole.
+func truncated(err error) string {
 	const most = 1000
 	text := err.Error()
 	if len(text) > most {
@@ -107,9 +107,9 @@
 	return text
 }
 
-// longest is how long a whole run may take.
-func longest(s *scenario.Scenario) time.Duration {
-	return longestStart + longestAdded + seconds(s.Seconds) + longestEnd
+// runTimeout is how long a whole run may take.
+func runTimeout(s *scenario.Scenario) time.Duration {
+	return startTimeout + addedLatencyTimeout + seconds(s.Seconds) + endTimeout
 }
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
@@ -121,23 +121,23 @@
 	}
 }
 
-// run plays all of it. What it has gathered before an error stays in the result.
-func (p *play) run(ctx context.Context) error {
-	p.o.Progress("starts the parts")
-	if err := p.start(ctx); err != nil {
+// play plays all of it. What it has gathered before an error stays in the result.
+func (p *runner) play(ctx context.Context) error {
+	p.options.Progress("starts the parts")
+	if err := p.startParts(ctx); err != nil {
 		return err
 	}
-	go p.guard(ctx)
-	p.o.Progress("waits until every agent has the list")
-	if err := p.awaitList(ctx); err != nil {
+	go p.watchProcesses(ctx)
+	p.options.Progress("waits until every agent has the list")
+	if err := p.awaitFirstList(ctx); err != nil {
 		return err
 	}
-	if err := p.begin(ctx); err != nil {
+	if err := p.beginMeasurement(ctx); err != nil {
 		return err
 	}
 	played := p.playSteps(ctx)
 	// What there is is gathered even after an interrupt, within a time of its own.
-	late, stop := context.WithTimeout(context.WithoutCancel(ctx), longestEnd)
+	late, stop := context.WithTimeout(context.WithoutCancel(ctx), endTimeout)
 	defer stop()
-	return errors.Join(played, p.gather(late))
+	return errors.Join(played, p.collect(late))
 }
--- a/internal/scale/run/runner.go
+++ b/internal/scale/run/runner.go
@@ -23,80 +23,80 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// parts are the processes of a run beside real agents and relays: this one, control and hollow.
-const parts = 3
+// fixedProcesses are the processes of a run beside real agents and relays: this one, control and hollow.
+const fixedProcesses = 3
 
 // firstRevision is the list's that control begins with.
 const firstRevision = 1
 
-// play is one run as it goes on.
-type play struct {
-	s      *scenario.Scenario
-	o      Options
-	fail   context.CancelCauseFunc // ends the run, for a reason
-	result *result.Run
+// runner is one run as it goes on.
+type runner struct {
+	scenario *scenario.Scenario
+	options  Options
+	fail     context.CancelCauseFunc // ends the run, for a reason
+	result   *result.Run
 
-	world   *world.World
-	echo    *realagent.EchoServers
-	control *role.Child
-	hollow  *role.Child
-	real    *realagent.Fleet
-	addrs   []string // control's, by agent, and behind them by relay
-	relays  []*relayPart
-	reals   []int // agents, by sort
-	hollows []int
+	world              *world.World
+	echo               *realagent.EchoServers
+	controlPart        *role.Child
+	simulatedPart      *role.Child
+	realAgents         *realagent.Fleet
+	discoveryAddrs     []string // control's, by agent, and behind them by relay
+	relays             []*relayProcess
+	realPositions      []int // agents, by sort
+	simulatedPositions []int
 
 	relayDir string // of the relays' lists; empty if there are none
 
-	begun    time.Time // of the measured part
-	ended    time.Time
-	spent    time.Duration // processor time of this process when it began
-	members  map[string]discovery.Member
-	affected map[int]int // by event
-	silent   []int       // servers whose machines are away
+	startedAt          time.Time // of the measured part
+	endedAt            time.Time
+	cpuAtStart         time.Duration // processor time of this process when it began
+	members            map[string]discovery.Member
+	affectedByEvent    map[int]int // by event
+	unreachableServers []int       // servers whose machines are away
 
-	mu       sync.Mutex
-	reach    *reach
-	revision uint64
-	changes  []change
-	counters []counter
-	pushes   []push
-	waits    []wait // of the pushes, in their order
+	mu             sync.Mutex
+	reachability   *reachability
+	revision       uint64
+	listChanges    []listChange
+	snapshots      []countersSnapshot
+	configRollouts []configRollout
+	rolloutTimings []taskTiming // of the pushes, in their order
 }
 
-// change is a revision of the list that a step made.
-type change struct {
+// listChange is a revision of the list that a step made.
+type listChange struct {
 	revision uint64
 	event    int // -1: none
 }
 
-// counter is what the control side had counted when an event began, or a while after it.
-type counter struct {
-	event          int
-	ends           bool
-	whole, refused int64
+// countersSnapshot is what the control side had counted when an event began, or a while after it.
+type countersSnapshot struct {
+	event               int
+	atEnd               bool
+	fullLists, rejected int64
 }
 
-// push is one configuration that the source handed out.
-type push struct {
-	revision int
-	event    int
-	due      time.Time // when the source should have begun
-	begun    time.Time
+// configRollout is one configuration that the source handed out.
+type configRollout struct {
+	revision  int
+	event     int
+	due       time.Time // when the source should have begun
+	startedAt time.Time
 }
 
-// start starts everything, in the order in which each needs the other. All agents begin with the list, as the platform
+// startParts starts everything, in the order in which each needs the other. All agents begin with the list, as the platform
 // hands it to those that it starts one after another: what becomes of a fleet that comes back at once with none is an event
 // of its own, agents-back.
-func (p *play) start(ctx context.Context) error {
-	if p.s.Fleet.Real > 0 {
+func (p *runner) startParts(ctx context.Context) error {
+	if p.scenario.Fleet.Real > 0 {
 		echo, err := realagent.Echo(echoServers)
 		if err != nil {
 			return err
 		}
 		p.echo = echo
 	}
-	if err := p.draw(); err != nil {
+	if err := p.drawWorld(); err != nil {
 		return err
 	}
 	if err := p.startControl(ctx); err != nil {
@@ -107,29 +107,29 @@
 	}
 	// What real agents add to a call is measured before the hollow ones are there: in the fleet none of these would take
 	// turns with them on the same cores.
-	if err := p.startReal(ctx); err != nil {
+	if err := p.startRealAgents(ctx); err != nil {
 		return err
 	}
-	if err := p.measureAdded(ctx); err != nil {
+	if err := p.measureAddedLatency(ctx); err != nil {
 		return err
 	}
-	return p.startHollow(ctx)
+	return p.startSimulatedAgents(ctx)
 }
 
-func (p *play) draw() error {
-	w, err := world.Draw(p.s)
+func (p *runner) drawWorld() error {
+	w, err := world.Draw(p.scenario)
 	if err != nil {
 		return err
 	}
 	if p.echo != nil {
 		w.AddEcho(p.echo.Addrs())
 	}
-	p.world, p.reach, p.revision = w, newReach(len(w.Agents)), firstRevision
+	p.world, p.reachability, p.revision = w, newReachability(len(w.Agents)), firstRevision
 	for i, a := range w.Agents {
 		if a.Real {
-			p.reals = append(p.reals, i)
+			p.realPositions = append(p.realPositions, i)
 		} else {
-			p.hollows = append(p.hollows, i)
+			p.simulatedPositions = append(p.simulatedPositions, i)
 		}
 	}
 	p.members = map[string]discovery.Member{}
@@ -139,8 +139,8 @@
 	return nil
 }
 
-// list is the list of the moment, by id.
-func (p *play) list() []discovery.Member {
+// currentList is the list of the moment, by id.
+func (p *runner) currentList() []discovery.Member {
 	var all []discovery.Member
 	for _, m := range p.members {
 		all = append(all, m)
@@ -150,33 +150,33 @@
 }
 
 // startControl starts the stand-in, with an address for each agent.
-func (p *play) startControl(ctx context.Context) (err error) {
-	if p.control, err = p.part(ctx, "control"); err != nil {
+func (p *runner) startControl(ctx context.Context) (err error) {
+	if p.controlPart, err = p.startPart(ctx, "control"); err != nil {
 		return err
 	}
-	args := control.StartArgs{Costs: p.s.Control, Members: p.list(), Revision: firstRevision}
+	args := control.StartArgs{Costs: p.scenario.Control, Members: p.currentList(), Revision: firstRevision}
 	for _, a := range p.world.Agents {
 		args.Agents = append(args.Agents, a.Name)
 	}
-	for k := range p.s.Relays.Count {
+	for k := range p.scenario.Relays.Count {
 		args.Agents = append(args.Agents, fmt.Sprintf("relay%d", k+1))
 	}
 	// A port that is free at the first address may be taken at another, or be taken meanwhile.
-	for try := range portTries {
+	for try := range portAttempts {
 		if args.Addrs, err = controlAddrs(0, len(args.Agents)); err != nil {
 			return err
 		}
-		if err = p.control.Call(ctx, "Control.Start", args, &control.StartReply{}); err == nil {
+		if err = p.controlPart.Call(ctx, "Control.Start", args, &control.StartReply{}); err == nil {
 			break
 		}
-		p.o.Log.Warn("control did not start", "try", try, "error", err)
+		p.options.Log.Warn("control did not start", "try", try, "error", err)
 	}
-	p.addrs = args.Addrs
+	p.discoveryAddrs = args.Addrs
 	return err
 }
 
-// portTries are how many ports are tried for control.
-const portTries = 3
+// portAttempts are how many ports are tried for control.
+const portAttempts = 3
 
 // controlAddrs are where a machine of the control side listens, by agent: each has an address of its own, by which the
 // machine can tell who calls, at one port that is free now.
@@ -195,51 +195,51 @@
 	return addrs, nil
 }
 
-// part starts a part. It goes on after an interrupt, until its figures are gathered; close ends it.
-func (p *play) part(ctx context.Context, name string) (*role.Child, error) {
-	return role.Start(context.WithoutCancel(ctx), name, p.o.Stderr)
+// startPart starts a part. It goes on after an interrupt, until its figures are gathered; close ends it.
+func (p *runner) startPart(ctx context.Context, name string) (*role.Child, error) {
+	return role.Start(context.WithoutCancel(ctx), name, p.options.Stderr)
 }
 
-func (p *play) startHollow(ctx context.Context) (err error) {
-	if p.hollow, err = p.part(ctx, "hollow"); err != nil {
+func (p *runner) startSimulatedAgents(ctx context.Context) (err error) {
+	if p.simulatedPart, err = p.startPart(ctx, "hollow"); err != nil {
 		return err
 	}
-	args := simagent.StartArgs{Scenario: *p.s, Agents: p.hollows, Discovery: p.addrs, Relays: p.relaysOf(), Known: p.known(false)}
+	args := simagent.StartArgs{Scenario: *p.scenario, Agents: p.simulatedPositions, Discovery: p.discoveryAddrs, Relays: p.relayAddrs(), Known: p.cachedEndpoints(false)}
 	if p.echo != nil {
 		args.Echo = p.echo.Addrs()
 	}
-	p.o.Progress(fmt.Sprintf("starts %d hollow agents", len(p.hollows)))
+	p.options.Progress(fmt.Sprintf("starts %d hollow agents", len(p.simulatedPositions)))
 	var reply simagent.StartReply
-	if err := p.hollow.Call(ctx, "Hollow.Start", args, &reply); err != nil {
+	if err := p.simulatedPart.Call(ctx, "Hollow.Start", args, &reply); err != nil {
 		return err
 	}
-	p.o.Log.Info("hollow agents started", "agents", len(p.hollows), "ready", reply.Ready)
+	p.options.Log.Info("hollow agents started", "agents", len(p.simulatedPositions), "ready", reply.Ready)
 	return nil
 }
 
-func (p *play) startReal(ctx context.Context) (err error) {
-	if len(p.reals) == 0 {
+func (p *runner) startRealAgents(ctx context.Context) (err error) {
+	if len(p.realPositions) == 0 {
 		return nil
 	}
-	p.o.Progress(fmt.Sprintf("starts %d real agents", len(p.reals)))
+	p.options.Progress(fmt.Sprintf("starts %d real agents", len(p.realPositions)))
 	// Its processes outlive the context once they are up, until their figures are gathered.
 	life, end := context.WithCancel(context.WithoutCancel(ctx))
 	up := context.AfterFunc(ctx, end)
 	defer up()
-	p.real, err = realagent.Start(life, realagent.Options{
-		Config: p.world.Config, Agents: p.reals, Echo: p.echo.Addrs(), Bin: p.o.Bin, Discovery: p.addrs, Relays: p.relaysOf(),
-		Known: p.known(false), Log: p.o.Log,
+	p.realAgents, err = realagent.Start(life, realagent.Options{
+		Config: p.world.Config, Agents: p.realPositions, Echo: p.echo.Addrs(), Bin: p.options.Bin, Discovery: p.discoveryAddrs, Relays: p.relayAddrs(),
+		Known: p.cachedEndpoints(false), Log: p.options.Log,
 	})
 	return err
 }
 
-// awaitList waits until every agent has heard of the list, as control knows by their next calls. For that it makes a
+// awaitFirstList waits until every agent has heard of the list, as control knows by their next calls. For that it makes a
 // revision in which one line is told again as it was.
-func (p *play) awaitList(ctx context.Context) error {
-	ctx, stop := context.WithTimeout(ctx, longestStart)
+func (p *runner) awaitFirstList(ctx context.Context) error {
+	ctx, stop := context.WithTimeout(ctx, startTimeout)
 	defer stop()
 	var reply control.ChangeReply
-	if err := p.control.Call(ctx, "Control.Change", control.ChangeArgs{Members: p.list()[:1]}, &reply); err != nil {
+	if err := p.controlPart.Call(ctx, "Control.Change", control.ChangeArgs{Members: p.currentList()[:1]}, &reply); err != nil {
 		return err
 	}
 	p.revision = reply.Revision
@@ -250,7 +250,7 @@
 		if err != nil {
 			return err
 		}
-		missing := p.unheard(stats)
+		missing := p.agentsWithoutFirstList(stats)
 		if len(missing) == 0 {
 			return nil
 		}
@@ -260,28 +260,28 @@
 			if cause := context.Cause(ctx); cause != context.DeadlineExceeded {
 				return cause
 			}
-			return fmt.Errorf("%d of %d agents had not heard the first list within %v: %s", len(missing), len(p.world.Agents), longestStart, few(missing))
+			return fmt.Errorf("%d of %d agents had not heard the first list within %v: %s", len(missing), len(p.world.Agents), startTimeout, firstNames(missing))
 		}
 	}
 }
 
-func (p *play) controlStats(ctx context.Context) (*control.StatsReply, error) {
-	stats, _, err := p.controlSide(ctx)
+func (p *runner) controlStats(ctx context.Context) (*control.StatsReply, error) {
+	stats, _, err := p.collectControlSide(ctx)
 	return stats, err
 }
 
-// unheard names the agents that have not heard of the revision that awaitList makes.
-func (p *play) unheard(stats *control.StatsReply) (names []string) {
+// agentsWithoutFirstList names the agents that have not heard of the revision that awaitFirstList makes.
+func (p *runner) agentsWithoutFirstList(stats *control.StatsReply) (names []string) {
 	for i, a := range p.world.Agents {
-		if len(stats.Changes) == 0 || at(stats.Changes[0].Heard, i) == 0 {
+		if len(stats.Changes) == 0 || timeAt(stats.Changes[0].Heard, i) == 0 {
 			names = append(names, a.Name)
 		}
 	}
 	return names
 }
 
-// few is the first of many names.
-func few(names []string) string {
+// firstNames is the first of many names.
+func firstNames(names []string) string {
 	const most = 8
 	if len(names) > most {
 		return strings.Join(names[:most], ", ") + ", ..."
@@ -289,50 +289,50 @@
 	return strings.Join(names, ", ")
 }
 
-// measureAdded measures what real agents add to a call, before anything else goes on: of the run's parts only control, the
+// measureAddedLatency measures what real agents add to a call, before anything else goes on: of the run's parts only control, the
 // relays and the real agents are there, and nothing changes.
-func (p *play) measureAdded(ctx context.Context) error {
-	n := p.s.Budgets.AddedSamples
-	if p.real == nil || n == 0 {
+func (p *runner) measureAddedLatency(ctx context.Context) error {
+	n := p.scenario.Budgets.AddedSamples
+	if p.realAgents == nil || n == 0 {
 		return nil
 	}
-	p.o.Progress(fmt.Sprintf("measures the time added, %d calls each way", n))
-	ctx, stop := context.WithTimeout(ctx, longestAdded)
+	p.options.Progress(fmt.Sprintf("measures the time added, %d calls each way", n))
+	ctx, stop := context.WithTimeout(ctx, addedLatencyTimeout)
 	defer stop()
 	var err error
-	p.result.Added, err = p.real.Added(ctx, n, addedGap)
+	p.result.Added, err = p.realAgents.Added(ctx, n, addedCallGap)
 	return err
 }
 
-// begin begins the measured part everywhere.
-func (p *play) begin(ctx context.Context) error {
-	if err := p.control.Call(ctx, "Control.Begin", struct{}{}, &struct{}{}); err != nil {
+// beginMeasurement begins the measured part everywhere.
+func (p *runner) beginMeasurement(ctx context.Context) error {
+	if err := p.controlPart.Call(ctx, "Control.Begin", struct{}{}, &struct{}{}); err != nil {
 		return err
 	}
-	if err := p.beginRelays(ctx); err != nil {
+	if err := p.beginRelayMeasurement(ctx); err != nil {
 		return err
 	}
-	if err := p.hollow.Call(ctx, "Hollow.Begin", struct{}{}, &struct{}{}); err != nil {
+	if err := p.simulatedPart.Call(ctx, "Hollow.Begin", struct{}{}, &struct{}{}); err != nil {
 		return err
 	}
-	if p.real != nil {
-		p.real.Begin()
+	if p.realAgents != nil {
+		p.realAgents.Begin()
 	}
-	p.begun, p.spent = time.Now(), processorTime()
+	p.startedAt, p.cpuAtStart = time.Now(), processCPU()
 	return nil
 }
 
 // close ends all processes.
-func (p *play) close() error {
+func (p *runner) close() error {
 	var errs []error
-	if p.real != nil {
-		errs = append(errs, p.real.Close())
+	if p.realAgents != nil {
+		errs = append(errs, p.realAgents.Close())
 	}
-	parts := []*role.Child{p.hollow}
+	parts := []*role.Child{p.simulatedPart}
 	for _, r := range p.relays {
-		parts = append(parts, r.child)
+		parts = append(parts, r.process)
 	}
-	for _, c := range append(parts, p.control) {
+	for _, c := range append(parts, p.controlPart) {
 		if c != nil {
 			errs = append(errs, c.Close())
 		}
--- a/internal/scale/run/steps_test.go
+++ b/internal/scale/run/steps_test.go
@@ -9,38 +9,38 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// drawn is a play of a small fleet in which nothing was started.
-func drawn(t *testing.T, events ...scenario.Event) *play {
+// newDrawnRunner is a play of a small fleet in which nothing was started.
+func newDrawnRunner(t *testing.T, events ...scenario.Event) *runner {
 	t.Helper()
 	s, err := scenario.Load("../../../deploy/scale/small.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
 	s.Events, s.Control.PerMinute, s.Control.ChangesDay = events, 0, 0
-	p := &play{s: s, result: nil}
-	if err := p.draw(); err != nil {
+	p := &runner{scenario: s, result: nil}
+	if err := p.drawWorld(); err != nil {
 		t.Fatal(err)
 	}
-	p.begun = time.Now()
+	p.startedAt = time.Now()
 	return p
 }
 
 func TestAffects(t *testing.T) {
-	p := drawn(t,
+	p := newDrawnRunner(t,
 		scenario.Event{Kind: "config", AtS: 1}, scenario.Event{Kind: "replace", AtS: 1, Count: 2}, scenario.Event{Kind: "restart", AtS: 1, Count: 7},
 		scenario.Event{Kind: "regions", AtS: 1, ForS: 1}, scenario.Event{Kind: "control-loss", AtS: 1, ForS: 1}, scenario.Event{Kind: "agents-back", AtS: 2},
 		scenario.Event{Kind: "machine", AtS: 1, ForS: 1, Count: 1}, scenario.Event{Kind: "fail", AtS: 1, ForS: 1},
 	)
-	want := map[int]int{0: 60, 1: 2, 2: 7, 3: len(p.far()), 4: 60, 5: 60, 6: 1, 7: len(p.world.Services[p.world.Deepest].Servers)}
-	if got := p.affects(p.world.Steps(p.begun)); !maps.Equal(got, want) || len(p.far()) == 0 || len(p.far()) == 60 {
+	want := map[int]int{0: 60, 1: 2, 2: 7, 3: len(p.agentsOutsideControlRegion()), 4: 60, 5: 60, 6: 1, 7: len(p.world.Services[p.world.Deepest].Servers)}
+	if got := p.countAffected(p.world.Steps(p.startedAt)); !maps.Equal(got, want) || len(p.agentsOutsideControlRegion()) == 0 || len(p.agentsOutsideControlRegion()) == 60 {
 		t.Errorf("affected by event: %v, want %v", got, want)
 	}
 }
 
 // TestMoments holds what is counted behind an event to its time, and to the run's.
 func TestMoments(t *testing.T) {
-	p := drawn(t, scenario.Event{Kind: "control-loss", AtS: 1, ForS: 2}, scenario.Event{Kind: "control-loss", AtS: 12, ForS: 1})
-	all := p.moments(&lanes{}, p.world.Steps(p.begun))
+	p := newDrawnRunner(t, scenario.Event{Kind: "control-loss", AtS: 1, ForS: 2}, scenario.Event{Kind: "control-loss", AtS: 12, ForS: 1})
+	all := p.schedule(&partQueues{}, p.world.Steps(p.startedAt))
 	var at []time.Duration
 	for _, m := range all {
 		at = append(at, m.at/time.Second)
@@ -59,34 +59,34 @@
 // TestNote holds from when agents can be told of what was made while their machines were away, through a loss of control
 // that is over before they are back.
 func TestNote(t *testing.T) {
-	p := drawn(t)
-	down, up, away := true, false, p.hollows[0]
+	p := newDrawnRunner(t)
+	down, up, away := true, false, p.simulatedPositions[0]
 	server := p.world.Agents[away].Server
-	other := p.hollows[1]
+	other := p.simulatedPositions[1]
 	now := func() int64 { return time.Now().UnixNano() }
 
-	p.note(world.Step{Event: -1, Down: []int{server}, Silent: true})
+	p.recordReachability(world.Step{Event: -1, Down: []int{server}, Silent: true})
 	made := now()
-	p.note(world.Step{Event: -1, ControlDown: &down})
+	p.recordReachability(world.Step{Event: -1, ControlDown: &down})
 	lost := now()
-	p.note(world.Step{Event: -1, ControlDown: &up})
+	p.recordReachability(world.Step{Event: -1, ControlDown: &up})
 	back := now()
-	if got := p.reach.from(away, made); got != never {
+	if got := p.reachability.reachableFrom(away, made); got != never {
 		t.Errorf("an agent whose machine is away can be told from %d", got)
 	}
-	if got := p.reach.from(other, made); got != made {
+	if got := p.reachability.reachableFrom(other, made); got != made {
 		t.Error("another agent cannot be told at once")
 	}
-	if got := p.reach.from(other, lost); got <= lost || got > back {
+	if got := p.reachability.reachableFrom(other, lost); got <= lost || got > back {
 		t.Error("another agent cannot be told when control is back")
 	}
-	p.note(world.Step{Event: -1, Up: []int{server}})
-	if got := p.reach.from(away, made); got < back || got > now() {
+	p.recordReachability(world.Step{Event: -1, Up: []int{server}})
+	if got := p.reachability.reachableFrom(away, made); got < back || got > now() {
 		t.Errorf("an agent whose machine is back can be told from %d, made at %d", got, made)
 	}
-	p.note(world.Step{Event: -1, ControlDown: &down})
-	p.note(world.Step{Event: -1, Up: []int{server}}) // a planned start, of a machine that was not away
-	if got := p.reach.from(away, now()); got != never {
+	p.recordReachability(world.Step{Event: -1, ControlDown: &down})
+	p.recordReachability(world.Step{Event: -1, Up: []int{server}}) // a planned start, of a machine that was not away
+	if got := p.reachability.reachableFrom(away, now()); got != never {
 		t.Error("a planned start brings control back")
 	}
 }
--- a/internal/scale/run/text.go
+++ b/internal/scale/run/text.go
@@ -10,9 +10,9 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// Over names what keeps a run from being ok: budgets that are exceeded or were not measured, ratios off their factor,
+// Violations names what keeps a run from being ok: budgets that are exceeded or were not measured, ratios off their factor,
 // changes that the stand-in told late by its own clock, real agents that were not up after a restart, and a run that was cut short.
-func Over(r *result.Run) []string {
+func Violations(r *result.Run) []string {
 	var names []string
 	for _, b := range r.Budgets {
 		if !b.OK {
@@ -42,7 +42,7 @@
 	out := bufio.NewWriter(w)
 	s := r.Sizes
 	fmt.Fprintf(out, "%s: %d servers of %d services, %d agents (%d real), depth %d, %.0f calls/s, %.3g configurations/min, %.0f s, seed %d; took %.1f s\n",
-		r.Scenario, s.Servers, s.Services, s.Agents, s.Real, s.Depth, s.CallsPerSecond, s.ChangesPerMinute, s.Seconds, s.Seed, r.WallSecond)
+		r.Scenario, s.Servers, s.Services, s.Agents, s.Real, s.Depth, s.CallsPerSecond, s.ChangesPerMinute, s.Seconds, s.Seed, r.WallSeconds)
 	if r.Incomplete != "" {
 		fmt.Fprintf(out, "incomplete: %s\n", r.Incomplete)
 	}
@@ -50,7 +50,7 @@
 	writeControl(out, r.Control)
 	writeDepths(out, r.Depths)
 	if len(r.Depths) > 0 && !r.ModelKept {
-		fmt.Fprintf(out, "the machine was too busy for the modelled calls: they were handled late by %s ms (p50/p99/max), and what is said of calls does not hold\n", spread(r.ModelLagMS))
+		fmt.Fprintf(out, "the machine was too busy for the modelled calls: they were handled late by %s ms (p50/p99/max), and what is said of calls does not hold\n", quantiles(r.ModelLagMS))
 	}
 	writeEvents(out, r.Events)
 	writeAdded(out, r.Added)
@@ -67,7 +67,7 @@
 	if r.NotUp > 0 {
 		fmt.Fprintf(out, "not_up %d 0 OVER\n", r.NotUp)
 	}
-	if names := Over(r); len(names) > 0 {
+	if names := Violations(r); len(names) > 0 {
 		fmt.Fprintf(out, "scale: OVER %s\n", strings.Join(names, ","))
 	} else {
 		fmt.Fprintln(out, "scale: ok")
@@ -98,14 +98,14 @@
 			result.AgentControl
 		}{{"hollow", r.Hollow}, {"real", r.Real}} {
 			fmt.Fprintf(t, "%s\t%d\t%.0f\t%.0f\t%s\t%.3f\t%.2f\t%.1f\t%s\t%.1f/%.1f\t%s\t%d\n", row.name, row.Agents, row.BytesIn.Mean, row.BytesOut.Mean,
-				spread(row.Worst6s), row.CPUPercent, row.HeapBytes/mega, row.RSSBytes.Max/mega, spread(row.ListInForce),
-				row.ListHeard.P50, row.ListHeard.P99, spread(row.ConfInForce), row.Unheard)
+				quantiles(row.Worst6s), row.CPUPercent, row.HeapBytes/bytesPerMB, row.RSSBytes.Max/bytesPerMB, quantiles(row.ListInForce),
+				row.ListHeard.P50, row.ListHeard.P99, quantiles(row.ConfInForce), row.Unheard)
 		}
 	})
 }
 
-// spread is a distribution as median/99th/largest.
-func spread(d result.Dist) string {
+// quantiles is a distribution as median/99th/largest.
+func quantiles(d result.Distribution) string {
 	if d.N == 0 {
 		return "-"
 	}
@@ -118,7 +118,7 @@
 		fmt.Fprintln(t, "role\tname\tcalls\twhole lists\trefused\tin kB\tout kB\tcpu %\tbusy\tworst 6 s\tqueue ms p50/p99/max\tqueue max\trss MB")
 		for _, m := range machines {
 			fmt.Fprintf(t, "%s\t%s\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t%.3f\t%.3f\t%s\t%d\t%.1f\n", m.Role, m.Name, m.Calls, m.WholeLists, m.Refused,
-				float64(m.BytesIn)/kilo, float64(m.BytesOut)/kilo, m.CPUPercent, m.Busy, m.Worst6s, spread(m.QueueMS), m.QueueMax, m.RSSBytes/mega)
+				float64(m.BytesIn)/bytesPerKB, float64(m.BytesOut)/bytesPerKB, m.CPUPercent, m.Busy, m.Worst6s, quantiles(m.QueueMS), m.QueueMax, m.RSSBytes/bytesPerMB)
 		}
 	})
 }
@@ -145,8 +145,8 @@
 	table(out, func(t io.Writer) {
 		fmt.Fprintln(t, "kind\tat s\tfor s\taffects\tcontrol kB\tin force ms p50/p99/max\tunheard\tserved %\tbefore %\tback after s\twhole lists\trefused")
 		for _, e := range events {
-			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%d\t%.1f\t%s\t%d\t%.2f\t%.2f\t%.1f\t%d\t%d\n", e.Kind, e.At, e.Length, e.Affects, float64(e.Bytes)/kilo,
-				spread(e.InForceMS), e.Unheard, e.ServedPct, e.BeforePct, e.BackAfterS, e.FullLists, e.Refused)
+			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%d\t%.1f\t%s\t%d\t%.2f\t%.2f\t%.1f\t%d\t%d\n", e.Kind, e.At, e.Length, e.Affects, float64(e.Bytes)/bytesPerKB,
+				quantiles(e.InForceMS), e.Unheard, e.ServedPct, e.BeforePct, e.BackAfterS, e.FullLists, e.Refused)
 		}
 	})
 }
@@ -156,7 +156,7 @@
 		return
 	}
 	fmt.Fprintf(out, "\nadded by a real agent, %d calls each way in turn before the first event: through %s ms, direct %s ms (p50/p99/max); median of the differences %.3f ms, 99th %.3f ms, failed %d\n",
-		a.CallsEach, spread(a.Through), spread(a.Direct), a.MedianMS, a.P99MS, a.Failed)
+		a.CallsEach, quantiles(a.Through), quantiles(a.Direct), a.MedianMS, a.P99MS, a.Failed)
 }
 
 func writeRatios(out io.Writer, all []result.Ratio) {
@@ -167,14 +167,14 @@
 	table(out, func(t io.Writer) {
 		fmt.Fprintln(t, "figure\thollow\treal\tratio\tfactor\t\twhy that factor")
 		for i, x := range all {
-			fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.2f\t%.3g\t%s\t%s\n", x.Name, x.Hollow, x.Real, x.Ratio, x.Factor, verdict(x.OK), why(all, i))
+			fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.2f\t%.3g\t%s\t%s\n", x.Name, x.Hollow, x.Real, x.Ratio, x.Factor, verdict(x.OK), ratioReason(all, i))
 		}
 	})
 }
 
-// why says why a ratio has its factor, from the table of them.
-func why(all []result.Ratio, i int) string {
-	for _, h := range ratios {
+// ratioReason says why a ratio has its factor, from the table of them.
+func ratioReason(all []result.Ratio, i int) string {
+	for _, h := range ratioRules {
 		if h.name == all[i].Name {
 			return h.why
 		}
--- a/internal/scale/run/verdict_test.go
+++ b/internal/scale/run/verdict_test.go
@@ -14,15 +14,17 @@
 // limits are budgets that fine, the run below, keeps.
 var limits = scenario.Budgets{AddedP99MS: 0.58, AgentCPU: 1.6, AgentMemMB: 32, AgentKBps: 23, InForceS: 6, ControlBusy: 5, Attempts: 2}
 
-// fine is a run whose every figure is within its budget and whose hollow figures are those of the real ones.
-func fine() *result.Run {
-	d := func(v float64) result.Dist { return result.Dist{N: 10, Mean: v, P50: v, P99: v, Max: v} }
+// passingRun is a run whose every figure is within its budget and whose hollow figures are those of the real ones.
+func passingRun() *result.Run {
+	d := func(v float64) result.Distribution {
+		return result.Distribution{N: 10, Mean: v, P50: v, P99: v, Max: v}
+	}
 	a := result.AgentControl{
-		Agents: 10, BytesIn: d(900), BytesOut: d(300), Worst6s: d(2000), CPUPercent: 0.5, HeapBytes: 2 * mega,
+		Agents: 10, BytesIn: d(900), BytesOut: d(300), Worst6s: d(2000), CPUPercent: 0.5, HeapBytes: 2 * bytesPerMB,
 		ListInForce: d(300), ListHeard: d(320), ConfInForce: d(900),
 	}
 	b := a
-	b.HeapBytes, b.RSSBytes, b.ListInForce = 0, d(20*mega), b.ListHeard
+	b.HeapBytes, b.RSSBytes, b.ListInForce = 0, d(20*bytesPerMB), b.ListHeard
 	return &result.Run{
 		Scenario: "fine", Sizes: result.Sizes{Servers: 20, Agents: 20, Real: 10, Depth: 2, Seconds: 8, ListChanges: 3, Configs: 2, Failures: 1},
 		Hollow: a, Real: b,
@@ -32,9 +34,9 @@
 	}
 }
 
-// judge fills in what Run does at a run's end.
-func judge(r *result.Run, b scenario.Budgets) *result.Run {
-	r.Budgets, r.Ratios = budgets(b, r), hold(r)
+// evaluate fills in what Run does at a run's end.
+func evaluate(r *result.Run, b scenario.Budgets) *result.Run {
+	r.Budgets, r.Ratios = checkBudgets(b, r), compareRatios(r)
 	return r
 }
 
@@ -51,13 +53,13 @@
 		{"added, not measured", func(r *result.Run) { r.Added = result.Added{} }, []string{"added_p99"}},
 		{"hollow cpu", func(r *result.Run) { r.Hollow.CPUPercent = 1.7 }, []string{"agent_cpu"}},
 		{"cpu, not measured", func(r *result.Run) { r.Hollow.CPUPercent, r.Real.CPUPercent = 0, 0 }, []string{"agent_cpu", "ratio:cpu"}},
-		{"real memory", func(r *result.Run) { r.Real.RSSBytes.Max = 33 * mega }, []string{"agent_memory"}},
-		{"hollow memory", func(r *result.Run) { r.Hollow.HeapBytes = 33 * mega }, []string{"agent_memory"}},
+		{"real memory", func(r *result.Run) { r.Real.RSSBytes.Max = 33 * bytesPerMB }, []string{"agent_memory"}},
+		{"hollow memory", func(r *result.Run) { r.Hollow.HeapBytes = 33 * bytesPerMB }, []string{"agent_memory"}},
 		{"bytes of one agent's worst 6 s", func(r *result.Run) { r.Real.Worst6s.Max = 23_001 }, []string{"agent_bytes"}},
 		{"last agent's list", func(r *result.Run) { r.Hollow.ListInForce.Max = 6001 }, []string{"in_force_list"}},
 		{"last agent's configuration", func(r *result.Run) { r.Real.ConfInForce.Max = 6001 }, []string{"in_force_config"}},
 		{"a change that never came", func(r *result.Run) { r.Hollow.Unheard = 1 }, []string{"in_force_list", "in_force_config"}},
-		{"lists of one sort not measured", func(r *result.Run) { r.Real.ListInForce = result.Dist{} }, []string{"in_force_list"}},
+		{"lists of one sort not measured", func(r *result.Run) { r.Real.ListInForce = result.Distribution{} }, []string{"in_force_list"}},
 		{"stated work of two machines", func(r *result.Run) { r.Control[0].Worst6s, r.Control[1].Worst6s = 3, 2.5 }, []string{"control_machines"}},
 		{"real work of one", func(r *result.Run) { r.Control[0].CPUPercent = 510 }, []string{"control_machines"}},
 		{"attempts at the deepest", func(r *result.Run) { r.Depths[1].Amplification = 2.1 }, []string{"attempts_per_call"}},
@@ -77,16 +79,16 @@
 		{"nothing changed or failed", func(r *result.Run) {
 			r.Sizes.ListChanges, r.Sizes.Configs, r.Sizes.Failures = 0, 0, 0
 			for _, a := range []*result.AgentControl{&r.Hollow, &r.Real} {
-				a.ListInForce, a.ListHeard, a.ConfInForce = result.Dist{}, result.Dist{}, result.Dist{}
+				a.ListInForce, a.ListHeard, a.ConfInForce = result.Distribution{}, result.Distribution{}, result.Distribution{}
 			}
 			r.Depths[1].Amplification = 0
 		}, nil},
 		{"no hollow agents", func(r *result.Run) { r.Sizes.Real, r.Hollow, r.Depths = 20, result.AgentControl{}, nil }, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := fine()
+			r := passingRun()
 			c.change(r)
-			if got := Over(judge(r, limits)); !slices.Equal(got, c.want) {
+			if got := Violations(evaluate(r, limits)); !slices.Equal(got, c.want) {
 				t.Errorf("over: %q, want %q", got, c.want)
 			}
 		})
@@ -94,7 +96,7 @@
 }
 
 func TestBudgetsLeftOut(t *testing.T) {
-	if got := budgets(scenario.Budgets{AgentCPU: 1.6}, fine()); len(got) != 1 || got[0].Name != "agent_cpu" {
+	if got := checkBudgets(scenario.Budgets{AgentCPU: 1.6}, passingRun()); len(got) != 1 || got[0].Name != "agent_cpu" {
 		t.Errorf("with one limit: %+v", got)
 	}
 }
@@ -109,22 +111,22 @@
 		{"two over", func(r *result.Run) { r.Hollow.CPUPercent, r.LateTold = 2.5, 3 }, "scale: OVER agent_cpu,ratio:cpu,late_told"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			r := fine()
+			r := passingRun()
 			c.change(r)
 			var out bytes.Buffer
-			if err := WriteText(&out, judge(r, limits)); err != nil {
+			if err := WriteText(&out, evaluate(r, limits)); err != nil {
 				t.Fatal(err)
 			}
 			text := strings.TrimSuffix(out.String(), "\n")
 			if last := text[strings.LastIndexByte(text, '\n')+1:]; last != c.last {
 				t.Errorf("last line %q, want %q", last, c.last)
 			}
-			for _, l := range lines {
+			for _, l := range budgetLines {
 				if !regexp.MustCompile(`(?m)^` + l.name + ` +[0-9.e+-]+ +[0-9.e+-]+ +(ok|OVER)$`).MatchString(text) {
 					t.Errorf("no line of budget %s in:\n%s", l.name, text)
 				}
 			}
-			for _, h := range ratios {
+			for _, h := range ratioRules {
 				if !strings.Contains(text, h.why) {
 					t.Errorf("the factor of %s is not explained", h.name)
 				}
--- a/internal/scale/run/watchdog.go
+++ b/internal/scale/run/watchdog.go
@@ -10,43 +10,43 @@
 	"time"
 )
 
-// lookEvery is how often the memory of all processes is summed up.
-const lookEvery = 500 * time.Millisecond
+// eventsPerPoll is how often the memory of all processes is summed up.
+const memoryCheckInterval = 500 * time.Millisecond
 
-// guard makes the run fail when a part or a real agent dies, or when all processes together hold too much memory. It ends
+// watchProcesses makes the run fail when a part or a real agent dies, or when all processes together hold too much memory. It ends
 // with the run.
-func (p *play) guard(ctx context.Context) {
-	look := time.NewTicker(lookEvery)
+func (p *runner) watchProcesses(ctx context.Context) {
+	look := time.NewTicker(memoryCheckInterval)
 	defer look.Stop()
 	var realDied <-chan struct{}
-	if p.real != nil {
-		realDied = p.real.Failed()
+	if p.realAgents != nil {
+		realDied = p.realAgents.Failed()
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-p.control.Done():
-			p.fail(fmt.Errorf("the part %s died", p.control.Role))
+		case <-p.controlPart.Done():
+			p.fail(fmt.Errorf("the part %s died", p.controlPart.Role))
 			return
-		case <-p.hollow.Done():
-			p.fail(fmt.Errorf("the part %s died", p.hollow.Role))
+		case <-p.simulatedPart.Done():
+			p.fail(fmt.Errorf("the part %s died", p.simulatedPart.Role))
 			return
 		case <-realDied:
-			p.fail(p.real.Err())
+			p.fail(p.realAgents.Err())
 			return
 		case <-look.C:
-			if held := memory(os.Getpid()); held > mostMemory {
-				p.fail(fmt.Errorf("all processes together hold %d MB, they may hold %d", held>>20, mostMemory>>20))
+			if held := processTreeMemory(os.Getpid()); held > maxMemoryBytes {
+				p.fail(fmt.Errorf("all processes together hold %d MB, they may hold %d", held>>20, maxMemoryBytes>>20))
 				return
 			}
 		}
 	}
 }
 
-// memory is what a process and its children hold, in bytes. One that ends meanwhile counts as nothing.
-func memory(pid int) int64 {
-	sum := resident(pid)
+// processTreeMemory is what a process and its children hold, in bytes. One that ends meanwhile counts as nothing.
+func processTreeMemory(pid int) int64 {
+	sum := residentBytes(pid)
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // the pattern is right
 	parent := []byte(strconv.Itoa(pid))
 	for _, stat := range stats {
@@ -58,14 +58,14 @@
 		fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 		if len(fields) > 1 && bytes.Equal(fields[1], parent) {
 			child, _ := strconv.Atoi(filepath.Base(filepath.Dir(stat))) // the pattern lets only digits through
-			sum += resident(child)
+			sum += residentBytes(child)
 		}
 	}
 	return sum
 }
 
-// resident is what one process holds, in bytes.
-func resident(pid int) int64 {
+// residentBytes is what one process holds, in bytes.
+func residentBytes(pid int) int64 {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", pid))
 	if err != nil {
 		return 0
--- a/internal/scale/run/watchdog_test.go
+++ b/internal/scale/run/watchdog_test.go
@@ -10,7 +10,7 @@
 )
 
 func TestMemoryCountsChildren(t *testing.T) {
-	alone := memory(os.Getpid())
+	alone := processTreeMemory(os.Getpid())
 	if alone < 1<<20 {
 		t.Fatalf("this process holds %d bytes", alone)
 	}
@@ -18,16 +18,16 @@
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	child := resident(cmd.Process.Pid)
-	if with := memory(os.Getpid()); child == 0 || with < child {
+	child := residentBytes(cmd.Process.Pid)
+	if with := processTreeMemory(os.Getpid()); child == 0 || with < child {
 		t.Errorf("a child holds %d bytes, all of them %d", child, with)
 	}
-	if own := memory(cmd.Process.Pid); own > 64<<20 {
+	if own := processTreeMemory(cmd.Process.Pid); own > 64<<20 {
 		t.Errorf("a process without children counts %d bytes", own)
 	}
 	cmd.Process.Kill()
 	cmd.Wait()
-	if got := resident(cmd.Process.Pid); got != 0 {
+	if got := residentBytes(cmd.Process.Pid); got != 0 {
 		t.Errorf("a process that has ended holds %d bytes", got)
 	}
 }
--- a/internal/scale/run/windows.go
+++ b/internal/scale/run/windows.go
@@ -6,15 +6,15 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// windowSeconds is the length of the worst stretch that budgets are held against.
-const windowSeconds = 6
+// worstWindowSeconds is the length of the worst stretch that budgets are held against.
+const worstWindowSeconds = 6
 
-// largestRate is the most bytes a second that are told apart.
-const largestRate = 1e9
+// maxBytesPerSecond is the most bytes a second that are told apart.
+const maxBytesPerSecond = 1e9
 
-// worst is the largest mean over windowSeconds following bins, of a second each; over all where there are fewer.
-func worst(bins []float64) float64 {
-	n := min(windowSeconds, len(bins))
+// worstWindowMean is the largest mean over worstWindowSeconds following bins, of a second each; over all where there are fewer.
+func worstWindowMean(bins []float64) float64 {
+	n := min(worstWindowSeconds, len(bins))
 	if n == 0 {
 		return 0
 	}
@@ -33,18 +33,18 @@
 
 // rates sums up what some agents sent and received: the mean of each over the run's seconds, and each one's worst 6 s in
 // and out together, in bytes a second.
-func rates(in, out [][]int64, agents []int, seconds int) (meanIn, meanOut, worst6s result.Dist) {
+func rates(in, out [][]int64, agents []int, seconds int) (meanIn, meanOut, worst6s result.Distribution) {
 	if seconds <= 0 {
 		return
 	}
-	hin, hout, hworst := result.NewHist(largestRate), result.NewHist(largestRate), result.NewHist(largestRate)
+	hin, hout, hworst := result.NewHistogram(maxBytesPerSecond), result.NewHistogram(maxBytesPerSecond), result.NewHistogram(maxBytesPerSecond)
 	for _, a := range agents {
 		both := make([]float64, seconds)
 		hin.Add(addBins(both, in, a) / float64(seconds))
 		hout.Add(addBins(both, out, a) / float64(seconds))
-		hworst.Add(worst(both))
+		hworst.Add(worstWindowMean(both))
 	}
-	return hin.Dist(), hout.Dist(), hworst.Dist()
+	return hin.Distribution(), hout.Distribution(), hworst.Distribution()
 }
 
 // addBins adds an agent's bins to those of both ways and returns their sum; what is later than the run's seconds is left out.
@@ -60,8 +60,8 @@
 	return sum
 }
 
-// between is all agents' bytes in the seconds from one to before another.
-func between(from, to int, ways ...[][]int64) int64 {
+// bytesBetween is all agents' bytes in the seconds from one to before another.
+func bytesBetween(from, to int, ways ...[][]int64) int64 {
 	sum := int64(0)
 	for _, way := range ways {
 		for _, bins := range way {
@@ -74,9 +74,9 @@
 	return sum
 }
 
-// served is the share of calls at the root that were served in the seconds from one to before another, in percent; 0
+// servedPercent is the share of calls at the root that were served in the seconds from one to before another, in percent; 0
 // where there were none.
-func served(windows []result.Window, from, to int) float64 {
+func servedPercent(windows []result.Window, from, to int) float64 {
 	roots, ok := int64(0), int64(0)
 	for _, w := range windows {
 		if w.Second >= from && w.Second < to {
@@ -89,9 +89,9 @@
 	return 100 * float64(ok) / float64(roots)
 }
 
-// backAfter is how many seconds after an end nine tenths of a share are served again, in a second of its own; -1: not
+// recoveredAfter is how many seconds after an end nine tenths of a share are served again, in a second of its own; -1: not
 // within the run.
-func backAfter(windows []result.Window, end int, before float64) float64 {
+func recoveredAfter(windows []result.Window, end int, before float64) float64 {
 	sorted := slices.SortedFunc(slices.Values(windows), func(a, b result.Window) int { return a.Second - b.Second })
 	for _, w := range sorted {
 		if w.Second >= end && w.Roots > 0 && 100*float64(w.Served)/float64(w.Roots) >= 0.9*before {
--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -14,149 +14,149 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// mostOpen is how many requests an agent has open at once at most; one more is refused, as where an agent's sockets are
+// maxOpenRequests is how many requests an agent has open at once at most; one more is refused, as where an agent's sockets are
 // all in use.
-const mostOpen = 2048
+const maxOpenRequests = 2048
 
 // agent is one hollow agent: what its loop is, without sockets towards clients and servers. All but its life's guarded
 // part is its shard's.
 type agent struct {
-	shard  *shard
-	place  int // among the world's agents
-	server *server
-	roots  float64 // calls a second that begin here
-
-	set      atomic.Pointer[settings.Settings] // the shard swaps it; the client reads it
-	balancer *balancer.Balancer
-	servers  *membership.Table
-	targets  map[balancer.ServerID]*server
-	ask      func()         // asks discovery for the list
-	classOf  map[string]int // positions of the settings' classes, by name
-	life     uint32         // counts its processes: what belongs to an earlier one is dropped
-	up       bool
-	ready    bool // a list has come
-	served   bool // it was ready in this life or an earlier one: its application calls it
-	fresh    bool // and it is no old one
-	revision uint64
-	now      time.Duration // never runs backwards
-	requests map[balancer.RequestID]*call
-	lastID   balancer.RequestID
-	control  bool // what is handled now is control's
-	events   []balancer.Event
-	actions  []balancer.Action
-	held     []held // what it heard of lists since the measured part began
-
-	process sync.Mutex // guards what follows: one start, stop or reload at a time
-	cfg     *config.Config
-	conf    int // revision of its configuration
-	running *life
+	shard              *shard
+	position           int // among the world's agents
+	server             *server
+	rootCallsPerSecond float64 // calls a second that begin here
+
+	settings      atomic.Pointer[settings.Settings] // the shard swaps it; the client reads it
+	balancer      *balancer.Balancer
+	endpoints     *membership.Table
+	serversByID   map[balancer.ServerID]*server
+	pollEndpoints func()         // asks discovery for the list
+	classIndex    map[string]int // positions of the settings' classes, by name
+	incarnation   uint32         // counts its processes: what belongs to an earlier one is dropped
+	isUp          bool
+	hasList       bool // a list has come
+	wasReady      bool // it was ready in this life or an earlier one: its application calls it
+	synced        bool // and it is no old one
+	revision      uint64
+	now           time.Duration // never runs backwards
+	requests      map[balancer.RequestID]*call
+	lastID        balancer.RequestID
+	forControl    bool // what is handled now is control's
+	events        []balancer.Event
+	actions       []balancer.Action
+	listTimes     []listTime // what it heard of lists since the measured part began
+
+	processMu      sync.Mutex // guards what follows: one start, stop or reload at a time
+	cfg            *config.Config
+	configRevision int // revision of its configuration
+	process        *process
 }
 
-// held says that a list's revision was in force from some time on.
-type held struct {
-	revision uint64
-	at       int64 // Unix ns
+// listTime says that a list's revision was in force from some time on.
+type listTime struct {
+	revision   uint64
+	atUnixNano int64 // Unix ns
 }
 
-// begin makes the agent a new process, which knows what its configuration says. The shard calls it.
-func (a *agent) begin(cfg *config.Config, decisions *balancer.Balancer, ask func()) {
-	a.end()
-	a.balancer, a.ask, a.up = decisions, ask, true
-	a.set.Store(&cfg.Settings)
-	a.servers, a.targets = membership.New(nil), map[balancer.ServerID]*server{}
+// startProcess makes the agent a new process, which knows what its configuration says. The shard calls it.
+func (a *agent) startProcess(cfg *config.Config, decisions *balancer.Balancer, ask func()) {
+	a.stopProcess()
+	a.balancer, a.pollEndpoints, a.isUp = decisions, ask, true
+	a.settings.Store(&cfg.Settings)
+	a.endpoints, a.serversByID = membership.New(nil), map[balancer.ServerID]*server{}
 	a.requests, a.lastID = map[balancer.RequestID]*call{}, 0
-	a.know(&cfg.Settings)
-	if a.roots > 0 {
+	a.indexClasses(&cfg.Settings)
+	if a.rootCallsPerSecond > 0 {
 		s := a.shard
-		s.queue.push(event{kind: rootCall, due: s.now + s.exponential(1/a.roots), agent: a, life: a.life})
+		s.queue.push(event{kind: eventRootCall, due: s.now + s.exponential(1/a.rootCallsPerSecond), agent: a, incarnation: a.incarnation})
 	}
 }
 
-// end drops the process and all that it had open.
-func (a *agent) end() {
-	a.life++
-	a.up, a.ready, a.fresh = false, false, false
+// stopProcess drops the process and all that it had open.
+func (a *agent) stopProcess() {
+	a.incarnation++
+	a.isUp, a.hasList, a.synced = false, false, false
 	open := a.requests
 	a.requests = nil
 	for _, c := range open {
 		for n := range c.attempts {
-			a.giveUp(c, n)
+			a.dropAttempt(c, n)
 		}
-		a.finish(c, failed)
+		a.finish(c, callFailed)
 	}
 }
 
-// know takes in the names of the settings' classes.
-func (a *agent) know(set *settings.Settings) {
-	a.classOf = make(map[string]int, len(set.ClassNames))
+// indexClasses takes in the names of the settings' classes.
+func (a *agent) indexClasses(set *settings.Settings) {
+	a.classIndex = make(map[string]int, len(set.ClassNames))
 	for i, name := range set.ClassNames {
-		a.classOf[name] = i
+		a.classIndex[name] = i
 	}
 }
 
-// told hands what discovery tells to the module, as the agent's loop does.
-func (a *agent) told(life uint32, n discovery.WatchEvent) {
-	if life != a.life || !a.up {
+// onWatchEvent hands what discovery tells to the module, as the agent's loop does.
+func (a *agent) onWatchEvent(life uint32, n discovery.WatchEvent) {
+	if life != a.incarnation || !a.isUp {
 		return
 	}
-	a.shard.cpu.forControl(func() {
-		a.control = true
-		ev := n.Event(a.entries(n.Members))
+	a.shard.cpu.measureControl(func() {
+		a.forControl = true
+		ev := n.Event(a.resolveEndpoints(n.Members))
 		a.handle(ev)
-		a.control = false
+		a.forControl = false
 		if n.Update.KeepsEndpoints() {
 			return
 		}
-		for _, id := range a.servers.RemoveGone(n.Update, ev.Endpoints) {
-			delete(a.targets, id)
+		for _, id := range a.endpoints.RemoveGone(n.Update, ev.Endpoints) {
+			delete(a.serversByID, id)
 		}
-		a.ready = a.servers.Len() > 0 || a.ready
-		a.served = a.served || a.ready
+		a.hasList = a.endpoints.Len() > 0 || a.hasList
+		a.wasReady = a.wasReady || a.hasList
 	})
 	if n.Update == balancer.EndpointsReplaced || n.Update == balancer.EndpointsChanged {
-		a.inForce(n.Revision)
+		a.recordListInForce(n.Revision)
 	}
 }
 
-// inForce notes that the module has a revision of the list.
-func (a *agent) inForce(revision uint64) {
+// recordListInForce notes that the module has a revision of the list.
+func (a *agent) recordListInForce(revision uint64) {
 	a.revision = revision
-	a.held = append(a.held, held{revision, int64(a.shard.clock.Now())})
-	if a.ready && !a.fresh {
-		a.fresh = true
-		a.shard.fleet.readied()
+	a.listTimes = append(a.listTimes, listTime{revision, int64(a.shard.clock.Now())})
+	if a.hasList && !a.synced {
+		a.synced = true
+		a.shard.fleet.noteSynced()
 	}
 }
 
-// entries turns the members of a list into the module's terms and finds the modelled servers behind them.
-func (a *agent) entries(members []discovery.Member) []balancer.Endpoint {
-	entries := a.servers.Endpoints(a.set.Load(), members)
+// resolveEndpoints turns the members of a list into the module's terms and finds the modelled servers behind them.
+func (a *agent) resolveEndpoints(members []discovery.Member) []balancer.Endpoint {
+	entries := a.endpoints.Endpoints(a.settings.Load(), members)
 	for i, e := range entries {
 		if e.State == balancer.Removed {
 			continue
 		}
-		if s := a.shard.fleet.at(members[i]); s != nil {
-			a.targets[e.ID] = s
+		if s := a.shard.fleet.serverOf(members[i]); s != nil {
+			a.serversByID[e.ID] = s
 		}
 	}
 	return entries
 }
 
-// adopt swaps the settings for others, in the module and here, or leaves all as it is, as the agent's loop does.
-func (a *agent) adopt(next *settings.Settings) (err error) {
-	a.shard.cpu.forControl(func() {
+// adoptSettings swaps the settings for others, in the module and here, or leaves all as it is, as the agent's loop does.
+func (a *agent) adoptSettings(next *settings.Settings) (err error) {
+	a.shard.cpu.measureControl(func() {
 		if err = a.balancer.Adopt(next.Balancer); err != nil {
 			return
 		}
-		old := a.set.Swap(next)
-		a.know(next)
-		if slices.Equal(old.ZoneNames, next.ZoneNames) && slices.Equal(old.KindNames, next.KindNames) || a.servers.Len() == 0 {
+		old := a.settings.Swap(next)
+		a.indexClasses(next)
+		if slices.Equal(old.ZoneNames, next.ZoneNames) && slices.Equal(old.KindNames, next.KindNames) || a.endpoints.Len() == 0 {
 			return
 		}
 		// Danger: zones and kinds are positions in the settings' lists, and those have changed under the servers.
-		a.control = true
-		a.handle(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: a.entries(a.servers.Members())})
-		a.control = false
+		a.forControl = true
+		a.handle(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: a.resolveEndpoints(a.endpoints.Members())})
+		a.forControl = false
 	})
 	return err
 }
@@ -168,66 +168,66 @@
 		a.now = max(a.now, a.shard.now)
 		a.actions = a.balancer.Handle(a.now, a.events[i], a.actions[:0])
 		for j := range a.actions {
-			a.act(&a.actions[j])
+			a.perform(&a.actions[j])
 		}
 	}
 	a.events = a.events[:0]
 }
 
-// act carries out one action.
-func (a *agent) act(act *balancer.Action) {
+// perform carries out one action.
+func (a *agent) perform(act *balancer.Action) {
 	c := a.requests[act.Request]
 	switch act.Kind {
 	case balancer.ActionSend:
 		if c != nil {
-			a.attempt(c, act)
+			a.send(c, act)
 		}
 	case balancer.ActionReject:
 		if c != nil {
-			a.finish(c, refused)
+			a.finish(c, callRejected)
 		}
 	case balancer.ActionFail:
 		if c != nil {
-			a.finish(c, failed)
+			a.finish(c, callFailed)
 		}
 	case balancer.ActionCancel:
 		if c != nil && act.Attempt < len(c.attempts) {
-			a.giveUpSoon(c, act.Attempt)
+			a.cancelAttempt(c, act.Attempt)
 		}
 	case balancer.ActionSetTimer:
 		a.shard.queue.push(event{
-			kind: timer, due: a.now + act.Delay, agent: a, life: a.life, token: uint64(act.TimerID), control: a.control,
+			kind: eventTimer, due: a.now + act.Delay, agent: a, incarnation: a.incarnation, token: uint64(act.TimerID), forControl: a.forControl,
 		})
 	case balancer.ActionHealthCheck:
-		a.probe(act.Server)
+		a.healthCheck(act.Server)
 	case balancer.ActionPollEndpoints:
-		a.ask()
+		a.pollEndpoints()
 	case balancer.ActionLog:
-		a.shard.counts.Logs++ // nobody reads what so many agents say
+		a.shard.counts.logLines++ // nobody reads what so many agents say
 	}
 }
 
-// timer hands a timer that fell due to the module. One that asks for the list came of a list, and is control's.
-func (a *agent) timer(ev *event) {
-	if ev.life != a.life || !a.up {
+// onTimer hands a timer that fell due to the module. One that asks for the list came of a list, and is control's.
+func (a *agent) onTimer(ev *event) {
+	if ev.incarnation != a.incarnation || !a.isUp {
 		return
 	}
 	fire := func() { a.handle(balancer.Event{Kind: balancer.EventTimer, TimerID: balancer.TimerID(ev.token)}) }
-	if ev.control {
-		a.shard.cpu.forControl(fire)
+	if ev.forControl {
+		a.shard.cpu.measureControl(fire)
 	} else {
 		fire()
 	}
 }
 
-// root makes a call at the root, if the agent and its application are there, and says when the next one comes.
-func (a *agent) root(life uint32) {
-	if life != a.life {
+// startRootCall makes a call at the root, if the agent and its application are there, and says when the next one comes.
+func (a *agent) startRootCall(life uint32) {
+	if life != a.incarnation {
 		return
 	}
 	s := a.shard
-	s.queue.push(event{kind: rootCall, due: s.now + s.exponential(1/a.roots), agent: a, life: life})
-	if a.server.state != serving || !a.served || s.now < s.fleet.rootsFrom {
+	s.queue.push(event{kind: eventRootCall, due: s.now + s.exponential(1/a.rootCallsPerSecond), agent: a, incarnation: life})
+	if a.server.state != serverUp || !a.wasReady || s.now < s.fleet.rootCallsFrom {
 		return
 	}
 	calls := s.fleet.world.Services[a.server.service].Calls
@@ -235,6 +235,6 @@
 		return
 	}
 	phase := s.phase()
-	second := s.counts.begin(phase, s.now)
-	a.request(request{service: pick(s.rng.Float64(), calls), phase: phase, second: second, root: true, left: math.MaxInt64})
+	second := s.counts.countRootCall(phase, s.now)
+	a.startCall(request{service: pickService(s.rng.Float64(), calls), phase: phase, second: second, root: true, remaining: math.MaxInt64})
 }
--- a/internal/scale/simagent/configsource_test.go
+++ b/internal/scale/simagent/configsource_test.go
@@ -11,14 +11,14 @@
 	f, _ := started(t, w, func(o *Options) { o.Shards = 2 })
 	f.Begin()
 	slow, goesOn, held := f.agents[0].shard, make(chan struct{}), make(chan struct{})
-	slow.soon(func() { close(held); <-goesOn })
+	slow.doAsync(func() { close(held); <-goesOn })
 	<-held
 	f.Configure(1, time.Millisecond)
-	others := func(c Conf) (have, of int) {
+	others := func(c ConfigChange) (have, of int) {
 		for _, a := range f.agents {
 			if a.shard != slow {
 				of++
-				if c.At[a.place] != 0 {
+				if c.At[a.position] != 0 {
 					have++
 				}
 			}
@@ -26,14 +26,14 @@
 		return have, of
 	}
 	until(t, "the other shard's agents have the configuration", func() bool {
-		c := f.source.since(0)
+		c := f.configSource.changesSince(0)
 		if len(c) == 0 {
 			return false
 		}
 		have, of := others(c[0])
 		return have == of
 	})
-	if c := f.source.since(0)[0]; c.At[f.agents[0].place] != 0 {
+	if c := f.configSource.changesSince(0)[0]; c.At[f.agents[0].position] != 0 {
 		t.Error("the slow agent has it too")
 	}
 	close(goesOn)
@@ -45,18 +45,18 @@
 	w := tinyWorld(t, nil)
 	f, _ := started(t, w, nil)
 	a := f.agents[2]
-	text := func(revision int) []byte { return w.Config(a.place, f.options(a, revision)) }
+	text := func(revision int) []byte { return w.Config(a.position, f.configOptions(a, revision)) }
 	for _, revision := range []int{1, 2} {
-		f.source.start(revision, f.clock.Now())
+		f.configSource.startRollout(revision, f.clock.Now())
 	}
-	f.reload(a, 2, text(2))
-	newer := a.set.Load().Balancer.Classes[0].Deadline
-	f.reload(a, 1, text(1))
-	if got := a.set.Load().Balancer.Classes[0].Deadline; got != newer || a.conf != 2 {
-		t.Errorf("deadline %v, revision %d, want %v and 2", got, a.conf, newer)
+	f.reloadAgent(a, 2, text(2))
+	newer := a.settings.Load().Balancer.Classes[0].Deadline
+	f.reloadAgent(a, 1, text(1))
+	if got := a.settings.Load().Balancer.Classes[0].Deadline; got != newer || a.configRevision != 2 {
+		t.Errorf("deadline %v, revision %d, want %v and 2", got, a.configRevision, newer)
 	}
-	for _, c := range f.source.since(0) {
-		if c.At[a.place] == 0 || c.Rejected != 0 {
+	for _, c := range f.configSource.changesSince(0) {
+		if c.At[a.position] == 0 || c.Rejected != 0 {
 			t.Errorf("%+v", c)
 		}
 	}
--- a/internal/scale/simagent/counts.go
+++ b/internal/scale/simagent/counts.go
@@ -10,22 +10,22 @@
 type phase uint8
 
 const (
-	before phase = iota // the measured part
-	peace
-	failing // the deepest service fails
-	phases
+	phaseBefore phase = iota // the measured part
+	phaseHealthy
+	phaseFailing // the deepest service fails
+	phaseCount
 )
 
-// mostDepth is the deepest layer that is counted by itself; deeper ones count as this.
-const mostDepth = 64
+// maxDepth is the deepest layer that is counted by itself; deeper ones count as this.
+const maxDepth = 64
 
-// longestRun is how many seconds have windows of their own; later ones count as the last.
-const longestRun = 24 * 3600
+// maxWindows is how many seconds have windows of their own; later ones count as the last.
+const maxWindows = 24 * 3600
 
-// depth is what happened to calls of one layer in one phase.
-type depth struct{ Calls, Attempts, OK, Failed, Refused int64 }
+// depthCounts is what happened to calls of one layer in one phase.
+type depthCounts struct{ Calls, Attempts, OK, Failed, Refused int64 }
 
-func (d *depth) add(o depth) {
+func (d *depthCounts) add(o depthCounts) {
 	d.Calls += o.Calls
 	d.Attempts += o.Attempts
 	d.OK += o.OK
@@ -33,84 +33,84 @@
 	d.Refused += o.Refused
 }
 
-// counts is what one shard counts of the measured part.
-type counts struct {
-	From    time.Duration // when that began; 0: not yet
-	Depths  [mostDepth + 1][phases]depth
-	Windows []result.Window // by second
-	Roots   [phases]int64
-	Again   [3]int64 // by effect: attempts of calls that may have run before
-	Logs    int64    // lines of the module
+// shardCounts is what one shard counts of the measured part.
+type shardCounts struct {
+	startedAt time.Duration // when that began; 0: not yet
+	depths    [maxDepth + 1][phaseCount]depthCounts
+	windows   []result.Window // by second
+	roots     [phaseCount]int64
+	repeats   [3]int64 // by effect: attempts of calls that may have run before
+	logLines  int64    // lines of the module
 }
 
-func (c *counts) depth(p phase, layer int) *depth {
-	return &c.Depths[min(max(layer, 0), mostDepth)][p]
+func (c *shardCounts) of(p phase, layer int) *depthCounts {
+	return &c.depths[min(max(layer, 0), maxDepth)][p]
 }
 
-// begin counts a call at the root and returns its second.
-func (c *counts) begin(p phase, now time.Duration) int {
-	c.Roots[p]++
-	if p == before {
+// countRootCall counts a call at the root and returns its second.
+func (c *shardCounts) countRootCall(p phase, now time.Duration) int {
+	c.roots[p]++
+	if p == phaseBefore {
 		return 0
 	}
-	second := min(int(max(0, now-c.From)/time.Second), longestRun-1)
-	for len(c.Windows) <= second {
-		c.Windows = append(c.Windows, result.Window{Second: len(c.Windows)})
+	second := min(int(max(0, now-c.startedAt)/time.Second), maxWindows-1)
+	for len(c.windows) <= second {
+		c.windows = append(c.windows, result.Window{Second: len(c.windows)})
 	}
-	c.Windows[second].Roots++
+	c.windows[second].Roots++
 	return second
 }
 
-// ended counts the end of a call.
-func (c *counts) ended(of *call, layer int, how end) {
-	d := c.depth(of.phase, layer)
+// countEnd counts the end of a call.
+func (c *shardCounts) countEnd(of *call, layer int, how callResult) {
+	d := c.of(of.phase, layer)
 	switch how {
-	case served:
+	case callServed:
 		d.OK++
-		if of.root && of.phase != before && of.second < len(c.Windows) {
-			c.Windows[of.second].Served++
+		if of.root && of.phase != phaseBefore && of.second < len(c.windows) {
+			c.windows[of.second].Served++
 		}
-	case failed:
+	case callFailed:
 		d.Failed++
-	case refused:
+	case callRejected:
 		d.Refused++
 	}
 }
 
-// add takes in another shard's counts.
-func (c *counts) add(o *counts) {
-	for i := range o.Depths {
-		for p := range o.Depths[i] {
-			c.Depths[i][p].add(o.Depths[i][p])
+// merge takes in another shard's counts.
+func (c *shardCounts) merge(o *shardCounts) {
+	for i := range o.depths {
+		for p := range o.depths[i] {
+			c.depths[i][p].add(o.depths[i][p])
 		}
 	}
-	for len(c.Windows) < len(o.Windows) {
-		c.Windows = append(c.Windows, result.Window{Second: len(c.Windows)})
+	for len(c.windows) < len(o.windows) {
+		c.windows = append(c.windows, result.Window{Second: len(c.windows)})
 	}
-	for i, w := range o.Windows {
-		c.Windows[i].Roots += w.Roots
-		c.Windows[i].Served += w.Served
+	for i, w := range o.windows {
+		c.windows[i].Roots += w.Roots
+		c.windows[i].Served += w.Served
 	}
-	for p := range o.Roots {
-		c.Roots[p] += o.Roots[p]
+	for p := range o.roots {
+		c.roots[p] += o.roots[p]
 	}
-	for e := range o.Again {
-		c.Again[e] += o.Again[e]
+	for e := range o.repeats {
+		c.repeats[e] += o.repeats[e]
 	}
-	c.Logs += o.Logs
+	c.logLines += o.logLines
 }
 
-// depths sums up what happened by layer, the first one first, as far down as anything was called.
-func (c *counts) depths() (all []result.Depth) {
-	for layer := 1; layer <= mostDepth; layer++ {
-		p, f := c.Depths[layer][peace], c.Depths[layer][failing]
+// depthResults sums up what happened by layer, the first one first, as far down as anything was called.
+func (c *shardCounts) depthResults() (all []result.Depth) {
+	for layer := 1; layer <= maxDepth; layer++ {
+		p, f := c.depths[layer][phaseHealthy], c.depths[layer][phaseFailing]
 		if p.Calls+f.Calls == 0 {
 			continue
 		}
 		d := result.Depth{
 			Depth: layer, Calls: p.Calls, Attempts: p.Attempts, OK: p.OK, Failed: p.Failed, Refused: p.Refused,
 			FailCalls: f.Calls, FailAttempts: f.Attempts, FailOK: f.OK,
-			PerRoot: ratio(p.Attempts, c.Roots[peace]), FailPerRoot: ratio(f.Attempts, c.Roots[failing]),
+			PerRoot: ratio(p.Attempts, c.roots[phaseHealthy]), FailPerRoot: ratio(f.Attempts, c.roots[phaseFailing]),
 			ServedMeanPercent: 100 * ratio(p.OK, p.Calls),
 		}
 		if d.PerRoot > 0 {
@@ -121,14 +121,14 @@
 	return all
 }
 
-// windows returns the seconds with their shares. A call counts in the second that it began in, so that the last ones lack
+// windowResults returns the seconds with their shares. A call counts in the second that it began in, so that the last ones lack
 // what is still under way.
-func (c *counts) windows() []result.Window {
-	for i := range c.Windows {
-		w := &c.Windows[i]
+func (c *shardCounts) windowResults() []result.Window {
+	for i := range c.windows {
+		w := &c.windows[i]
 		w.Percent = 100 * ratio(w.Served, w.Roots)
 	}
-	return c.Windows
+	return c.windows
 }
 
 // ratio is part over whole, and 0 of nothing.
--- a/internal/scale/simagent/cputime.go
+++ b/internal/scale/simagent/cputime.go
@@ -20,8 +20,8 @@
 // shards, at most a thousand times a second each. So the figure is an upper one.
 
 const (
-	processClock = 2 // Linux's CLOCK_PROCESS_CPUTIME_ID, which package syscall leaves out
-	threadClock  = 3 // and CLOCK_THREAD_CPUTIME_ID; getrusage tells a thread's time only as of the scheduler's last tick
+	processCPUClock = 2 // Linux's CLOCK_PROCESS_CPUTIME_ID, which package syscall leaves out
+	threadCPUClock  = 3 // and CLOCK_THREAD_CPUTIME_ID; getrusage tells a thread's time only as of the scheduler's last tick
 )
 
 // cpuTime reads one of Linux's clocks of processor time.
@@ -35,24 +35,26 @@
 
 // cpuMeter tells a thread's processor time in two: control's and the rest. It is the thread's own.
 type cpuMeter struct {
-	from    time.Duration
-	control time.Duration
+	startedAt   time.Duration
+	controlTime time.Duration
 }
 
-func (m *cpuMeter) start() { *m = cpuMeter{from: cpuTime(threadClock)} }
+func (m *cpuMeter) start() { *m = cpuMeter{startedAt: cpuTime(threadCPUClock)} }
 
-// model is what the thread has spent since the start, less control's part.
-func (m *cpuMeter) model() time.Duration { return cpuTime(threadClock) - m.from - m.control }
+// modelTime is what the thread has spent since the start, less control's part.
+func (m *cpuMeter) modelTime() time.Duration {
+	return cpuTime(threadCPUClock) - m.startedAt - m.controlTime
+}
 
-// forControl runs a part of control's work.
-func (m *cpuMeter) forControl(do func()) {
-	begun := cpuTime(threadClock)
+// measureControl runs a part of control's work.
+func (m *cpuMeter) measureControl(do func()) {
+	begun := cpuTime(threadCPUClock)
 	do()
-	m.control += cpuTime(threadClock) - begun
+	m.controlTime += cpuTime(threadCPUClock) - begun
 }
 
-// collectorCPU is what the garbage collector has spent so far in all, in seconds, by the runtime's own estimate.
-func collectorCPU() float64 {
+// gcCPUSeconds is what the garbage collector has spent so far in all, in seconds, by the runtime's own estimate.
+func gcCPUSeconds() float64 {
 	s := []metrics.Sample{{Name: "/cpu/classes/gc/total:cpu-seconds"}}
 	metrics.Read(s)
 	if s[0].Value.Kind() != metrics.KindFloat64 {
--- a/internal/scale/simagent/discovery_test.go
+++ b/internal/scale/simagent/discovery_test.go
@@ -191,17 +191,17 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { f.Close() })
-	if n := f.ready(); n != len(o.Agents) {
+	if n := f.countReady(); n != len(o.Agents) {
 		t.Fatalf("%d agents of %d hold the list", n, len(o.Agents))
 	}
 	return f, c
 }
 
 // tally adds up what the shards have counted.
-func (f *Fleet) tally() *counts {
-	all := new(counts)
+func (f *Fleet) tally() *shardCounts {
+	all := new(shardCounts)
 	for _, s := range f.shards {
-		s.do(func() { all.add(&s.counts) })
+		s.doSync(func() { all.merge(&s.counts) })
 	}
 	return all
 }
--- a/internal/scale/simagent/fleet.go
+++ b/internal/scale/simagent/fleet.go
@@ -25,80 +25,80 @@
 )
 
 const (
-	// mostShards is how many threads run the model; the rest of the machine is for control and the other parts.
-	mostShards = 4
-	// readyWait is how long Start waits for the agents to hold the list.
-	readyWait = 60 * time.Second
-	// atOnce is how many agents are started at a time.
-	atOnce = 8
+	// maxShards is how many threads run the model; the rest of the machine is for control and the other parts.
+	maxShards = 4
+	// readyTimeout is how long Start waits for the agents to hold the list.
+	readyTimeout = 60 * time.Second
+	// startConcurrency is how many agents are started at a time.
+	startConcurrency = 8
 )
 
 // Options say what runs. All up to Discovery have to be given.
 type Options struct {
-	World     *world.World
-	Agents    []int      // those that are hollow, by their places in the world
-	Discovery []string   // host and port, by agent of the world
-	Relays    [][]string // host and port of each, by agent of the world; nil: none
-	Begin     int64      // Unix ns before which no call begins at the root; 0: as soon as its agent has the list
-	Known     []byte     // the list that the agents begin with, in discovery's form; nil: none
-	Shards    int        // 0: by the machine's cores
-	Log       *slog.Logger
-	Clock     Clock // nil: the wall's
+	World           *world.World
+	Agents          []int      // those that are hollow, by their places in the world
+	Discovery       []string   // host and port, by agent of the world
+	Relays          [][]string // host and port of each, by agent of the world; nil: none
+	RootCallsFrom   int64      // Unix ns before which no call begins at the root; 0: as soon as its agent has the list
+	CachedEndpoints []byte     // the list that the agents begin with, in discovery's form; nil: none
+	Shards          int        // 0: by the machine's cores
+	Log             *slog.Logger
+	Clock           Clock // nil: the wall's
 
-	// Text makes an agent's configuration; nil: World.Config.
-	Text func(agent int, o world.ConfigOptions) []byte
+	// ConfigText makes an agent's configuration; nil: World.Config.
+	ConfigText func(agent int, o world.ConfigOptions) []byte
 }
 
 // Fleet is hollow agents that run.
 type Fleet struct {
-	world     *world.World
-	clock     Clock
-	log       *slog.Logger
-	text      func(agent int, o world.ConfigOptions) []byte
-	discovery []string
-	relays    [][]string // by agent of the world; nil: none
-	rootsFrom time.Duration
-	shards    []*shard
-	servers   []*server // by place in the world
-	agents    []*agent  // hollow ones, in their order
-	byPlace   map[int]*agent
-	byID      sync.Map // servers by the ids that lists have for them
+	world            *world.World
+	clock            Clock
+	log              *slog.Logger
+	configText       func(agent int, o world.ConfigOptions) []byte
+	discoveryAddrs   []string
+	relayAddrs       [][]string // by agent of the world; nil: none
+	rootCallsFrom    time.Duration
+	shards           []*shard
+	servers          []*server // by place in the world
+	agents           []*agent  // hollow ones, in their order
+	agentsByPosition map[int]*agent
+	serversByID      sync.Map // servers by the ids that lists have for them
 
-	failing    atomic.Bool // the deepest service
-	regionsCut atomic.Bool
-	heard      atomic.Int64  // lives of agents that have heard a list
-	someHeard  chan struct{} // holds one
-	calls      callCounts
+	deepestFailing     atomic.Bool // the deepest service
+	regionsPartitioned atomic.Bool
+	syncedProcesses    atomic.Int64  // lives of agents that have heard a list
+	syncedSignal       chan struct{} // holds one
+	polls              pollCounts
 
-	ctx     context.Context
-	stop    context.CancelFunc
-	wait    sync.WaitGroup // lives and the source
-	source  source
-	measure measure
+	ctx          context.Context
+	stop         context.CancelFunc
+	background   sync.WaitGroup // lives and the source
+	configSource configSource
+	measurement  measurement
 }
 
-// callCounts are the calls that the agents' clients made since the measured part began.
-type callCounts struct{ calls, failed, whole atomic.Int64 }
+// pollCounts are the calls that the agents' clients made since the measured part began.
+type pollCounts struct{ total, failed, fullLists atomic.Int64 }
 
 // Start starts the agents and waits until they all hold the list, for a minute at most; Stats tells how many do.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
-	f, err := build(o)
+	f, err := newFleet(o)
 	if err != nil {
 		return nil, err
 	}
-	f.measure.base()
+	f.measurement.recordBaseline()
 	for _, s := range f.shards {
 		go s.run()
 	}
-	f.wait.Go(f.source.run)
-	if err := f.each(f.agents, func(a *agent) error { return f.begin(a, o.Known) }); err != nil {
+	f.background.Go(f.configSource.run)
+	if err := f.forEachAgent(f.agents, func(a *agent) error { return f.startAgent(a, o.CachedEndpoints) }); err != nil {
 		return nil, errors.Join(err, f.Close())
 	}
-	timeout := time.NewTimer(readyWait)
+	timeout := time.NewTimer(readyTimeout)
 	defer timeout.Stop()
-	for f.heard.Load() < int64(len(f.agents)) {
+	for f.syncedProcesses.Load() < int64(len(f.agents)) {
 		select {
-		case <-f.someHeard:
+		case <-f.syncedSignal:
 		case <-timeout.C:
 			return f, nil
 		case <-ctx.Done():
@@ -108,8 +108,8 @@
 	return f, nil
 }
 
-// build makes all that runs and starts nothing.
-func build(o Options) (*Fleet, error) {
+// newFleet makes all that runs and starts nothing.
+func newFleet(o Options) (*Fleet, error) {
 	w := o.World
 	for _, place := range o.Agents {
 		if place < 0 || place >= len(w.Agents) || place >= len(o.Discovery) {
@@ -120,23 +120,23 @@
 		}
 	}
 	f := &Fleet{
-		world: w, clock: o.Clock, log: o.Log, text: o.Text, discovery: o.Discovery, relays: o.Relays,
-		rootsFrom: time.Duration(o.Begin), byPlace: map[int]*agent{}, someHeard: make(chan struct{}, 1),
+		world: w, clock: o.Clock, log: o.Log, configText: o.ConfigText, discoveryAddrs: o.Discovery, relayAddrs: o.Relays,
+		rootCallsFrom: time.Duration(o.RootCallsFrom), agentsByPosition: map[int]*agent{}, syncedSignal: make(chan struct{}, 1),
 	}
 	if f.clock == nil {
-		f.clock = wall{clock.Anchor()}
+		f.clock = wallClock{clock.Anchor()}
 	}
 	if f.log == nil {
 		f.log = slog.New(slog.DiscardHandler)
 	}
-	if f.text == nil {
-		f.text = w.Config
+	if f.configText == nil {
+		f.configText = w.Config
 	}
 	f.ctx, f.stop = context.WithCancel(context.Background())
-	f.source = newSource(f)
+	f.configSource = newConfigSource(f)
 	n := o.Shards
 	if n <= 0 {
-		n = min(max(runtime.GOMAXPROCS(0)/2, 1), mostShards)
+		n = min(max(runtime.GOMAXPROCS(0)/2, 1), maxShards)
 	}
 	for i := range n {
 		f.shards = append(f.shards, newShard(f, i, n))
@@ -146,7 +146,7 @@
 		f.addAgent(place)
 	}
 	for i, s := range f.servers {
-		s.agent = f.byPlace[w.AgentOf(i)]
+		s.agent = f.agentsByPosition[w.CallingAgent(i)]
 	}
 	return f, nil
 }
@@ -155,48 +155,48 @@
 func (f *Fleet) addServers() {
 	for i, s := range f.world.Servers {
 		root := i
-		if a := f.world.AgentOf(i); a >= 0 {
+		if a := f.world.CallingAgent(i); a >= 0 {
 			root = f.world.Agents[a].Server
 		}
 		m := &server{
-			shard: f.shards[root%len(f.shards)], place: i, service: s.Service, region: s.Region, zone: s.Zone,
-			start: s.Start, slots: s.Slots, open: map[*job]struct{}{},
+			shard: f.shards[root%len(f.shards)], position: i, service: s.Service, region: s.Region, zone: s.Zone,
+			startedAt: s.Start, slots: s.Slots, inProgress: map[*attempt]struct{}{},
 		}
 		f.servers = append(f.servers, m)
-		f.byID.Store(s.ID, m)
+		f.serversByID.Store(s.ID, m)
 	}
 }
 
 func (f *Fleet) addAgent(place int) {
 	of := f.world.Agents[place]
-	a := &agent{shard: f.servers[of.Server].shard, place: place, server: f.servers[of.Server], roots: of.Roots}
-	f.agents, f.byPlace[place] = append(f.agents, a), a
+	a := &agent{shard: f.servers[of.Server].shard, position: place, server: f.servers[of.Server], rootCallsPerSecond: of.RootCallsPerSecond}
+	f.agents, f.agentsByPosition[place] = append(f.agents, a), a
 }
 
-// at finds the modelled server behind a member of a list, in whatever generation its id is; nil if there is none.
-func (f *Fleet) at(m discovery.Member) *server {
-	if s, known := f.byID.Load(m.ID); known {
+// serverOf finds the modelled server behind a member of a list, in whatever generation its id is; nil if there is none.
+func (f *Fleet) serverOf(m discovery.Member) *server {
+	if s, known := f.serversByID.Load(m.ID); known {
 		return s.(*server)
 	}
-	i, known := f.world.Position(m.ID)
+	i, known := f.world.ServerPosition(m.ID)
 	if !known {
 		return nil
 	}
-	f.byID.Store(m.ID, f.servers[i])
+	f.serversByID.Store(m.ID, f.servers[i])
 	return f.servers[i]
 }
 
-// readied notes that an agent holds the list.
-func (f *Fleet) readied() {
-	f.heard.Add(1)
+// noteSynced notes that an agent holds the list.
+func (f *Fleet) noteSynced() {
+	f.syncedProcesses.Add(1)
 	select {
-	case f.someHeard <- struct{}{}:
+	case f.syncedSignal <- struct{}{}:
 	default:
 	}
 }
 
-// delay is how long something takes from one server's place to another's.
-func (f *Fleet) delay(from, to *server) time.Duration {
+// networkDelay is how long something takes from one server's place to another's.
+func (f *Fleet) networkDelay(from, to *server) time.Duration {
 	fleet, ms := &f.world.Scenario.Fleet, 0.0
 	switch {
 	case from == to:
@@ -213,18 +213,18 @@
 // phase says where a call counts that begins at the root now.
 func (s *shard) phase() phase {
 	switch {
-	case s.counts.From == 0:
-		return before
-	case s.fleet.failing.Load():
-		return failing
+	case s.counts.startedAt == 0:
+		return phaseBefore
+	case s.fleet.deepestFailing.Load():
+		return phaseFailing
 	}
-	return peace
+	return phaseHealthy
 }
 
-// each does something for agents, a few at a time.
-func (f *Fleet) each(agents []*agent, do func(*agent) error) error {
+// forEachAgent does something for agents, a few at a time.
+func (f *Fleet) forEachAgent(agents []*agent, do func(*agent) error) error {
 	var wait sync.WaitGroup
-	next, errs := make(chan *agent), make([]error, atOnce)
+	next, errs := make(chan *agent), make([]error, startConcurrency)
 	for i := range errs {
 		wait.Go(func() {
 			for a := range next {
@@ -243,63 +243,63 @@
 // Step plays one step of the world's events: on servers first, then on the agents that it starts again. It returns when
 // these are up, not when they hold the list.
 func (f *Fleet) Step(st world.Step) error {
-	f.flags(st)
+	f.applyFlags(st)
 	if st.Silent {
-		for _, a := range f.beside(st.Down) {
-			f.halt(a)
+		for _, a := range f.agentsBeside(st.Down) {
+			f.stopAgent(a)
 		}
 	}
 	for _, i := range st.Down {
 		s := f.servers[i]
-		s.shard.do(func() { s.goDown(gone(st)) })
+		s.shard.doSync(func() { s.takeDown(downState(st)) })
 	}
 	for _, i := range st.Up {
 		s := f.servers[i]
-		s.shard.do(func() { s.comeUp(st.Cold) })
+		s.shard.doSync(func() { s.restart(st.Cold) })
 	}
-	return f.each(f.named(st.Restart), func(a *agent) error {
+	return f.forEachAgent(f.agentsAt(st.Restart), func(a *agent) error {
 		if st.Forget {
-			return f.begin(a, nil)
+			return f.startAgent(a, nil)
 		}
-		return f.begin(a, f.known(a))
+		return f.startAgent(a, f.cachedEndpoints(a))
 	})
 }
 
-// flags plays what a step says of the whole fleet.
-func (f *Fleet) flags(st world.Step) {
+// applyFlags plays what a step says of the whole fleet.
+func (f *Fleet) applyFlags(st world.Step) {
 	if st.Fail != nil {
-		f.failing.Store(*st.Fail)
+		f.deepestFailing.Store(*st.Fail)
 	}
 	if st.CutRegions != nil {
-		f.regionsCut.Store(*st.CutRegions)
+		f.regionsPartitioned.Store(*st.CutRegions)
 	}
 }
 
-// gone is what becomes of the servers that a step takes down.
-func gone(st world.Step) state {
+// downState is what becomes of the servers that a step takes down.
+func downState(st world.Step) serverState {
 	if st.Silent {
-		return silent
+		return serverUnreachable
 	}
-	return dead
+	return serverCrashed
 }
 
-// beside returns the agents beside servers.
-func (f *Fleet) beside(servers []int) (out []*agent) {
+// agentsBeside returns the agents beside servers.
+func (f *Fleet) agentsBeside(servers []int) (out []*agent) {
 	if len(servers) == 0 {
 		return nil
 	}
 	for _, a := range f.agents {
-		if slices.Contains(servers, a.server.place) {
+		if slices.Contains(servers, a.server.position) {
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// named returns the hollow ones among agents.
-func (f *Fleet) named(places []int) (out []*agent) {
+// agentsAt returns the hollow ones among agents.
+func (f *Fleet) agentsAt(places []int) (out []*agent) {
 	for _, i := range places {
-		if a := f.byPlace[i]; a != nil {
+		if a := f.agentsByPosition[i]; a != nil {
 			out = append(out, a)
 		}
 	}
@@ -310,12 +310,12 @@
 func (f *Fleet) Close() error {
 	f.stop()
 	for _, a := range f.agents {
-		f.halt(a)
+		f.stopAgent(a)
 	}
-	f.wait.Wait()
+	f.background.Wait()
 	for _, s := range f.shards {
-		s.soon(func() { s.stop = true })
-		<-s.ended
+		s.doAsync(func() { s.stopped = true })
+		<-s.done
 	}
 	return nil
 }
--- a/internal/scale/simagent/fleet_test.go
+++ b/internal/scale/simagent/fleet_test.go
@@ -21,7 +21,7 @@
 	w := tinyWorld(t, nil)
 	f, _ := started(t, w, nil)
 	f.Begin()
-	until(t, "1500 calls at the root", func() bool { return f.tally().Roots[peace] >= 1500 })
+	until(t, "1500 calls at the root", func() bool { return f.tally().roots[phaseHealthy] >= 1500 })
 	r := f.Stats()
 	want := w.LayerRates()
 	if expected := want[0] * r.Seconds; math.Abs(float64(r.Roots)-expected) > 5*math.Sqrt(expected)+1 {
@@ -77,9 +77,9 @@
 		}
 	}
 	for _, a := range f.agents {
-		a.shard.do(func() {
-			if n := a.servers.Len(); n != len(w.Servers)-3 || len(a.targets) != n {
-				t.Errorf("agent %d knows %d servers and where %d are", a.place, n, len(a.targets))
+		a.shard.doSync(func() {
+			if n := a.endpoints.Len(); n != len(w.Servers)-3 || len(a.serversByID) != n {
+				t.Errorf("agent %d knows %d servers and where %d are", a.position, n, len(a.serversByID))
 			}
 		})
 	}
@@ -91,8 +91,8 @@
 // Agents that begin with a known list ask for its changes only.
 func TestKnown(t *testing.T) {
 	w := tinyWorld(t, nil)
-	f, c := started(t, w, func(o *Options) { o.Known = lists.Encode(1, true, w.Members(time.Now())) })
-	until(t, "all hold the list", func() bool { return f.ready() == len(w.Agents) })
+	f, c := started(t, w, func(o *Options) { o.CachedEndpoints = lists.Encode(1, true, w.Members(time.Now())) })
+	until(t, "all hold the list", func() bool { return f.countReady() == len(w.Agents) })
 	if n := c.asked(); n != 0 {
 		t.Errorf("%d whole lists were asked for", n)
 	}
@@ -120,11 +120,11 @@
 			if n := ctl.asked() - asked; n != c.whole*len(restart) {
 				t.Errorf("%d whole lists were asked for", n)
 			}
-			until(t, "all hold the list", func() bool { return f.ready() == len(w.Agents) })
+			until(t, "all hold the list", func() bool { return f.countReady() == len(w.Agents) })
 			for _, a := range f.agents {
-				a.shard.do(func() {
-					if again := slices.Contains(restart, a.place); again != (a.life > 1) || !a.ready {
-						t.Errorf("agent %d: life %d, ready %v", a.place, a.life, a.ready)
+				a.shard.doSync(func() {
+					if again := slices.Contains(restart, a.position); again != (a.incarnation > 1) || !a.hasList {
+						t.Errorf("agent %d: life %d, ready %v", a.position, a.incarnation, a.hasList)
 					}
 				})
 			}
@@ -138,7 +138,7 @@
 	w := tinyWorld(t, nil)
 	const bad, push = 5, 2 * time.Millisecond
 	f, c := started(t, w, func(o *Options) {
-		o.Text = func(agent int, opt world.ConfigOptions) []byte {
+		o.ConfigText = func(agent int, opt world.ConfigOptions) []byte {
 			text := w.Config(agent, opt)
 			if agent == bad && opt.Revision == 2 {
 				text = bytes.Replace(text, []byte(`"maxAttempts":`), []byte(`"most":`), 1)
@@ -172,12 +172,12 @@
 	}
 	for _, a := range f.agents {
 		want := 2
-		if a.place == bad {
+		if a.position == bad {
 			want = 1
 		}
-		deadline := time.Duration(w.Scenario.Classes[w.Services[w.Classes(a.place, false)[0]].Class].DeadlineMS*1000+float64(want)) * time.Microsecond
-		if got := a.set.Load().Balancer.Classes[0].Deadline; got != deadline {
-			t.Errorf("agent %d: deadline %v, want %v", a.place, got, deadline)
+		deadline := time.Duration(w.Scenario.Classes[w.Services[w.Classes(a.position, false)[0]].Class].DeadlineMS*1000+float64(want)) * time.Microsecond
+		if got := a.settings.Load().Balancer.Classes[0].Deadline; got != deadline {
+			t.Errorf("agent %d: deadline %v, want %v", a.position, got, deadline)
 		}
 	}
 	if n := r.Control.ConfInForce.N; n != int64(2*len(w.Agents)-1) {
@@ -198,17 +198,17 @@
 	})
 	f, _ := started(t, w, nil)
 	f.Begin()
-	until(t, "800 calls in peace", func() bool { return f.tally().Roots[peace] >= 800 })
+	until(t, "800 calls in peace", func() bool { return f.tally().roots[phaseHealthy] >= 800 })
 	yes, no := true, false
 	if err := f.Step(world.Step{Event: -1, Fail: &yes}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "800 calls meanwhile", func() bool { return f.tally().Roots[failing] >= 800 })
+	until(t, "800 calls meanwhile", func() bool { return f.tally().roots[phaseFailing] >= 800 })
 	if err := f.Step(world.Step{Event: -1, Fail: &no}); err != nil {
 		t.Fatal(err)
 	}
-	before := f.tally().Roots[peace]
-	until(t, "300 calls after", func() bool { return f.tally().Roots[peace] >= before+300 })
+	before := f.tally().roots[phaseHealthy]
+	until(t, "300 calls after", func() bool { return f.tally().roots[phaseHealthy] >= before+300 })
 	r := f.Stats()
 	deepest := r.Depths[len(r.Depths)-1]
 	most := 1 + w.Scenario.Agent.RetryRatio + w.Scenario.Agent.RetryFloor // attempts for each call, however few they are
@@ -241,22 +241,22 @@
 			if err := f.Step(world.Step{Event: -1, Down: []int{down}, Silent: c.silent}); err != nil {
 				t.Fatal(err)
 			}
-			beside := f.byPlace[w.AgentOf(down)]
-			beside.shard.do(func() {
-				if beside.up == c.silent {
-					t.Errorf("its agent runs: %v", beside.up)
+			beside := f.agentsByPosition[w.CallingAgent(down)]
+			beside.shard.doSync(func() {
+				if beside.isUp == c.silent {
+					t.Errorf("its agent runs: %v", beside.isUp)
 				}
 			})
-			begun := f.tally().Roots[peace]
-			until(t, "1000 calls", func() bool { return f.tally().Roots[peace] >= begun+1000 })
-			if err := f.Step(world.Step{Event: -1, Up: []int{down}, Cold: true, Restart: []int{beside.place}}); err != nil {
+			begun := f.tally().roots[phaseHealthy]
+			until(t, "1000 calls", func() bool { return f.tally().roots[phaseHealthy] >= begun+1000 })
+			if err := f.Step(world.Step{Event: -1, Up: []int{down}, Cold: true, Restart: []int{beside.position}}); err != nil {
 				t.Fatal(err)
 			}
-			until(t, "all hold the list", func() bool { return f.ready() == len(w.Agents) })
+			until(t, "all hold the list", func() bool { return f.countReady() == len(w.Agents) })
 			s := f.servers[down]
-			s.shard.do(func() {
-				if s.state != serving || s.start == 0 || s.warmth() >= 1 {
-					t.Errorf("state %d, start %v, warmth %v", s.state, s.start, s.warmth())
+			s.shard.doSync(func() {
+				if s.state != serverUp || s.startedAt == 0 || s.warmUpFactor() >= 1 {
+					t.Errorf("state %d, start %v, warmth %v", s.state, s.startedAt, s.warmUpFactor())
 				}
 			})
 			r := f.Stats()
@@ -288,7 +288,7 @@
 	if err := f.Step(world.Step{Event: -1, Restart: everyone(w)}); err != nil {
 		t.Error(err)
 	}
-	if f.agents[0].running != nil {
+	if f.agents[0].process != nil {
 		t.Error("an agent runs after the end")
 	}
 	until(t, "the goroutines of a step after the end end", func() bool { return runtime.NumGoroutine() <= before })
@@ -300,7 +300,7 @@
 	for want, change := range map[string]func(*Options){
 		"relays of agent 0": func(o *Options) { o.Relays = [][]string{} },
 		"agent 99 of 24":    func(o *Options) { o.Agents = []int{99} },
-		"hollow agent 0":    func(o *Options) { o.Text = func(int, world.ConfigOptions) []byte { return []byte("{}") } },
+		"hollow agent 0":    func(o *Options) { o.ConfigText = func(int, world.ConfigOptions) []byte { return []byte("{}") } },
 	} {
 		o := Options{World: w, Agents: []int{0}, Discovery: []string{"127.0.0.1:1"}}
 		change(&o)
--- a/internal/scale/simagent/model_test.go
+++ b/internal/scale/simagent/model_test.go
@@ -31,14 +31,14 @@
 	w := tinyWorld(t, change)
 	clock := &jumping{time.Duration(time.Now().UnixNano())}
 	addrs := slices.Repeat([]string{"127.0.0.1:1"}, len(w.Agents))
-	f, err := build(Options{World: w, Agents: everyone(w), Discovery: addrs, Shards: 1, Clock: clock})
+	f, err := newFleet(Options{World: w, Agents: everyone(w), Discovery: addrs, Shards: 1, Clock: clock})
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.shards[0].counts.From = clock.now
+	f.shards[0].counts.startedAt = clock.now
 	f.shards[0].now = clock.now
 	for _, a := range f.agents {
-		a.roots = 0 // calls are the test's
+		a.rootCallsPerSecond = 0 // calls are the test's
 	}
 	return &model{f, clock}
 }
@@ -46,7 +46,7 @@
 // listed begins an agent as a process that holds the list.
 func (m *model) listed(t *testing.T, place int) *agent {
 	t.Helper()
-	a := m.byPlace[place]
+	a := m.agentsByPosition[place]
 	cfg, err := config.Parse(m.world.Config(place, world.ConfigOptions{Listen: listenNowhere, Discovery: "127.0.0.1:1"}))
 	if err != nil {
 		t.Fatal(err)
@@ -55,8 +55,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a.begin(cfg, b, func() {})
-	a.told(a.life, discovery.WatchEvent{Update: balancer.EndpointsReplaced, Members: m.world.Members(time.Now()), Revision: 1})
+	a.startProcess(cfg, b, func() {})
+	a.onWatchEvent(a.incarnation, discovery.WatchEvent{Update: balancer.EndpointsReplaced, Members: m.world.Members(time.Now()), Revision: 1})
 	return a
 }
 
@@ -65,23 +65,23 @@
 	s := m.shards[0]
 	for len(s.queue.events) > 0 && s.queue.events[0].due <= until {
 		m.clock.Wait(s.queue.events[0].due, nil)
-		s.batch()
+		s.runDue()
 	}
 	m.clock.Wait(until, nil)
 	s.now = m.clock.now
 }
 
 // attempt is one by an agent at a server, that nobody else knows of.
-func (m *model) attempt(a *agent, to *server, deadline time.Duration) *job {
-	c := &call{request: request{service: to.service, phase: peace}, agent: a, life: a.life, deadline: deadline}
-	j := &job{call: c, server: to, deadline: deadline}
-	c.attempts, c.out = []*job{j}, 1
+func (m *model) attempt(a *agent, to *server, deadline time.Duration) *attempt {
+	c := &call{request: request{service: to.service, phase: phaseHealthy}, agent: a, incarnation: a.incarnation, deadline: deadline}
+	j := &attempt{call: c, server: to, deadline: deadline}
+	c.attempts, c.inFlight = []*attempt{j}, 1
 	return j
 }
 
 // What is due comes in its order, and what is due at once as it was heard of.
 func TestQueueOrder(t *testing.T) {
-	var q queue
+	var q eventQueue
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 2000 {
 		q.push(event{due: time.Duration(rng.IntN(50)), token: uint64(i)})
@@ -108,15 +108,15 @@
 	m := newModel(t, func(s *scenario.Scenario) { s.Fleet.Slots, s.Fleet.QueueSlots = 2, 3 })
 	a, to := m.listed(t, 0), m.servers[m.world.Services[m.world.Deepest].Servers[0]]
 	begun := m.clock.now
-	var jobs []*job
+	var jobs []*attempt
 	for range 7 {
 		jobs = append(jobs, m.attempt(a, to, begun+time.Hour))
 	}
 	jobs[3].deadline = begun + 1 // it waits, but not long
 	for _, j := range jobs {
-		to.arrive(j)
+		to.receive(j)
 	}
-	if r := to.report(); r.inFlight != 5 || r.queue != 3 || to.busy != 2 {
+	if r := to.report(); r.inFlight != 5 || r.queued != 3 || to.busySlots != 2 {
 		t.Errorf("holds %+v", r)
 	}
 	m.run(begun + time.Minute)
@@ -125,12 +125,12 @@
 		if i == 3 || i > 4 {
 			want = balancer.OutcomeRejected
 		}
-		if !j.over || j.how != want {
-			t.Errorf("attempt %d: over %v, %v, want %v", i, j.over, j.how, want)
+		if !j.finished || j.outcome != want {
+			t.Errorf("attempt %d: over %v, %v, want %v", i, j.finished, j.outcome, want)
 		}
 	}
-	if r := to.report(); r.inFlight != 0 || len(to.open) != 0 || r.recent <= 0 {
-		t.Errorf("holds %+v, %d open", r, len(to.open))
+	if r := to.report(); r.inFlight != 0 || len(to.inProgress) != 0 || r.recentMillis <= 0 {
+		t.Errorf("holds %+v, %d open", r, len(to.inProgress))
 	}
 }
 
@@ -157,26 +157,26 @@
 			m := newModel(t, nil)
 			to := m.servers[m.world.Services[m.world.Deepest].Servers[0]]
 			from := slices.IndexFunc(m.servers, func(s *server) bool { return s.region != to.region && s.agent != nil })
-			a := m.listed(t, m.servers[from].agent.place)
+			a := m.listed(t, m.servers[from].agent.position)
 			play := func(st world.Step) {
 				for i := range st.Down {
-					st.Down[i] = to.place
+					st.Down[i] = to.position
 				}
 				m.play(st)
 			}
 			play(c.step)
 			j := m.attempt(a, to, m.clock.now+time.Hour)
-			m.shards[0].travel(a.server, to, event{kind: arrives, due: m.clock.now, job: j})
-			m.run(m.clock.now + m.delay(a.server, to))
+			m.shards[0].transmit(a.server, to, event{kind: eventAttemptArrived, due: m.clock.now, attempt: j})
+			m.run(m.clock.now + m.networkDelay(a.server, to))
 			play(c.then)
 			m.run(m.clock.now + time.Minute)
-			if j.over != c.back || j.over && j.how != c.want {
-				t.Errorf("back %v with %v, want %v with %v", j.over, j.how, c.back, c.want)
+			if j.finished != c.back || j.finished && j.outcome != c.want {
+				t.Errorf("back %v with %v, want %v with %v", j.finished, j.outcome, c.back, c.want)
 			}
-			if a.shard.post(a.shard, event{due: j.deadline, kind: timedOut, job: j}); !c.back {
+			if a.shard.post(a.shard, event{due: j.deadline, kind: eventTimeout, attempt: j}); !c.back {
 				m.run(j.deadline + time.Second)
-				if !j.over || j.how != balancer.OutcomeTimeout {
-					t.Errorf("at its deadline: over %v with %v", j.over, j.how)
+				if !j.finished || j.outcome != balancer.OutcomeTimeout {
+					t.Errorf("at its deadline: over %v with %v", j.finished, j.outcome)
 				}
 			}
 		})
@@ -185,9 +185,9 @@
 
 // play does what Step does to the model, in the shard's own place.
 func (m *model) play(st world.Step) {
-	m.flags(st)
+	m.applyFlags(st)
 	for _, i := range st.Down {
-		m.servers[i].goDown(gone(st))
+		m.servers[i].takeDown(downState(st))
 	}
 }
 
@@ -198,34 +198,34 @@
 	layer1 := m.world.Services[m.world.Servers[0].Service].Calls[0].Service
 	to := m.servers[m.world.Services[layer1].Servers[0]]
 	a := m.listed(t, 0)
-	m.listed(t, to.agent.place)
+	m.listed(t, to.agent.position)
 	first, second := m.attempt(a, to, m.clock.now+time.Hour), m.attempt(a, to, m.clock.now+time.Hour)
-	to.arrive(first)
-	to.arrive(second)
+	to.receive(first)
+	to.receive(second)
 	to.cancel(second)
-	if second.state != done || len(to.queue) != 0 {
+	if second.state != attemptDone || len(to.queue) != 0 {
 		t.Errorf("state %d, %d wait", second.state, len(to.queue))
 	}
 	to.cancel(first)
-	if first.state != left || to.busy != 1 {
-		t.Errorf("state %d, %d busy", first.state, to.busy)
+	if first.state != attemptAbandoned || to.busySlots != 1 {
+		t.Errorf("state %d, %d busy", first.state, to.busySlots)
 	}
 	m.run(m.clock.now + time.Minute)
-	if to.busy != 0 || first.over || second.over {
-		t.Errorf("%d busy, heard of %v and %v", to.busy, first.over, second.over)
+	if to.busySlots != 0 || first.finished || second.finished {
+		t.Errorf("%d busy, heard of %v and %v", to.busySlots, first.finished, second.finished)
 	}
 	third := m.attempt(a, to, m.clock.now+time.Hour)
-	third.state, third.life = calling, to.life
-	to.open[third] = struct{}{}
-	third.child = to.agent.request(request{
-		service: m.world.Services[layer1].Calls[0].Service, left: time.Second, phase: peace, parent: third,
+	third.state, third.serverIncarnation = attemptCalling, to.incarnation
+	to.inProgress[third] = struct{}{}
+	third.child = to.agent.startCall(request{
+		service: m.world.Services[layer1].Calls[0].Service, remaining: time.Second, phase: phaseHealthy, parent: third,
 	})
-	if r := to.report(); r.inFlight != 1 || r.queue != 0 {
+	if r := to.report(); r.inFlight != 1 || r.queued != 0 {
 		t.Errorf("holds %+v", r)
 	}
 	to.cancel(third)
-	if !third.child.ended || third.state != done || to.busy != 0 || to.report().inFlight != 0 {
-		t.Errorf("its call ended: %v, state %d, %d busy", third.child.ended, third.state, to.busy)
+	if !third.child.answered || third.state != attemptDone || to.busySlots != 0 || to.report().inFlight != 0 {
+		t.Errorf("its call ended: %v, state %d, %d busy", third.child.answered, third.state, to.busySlots)
 	}
 	m.run(m.clock.now + time.Minute)
 	if n := len(to.agent.requests); n != 0 {
@@ -238,9 +238,9 @@
 	m := newModel(t, func(s *scenario.Scenario) { s.Fleet.Slots, s.Fleet.QueueSlots = 4096, 4096 })
 	a := m.listed(t, 0)
 	calls := m.world.Services[a.server.service].Calls
-	for range mostOpen + 100 {
-		a.request(request{service: calls[0].Service, left: time.Second, phase: peace, root: true})
-		if len(a.requests) > mostOpen {
+	for range maxOpenRequests + 100 {
+		a.startCall(request{service: calls[0].Service, remaining: time.Second, phase: phaseHealthy, root: true})
+		if len(a.requests) > maxOpenRequests {
 			t.Fatalf("%d open", len(a.requests))
 		}
 	}
@@ -248,15 +248,15 @@
 	if len(a.requests) != 0 {
 		t.Errorf("%d open at the end", len(a.requests))
 	}
-	d := m.shards[0].counts.depth(peace, 1)
-	if d.Calls != mostOpen+100 || d.OK+d.Failed+d.Refused != d.Calls || d.Refused < 100 {
+	d := m.shards[0].counts.of(phaseHealthy, 1)
+	if d.Calls != maxOpenRequests+100 || d.OK+d.Failed+d.Refused != d.Calls || d.Refused < 100 {
 		t.Errorf("%+v", d)
 	}
 }
 
 // A report's figures go by the names that the settings list.
 func TestReportFields(t *testing.T) {
-	r := report{known: true, inFlight: 5, queue: 2, recent: 3.5}
+	r := loadReport{known: true, inFlight: 5, queued: 2, recentMillis: 3.5}
 	for _, c := range []struct {
 		how    balancer.ReportMode
 		fields []string
@@ -272,7 +272,7 @@
 		},
 	} {
 		set := &settings.Settings{ReportFields: c.fields, Balancer: balancer.Settings{Reports: c.how}}
-		if got := r.load(set); got != c.want {
+		if got := r.toBalancer(set); got != c.want {
 			t.Errorf("%v %v: %+v, want %+v", c.how, c.fields, got, c.want)
 		}
 	}
--- a/internal/scale/simagent/server.go
+++ b/internal/scale/simagent/server.go
@@ -8,25 +8,25 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// state is what a server's process and machine are.
-type state uint8
+// serverState is what a server's process and machine are.
+type serverState uint8
 
 const (
-	serving state = iota
-	dead          // the process has died: connections are refused
-	silent        // the machine has vanished: nothing comes back
+	serverUp          serverState = iota
+	serverCrashed                 // the process has died: connections are refused
+	serverUnreachable             // the machine has vanished: nothing comes back
 )
 
-// jobState is where a server has an attempt.
-type jobState uint8
+// attemptState is where a server has an attempt.
+type attemptState uint8
 
 const (
-	coming jobState = iota
-	waiting
-	working // on its own part
-	calling // others, in turn: it has no slot any more
-	done
-	left // its caller has gone; it keeps its slot until its own part is done
+	attemptInTransit attemptState = iota
+	attemptQueued
+	attemptWorking // on its own part
+	attemptCalling // others, in turn: it has no slot any more
+	attemptDone
+	attemptAbandoned // its caller has gone; it keeps its slot until its own part is done
 )
 
 // recentGain is the weight of one request in the service time that a server reports, which covers the last one or two.
@@ -36,36 +36,36 @@
 // of the work and none while it waits for the calls that it makes, or depth would take slots that the scenarios reckon as
 // free; what the server reports as outstanding is all that it holds. It is its shard's.
 type server struct {
-	shard   *shard
-	place   int // among the world's
-	service int
-	region  int
-	zone    int
-	agent   *agent // beside it; nil if that is a real one or none: then it works without calls of its own
+	shard    *shard
+	position int // among the world's
+	service  int
+	region   int
+	zone     int
+	agent    *agent // beside it; nil if that is a real one or none: then it works without calls of its own
 
-	state  state
-	life   uint32        // counts its processes
-	start  time.Duration // of this one, Unix time; 0: long ago
-	slots  int
-	busy   int // slots in use
-	queue  []*job
-	open   map[*job]struct{} // that it has begun and not answered
-	recent float64           // service time, ms
+	state        serverState
+	incarnation  uint32        // counts its processes
+	startedAt    time.Duration // of this one, Unix time; 0: long ago
+	slots        int
+	busySlots    int // slots in use
+	queue        []*attempt
+	inProgress   map[*attempt]struct{} // that it has begun and not answered
+	recentMillis float64               // service time, ms
 }
 
-// report is a server's own figures, as it puts them into answers.
-type report struct {
-	known           bool
-	inFlight, queue int32
-	recent          float32 // ms
+// loadReport is a server's own figures, as it puts them into answers.
+type loadReport struct {
+	known            bool
+	inFlight, queued int32
+	recentMillis     float32 // ms
 }
 
-func (s *server) report() report {
-	return report{true, int32(len(s.open) + len(s.queue)), int32(len(s.queue)), float32(s.recent)}
+func (s *server) report() loadReport {
+	return loadReport{true, int32(len(s.inProgress) + len(s.queue)), int32(len(s.queue)), float32(s.recentMillis)}
 }
 
-// load is what an agent takes from a report, by the names of its settings' fields.
-func (r report) load(set *settings.Settings) balancer.LoadReport {
+// toBalancer is what an agent takes from a report, by the names of its settings' fields.
+func (r loadReport) toBalancer(set *settings.Settings) balancer.LoadReport {
 	l := settings.UnknownLoad()
 	if !r.known || set.Balancer.Reports == balancer.ReportsOff {
 		return l
@@ -75,222 +75,222 @@
 		case "outstanding":
 			settings.SetLoadField(&l, name, float64(r.inFlight))
 		case "backlog":
-			settings.SetLoadField(&l, name, float64(r.queue))
+			settings.SetLoadField(&l, name, float64(r.queued))
 		case "recent_ms":
-			settings.SetLoadField(&l, name, float64(r.recent))
+			settings.SetLoadField(&l, name, float64(r.recentMillis))
 		}
 	}
 	return l
 }
 
-// arrive takes in an attempt, or turns it away.
-func (s *server) arrive(j *job) {
+// receive takes in an attempt, or turns it away.
+func (s *server) receive(j *attempt) {
 	f := s.shard.fleet
 	switch {
-	case s.state == silent:
-	case s.state == dead:
-		s.answer(j, balancer.OutcomeConnectFailed)
-	case f.failing.Load() && s.service == f.world.Deepest:
-		s.answer(j, balancer.OutcomeError)
+	case s.state == serverUnreachable:
+	case s.state == serverCrashed:
+		s.respond(j, balancer.OutcomeConnectFailed)
+	case f.deepestFailing.Load() && s.service == f.world.Deepest:
+		s.respond(j, balancer.OutcomeError)
 	case s.shard.now >= j.deadline: // it is over already
-		s.answer(j, balancer.OutcomeRejected)
-	case s.busy < s.slots:
-		s.begin(j)
+		s.respond(j, balancer.OutcomeRejected)
+	case s.busySlots < s.slots:
+		s.start(j)
 	case len(s.queue) < f.world.Scenario.Fleet.QueueSlots:
-		j.state = waiting
+		j.state = attemptQueued
 		s.queue = append(s.queue, j)
 	default:
-		s.answer(j, balancer.OutcomeRejected)
+		s.respond(j, balancer.OutcomeRejected)
 	}
 }
 
-// begin works on an attempt.
-func (s *server) begin(j *job) {
-	s.busy++
-	s.open[j] = struct{}{}
-	j.state, j.life = working, s.life
+// start works on an attempt.
+func (s *server) start(j *attempt) {
+	s.busySlots++
+	s.inProgress[j] = struct{}{}
+	j.state, j.serverIncarnation = attemptWorking, s.incarnation
 	f := s.shard.fleet
-	mean := f.world.Services[s.service].Work.Seconds() / (f.world.Servers[s.place].Speed * s.warmth())
+	mean := f.world.Services[s.service].Work.Seconds() / (f.world.Servers[s.position].Speed * s.warmUpFactor())
 	took := s.shard.exponential(mean)
-	s.recent += recentGain * (float64(took)/float64(time.Millisecond) - s.recent)
-	s.shard.queue.push(event{kind: worked, due: s.shard.now + took, job: j, life: s.life})
+	s.recentMillis += recentGain * (float64(took)/float64(time.Millisecond) - s.recentMillis)
+	s.shard.queue.push(event{kind: eventWorkDone, due: s.shard.now + took, attempt: j, incarnation: s.incarnation})
 }
 
-// warmth is the share of its speed that the server has by now.
-func (s *server) warmth() float64 {
+// warmUpFactor is the share of its speed that the server has by now.
+func (s *server) warmUpFactor() float64 {
 	fleet := &s.shard.fleet.world.Scenario.Fleet
-	age := (s.shard.now - s.start).Seconds()
-	if s.start == 0 || age >= fleet.WarmS || fleet.WarmS <= 0 {
+	age := (s.shard.now - s.startedAt).Seconds()
+	if s.startedAt == 0 || age >= fleet.WarmS || fleet.WarmS <= 0 {
 		return 1
 	}
 	return fleet.ColdFrom + (1-fleet.ColdFrom)*max(0, age)/fleet.WarmS
 }
 
-// worked ends the server's own part of an attempt, and begins its calls.
-func (s *server) worked(j *job, life uint32) {
-	if life != s.life {
+// onWorkDone ends the server's own part of an attempt, and begins its calls.
+func (s *server) onWorkDone(j *attempt, life uint32) {
+	if life != s.incarnation {
 		return
 	}
-	if j.state == left {
+	if j.state == attemptAbandoned {
 		s.release(j)
 		return
 	}
-	j.state = calling
-	s.busy--
-	s.next()
+	j.state = attemptCalling
+	s.busySlots--
+	s.startQueued()
 	s.callNext(j)
 }
 
 // callNext makes the next of the service's calls through the agent beside the server, or answers if there are no more.
-func (s *server) callNext(j *job) {
+func (s *server) callNext(j *attempt) {
 	calls := s.shard.fleet.world.Services[s.service].Calls
-	for s.agent != nil && j.next < len(calls) {
-		c := calls[j.next]
-		j.next++
-		if !chance(s.shard.rng, c.Chance) {
+	for s.agent != nil && j.nextCall < len(calls) {
+		c := calls[j.nextCall]
+		j.nextCall++
+		if !drawChance(s.shard.rng, c.Chance) {
 			continue
 		}
 		if s.shard.now >= j.deadline {
-			s.conclude(j, balancer.OutcomeError)
+			s.complete(j, balancer.OutcomeError)
 			return
 		}
-		j.child = s.agent.request(request{
-			service: c.Service, left: j.deadline - s.shard.now, phase: j.call.phase, parent: j,
+		j.child = s.agent.startCall(request{
+			service: c.Service, remaining: j.deadline - s.shard.now, phase: j.call.phase, parent: j,
 		})
 		return
 	}
-	s.conclude(j, balancer.OutcomeOK)
+	s.complete(j, balancer.OutcomeOK)
 }
 
-// called takes in the end of a call that an attempt made.
-func (s *server) called(j *job, ok bool) {
-	if j.state != calling || j.life != s.life {
+// onCallDone takes in the end of a call that an attempt made.
+func (s *server) onCallDone(j *attempt, ok bool) {
+	if j.state != attemptCalling || j.serverIncarnation != s.incarnation {
 		return
 	}
 	j.child = nil
 	if !ok {
-		s.conclude(j, balancer.OutcomeError)
+		s.complete(j, balancer.OutcomeError)
 		return
 	}
 	s.callNext(j)
 }
 
-// conclude answers an attempt and goes on with another.
-func (s *server) conclude(j *job, how balancer.Outcome) {
+// complete answers an attempt and goes on with another.
+func (s *server) complete(j *attempt, how balancer.Outcome) {
 	s.release(j)
-	s.answer(j, how)
+	s.respond(j, how)
 }
 
 // release drops an attempt from what the server has begun, and goes on with those that wait for its slot, if it has one.
-func (s *server) release(j *job) {
-	held := j.state == working || j.state == left
-	j.state = done
-	delete(s.open, j)
+func (s *server) release(j *attempt) {
+	held := j.state == attemptWorking || j.state == attemptAbandoned
+	j.state = attemptDone
+	delete(s.inProgress, j)
 	if held {
-		s.busy--
-		s.next()
+		s.busySlots--
+		s.startQueued()
 	}
 }
 
-// next begins what waits while there are slots.
-func (s *server) next() {
-	for len(s.queue) > 0 && s.busy < s.slots {
+// startQueued begins what waits while there are slots.
+func (s *server) startQueued() {
+	for len(s.queue) > 0 && s.busySlots < s.slots {
 		next := s.queue[0]
 		s.queue = slices.Delete(s.queue, 0, 1)
 		if s.shard.now >= next.deadline {
-			s.answer(next, balancer.OutcomeRejected)
+			s.respond(next, balancer.OutcomeRejected)
 			continue
 		}
-		s.begin(next)
+		s.start(next)
 	}
 }
 
 // cancel drops an attempt whose caller has gone: one that waits at once, one that calls with its call. One that works
 // keeps its slot until that is done.
-func (s *server) cancel(j *job) {
-	if s.state != serving {
+func (s *server) cancel(j *attempt) {
+	if s.state != serverUp {
 		return
 	}
 	switch j.state {
-	case coming: // it was turned away, or the two have crossed; then it is over when it comes
-		j.state = done
-	case waiting:
-		j.state = done
+	case attemptInTransit: // it was turned away, or the two have crossed; then it is over when it comes
+		j.state = attemptDone
+	case attemptQueued:
+		j.state = attemptDone
 		if i := slices.Index(s.queue, j); i >= 0 {
 			s.queue = slices.Delete(s.queue, i, i+1)
 		}
-	case working:
-		j.state = left
-	case calling:
-		if j.life != s.life {
+	case attemptWorking:
+		j.state = attemptAbandoned
+	case attemptCalling:
+		if j.serverIncarnation != s.incarnation {
 			return
 		}
 		child := j.child
 		s.release(j)
 		if child != nil {
-			s.agent.hangUp(child)
+			s.agent.cancelCall(child)
 		}
 	}
 }
 
-// answer sends an attempt's outcome to its caller, with the server's report if it is an answer.
-func (s *server) answer(j *job, how balancer.Outcome) {
-	j.state = done
-	ev := event{kind: outcome, due: s.shard.now, job: j, outcome: how}
+// respond sends an attempt's outcome to its caller, with the server's report if it is an answer.
+func (s *server) respond(j *attempt, how balancer.Outcome) {
+	j.state = attemptDone
+	ev := event{kind: eventOutcome, due: s.shard.now, attempt: j, outcome: how}
 	if how == balancer.OutcomeOK || how == balancer.OutcomeError || how == balancer.OutcomeRejected {
-		ev.load = s.report()
+		ev.report = s.report()
 	}
-	s.shard.travel(s, j.call.agent.server, ev)
+	s.shard.transmit(s, j.call.agent.server, ev)
 }
 
-// probe answers a probe, unless nothing comes back.
-func (s *server) probe(ev *event) {
-	if s.state == silent {
+// onHealthCheck answers a probe, unless nothing comes back.
+func (s *server) onHealthCheck(ev *event) {
+	if s.state == serverUnreachable {
 		return
 	}
-	ok := s.state == serving
-	back := event{kind: probed, due: s.shard.now, agent: ev.agent, life: ev.life, token: ev.token, ok: ok}
+	ok := s.state == serverUp
+	back := event{kind: eventHealthCheckDone, due: s.shard.now, agent: ev.agent, incarnation: ev.incarnation, token: ev.token, ok: ok}
 	if ok {
-		back.load = s.report()
+		back.report = s.report()
 	}
-	s.shard.travel(s, ev.agent.server, back)
+	s.shard.transmit(s, ev.agent.server, back)
 }
 
-// goDown ends the server's process, or its machine, with all that it had. A process that dies resets its connections.
-func (s *server) goDown(to state) {
-	if s.state == serving {
+// takeDown ends the server's process, or its machine, with all that it had. A process that dies resets its connections.
+func (s *server) takeDown(to serverState) {
+	if s.state == serverUp {
 		for _, j := range s.queue {
-			s.lose(j, to)
+			s.loseAttempt(j, to)
 		}
-		for j := range s.open {
-			s.lose(j, to)
+		for j := range s.inProgress {
+			s.loseAttempt(j, to)
 		}
 	}
-	s.state, s.queue, s.busy = to, nil, 0
-	s.life++
-	clear(s.open)
+	s.state, s.queue, s.busySlots = to, nil, 0
+	s.incarnation++
+	clear(s.inProgress)
 }
 
-// lose drops one attempt in hand.
-func (s *server) lose(j *job, to state) {
+// loseAttempt drops one attempt in hand.
+func (s *server) loseAttempt(j *attempt, to serverState) {
 	child := j.child
-	j.state, j.child = done, nil
-	if to == dead {
-		s.answer(j, balancer.OutcomeReset)
+	j.state, j.child = attemptDone, nil
+	if to == serverCrashed {
+		s.respond(j, balancer.OutcomeReset)
 	}
 	if child != nil {
-		s.agent.hangUp(child)
+		s.agent.cancelCall(child)
 	}
 }
 
-// comeUp begins a new process, a cold one if it says so.
-func (s *server) comeUp(cold bool) {
-	if s.state == serving {
+// restart begins a new process, a cold one if it says so.
+func (s *server) restart(cold bool) {
+	if s.state == serverUp {
 		return
 	}
-	s.state, s.recent = serving, 0
-	s.life++
+	s.state, s.recentMillis = serverUp, 0
+	s.incarnation++
 	if cold {
-		s.start = s.shard.now
+		s.startedAt = s.shard.now
 	}
 }
--- a/internal/scale/simagent/service.go
+++ b/internal/scale/simagent/service.go
@@ -58,13 +58,13 @@
 func Main() error {
 	s := new(Service)
 	err := role.Serve("Hollow", s)
-	if f, started := s.started(); started == nil {
+	if f, started := s.startedFleet(); started == nil {
 		err = errors.Join(err, f.Close())
 	}
 	return err
 }
 
-func (s *Service) started() (*Fleet, error) {
+func (s *Service) startedFleet() (*Fleet, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fleet == nil {
@@ -88,18 +88,18 @@
 		w.AddEcho(args.Echo)
 	}
 	s.fleet, err = Start(context.Background(), Options{
-		World: w, Agents: args.Agents, Discovery: args.Discovery, Relays: args.Relays, Begin: args.Begin, Known: args.Known,
+		World: w, Agents: args.Agents, Discovery: args.Discovery, Relays: args.Relays, RootCallsFrom: args.Begin, CachedEndpoints: args.Known,
 	})
 	if err != nil {
 		return err
 	}
-	*reply = StartReply{Ready: s.fleet.ready()}
+	*reply = StartReply{Ready: s.fleet.countReady()}
 	return nil
 }
 
 // Step plays one step. It returns when the agents that it starts are up, not when they hold the list.
 func (s *Service) Step(args StepArgs, _ *struct{}) error {
-	f, err := s.started()
+	f, err := s.startedFleet()
 	if err != nil {
 		return err
 	}
@@ -108,7 +108,7 @@
 
 // Config has a revision handed to each agent in turn, and does not wait for that.
 func (s *Service) Config(args ConfigArgs, _ *struct{}) error {
-	f, err := s.started()
+	f, err := s.startedFleet()
 	if err != nil {
 		return err
 	}
@@ -118,7 +118,7 @@
 
 // Begin begins the measured part: what is counted starts from 0.
 func (s *Service) Begin(_ struct{}, _ *struct{}) error {
-	f, err := s.started()
+	f, err := s.startedFleet()
 	if err != nil {
 		return err
 	}
@@ -128,7 +128,7 @@
 
 // Stats tells what was measured since.
 func (s *Service) Stats(_ StatsArgs, reply *StatsReply) error {
-	f, err := s.started()
+	f, err := s.startedFleet()
 	if err != nil {
 		return err
 	}
--- a/internal/scale/simagent/service_test.go
+++ b/internal/scale/simagent/service_test.go
@@ -50,8 +50,8 @@
 	}
 	for _, on := range []bool{true, false} {
 		step := StepArgs{world.Step{Event: -1, Fail: &on, CutRegions: &on, Down: []int{0}, Silent: on}}
-		if err := call("Step", step, none); err != nil || s.fleet.failing.Load() != on || s.fleet.regionsCut.Load() != on {
-			t.Errorf("fails %v, cut %v, want %v; error %v", s.fleet.failing.Load(), s.fleet.regionsCut.Load(), on, err)
+		if err := call("Step", step, none); err != nil || s.fleet.deepestFailing.Load() != on || s.fleet.regionsPartitioned.Load() != on {
+			t.Errorf("fails %v, cut %v, want %v; error %v", s.fleet.deepestFailing.Load(), s.fleet.regionsPartitioned.Load(), on, err)
 		}
 	}
 	if err := call("Config", ConfigArgs{Revision: 1, PushMS: 0.1}, none); err != nil {
