--- a/internal/scale/simagent/stats.go
+++ b/internal/scale/simagent/stats.go
@@ -10,14 +10,14 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// List says since when a revision of the list has been in force.
-type List struct {
+// ListChange says since when a revision of the list has been in force.
+type ListChange struct {
 	Revision uint64
 	At       []int64 // Unix ns, by agent of the world; 0: not yet, or not hollow
 }
 
-// lateP99 is the lag at P99, in ms, beyond which the model has not kept real time.
-const lateP99 = 50
+// maxLagP99Millis is the lag at P99, in ms, beyond which the model has not kept real time.
+const maxLagP99Millis = 50
 
 // StatsReply is what was measured since Begin.
 type StatsReply struct {
@@ -31,8 +31,8 @@
 	Doubled          int64    // attempts of side_effect calls that may have run before: must be 0
 	Again            [3]int64 // the same by effect: pure, token, side_effect
 
-	Lists   []List // every revision from the first after Begin to the newest heard of
-	Configs []Conf // every revision that was begun after Begin
+	Lists   []ListChange   // every revision from the first after Begin to the newest heard of
+	Configs []ConfigChange // every revision that was begun after Begin
 	Control result.AgentControl
 
 	ListCalls, ListFails, WholeLists int64 // of the clients: calls, those of them that failed, whole lists that were told
@@ -44,23 +44,23 @@
 
 	Heap, Stacks float64 // bytes: live after a collection, less what the empty model takes; of the goroutines
 	Goroutines   int
-	LagMS        result.Dist // how late the model handled what was due
-	KeptUp       bool        // that was within 50 ms for 99 in 100
+	LagMS        result.Distribution // how late the model handled what was due
+	KeptUp       bool                // that was within 50 ms for 99 in 100
 }
 
-// measure is where the measured part began.
-type measure struct {
-	mu        sync.Mutex
-	empty     float64 // bytes of heap before any agent began
-	from      time.Duration
-	cpu       time.Duration
-	source    int64
-	collector float64
-	heldFrom  uint64 // the newest revision that any agent held then
+// measurement is where the measured part began.
+type measurement struct {
+	mu                sync.Mutex
+	baselineHeapBytes float64 // bytes of heap before any agent began
+	startedAt         time.Duration
+	cpuAtStart        time.Duration
+	sourceCPUAtStart  int64
+	gcCPUAtStart      float64
+	newestAtStart     uint64 // the newest revision that any agent held then
 }
 
-// base measures the heap of the model alone.
-func (m *measure) base() { m.empty, _ = liveHeap() }
+// recordBaseline measures the heap of the model alone.
+func (m *measurement) recordBaseline() { m.baselineHeapBytes, _ = liveHeap() }
 
 // liveHeap collects garbage and returns the bytes of heap and of stacks in use.
 func liveHeap() (heap, stacks float64) {
@@ -70,12 +70,12 @@
 	return float64(m.HeapAlloc), float64(m.StackInuse)
 }
 
-// ready counts the agents that hold the list.
-func (f *Fleet) ready() (n int) {
+// countReady counts the agents that hold the list.
+func (f *Fleet) countReady() (n int) {
 	for _, s := range f.shards {
-		s.do(func() {
+		s.doSync(func() {
 			for _, a := range f.agents {
-				if a.shard == s && a.fresh {
+				if a.shard == s && a.synced {
 					n++
 				}
 			}
@@ -86,74 +86,74 @@
 
 // Begin begins the measured part.
 func (f *Fleet) Begin() {
-	m := &f.measure
+	m := &f.measurement
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.from = f.clock.Now()
-	m.heldFrom = 0
+	m.startedAt = f.clock.Now()
+	m.newestAtStart = 0
 	for _, s := range f.shards {
-		s.do(func() {
-			s.counts = counts{From: m.from}
-			s.lag = result.NewHist(longestLag)
+		s.doSync(func() {
+			s.counts = shardCounts{startedAt: m.startedAt}
+			s.lag = result.NewHistogram(maxLagMillis)
 			s.cpu.start()
 			for _, a := range f.agents {
 				if a.shard == s {
-					m.heldFrom = max(m.heldFrom, a.revision)
-					a.held = nil
+					m.newestAtStart = max(m.newestAtStart, a.revision)
+					a.listTimes = nil
 				}
 			}
 		})
 	}
-	f.calls.calls.Store(0)
-	f.calls.failed.Store(0)
-	f.calls.whole.Store(0)
-	m.cpu, m.source, m.collector = cpuTime(processClock), f.source.cpu.spent.Load(), collectorCPU()
+	f.polls.total.Store(0)
+	f.polls.failed.Store(0)
+	f.polls.fullLists.Store(0)
+	m.cpuAtStart, m.sourceCPUAtStart, m.gcCPUAtStart = cpuTime(processCPUClock), f.configSource.cpu.spent.Load(), gcCPUSeconds()
 }
 
 // Stats tells what was measured. It costs a garbage collection, after the processor time was read. The heap is what is
 // live then, less what the empty model took before the agents began: the calls under way and the counts are in it, so that
 // an agent's part is an upper figure.
 func (f *Fleet) Stats() StatsReply {
-	m := &f.measure
+	m := &f.measurement
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	cpu, collector := cpuTime(processClock), collectorCPU()
+	cpu, collector := cpuTime(processCPUClock), gcCPUSeconds()
 	r := StatsReply{
-		Agents: len(f.agents), Ready: f.ready(), Seconds: (f.clock.Now() - m.from).Seconds(),
-		CPU: (cpu - m.cpu).Seconds(), CollectorCPU: collector - m.collector,
-		SourceCPU: time.Duration(f.source.cpu.spent.Load() - m.source).Seconds(),
-		ListCalls: f.calls.calls.Load(), ListFails: f.calls.failed.Load(), WholeLists: f.calls.whole.Load(),
-		Configs: f.source.since(m.from), Goroutines: runtime.NumGoroutine(),
+		Agents: len(f.agents), Ready: f.countReady(), Seconds: (f.clock.Now() - m.startedAt).Seconds(),
+		CPU: (cpu - m.cpuAtStart).Seconds(), CollectorCPU: collector - m.gcCPUAtStart,
+		SourceCPU: time.Duration(f.configSource.cpu.spent.Load() - m.sourceCPUAtStart).Seconds(),
+		ListCalls: f.polls.total.Load(), ListFails: f.polls.failed.Load(), WholeLists: f.polls.fullLists.Load(),
+		Configs: f.configSource.changesSince(m.startedAt), Goroutines: runtime.NumGoroutine(),
 	}
-	all, lag := counts{}, result.NewHist(longestLag)
-	heard := map[int][]held{}
+	all, lag := shardCounts{}, result.NewHistogram(maxLagMillis)
+	heard := map[int][]listTime{}
 	for _, s := range f.shards {
-		s.do(func() {
-			r.ModelCPU += s.cpu.model().Seconds()
-			all.add(&s.counts)
+		s.doSync(func() {
+			r.ModelCPU += s.cpu.modelTime().Seconds()
+			all.merge(&s.counts)
 			lag.Merge(s.lag)
 			for _, a := range f.agents {
 				if a.shard == s {
-					heard[a.place] = slices.Clone(a.held)
+					heard[a.position] = slices.Clone(a.listTimes)
 				}
 			}
 		})
 	}
 	r.ControlCPU = r.CPU - r.ModelCPU - r.SourceCPU
-	r.Roots, r.FailRoots = all.Roots[peace], all.Roots[failing]
-	r.Depths, r.Windows = all.depths(), all.windows()
-	r.Again, r.Doubled, r.Logged = all.Again, all.Again[balancer.NonIdempotent], all.Logs
-	r.Lists = f.lists(heard)
-	r.LagMS = lag.Dist()
-	r.KeptUp = r.LagMS.P99 <= lateP99
+	r.Roots, r.FailRoots = all.roots[phaseHealthy], all.roots[phaseFailing]
+	r.Depths, r.Windows = all.depthResults(), all.windowResults()
+	r.Again, r.Doubled, r.Logged = all.repeats, all.repeats[balancer.NonIdempotent], all.logLines
+	r.Lists = f.listChanges(heard)
+	r.LagMS = lag.Distribution()
+	r.KeptUp = r.LagMS.P99 <= maxLagP99Millis
 	r.Heap, r.Stacks = liveHeap()
-	r.Heap = max(0, r.Heap-m.empty)
-	r.Control = f.control(&r)
+	r.Heap = max(0, r.Heap-m.baselineHeapBytes)
+	r.Control = f.controlCost(&r)
 	return r
 }
 
-// control sums up what control cost the agents, as far as it shows here; bytes and the lists' times show at control.
-func (f *Fleet) control(r *StatsReply) result.AgentControl {
+// controlCost sums up what control cost the agents, as far as it shows here; bytes and the lists' times show at control.
+func (f *Fleet) controlCost(r *StatsReply) result.AgentControl {
 	c := result.AgentControl{Agents: len(f.agents)}
 	if len(f.agents) == 0 || r.Seconds <= 0 {
 		return c
@@ -161,33 +161,33 @@
 	each := float64(len(f.agents))
 	c.CPUPercent = 100 * r.ControlCPU / r.Seconds / each
 	c.HeapBytes = r.Heap / each
-	took := result.NewHist(longestLag * 60)
+	took := result.NewHistogram(maxLagMillis * 60)
 	for _, conf := range r.Configs {
 		for _, a := range f.agents {
-			if at := conf.At[a.place]; at != 0 {
+			if at := conf.At[a.position]; at != 0 {
 				took.AddDuration(time.Duration(at - conf.Began))
 			}
 		}
 	}
-	c.ConfInForce = took.Dist()
+	c.ConfInForce = took.Distribution()
 	return c
 }
 
-// lists turns what the agents heard into times by revision. An agent that heard of several revisions in one answer has
+// listDeliveries turns what the agents heard into times by revision. An agent that heard of several revisions in one answer has
 // had them all in force since.
-func (f *Fleet) lists(heard map[int][]held) (out []List) {
-	newest := f.measure.heldFrom
+func (f *Fleet) listChanges(heard map[int][]listTime) (out []ListChange) {
+	newest := f.measurement.newestAtStart
 	for _, all := range heard {
 		for _, h := range all {
 			newest = max(newest, h.revision)
 		}
 	}
-	for r := f.measure.heldFrom + 1; r <= newest; r++ {
-		l := List{Revision: r, At: make([]int64, len(f.world.Agents))}
+	for r := f.measurement.newestAtStart + 1; r <= newest; r++ {
+		l := ListChange{Revision: r, At: make([]int64, len(f.world.Agents))}
 		for place, all := range heard {
 			for _, h := range all {
 				if h.revision >= r {
-					l.At[place] = h.at
+					l.At[place] = h.atUnixNano
 					break
 				}
 			}
--- a/internal/scale/sweep/figures.go
+++ b/internal/scale/sweep/figures.go
@@ -84,7 +84,7 @@
 	if a.RSSBytes.N > 0 {
 		all[name+"_rss"] = value{a.RSSBytes.Max, "B"}
 	}
-	for key, d := range map[string]result.Dist{"_list_in_force": a.ListInForce, "_config_in_force": a.ConfInForce} {
+	for key, d := range map[string]result.Distribution{"_list_in_force": a.ListInForce, "_config_in_force": a.ConfInForce} {
 		if d.N == 0 {
 			continue
 		}
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -88,7 +88,7 @@
 func played(_ context.Context, s *scenario.Scenario) (*result.Run, error) {
 	n, c := agentCount(s), s.ChangesPerMinute()
 	r := &result.Run{Scenario: s.Name, Sizes: result.Sizes{Agents: int(n), Seconds: s.Seconds}}
-	r.Hollow = result.AgentControl{Agents: int(n), BytesIn: result.Dist{N: 1, Mean: 100 * c}}
+	r.Hollow = result.AgentControl{Agents: int(n), BytesIn: result.Distribution{N: 1, Mean: 100 * c}}
 	m := result.ControlMachine{Role: "control", BytesOut: int64(100 * n * c * s.Seconds), Busy: 0.1}
 	if n > 100 {
 		m.Refused, m.Busy = 3, 0.99
@@ -183,7 +183,7 @@
 	noisy := func(_ context.Context, s *scenario.Scenario) (*result.Run, error) {
 		n = 1 - n
 		r := &result.Run{Sizes: result.Sizes{Seconds: 6}}
-		r.Hollow = result.AgentControl{Agents: 1, CPUPercent: 1 + n/2, BytesIn: result.Dist{N: 1, Mean: 100*agentCount(s) + n}}
+		r.Hollow = result.AgentControl{Agents: 1, CPUPercent: 1 + n/2, BytesIn: result.Distribution{N: 1, Mean: 100*agentCount(s) + n}}
 		return r, nil
 	}
 	w, err := Run(t.Context(), base(), Options{Only: []string{"agents"}, Target: target(), Play: noisy})
--- a/internal/scale/world/agentconfig.go
+++ b/internal/scale/world/agentconfig.go
@@ -14,8 +14,8 @@
 
 // The echo class's times; its servers answer at once.
 const (
-	echoAimMS      = 250
-	echoDeadlineMS = 2000
+	echoLatencyObjectiveMS = 250
+	echoDeadlineMS         = 2000
 )
 
 // AddEcho adds one more service, pure and of layer 0, whose servers are real sockets: one at each address, in the zones
@@ -29,8 +29,8 @@
 	}
 }
 
-// echo returns the position of the echo service, or -1.
-func (w *World) echo() int {
+// echoService returns the position of the echo service, or -1.
+func (w *World) echoService() int {
 	if last := len(w.Services) - 1; w.Services[last].Name == EchoService {
 		return last
 	}
@@ -41,82 +41,82 @@
 // so what stands here is paid for as often as there are agents. At the target's sizes it has 1,901 bytes in the mean and
 // 2,413 at most, half of them the names of services; a test holds it below 3,000.
 type settingsText struct {
-	Categories   []category `json:"categories"`
-	Localities   []string   `json:"localities"`
-	Skus         []string   `json:"skus"`
-	ReplicasOfMe int        `json:"replicasOfMe"`
-	Rank         int        `json:"rank"`
-	Zone         int        `json:"zone"`
-	Discovery    string     `json:"discovery"`
-	Tick         float64    `json:"tick"`
-	Report       reportText `json:"report"`
-	Limits       limitsText `json:"limits"`
-	Rules        rulesText  `json:"rules"`
-}
-
-// category is a class: the calls of one service. Times are in ms.
-type category struct {
-	Name         string  `json:"name"`
-	Aim          float64 `json:"aim"`
-	Deadline     float64 `json:"deadline"`
-	Credit       float64 `json:"credit"`
-	Effect       string  `json:"effect"`
-	RepeatWindow float64 `json:"repeatWindow,omitempty"`
-	BoundTo      []int   `json:"boundTo"`
+	Classes    []classText `json:"categories"`
+	Localities []string    `json:"localities"`
+	Kinds      []string    `json:"skus"`
+	Agents     int         `json:"replicasOfMe"`
+	Index      int         `json:"rank"`
+	Zone       int         `json:"zone"`
+	Discovery  string      `json:"discovery"`
+	Tick       float64     `json:"tick"`
+	Report     reportText  `json:"report"`
+	Limits     limitsText  `json:"limits"`
+	Rules      rulesText   `json:"rules"`
+}
+
+// classText is a class: the calls of one service. Times are in ms.
+type classText struct {
+	Name             string  `json:"name"`
+	LatencyObjective float64 `json:"aim"`
+	Deadline         float64 `json:"deadline"`
+	PriorityWeight   float64 `json:"credit"`
+	Idempotency      string  `json:"effect"`
+	DedupWindow      float64 `json:"repeatWindow,omitempty"`
+	Kinds            []int   `json:"boundTo"`
 }
 
 type reportText struct {
 	Fields []string `json:"fields"`
-	How    string   `json:"how"`
+	Mode   string   `json:"how"`
 }
 
 type limitsText struct {
 	MaxAttempts    int     `json:"maxAttempts"`
 	Cancel         bool    `json:"cancel"`
-	SecondCopies   bool    `json:"secondCopies"`
+	Hedging        bool    `json:"secondCopies"`
 	RetryAfter     bool    `json:"retryAfter"`
 	ConnectTimeout float64 `json:"connectTimeout"`
 	IdleClose      float64 `json:"idleClose"`
 }
 
 type rulesText struct {
-	ColdFrom       float64 `json:"coldFrom"`
-	OverloadFactor float64 `json:"overloadFactor"`
-	WarmAfter      float64 `json:"warmAfter"`
-	DrainGrace     float64 `json:"drainGrace"`
-	MustAskIn      float64 `json:"mustAskIn"`
-	ResendRatio    float64 `json:"resendRatio"`
-	ExtraFloor     float64 `json:"extraFloor"`
-	ExtraWindow    float64 `json:"extraWindow"`
+	SlowStartMinWeight float64 `json:"coldFrom"`
+	OverloadFactor     float64 `json:"overloadFactor"`
+	SlowStartDuration  float64 `json:"warmAfter"`
+	DrainGrace         float64 `json:"drainGrace"`
+	MaxPollInterval    float64 `json:"mustAskIn"`
+	RetryBudgetRatio   float64 `json:"resendRatio"`
+	RetryBudgetMin     float64 `json:"extraFloor"`
+	RetryBudgetWindow  float64 `json:"extraWindow"`
 }
 
 // Settings returns the settings text of an agent in the wording of a revision, which is another one for each revision
 // from 0 on. Once AddEcho was called, a real agent may call the echo service.
 func (w *World) Settings(agent int, revision int) []byte {
-	return encode(w.settings(agent, revision, w.Agents[agent].Real))
+	return mustMarshal(w.settings(agent, revision, w.Agents[agent].Real))
 }
 
 func (w *World) settings(agent, revision int, echo bool) settingsText {
 	s := w.Scenario
 	t := settingsText{
-		Localities: w.Zones, ReplicasOfMe: len(w.Agents), Rank: agent,
+		Localities: w.Zones, Agents: len(w.Agents), Index: agent,
 		Zone: w.Servers[w.Agents[agent].Server].Zone, Discovery: "subscribe", Tick: 1,
-		Report: reportText{Fields: []string{"outstanding", "backlog", "recent_ms"}, How: "inline"},
+		Report: reportText{Fields: []string{"outstanding", "backlog", "recent_ms"}, Mode: "inline"},
 		Limits: limitsText{
-			MaxAttempts: s.Agent.MaxAttempts, Cancel: true, SecondCopies: true, RetryAfter: true,
+			MaxAttempts: s.Agent.MaxAttempts, Cancel: true, Hedging: true, RetryAfter: true,
 			ConnectTimeout: 250, IdleClose: 30000,
 		},
 		Rules: rulesText{
-			ColdFrom: s.Fleet.ColdFrom, OverloadFactor: 2, WarmAfter: s.Fleet.WarmS * 1000, DrainGrace: 300,
-			MustAskIn:   s.Agent.MustAskInS * 1000,
-			ResendRatio: s.Agent.RetryRatio, ExtraFloor: s.Agent.RetryFloor, ExtraWindow: s.Agent.RetryWindow * 1000,
+			SlowStartMinWeight: s.Fleet.ColdFrom, OverloadFactor: 2, SlowStartDuration: s.Fleet.WarmS * 1000, DrainGrace: 300,
+			MaxPollInterval:  s.Agent.MustAskInS * 1000,
+			RetryBudgetRatio: s.Agent.RetryRatio, RetryBudgetMin: s.Agent.RetryFloor, RetryBudgetWindow: s.Agent.RetryWindow * 1000,
 		},
 	}
 	for _, service := range w.Services {
-		t.Skus = append(t.Skus, service.Name)
+		t.Kinds = append(t.Kinds, service.Name)
 	}
 	for _, service := range w.Classes(agent, echo) {
-		t.Categories = append(t.Categories, w.category(service, revision))
+		t.Classes = append(t.Classes, w.classText(service, revision))
 	}
 	return t
 }
@@ -128,7 +128,7 @@
 	for _, c := range w.Services[own].Calls {
 		out = append(out, c.Service)
 	}
-	if e := w.echo(); echo && e >= 0 {
+	if e := w.echoService(); echo && e >= 0 {
 		out = append(out, e)
 	}
 	if len(out) == 0 {
@@ -137,17 +137,17 @@
 	return out
 }
 
-// category words the class of a service. Each revision has deadlines that are a microsecond longer: another text, and
+// classText words the class of a service. Each revision has deadlines that are a microsecond longer: another text, and
 // nothing that an agent would decide otherwise by.
-func (w *World) category(service, revision int) category {
+func (w *World) classText(service, revision int) classText {
 	s := &w.Services[service]
 	class := &w.Scenario.Classes[s.Class]
-	c := category{
-		Name: s.Name, Aim: class.AimMS, Deadline: class.DeadlineMS,
-		Credit: class.Worth, Effect: class.Effect, RepeatWindow: class.WindowMS, BoundTo: []int{service},
+	c := classText{
+		Name: s.Name, LatencyObjective: class.AimMS, Deadline: class.DeadlineMS,
+		PriorityWeight: class.Worth, Idempotency: class.Effect, DedupWindow: class.WindowMS, Kinds: []int{service},
 	}
-	if service == w.echo() {
-		c.Aim, c.Deadline, c.Credit, c.Effect, c.RepeatWindow = echoAimMS, echoDeadlineMS, 1, "pure", 0
+	if service == w.echoService() {
+		c.LatencyObjective, c.Deadline, c.PriorityWeight, c.Idempotency, c.DedupWindow = echoLatencyObjectiveMS, echoDeadlineMS, 1, "pure", 0
 	}
 	c.Deadline = math.Round(c.Deadline*1000+float64(revision)) / 1000
 	return c
@@ -159,25 +159,25 @@
 	Console           string   // the same; empty: none
 	Relays            []string // likewise
 	Revision          int      // of the settings
-	Known             []byte   // a whole list in discovery's form; nil: none
+	CachedEndpoints   []byte   // a whole list in discovery's form; nil: none
 	Echo              bool     // the agent may call the echo service, where there is one
 	Seed              uint64
 }
 
 // configText is the agent's configuration file.
 type configText struct {
-	Name      string          `json:"name"`
-	Listen    string          `json:"listen"`
-	Discovery string          `json:"discovery"`
-	Console   string          `json:"console,omitempty"`
-	Relays    []string        `json:"relays,omitempty"`
-	Seed      string          `json:"seed"`
-	Limits    grantText       `json:"limits"`
-	Known     json.RawMessage `json:"known,omitempty"`
-	Settings  settingsText    `json:"settings"`
-}
-
-type grantText struct {
+	Name            string             `json:"name"`
+	Listen          string             `json:"listen"`
+	Discovery       string             `json:"discovery"`
+	Console         string             `json:"console,omitempty"`
+	Relays          []string           `json:"relays,omitempty"`
+	Seed            string             `json:"seed"`
+	Limits          resourceLimitsText `json:"limits"`
+	CachedEndpoints json.RawMessage    `json:"known,omitempty"`
+	Settings        settingsText       `json:"settings"`
+}
+
+type resourceLimitsText struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
@@ -186,16 +186,16 @@
 // Config returns an agent's configuration as JSON. What of the options is no JSON or address is the caller's mistake: the
 // first panics, the second the agent refuses.
 func (w *World) Config(agent int, o ConfigOptions) []byte {
-	return encode(configText{
+	return mustMarshal(configText{
 		Name: w.Agents[agent].Name, Listen: o.Listen, Discovery: o.Discovery, Console: o.Console, Relays: o.Relays,
-		Seed:   fmt.Sprintf("%016x", o.Seed),
-		Limits: grantText{Cores: 1, MemoryMB: w.Scenario.Agent.MemoryMB, Sockets: w.Scenario.Agent.Sockets},
-		Known:  o.Known, Settings: w.settings(agent, o.Revision, o.Echo),
+		Seed:            fmt.Sprintf("%016x", o.Seed),
+		Limits:          resourceLimitsText{Cores: 1, MemoryMB: w.Scenario.Agent.MemoryMB, Sockets: w.Scenario.Agent.Sockets},
+		CachedEndpoints: o.CachedEndpoints, Settings: w.settings(agent, o.Revision, o.Echo),
 	})
 }
 
-// encode words what is made of plain types here, which cannot fail but by a list of the caller's that is no JSON.
-func encode(v any) []byte {
+// mustMarshal words what is made of plain types here, which cannot fail but by a list of the caller's that is no JSON.
+func mustMarshal(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
 		panic(err)
--- a/internal/scale/world/agentconfig_test.go
+++ b/internal/scale/world/agentconfig_test.go
@@ -28,14 +28,14 @@
 			Listen: fmt.Sprintf("127.0.0.1:%d", 20000+i), Discovery: "127.64.0.1:8500", Echo: a.Real, Seed: uint64(i),
 		}
 		if a.Real {
-			o.Known, o.Console = known, "127.0.0.1:1"
+			o.CachedEndpoints, o.Console = known, "127.0.0.1:1"
 			known = nil // the others' would be the same list
 		}
 		first, err := config.Parse(w.Config(i, o))
 		if err != nil {
 			t.Fatalf("agent %d: %v", i, err)
 		}
-		if first.Name != a.Name || (o.Known != nil) != (len(first.CachedEndpoints.Members) > 0) {
+		if first.Name != a.Name || (o.CachedEndpoints != nil) != (len(first.CachedEndpoints.Members) > 0) {
 			t.Errorf("agent %d: %s knows %d", i, first.Name, len(first.CachedEndpoints.Members))
 		}
 		o.Revision = 1
--- a/internal/scale/world/draw.go
+++ b/internal/scale/world/draw.go
@@ -24,8 +24,8 @@
 	streamEvents
 )
 
-// speeds are those of the kinds of machine; each server is on one of them, by chance.
-var speeds = []float64{0.6, 0.8, 1, 1.2, 1.5}
+// machineSpeeds are those of the kinds of machine; each server is on one of them, by chance.
+var machineSpeeds = []float64{0.6, 0.8, 1, 1.2, 1.5}
 
 // Draw draws a scenario's fleet. Its error is the scenario's, if that cannot be used.
 //
@@ -40,7 +40,7 @@
 	for z := range s.Fleet.Zones {
 		w.Zones = append(w.Zones, fmt.Sprintf("r%d-z%d", z/perRegion, z%perRegion))
 	}
-	sizes := shareOut(s.Fleet.Servers, s.Fleet.Services, func(i int) float64 {
+	sizes := apportion(s.Fleet.Servers, s.Fleet.Services, func(i int) float64 {
 		return math.Pow(float64(i+1), -s.Fleet.Uneven)
 	})
 	w.drawServices(sizes)
@@ -55,8 +55,8 @@
 	return rand.New(rand.NewPCG(w.Scenario.Seed, stream))
 }
 
-// shareOut shares a whole number out by weight, at least 1 to each of n; the first ones of the same claim get the rest.
-func shareOut(whole, n int, weight func(int) float64) []int {
+// apportion shares a whole number out by weight, at least 1 to each of n; the first ones of the same claim get the rest.
+func apportion(whole, n int, weight func(int) float64) []int {
 	sum := 0.0
 	for i := range n {
 		sum += weight(i)
@@ -76,8 +76,8 @@
 	return out
 }
 
-// layerCalls returns the calls to layers 1 to depth for each root, if all requests call on.
-func layerCalls(depth int) []float64 {
+// callsPerLayer returns the calls to layers 1 to depth for each root, if all requests call on.
+func callsPerLayer(depth int) []float64 {
 	out := make([]float64, depth)
 	for d := range out {
 		out[d] = math.Pow(fanOut, float64(d))
@@ -89,7 +89,7 @@
 // the calls that come to it (the front: that it makes), but none to a full layer while as many are empty as are left.
 func (w *World) drawServices(sizes []int) {
 	f := &w.Scenario.Fleet
-	calls := layerCalls(f.Depth)
+	calls := callsPerLayer(f.Depth)
 	lacks := append([]float64{calls[0]}, calls...)
 	sum := 0.0
 	for _, c := range lacks {
@@ -158,7 +158,7 @@
 	}
 	for _, service := range append(first, others...) {
 		s := &w.Services[service]
-		w.addServer(service, (from[service]+len(s.Servers))%f.Zones, r.IntN(f.Racks), speeds[r.IntN(len(speeds))])
+		w.addServer(service, (from[service]+len(s.Servers))%f.Zones, r.IntN(f.Racks), machineSpeeds[r.IntN(len(machineSpeeds))])
 	}
 }
 
@@ -167,7 +167,7 @@
 	i := len(w.Servers)
 	w.Services[service].Servers = append(w.Services[service].Servers, i)
 	w.Servers = append(w.Servers, Server{
-		ID: w.id(i, 0), Addr: address(i, 0),
+		ID: w.serverID(i, 0), Addr: serverAddr(i, 0),
 		Service: service, Zone: zone, Region: zone / (w.Scenario.Fleet.Zones / w.Scenario.Fleet.Regions), Rack: rack,
 		Speed: speed, Slots: w.Scenario.Fleet.Slots,
 	})
@@ -179,14 +179,14 @@
 func (w *World) drawCalls() {
 	r := w.rng(streamCalls)
 	for layer := range w.Scenario.Fleet.Depth {
-		callers, called := w.layer(layer), w.layer(layer+1)
+		callers, called := w.servicesOfLayer(layer), w.servicesOfLayer(layer+1)
 		flow := map[[2]int]float64{}
 		for range 2 {
 			r.Shuffle(len(callers), func(i, j int) { callers[i], callers[j] = callers[j], callers[i] })
 			r.Shuffle(len(called), func(i, j int) { called[i], called[j] = called[j], called[i] })
 			w.overlay(callers, called, flow)
 		}
-		total := float64(w.serversOf(callers))
+		total := float64(w.countServers(callers))
 		for _, c := range callers {
 			w.setCalls(c, called, flow, total, layer)
 		}
@@ -196,7 +196,7 @@
 // overlay adds half of the shares that two layers' services have in common, laid along one line.
 func (w *World) overlay(callers, called []int, flow map[[2]int]float64) {
 	// Whole numbers, so that no sliver is left by rounding: each layer is as long as the product of both numbers of servers.
-	above, below := w.serversOf(callers), w.serversOf(called)
+	above, below := w.countServers(callers), w.countServers(called)
 	whole := float64(above) * float64(below)
 	i, j, leftI, leftJ := 0, 0, 0, 0
 	for i < len(callers) || j < len(called) {
@@ -232,8 +232,8 @@
 	}
 }
 
-// layer returns the services of one layer.
-func (w *World) layer(layer int) (out []int) {
+// servicesOfLayer returns the services of one layer.
+func (w *World) servicesOfLayer(layer int) (out []int) {
 	for i, s := range w.Services {
 		if s.Layer == layer {
 			out = append(out, i)
@@ -242,7 +242,7 @@
 	return out
 }
 
-func (w *World) serversOf(services []int) (n int) {
+func (w *World) countServers(services []int) (n int) {
 	for _, s := range services {
 		n += len(w.Services[s].Servers)
 	}
@@ -260,18 +260,18 @@
 		modelled[w.Servers[server].Service]++
 	}
 	for k := range real {
-		i := w.nextModelled(k*n/real, func(service int) bool { return modelled[service] > 1 })
+		i := w.nextSimulated(k*n/real, func(service int) bool { return modelled[service] > 1 })
 		if i < 0 {
-			i = w.nextModelled(k*n/real, func(int) bool { return true })
+			i = w.nextSimulated(k*n/real, func(int) bool { return true })
 		}
 		w.Agents[i].Real = true
 		modelled[w.Servers[w.Agents[i].Server].Service]--
 	}
-	w.chooseCallers()
+	w.assignCallingAgents()
 }
 
-// nextModelled returns the first agent from one on, and around, that is not real and whose service will do, or -1.
-func (w *World) nextModelled(from int, will func(service int) bool) int {
+// nextSimulated returns the first agent from one on, and around, that is not real and whose service will do, or -1.
+func (w *World) nextSimulated(from int, will func(service int) bool) int {
 	for k := range w.Agents {
 		i := (from + k) % len(w.Agents)
 		if a := &w.Agents[i]; !a.Real && will(w.Servers[a.Server].Service) {
@@ -281,36 +281,36 @@
 	return -1
 }
 
-// chooseCallers finds for each server the agent by which its requests call on.
-func (w *World) chooseCallers() {
-	w.caller = make([]int, len(w.Servers))
+// assignCallingAgents finds for each server the agent by which its requests call on.
+func (w *World) assignCallingAgents() {
+	w.callingAgent = make([]int, len(w.Servers))
 	of := make([][]int, len(w.Services)) // modelled agents
-	for i := range w.caller {
-		w.caller[i] = -1
+	for i := range w.callingAgent {
+		w.callingAgent[i] = -1
 	}
 	for i, a := range w.Agents {
 		if a.Real {
 			continue
 		}
 		of[w.Servers[a.Server].Service] = append(of[w.Servers[a.Server].Service], i)
-		if w.caller[a.Server] < 0 {
-			w.caller[a.Server] = i
+		if w.callingAgent[a.Server] < 0 {
+			w.callingAgent[a.Server] = i
 		}
 	}
 	for s := range w.Services {
 		for i, server := range w.Services[s].Servers {
-			if w.caller[server] < 0 && len(of[s]) > 0 {
-				w.caller[server] = of[s][i%len(of[s])]
+			if w.callingAgent[server] < 0 && len(of[s]) > 0 {
+				w.callingAgent[server] = of[s][i%len(of[s])]
 			}
 		}
 	}
 }
 
-// AgentOf returns the agent by which a server's requests call on: the modelled one beside it, or else one of the same
+// CallingAgent returns the agent by which a server's requests call on: the modelled one beside it, or else one of the same
 // service. Below 0 means that there is none, and that they call nothing.
-func (w *World) AgentOf(server int) int {
-	if server < len(w.caller) {
-		return w.caller[server]
+func (w *World) CallingAgent(server int) int {
+	if server < len(w.callingAgent) {
+		return w.callingAgent[server]
 	}
 	return -1 // echo servers call nothing
 }
@@ -318,7 +318,7 @@
 // drawLoad sets the roots so that the fleet's calls come out as many as the scenario says, and the services' times of
 // work so that their mean over all calls is the scenario's.
 func (w *World) drawLoad() {
-	w.setRoots(1)
+	w.setRootRates(1)
 	f := &w.Scenario.Fleet
 	rates := w.ServiceRates()
 	total := sum(rates)
@@ -328,7 +328,7 @@
 		}
 		return
 	}
-	w.setRoots(f.CallsPerSecond / total)
+	w.setRootRates(f.CallsPerSecond / total)
 	r := w.rng(streamWork)
 	works, weighted := make([]float64, len(w.Services)), 0.0
 	for i := range works {
@@ -341,8 +341,8 @@
 	}
 }
 
-// setRoots gives each front service as many roots a second for each of its servers, by its modelled agents alike.
-func (w *World) setRoots(perServer float64) {
+// setRootRates gives each front service as many roots a second for each of its servers, by its modelled agents alike.
+func (w *World) setRootRates(perServer float64) {
 	modelled := make([]int, len(w.Services))
 	for _, a := range w.Agents {
 		if !a.Real {
@@ -352,7 +352,7 @@
 	for i, a := range w.Agents {
 		s := w.Servers[a.Server].Service
 		if !a.Real && w.Services[s].Layer == 0 {
-			w.Agents[i].Roots = perServer * float64(len(w.Services[s].Servers)) / float64(modelled[s])
+			w.Agents[i].RootCallsPerSecond = perServer * float64(len(w.Services[s].Servers)) / float64(modelled[s])
 		}
 	}
 }
@@ -361,11 +361,11 @@
 func (w *World) ServiceRates() []float64 {
 	rates, made := make([]float64, len(w.Services)), make([]float64, len(w.Services))
 	for _, a := range w.Agents {
-		made[w.Servers[a.Server].Service] += a.Roots
+		made[w.Servers[a.Server].Service] += a.RootCallsPerSecond
 	}
 	for i, s := range w.Services { // callers stand before those they call
 		if s.Layer > 0 {
-			made[i] = rates[i] * w.callingOn(i)
+			made[i] = rates[i] * w.callingShare(i)
 		}
 		for _, c := range s.Calls {
 			rates[c.Service] += made[i] * c.Chance
@@ -374,9 +374,9 @@
 	return rates
 }
 
-// callingOn is the share of a service's requests that have an agent to call on by.
-func (w *World) callingOn(service int) float64 {
-	if w.AgentOf(w.Services[service].Servers[0]) < 0 { // all of a service's servers have one, or none
+// callingShare is the share of a service's requests that have an agent to call on by.
+func (w *World) callingShare(service int) float64 {
+	if w.CallingAgent(w.Services[service].Servers[0]) < 0 { // all of a service's servers have one, or none
 		return 0
 	}
 	return 1
@@ -402,42 +402,42 @@
 
 // Ids and addresses are made from a server's position and from how often it was replaced, which is its generation.
 const (
-	positionBits = 13
-	perHost      = 250
-	serverPort   = 9000
+	positionBits  = 13
+	addrsPerOctet = 250
+	serverPort    = 9000
 )
 
-// address is unique to a server and generation, within 127.16 to 127.63: control and relays have those above.
-func address(position, generation int) string {
+// serverAddr is unique to a server and generation, within 127.16 to 127.63: control and relays have those above.
+func serverAddr(position, generation int) string {
 	n := generation<<positionBits | position
-	return fmt.Sprintf("127.%d.%d.%d:%d", 16+n/(perHost*perHost)%48, n/perHost%perHost, n%perHost+1, serverPort)
+	return fmt.Sprintf("127.%d.%d.%d:%d", 16+n/(addrsPerOctet*addrsPerOctet)%48, n/addrsPerOctet%addrsPerOctet, n%addrsPerOctet+1, serverPort)
 }
 
-// id looks drawn but is never used twice: it is a permutation of what it is made of.
-func (w *World) id(position, generation int) string {
+// serverID looks drawn but is never used twice: it is a permutation of what it is made of.
+func (w *World) serverID(position, generation int) string {
 	n := uint32(generation<<positionBits | position)
 	left, right := uint16(n>>16), uint16(n)
 	for round := range uint64(4) {
-		left, right = right, left^w.mix(right, round)
+		left, right = right, left^w.mixRound(right, round)
 	}
 	return fmt.Sprintf("s-%04x%04x", left, right)
 }
 
-// Position returns the server that a list means by an id, in whatever generation; false if it is none of the world's.
-func (w *World) Position(id string) (int, bool) {
+// ServerPosition returns the server that a list means by an id, in whatever generation; false if it is none of the world's.
+func (w *World) ServerPosition(id string) (int, bool) {
 	var left, right uint16
 	if n, err := fmt.Sscanf(id, "s-%04x%04x", &left, &right); n != 2 || err != nil || len(id) != len("s-01234567") {
 		return 0, false
 	}
 	for round := uint64(4); round > 0; round-- {
-		left, right = right^w.mix(left, round-1), left
+		left, right = right^w.mixRound(left, round-1), left
 	}
 	n := uint32(left)<<16 | uint32(right)
 	position := int(n & (1<<positionBits - 1))
 	return position, position < len(w.Servers)
 }
 
-func (w *World) mix(v uint16, round uint64) uint16 {
+func (w *World) mixRound(v uint16, round uint64) uint16 {
 	x := (uint64(v) + round<<16 + 1) * (w.Scenario.Seed | 1) * 0x9e3779b97f4a7c15
 	x ^= x >> 29
 	return uint16(x * 0xbf58476d1ce4e5b9 >> 32)
--- a/internal/scale/world/drawn_test.go
+++ b/internal/scale/world/drawn_test.go
@@ -38,13 +38,13 @@
 		fmt.Fprintln(h, s.Name, s.Class, s.Layer, s.Servers, s.Calls, s.Work)
 	}
 	for i, s := range w.Servers {
-		fmt.Fprintln(h, s.ID, s.Addr, s.Service, s.Region, s.Zone, s.Rack, s.Speed, s.Slots, s.Start, w.AgentOf(i))
+		fmt.Fprintln(h, s.ID, s.Addr, s.Service, s.Region, s.Zone, s.Rack, s.Speed, s.Slots, s.Start, w.CallingAgent(i))
 	}
 	for i, a := range w.Agents {
-		fmt.Fprintln(h, a.Name, a.Server, a.Roots, a.Real)
+		fmt.Fprintln(h, a.Name, a.Server, a.RootCallsPerSecond, a.Real)
 		o := world.ConfigOptions{
 			Listen: "127.0.0.1:1", Discovery: "127.0.0.1:2", Console: "127.0.0.1:3", Relays: []string{"127.0.0.1:4"},
-			Revision: i % 3, Known: []byte(`{}`), Echo: a.Real, Seed: uint64(i),
+			Revision: i % 3, CachedEndpoints: []byte(`{}`), Echo: a.Real, Seed: uint64(i),
 		}
 		fmt.Fprintln(h, string(w.Config(i, o)))
 	}
--- a/internal/scale/world/members.go
+++ b/internal/scale/world/members.go
@@ -8,16 +8,16 @@
 
 // The phases of lists.
 const (
-	ready       = "Ready"
-	terminating = "Terminating"
-	gone        = "Gone"
+	stateReady       = "Ready"
+	stateTerminating = "Terminating"
+	stateGone        = "Gone"
 )
 
 // Members returns the whole list before any step: the servers whose processes had started at a time.
 func (w *World) Members(at time.Time) []discovery.Member {
 	out := make([]discovery.Member, 0, len(w.Servers))
 	for i := range w.Servers {
-		if m := w.member(i, ready); m.StartedAtMillis <= float64(at.UnixMilli()) {
+		if m := w.member(i, stateReady); m.StartedAtMillis <= float64(at.UnixMilli()) {
 			out = append(out, m)
 		}
 	}
--- a/internal/scale/world/steps.go
+++ b/internal/scale/world/steps.go
@@ -41,9 +41,9 @@
 	rng        *rand.Rand
 	steps      []Step
 	generation []int           // by server: how often it was replaced
-	start      []time.Duration // by server: Unix time of its process
-	free       []time.Duration // by server: when the last event with it is over
-	away       []time.Duration // by server: when it is back, if it vanished
+	startedAt  []time.Duration // by server: Unix time of its process
+	freeAt     []time.Duration // by server: when the last event with it is over
+	awayUntil  []time.Duration // by server: when it is back, if it vanished
 }
 
 // Steps expands the scenario's events, the changes of configuration that come by themselves, and what happens to a
@@ -52,10 +52,10 @@
 	n := w.Scenario.Fleet.Servers // echo servers are real sockets, to which nothing happens
 	s := &stepper{
 		World: w, now: now, rng: w.rng(streamEvents),
-		generation: make([]int, n), start: make([]time.Duration, n), free: make([]time.Duration, n), away: make([]time.Duration, n),
+		generation: make([]int, n), startedAt: make([]time.Duration, n), freeAt: make([]time.Duration, n), awayUntil: make([]time.Duration, n),
 	}
-	for i := range s.start {
-		s.start[i] = w.Servers[i].Start
+	for i := range s.startedAt {
+		s.startedAt[i] = w.Servers[i].Start
 	}
 	order := make([]int, len(w.Scenario.Events))
 	for i := range order {
@@ -63,10 +63,10 @@
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(w.Scenario.Events[a].AtS, w.Scenario.Events[b].AtS) })
 	for _, i := range order {
-		s.event(i, &w.Scenario.Events[i])
+		s.expandEvent(i, &w.Scenario.Events[i])
 	}
-	s.changes()
-	s.relay()
+	s.addConfigChanges()
+	s.addRelayEvents()
 	slices.SortStableFunc(s.steps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	revision := 0
 	for i := range s.steps {
@@ -78,8 +78,8 @@
 	return s.steps
 }
 
-// event adds the steps of one event, the first of which begins it and the last of which ends it.
-func (s *stepper) event(i int, e *scenario.Event) {
+// expandEvent adds the steps of one event, the first of which begins it and the last of which ends it.
+func (s *stepper) expandEvent(i int, e *scenario.Event) {
 	from := len(s.steps)
 	at, length := seconds(e.AtS), seconds(e.ForS)
 	s.steps = append(s.steps, Step{At: at, Begins: true})
@@ -87,41 +87,41 @@
 	case "config":
 		s.add(Step{At: at, Config: 1})
 	case "restart":
-		for _, w := range waves(s.agents(at, e.Count), length) {
-			s.add(Step{At: at + w.after, Restart: w.of})
+		for _, w := range waves(s.pickAgents(at, e.Count), length) {
+			s.add(Step{At: at + w.after, Restart: w.positions})
 		}
 	case "agents-back":
-		s.add(Step{At: at, Restart: s.agents(at, len(s.Agents)), Forget: true})
+		s.add(Step{At: at, Restart: s.pickAgents(at, len(s.Agents)), Forget: true})
 	case "replace":
-		s.leave(at, length, s.pick(at, e.Count), true)
+		s.drain(at, length, s.pickServers(at, e.Count), true)
 	case "release":
-		s.leave(at, length, s.pick(at, int(math.Round(e.Share*float64(len(s.free))))), false)
+		s.drain(at, length, s.pickServers(at, int(math.Round(e.Share*float64(len(s.freeAt))))), false)
 	case "machine":
-		s.vanish(at, length, s.pick(at, e.Count))
+		s.failMachines(at, length, s.pickServers(at, e.Count))
 	case "rack", "zone":
-		s.vanish(at, length, s.among(at, func(server *Server) bool {
+		s.failMachines(at, length, s.freeServers(at, func(server *Server) bool {
 			return server.Zone == e.Zone && (e.Kind == "zone" || server.Rack == e.Count)
 		}))
 	case "regions":
-		s.span(at, length, func(step *Step, on *bool) { step.CutRegions = on })
+		s.toggle(at, length, func(step *Step, on *bool) { step.CutRegions = on })
 	case "control-loss":
-		s.span(at, length, func(step *Step, on *bool) { step.ControlDown = on })
+		s.toggle(at, length, func(step *Step, on *bool) { step.ControlDown = on })
 	case "fail":
-		s.span(at, length, func(step *Step, on *bool) { step.Fail = on })
+		s.toggle(at, length, func(step *Step, on *bool) { step.Fail = on })
 	}
 	own := s.steps[from:]
 	slices.SortStableFunc(own, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	for k := range own {
 		own[k].Event = i
 	}
-	s.steps = append(s.steps[:from], joined(own)...)
+	s.steps = append(s.steps[:from], mergeFirst(own)...)
 	s.steps[len(s.steps)-1].Ends = true
 }
 
 func (s *stepper) add(step Step) { s.steps = append(s.steps, step) }
 
-// joined lets the mark of an event's begin stand at its first step where both are at one time.
-func joined(own []Step) []Step {
+// mergeFirst lets the mark of an event's begin stand at its first step where both are at one time.
+func mergeFirst(own []Step) []Step {
 	if len(own) > 1 && own[0].At == own[1].At {
 		own = own[1:]
 		own[0].Begins = true
@@ -129,8 +129,8 @@
 	return own
 }
 
-// span turns something on and, after a while, off.
-func (s *stepper) span(at, length time.Duration, set func(*Step, *bool)) {
+// toggle turns something on and, after a while, off.
+func (s *stepper) toggle(at, length time.Duration, set func(*Step, *bool)) {
 	for _, on := range []bool{true, false} {
 		step := Step{At: at}
 		set(&step, &on)
@@ -139,61 +139,61 @@
 	}
 }
 
-// leave drains servers in waves. Each one's line says so at once; the process ends when the drain does, and another
+// drain drains servers in waves. Each one's line says so at once; the process ends when the drain does, and another
 // starts in its place: the same one again, or another id at another address.
-func (s *stepper) leave(at, length time.Duration, servers []int, replace bool) {
-	drain, boot, notice := seconds(s.Scenario.Fleet.DrainS), seconds(s.Scenario.Fleet.BootS), s.notice()
+func (s *stepper) drain(at, length time.Duration, servers []int, replace bool) {
+	drain, boot, notice := seconds(s.Scenario.Fleet.DrainS), seconds(s.Scenario.Fleet.BootS), s.noticeDelay()
 	for _, w := range waves(servers, length) {
 		ends := at + w.after + drain
 		starts := ends + boot
-		s.add(Step{At: at + w.after, Changes: s.lines(w.of, terminating)})
-		s.add(Step{At: ends, Down: w.of})
-		s.add(Step{At: ends + notice, Changes: s.lines(w.of, gone)})
-		s.back(starts, w.of, replace, nil)
+		s.add(Step{At: at + w.after, Changes: s.memberLines(w.positions, stateTerminating)})
+		s.add(Step{At: ends, Down: w.positions})
+		s.add(Step{At: ends + notice, Changes: s.memberLines(w.positions, stateGone)})
+		s.bringBack(starts, w.positions, replace, nil)
 	}
 }
 
-// vanish takes servers and the agents beside them away without a word. The agents come back with them.
-func (s *stepper) vanish(at, length time.Duration, servers []int) {
+// failMachines takes servers and the agents beside them away without a word. The agents come back with them.
+func (s *stepper) failMachines(at, length time.Duration, servers []int) {
 	if len(servers) == 0 {
 		return
 	}
 	s.add(Step{At: at, Down: servers, Silent: true})
-	s.add(Step{At: at + s.notice(), Changes: s.lines(servers, gone)})
+	s.add(Step{At: at + s.noticeDelay(), Changes: s.memberLines(servers, stateGone)})
 	for _, i := range servers {
-		s.away[i] = at + length
+		s.awayUntil[i] = at + length
 	}
-	s.back(at+length, servers, false, s.beside(servers))
+	s.bringBack(at+length, servers, false, s.agentsBeside(servers))
 }
 
-// back starts servers, cold, with the agents that come back with them, and lists them.
-func (s *stepper) back(at time.Duration, servers []int, replace bool, agents []int) {
+// bringBack starts servers, cold, with the agents that come back with them, and lists them.
+func (s *stepper) bringBack(at time.Duration, servers []int, replace bool, agents []int) {
 	for _, i := range servers {
-		s.start[i] = time.Duration(s.now.Add(at).UnixNano())
-		s.free[i] = at + s.notice()
+		s.startedAt[i] = time.Duration(s.now.Add(at).UnixNano())
+		s.freeAt[i] = at + s.noticeDelay()
 		if replace {
 			s.generation[i]++
 		}
 	}
 	s.add(Step{At: at, Up: servers, Cold: true, Restart: agents})
-	s.add(Step{At: at + s.notice(), Changes: s.lines(servers, ready)})
+	s.add(Step{At: at + s.noticeDelay(), Changes: s.memberLines(servers, stateReady)})
 }
 
-// lines are the servers' lines as they are now.
-func (s *stepper) lines(servers []int, phase string) []discovery.Member {
+// memberLines are the servers' lines as they are now.
+func (s *stepper) memberLines(servers []int, phase string) []discovery.Member {
 	out := make([]discovery.Member, 0, len(servers))
 	for _, i := range servers {
 		m := s.member(i, phase)
-		m.ID, m.Address = s.id(i, s.generation[i]), address(i, s.generation[i])
-		m.StartedAtMillis = float64(s.start[i].Milliseconds())
+		m.ID, m.Address = s.serverID(i, s.generation[i]), serverAddr(i, s.generation[i])
+		m.StartedAtMillis = float64(s.startedAt[i].Milliseconds())
 		out = append(out, m)
 	}
 	return out
 }
 
-// among returns the servers that are free at a time and of which something holds.
-func (s *stepper) among(at time.Duration, holds func(*Server) bool) (out []int) {
-	for i, free := range s.free {
+// freeServers returns the servers that are free at a time and of which something holds.
+func (s *stepper) freeServers(at time.Duration, holds func(*Server) bool) (out []int) {
+	for i, free := range s.freeAt {
 		if free <= at && holds(&s.Servers[i]) {
 			out = append(out, i)
 		}
@@ -201,22 +201,22 @@
 	return out
 }
 
-// pick draws as many of the free servers, or all of them.
-func (s *stepper) pick(at time.Duration, n int) []int {
-	all := s.among(at, func(*Server) bool { return true })
+// pickServers draws as many of the free servers, or all of them.
+func (s *stepper) pickServers(at time.Duration, n int) []int {
+	all := s.freeServers(at, func(*Server) bool { return true })
 	s.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(n, len(all))]
 }
 
-// agents draws as many of the agents that are there at a time, or all of them.
-func (s *stepper) agents(at time.Duration, n int) []int {
+// pickAgents draws as many of the agents that are there at a time, or all of them.
+func (s *stepper) pickAgents(at time.Duration, n int) []int {
 	all := s.rng.Perm(len(s.Agents))
-	all = slices.DeleteFunc(all, func(i int) bool { return s.away[s.Agents[i].Server] > at })
+	all = slices.DeleteFunc(all, func(i int) bool { return s.awayUntil[s.Agents[i].Server] > at })
 	return all[:min(n, len(all))]
 }
 
-// beside returns the agents beside servers, in their order.
-func (s *stepper) beside(servers []int) (out []int) {
+// agentsBeside returns the agents beside servers, in their order.
+func (s *stepper) agentsBeside(servers []int) (out []int) {
 	down := make(map[int]bool, len(servers))
 	for _, i := range servers {
 		down[i] = true
@@ -229,16 +229,16 @@
 	return out
 }
 
-// changes adds the configurations that come by themselves, in the middle of equal spans.
-func (s *stepper) changes() {
+// addConfigChanges adds the configurations that come by themselves, in the middle of equal spans.
+func (s *stepper) addConfigChanges() {
 	perMinute := s.Scenario.ChangesPerMinute()
 	for k := range int(math.Round(perMinute * s.Scenario.Seconds / 60)) {
 		s.add(Step{At: seconds((float64(k) + 0.5) * 60 / perMinute), Event: -1, Config: 1})
 	}
 }
 
-// relay adds what happens to the relay that is killed.
-func (s *stepper) relay() {
+// addRelayEvents adds what happens to the relay that is killed.
+func (s *stepper) addRelayEvents() {
 	r := &s.Scenario.Relays
 	if r.Count == 0 || r.KillAt == 0 {
 		return
@@ -249,12 +249,12 @@
 	}
 }
 
-func (s *stepper) notice() time.Duration { return seconds(s.Scenario.Control.NoticeMS / 1000) }
+func (s *stepper) noticeDelay() time.Duration { return seconds(s.Scenario.Control.NoticeMS / 1000) }
 
 // wave is some of those that an event works through, and when after its begin.
 type wave struct {
-	after time.Duration
-	of    []int
+	after     time.Duration
+	positions []int
 }
 
 // waves spreads what an event works through evenly over a time: one by one, but no more than one wave a second, as those
--- a/internal/scale/world/steps_test.go
+++ b/internal/scale/world/steps_test.go
@@ -118,7 +118,7 @@
 	for _, step := range steps {
 		for _, m := range step.Changes {
 			old, known := list[m.ID]
-			position, ok := w.Position(m.ID)
+			position, ok := w.ServerPosition(m.ID)
 			switch {
 			case !ok || m.Kind != w.Services[w.Servers[position].Service].Name:
 				t.Fatalf("%+v is at %d, %v", m, position, ok)
@@ -164,7 +164,7 @@
 			down[i] = false
 		}
 		for _, m := range step.Changes {
-			if i, _ := w.Position(m.ID); m.State == "Ready" && down[i] {
+			if i, _ := w.ServerPosition(m.ID); m.State == "Ready" && down[i] {
 				t.Errorf("server %d is ready and down at %v", i, step.At)
 			}
 		}
--- a/internal/scale/world/world.go
+++ b/internal/scale/world/world.go
@@ -43,10 +43,10 @@
 
 // Agent is one agent, beside a server.
 type Agent struct {
-	Name   string
-	Server int     // its position
-	Roots  float64 // calls a second that begin here; above 0 for the front's agents that are modelled
-	Real   bool
+	Name               string
+	Server             int     // its position
+	RootCallsPerSecond float64 // calls a second that begin here; above 0 for the front's agents that are modelled
+	Real               bool
 }
 
 // World is what a scenario draws. It is not changed but by AddEcho.
@@ -58,5 +58,5 @@
 	Agents   []Agent
 	Deepest  int // the service that the event fail hits: the largest one of the deepest layer
 
-	caller []int // by server: the agent by which its requests call on; below 0: none
+	callingAgent []int // by server: the agent by which its requests call on; below 0: none
 }
--- a/internal/scale/world/world_test.go
+++ b/internal/scale/world/world_test.go
@@ -132,7 +132,7 @@
 	f := &w.Scenario.Fleet
 	seen, zones := map[string]bool{}, map[int]int{}
 	for i, s := range w.Servers {
-		at, ok := w.Position(s.ID)
+		at, ok := w.ServerPosition(s.ID)
 		switch {
 		case seen[s.ID] || seen[s.Addr]:
 			t.Errorf("%s at %s is there twice", s.ID, s.Addr)
@@ -157,7 +157,7 @@
 			real++
 		}
 		front := w.Services[w.Servers[a.Server].Service].Layer == 0
-		if a.Server != i%len(w.Servers) || (a.Roots > 0) != (front && !a.Real) {
+		if a.Server != i%len(w.Servers) || (a.RootCallsPerSecond > 0) != (front && !a.Real) {
 			t.Errorf("agent %d: %+v", i, a)
 		}
 	}
@@ -165,7 +165,7 @@
 		t.Errorf("%d of %d agents are real", real, len(w.Agents))
 	}
 	for i, s := range w.Servers {
-		if a := w.AgentOf(i); a >= 0 && (w.Agents[a].Real || w.Servers[w.Agents[a].Server].Service != s.Service) {
+		if a := w.CallingAgent(i); a >= 0 && (w.Agents[a].Real || w.Servers[w.Agents[a].Server].Service != s.Service) {
 			t.Errorf("server %d calls on by agent %d", i, a)
 		}
 	}
@@ -285,7 +285,7 @@
 	}{
 		"plain":  {change: func(*world.ConfigOptions) {}},
 		"relays": {change: func(o *world.ConfigOptions) { o.Relays = []string{"127.65.0.1:3"} }, keys: []string{"relays"}},
-		"known":  {change: func(o *world.ConfigOptions) { o.Known = []byte(`{"revision":1}`) }, keys: []string{"known"}},
+		"known":  {change: func(o *world.ConfigOptions) { o.CachedEndpoints = []byte(`{"revision":1}`) }, keys: []string{"known"}},
 		"all": {change: func(o *world.ConfigOptions) {
 			o.Console, o.Echo = "127.0.0.1:4", true
 		}, keys: []string{"console"}, echo: 1},
