--- a/cmd/scale/adjust.go
+++ b/cmd/scale/adjust.go
@@ -7,38 +7,38 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// bend makes what the file says, and no flag does, go with the flags: fewer servers carry fewer services, which are less
+// adjustToFlags makes what the file says, and no flag does, go with the flags: fewer servers carry fewer services, which are less
 // deep, and a shorter run has the events that end in it. It returns what it changed, for people. Flags that do not go
 // together are left as they are, for the scenario's own checks to name.
-func bend(s *scenario.Scenario, z *sizes) (notes []string) {
+func adjustToFlags(s *scenario.Scenario, flags *scenarioFlags) (notes []string) {
 	lower := func(field string, v *int, flag *int, most int) {
 		if flag == nil && most >= 1 && *v > most {
 			notes = append(notes, fmt.Sprintf("%s: %d instead of the file's %d, to go with the flags", field, most, *v))
 			*v = most
 		}
 	}
-	servers, services := given(z.Servers, s.Fleet.Servers), given(z.Services, s.Fleet.Services)
-	if z.Depth != nil && z.Services == nil && services < *z.Depth+1 && *z.Depth+1 <= servers {
-		notes = append(notes, fmt.Sprintf("fleet.services: %d instead of the file's %d, to go with the flags", *z.Depth+1, services))
-		s.Fleet.Services = *z.Depth + 1
+	servers, services := flagOr(flags.Servers, s.Fleet.Servers), flagOr(flags.Services, s.Fleet.Services)
+	if flags.Depth != nil && flags.Services == nil && services < *flags.Depth+1 && *flags.Depth+1 <= servers {
+		notes = append(notes, fmt.Sprintf("fleet.services: %d instead of the file's %d, to go with the flags", *flags.Depth+1, services))
+		s.Fleet.Services = *flags.Depth + 1
 	}
-	lower("fleet.services", &s.Fleet.Services, z.Services, servers)
-	services = given(z.Services, s.Fleet.Services)
-	lower("fleet.depth", &s.Fleet.Depth, z.Depth, services-1)
-	agents := given(z.Agents, s.Fleet.Agents)
+	lower("fleet.services", &s.Fleet.Services, flags.Services, servers)
+	services = flagOr(flags.Services, s.Fleet.Services)
+	lower("fleet.depth", &s.Fleet.Depth, flags.Depth, services-1)
+	agents := flagOr(flags.Agents, s.Fleet.Agents)
 	if agents == 0 {
 		agents = servers
 	}
-	lower("fleet.real", &s.Fleet.Real, z.Real, agents)
-	if z.Seconds != nil {
+	lower("fleet.real", &s.Fleet.Real, flags.Real, agents)
+	if flags.Seconds != nil {
 		s.Events = slices.DeleteFunc(s.Events, func(e scenario.Event) bool {
-			late := s.EventEnd(e) > *z.Seconds
+			late := s.EventEnd(e) > *flags.Seconds
 			if late {
 				notes = append(notes, fmt.Sprintf("events: %s at %g s is left out, the run is over before it", e.Kind, e.AtS))
 			}
 			return late
 		})
-		if s.Relays.KillAt > *z.Seconds {
+		if s.Relays.KillAt > *flags.Seconds {
 			notes = append(notes, fmt.Sprintf("relays: the one killed at %g s is left alone, the run is over before it", s.Relays.KillAt))
 			s.Relays.KillAt, s.Relays.RestartAfter = 0, 0
 		}
@@ -55,8 +55,8 @@
 	return notes
 }
 
-// given is a flag's value, or the file's where there is no flag.
-func given(flag *int, file int) int {
+// flagOr is a flag's value, or the file's where there is no flag.
+func flagOr(flag *int, file int) int {
 	if flag != nil {
 		return *flag
 	}
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -30,8 +30,8 @@
 
 // Exit codes: 0 all budgets held, 1 one did not or the run failed, 2 a flag or a file cannot be used.
 const (
-	exitOver  = 1
-	exitUsage = 2
+	exitFailed = 1
+	exitUsage  = 2
 )
 
 // roles are the parts of a run that this program is when it finds role.Env set.
@@ -39,17 +39,17 @@
 
 func main() {
 	if part := os.Getenv(role.Env); part != "" {
-		os.Exit(serve(part))
+		os.Exit(runPart(part))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
-	code := command(ctx, os.Args[1:], os.Stdout, os.Stderr)
+	code := runCommand(ctx, os.Args[1:], os.Stdout, os.Stderr)
 	stop()
 	os.Exit(code)
 }
 
-// serve is the whole program as a part. A terminal sends its interrupt to the parts as well; they end with their input,
+// runPart is the whole program as a part. A terminal sends its interrupt to the parts as well; they end with their input,
 // when the one that started them has gathered what there is.
-func serve(part string) int {
+func runPart(part string) int {
 	signal.Ignore(syscall.SIGINT, syscall.SIGTERM)
 	main, ok := roles[part]
 	if !ok {
@@ -58,7 +58,7 @@
 	}
 	if err := main(); err != nil {
 		fmt.Fprintf(os.Stderr, "scale: %s: %v\n", part, err)
-		return exitOver
+		return exitFailed
 	}
 	return 0
 }
@@ -68,30 +68,30 @@
 
 func (e usageError) Unwrap() error { return e.error }
 
-// errOver is a run whose text already says what did not hold.
-var errOver = errors.New("over budget")
+// errOverBudget is a run whose text already says what did not hold.
+var errOverBudget = errors.New("over budget")
 
 type cli struct {
 	Run     runCmd     `cmd:"" help:"Play one scenario and hold it against its budgets."`
 	Sweep   sweepCmd   `cmd:"" help:"Play a scenario at several sizes and fit how each figure grows."`
-	Figures figuresCmd `cmd:"" help:"Let the figures of single runs join the figures file of a sweep."`
+	Metrics metricsCmd `cmd:"" name:"figures" help:"Let the figures of single runs join the figures file of a sweep."`
 	Check   checkCmd   `cmd:"" help:"Say whether a scenario file can be played, without playing it."`
 
 	Log   string `placeholder:"FILE" help:"Where the log goes, as JSON lines; standard error if absent."`
 	Level string `enum:"debug,info,warn,error" default:"warn" help:"Least level of the log: debug, info, warn or error."`
 }
 
-// outputs are where a command writes.
-type outputs struct {
-	ctx      context.Context
-	out, err io.Writer
-	log      *slog.Logger
+// console are where a command writes.
+type console struct {
+	ctx         context.Context
+	out, errOut io.Writer
+	log         *slog.Logger
 }
 
-func (o *outputs) progress(text string) { fmt.Fprintln(o.err, time.Now().Format("15:04:05"), text) }
+func (o *console) progress(text string) { fmt.Fprintln(o.errOut, time.Now().Format("15:04:05"), text) }
 
-// command is the whole program but for the process around it.
-func command(ctx context.Context, args []string, out, errOut io.Writer) int {
+// runCommand is the whole program but for the process around it.
+func runCommand(ctx context.Context, args []string, out, errOut io.Writer) int {
 	var c cli
 	exited := -1
 	parser, err := kong.New(&c, kong.Name("scale"), kong.Writers(out, errOut), kong.Exit(func(code int) { exited = code }),
@@ -105,25 +105,25 @@
 		return exited
 	}
 	if err == nil {
-		err = start(ctx, parsed, &c, out, errOut)
+		err = dispatch(ctx, parsed, &c, out, errOut)
 	}
 	var usage usageError
 	var parse *kong.ParseError
 	switch {
 	case err == nil:
 		return 0
-	case errors.Is(err, errOver):
-		return exitOver
+	case errors.Is(err, errOverBudget):
+		return exitFailed
 	case errors.As(err, &usage), errors.As(err, &parse):
 		fmt.Fprintln(errOut, "scale:", err)
 		return exitUsage
 	default:
 		fmt.Fprintln(errOut, "scale:", err)
-		return exitOver
+		return exitFailed
 	}
 }
 
-func start(ctx context.Context, parsed *kong.Context, c *cli, out, errOut io.Writer) error {
+func dispatch(ctx context.Context, parsed *kong.Context, c *cli, out, errOut io.Writer) error {
 	to := errOut
 	if c.Log != "" {
 		f, err := os.Create(c.Log)
@@ -138,11 +138,11 @@
 		return usageError{fmt.Errorf("level: %w", err)}
 	}
 	log := slog.New(slog.NewJSONHandler(to, &slog.HandlerOptions{Level: level}))
-	return parsed.Run(&outputs{ctx, out, errOut, log})
+	return parsed.Run(&console{ctx, out, errOut, log})
 }
 
-// sizes are the flags that take the place of what the scenario's file says.
-type sizes struct {
+// scenarioFlags are the flags that take the place of what the scenario's file says.
+type scenarioFlags struct {
 	Scenario string `arg:"" help:"A scenario's TOML file."`
 
 	Agents           *int     `placeholder:"N" help:"Agents in all, real ones among them; 0: one beside each server."`
@@ -159,12 +159,12 @@
 }
 
 // load reads the scenario with the flags in place of its own figures.
-func (z *sizes) load(o *outputs) (*scenario.Scenario, error) {
+func (z *scenarioFlags) load(o *console) (*scenario.Scenario, error) {
 	s, err := scenario.Load(z.Scenario)
 	if err != nil {
 		return nil, usageError{err}
 	}
-	for _, note := range bend(s, z) {
+	for _, note := range adjustToFlags(s, z) {
 		o.progress(note)
 	}
 	err = s.Override(scenario.Overrides{
@@ -174,22 +174,22 @@
 	if err != nil {
 		return nil, usageError{err}
 	}
-	if err := check(s); err != nil {
+	if err := validate(s); err != nil {
 		return nil, usageError{err}
 	}
 	return s, nil
 }
 
-// check says what of a scenario cannot be played.
-func check(s *scenario.Scenario) error {
+// validate says what of a scenario cannot be played.
+func validate(s *scenario.Scenario) error {
 	if err := s.Validate(); err != nil {
 		return err
 	}
 	return run.Check(s)
 }
 
-// program is the agent's program for a run, and what removes it afterwards.
-func (z *sizes) program(o *outputs, s *scenario.Scenario) (bin string, remove func(), err error) {
+// agentProgram is the agent's program for a run, and what removes it afterwards.
+func (z *scenarioFlags) agentProgram(o *console, s *scenario.Scenario) (bin string, remove func(), err error) {
 	nothing := func() {}
 	if z.AgentBinary != "" {
 		info, err := os.Stat(z.AgentBinary)
@@ -202,7 +202,7 @@
 	if s.Fleet.Real == 0 {
 		return "", nothing, nil
 	}
-	root, err := repository()
+	root, err := findRepository()
 	if err != nil {
 		return "", nothing, usageError{fmt.Errorf("agent-binary: %w", err)}
 	}
@@ -219,8 +219,8 @@
 	return bin, remove, nil
 }
 
-// repository is the folder of the module, looked for from the present one upward.
-func repository() (string, error) {
+// findRepository is the folder of the module, looked for from the present one upward.
+func findRepository() (string, error) {
 	dir, err := os.Getwd()
 	if err != nil {
 		return "", err
@@ -238,24 +238,24 @@
 }
 
 type runCmd struct {
-	sizes
+	scenarioFlags
 	JSON string `name:"json" placeholder:"FILE" help:"Where the whole result goes, as JSON."`
 }
 
-func (c *runCmd) Run(o *outputs) error {
+func (c *runCmd) Run(o *console) error {
 	s, err := c.load(o)
 	if err != nil {
 		return err
 	}
-	if err := writable("json", c.JSON); err != nil {
+	if err := checkWritable("json", c.JSON); err != nil {
 		return err
 	}
-	bin, remove, err := c.program(o, s)
+	bin, remove, err := c.agentProgram(o, s)
 	if err != nil {
 		return err
 	}
 	defer remove()
-	r, err := run.Run(o.ctx, s, run.Options{Bin: bin, Log: o.log, Progress: o.progress, Stderr: o.err})
+	r, err := run.Run(o.ctx, s, run.Options{AgentProgram: bin, Log: o.log, Progress: o.progress, Stderr: o.errOut})
 	if r == nil {
 		return err
 	}
@@ -268,13 +268,13 @@
 		return err
 	}
 	if err == nil && len(run.Violations(r)) > 0 {
-		return errOver
+		return errOverBudget
 	}
 	return err
 }
 
-// writable says before a run whether its file can be written, and leaves what is in it.
-func writable(field, path string) error {
+// checkWritable says before a run whether its file can be written, and leaves what is in it.
+func checkWritable(field, path string) error {
 	if path == "" {
 		return nil
 	}
@@ -294,7 +294,7 @@
 }
 
 type sweepCmd struct {
-	sizes
+	scenarioFlags
 	Only   []string          `placeholder:"NAME,..." help:"Dimensions: servers, agents, changes, services, depth; all if absent."`
 	Sizes  map[string]string `placeholder:"NAME=N,N,N,N;..." help:"Sizes of a dimension, four at least, such as agents=50,100,200,400."`
 	Target string            `default:"deploy/scale/target.toml" help:"The scenario that the fits are held against."`
@@ -305,7 +305,7 @@
 	Runs   string            `placeholder:"FILE" help:"Where the whole results of all plays go, as JSON."`
 }
 
-func (c *sweepCmd) Run(o *outputs) error {
+func (c *sweepCmd) Run(o *console) error {
 	base, err := c.load(o)
 	if err != nil {
 		return err
@@ -323,19 +323,19 @@
 		return usageError{err}
 	}
 	for field, path := range map[string]string{"json": c.JSON, "text": c.Text, "runs": c.Runs} {
-		if err := writable(field, path); err != nil {
+		if err := checkWritable(field, path); err != nil {
 			return err
 		}
 	}
-	bin, remove, err := c.program(o, base)
+	bin, remove, err := c.agentProgram(o, base)
 	if err != nil {
 		return err
 	}
 	defer remove()
 	w, err := sweep.Run(o.ctx, base, sweep.Options{
-		Only: c.Only, Sizes: sizes, Target: target, Limit: c.Limit, Check: check, Progress: o.progress,
+		Only: c.Only, Sizes: sizes, Target: target, Limit: c.Limit, Check: validate, Progress: o.progress,
 		Play: func(ctx context.Context, s *scenario.Scenario) (*result.Run, error) {
-			return run.Run(ctx, s, run.Options{Bin: bin, Log: o.log, Progress: func(string) {}, Stderr: o.err})
+			return run.Run(ctx, s, run.Options{AgentProgram: bin, Log: o.log, Progress: func(string) {}, Stderr: o.errOut})
 		},
 	})
 	if err != nil {
@@ -345,13 +345,13 @@
 }
 
 // write writes all that a sweep gave. An interrupted one is an error, with what there is written.
-func (c *sweepCmd) write(o *outputs, w *sweep.Sweep, added map[string]*result.Run) error {
+func (c *sweepCmd) write(o *console, w *sweep.Sweep, added map[string]*result.Run) error {
 	if c.JSON != "" {
-		figures := w.Figures()
+		figures := w.Metrics()
 		for name, r := range added {
 			sweep.AddRun(figures, name, r)
 		}
-		if err := sweep.WriteFigures(c.JSON, figures); err != nil {
+		if err := sweep.WriteMetrics(c.JSON, figures); err != nil {
 			return err
 		}
 	}
@@ -372,8 +372,8 @@
 	if err := w.WriteText(to); err != nil {
 		return err
 	}
-	if len(w.Left) > 0 {
-		return fmt.Errorf("the sweep is not whole: %s", strings.Join(w.Left, "; "))
+	if len(w.Skipped) > 0 {
+		return fmt.Errorf("the sweep is not whole: %s", strings.Join(w.Skipped, "; "))
 	}
 	return context.Cause(o.ctx)
 }
@@ -408,14 +408,14 @@
 	return all, nil
 }
 
-// figuresCmd adds to a figures file what single runs gave after its sweep.
-type figuresCmd struct {
+// metricsCmd adds to a figures file what single runs gave after its sweep.
+type metricsCmd struct {
 	File string            `arg:"" help:"A figures file, as sweep --json writes it."`
 	Add  map[string]string `required:"" placeholder:"NAME=FILE;..." help:"Results of single runs (run --json) whose figures join the file as run.NAME.FIGURE; those that it has under a name go."`
 }
 
-func (c *figuresCmd) Run(o *outputs) error {
-	all, err := sweep.Figures(c.File)
+func (c *metricsCmd) Run(o *console) error {
+	all, err := sweep.ReadMetrics(c.File)
 	if err != nil {
 		return usageError{fmt.Errorf("file: %w", err)}
 	}
@@ -424,10 +424,10 @@
 		return usageError{err}
 	}
 	for name, r := range added {
-		maps.DeleteFunc(all, func(key string, _ sweep.Figure) bool { return strings.HasPrefix(key, "run."+name+".") })
+		maps.DeleteFunc(all, func(key string, _ sweep.Metric) bool { return strings.HasPrefix(key, "run."+name+".") })
 		sweep.AddRun(all, name, r)
 	}
-	if err := sweep.WriteFigures(c.File, all); err != nil {
+	if err := sweep.WriteMetrics(c.File, all); err != nil {
 		return fmt.Errorf("file: %w", err)
 	}
 	fmt.Fprintf(o.out, "%s: %d figures, %d runs added\n", c.File, len(all), len(added))
@@ -438,8 +438,8 @@
 	File string `arg:"" help:"A scenario's TOML file."`
 }
 
-func (c *checkCmd) Run(o *outputs) error {
-	z := sizes{Scenario: c.File}
+func (c *checkCmd) Run(o *console) error {
+	z := scenarioFlags{Scenario: c.File}
 	s, err := z.load(o)
 	if err != nil {
 		return err
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -103,7 +103,7 @@
 	for _, x := range r.Ratios {
 		held = append(held, x.Name)
 		if !x.OK || x.Ratio > x.Factor || x.Ratio < 1/x.Factor {
-			t.Errorf("%s: hollow %.4g, real %.4g: off by %.2f, may be by %.2f", x.Name, x.Hollow, x.Real, x.Ratio, x.Factor)
+			t.Errorf("%s: hollow %.4g, real %.4g: off by %.2f, may be by %.2f", x.Name, x.Simulated, x.Real, x.Ratio, x.Factor)
 		}
 	}
 	if want := []string{"bytes", "list_in_force", "config_in_force", "cpu"}; !slices.Equal(held, want) {
@@ -113,8 +113,8 @@
 	if n := r.Control[0].WholeLists; n > 2*int64(r.Sizes.Agents) {
 		t.Errorf("%d agents asked for %d whole lists", r.Sizes.Agents, n)
 	}
-	if r.LateTold != 0 {
-		t.Errorf("the stand-in told %d changes late by its own clock", r.LateTold)
+	if r.LateNotifications != 0 {
+		t.Errorf("the stand-in told %d changes late by its own clock", r.LateNotifications)
 	}
 	if !strings.HasSuffix(text, "\nscale: ok\n") {
 		t.Error("the last line is not scale: ok")
@@ -191,8 +191,8 @@
 			if c.want == "" {
 				return
 			}
-			if exit.ExitCode() != exitOver {
-				t.Errorf("exit %d, want %d", exit.ExitCode(), exitOver)
+			if exit.ExitCode() != exitFailed {
+				t.Errorf("exit %d, want %d", exit.ExitCode(), exitFailed)
 			}
 			if r := read(t, file); !strings.Contains(r.Incomplete, c.want) || r.Sizes.Servers == 0 {
 				t.Errorf("incomplete %q, want %q in it", r.Incomplete, c.want)
@@ -324,7 +324,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var out, said bytes.Buffer
-			if code := command(t.Context(), c.args, &out, &said); code != c.code || !strings.Contains(said.String(), c.want) {
+			if code := runCommand(t.Context(), c.args, &out, &said); code != c.code || !strings.Contains(said.String(), c.want) {
 				t.Errorf("exit %d, want %d; said %q, want %q in it", code, c.code, &said, c.want)
 			}
 		})
@@ -337,21 +337,21 @@
 	f := func(v float64) *float64 { return &v }
 	for _, c := range []struct {
 		name                    string
-		z                       sizes
+		z                       scenarioFlags
 		services, depth, events int
 		notes                   int
 	}{
-		{"no flags", sizes{}, 4, 3, 3, 0},
-		{"few servers", sizes{Servers: n(2)}, 2, 1, 3, 2},
-		{"deeper", sizes{Depth: n(6)}, 7, 6, 3, 1},
-		{"services given", sizes{Services: n(3)}, 3, 2, 3, 1},
-		{"one agent", sizes{Agents: n(1)}, 4, 3, 3, 1},
-		{"shorter", sizes{Seconds: f(1)}, 4, 3, 1, 2},
+		{"no flags", scenarioFlags{}, 4, 3, 3, 0},
+		{"few servers", scenarioFlags{Servers: n(2)}, 2, 1, 3, 2},
+		{"deeper", scenarioFlags{Depth: n(6)}, 7, 6, 3, 1},
+		{"services given", scenarioFlags{Services: n(3)}, 3, 2, 3, 1},
+		{"one agent", scenarioFlags{Agents: n(1)}, 4, 3, 3, 1},
+		{"shorter", scenarioFlags{Seconds: f(1)}, 4, 3, 1, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.z.Scenario = tiny
 			var said bytes.Buffer
-			s, err := c.z.load(&outputs{err: &said})
+			s, err := c.z.load(&console{errOut: &said})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -366,11 +366,11 @@
 func TestBendRelays(t *testing.T) {
 	seconds := 10.0
 	for _, c := range []struct {
-		z      sizes
+		z      scenarioFlags
 		killAt float64
-	}{{sizes{}, 90}, {sizes{Seconds: &seconds}, 0}} {
+	}{{scenarioFlags{}, 90}, {scenarioFlags{Seconds: &seconds}, 0}} {
 		c.z.Scenario = "../../deploy/scale/target.toml"
-		s, err := c.z.load(&outputs{err: &bytes.Buffer{}})
+		s, err := c.z.load(&console{errOut: &bytes.Buffer{}})
 		if err != nil || s.Relays.Count != 5 || s.Relays.KillAt != c.killAt {
 			t.Errorf("%v, %+v", err, s)
 		}
@@ -403,13 +403,13 @@
 		}
 		write(run, c.run)
 		var out, errOut strings.Builder
-		if code := command(t.Context(), []string{"figures", file, "--add", "a=" + run}, &out, &errOut); code != c.code || !strings.Contains(out.String()+errOut.String(), c.says) {
+		if code := runCommand(t.Context(), []string{"figures", file, "--add", "a=" + run}, &out, &errOut); code != c.code || !strings.Contains(out.String()+errOut.String(), c.says) {
 			t.Errorf("%s: exit %d, %s%s", c.name, code, &out, &errOut)
 		}
 		if c.code != 0 {
 			continue
 		}
-		all, err := sweep.Figures(file)
+		all, err := sweep.ReadMetrics(file)
 		if _, gone := all["run.a.gone"]; err != nil || gone || all["run.a.budget.agent_cpu"].Value != 0.25 || all["run.ab.stays"].Value != 2 || all["agents.x.slope"].Value != 1.5 {
 			t.Errorf("%s: %v, %v", c.name, all, err)
 		}
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -31,7 +31,7 @@
 var (
 	// errTooLate says that the backends no longer remember a request that was to be repeated.
 	errTooLate = errors.New("too late to repeat the request")
-	// errOver says that nobody waits for a request any more.
+	// errOverBudget says that nobody waits for a request any more.
 	errOver = errors.New("the request is over")
 )
 
--- a/internal/relay/serve.go
+++ b/internal/relay/serve.go
@@ -13,7 +13,7 @@
 	"example.org/ryeloft/internal/lists"
 )
 
-// endGrace is how long calls have to be refused in at the end, before their connections are cut.
+// stopTimeout is how long calls have to be refused in at the end, before their connections are cut.
 const endGrace = time.Second
 
 // longestWaitMS is the longest wait of a watch; longer ones are cut to it.
--- a/internal/scale/realagent/addedlatency.go
+++ b/internal/scale/realagent/addedlatency.go
@@ -17,27 +17,27 @@
 )
 
 const (
-	// warmPairs are how many pairs of calls go first on each client, and on each new connection, and are left out: they
+	// warmUpPairs are how many pairs of calls go first on each client, and on each new connection, and are left out: they
 	// open connections, and a process's first calls find nothing in place.
-	warmPairs = 20
-	callTime  = 3 * time.Second // for a call; the budget that it states is less
-	budget    = "2000m"
-	longest   = 10_000 // ms that the histograms can tell
+	warmUpPairs      = 20
+	callTimeout      = 3 * time.Second // for a call; the budget that it states is less
+	callBudget       = "2000m"
+	maxLatencyMillis = 10_000 // ms that the histograms can tell
 )
 
-// Added measures what an agent adds to a call: on one connection to each busy agent and one to an echo server, both kept,
+// MeasureAdded measures what an agent adds to a call: on one connection to each busy agent and one to an echo server, both kept,
 // a client makes the same call through the agent and directly, in turn, with about gap between two calls (half of it to
 // one and a half times, drawn). calls are the measured pairs of all clients together. Pairs with a failed call, or one that
 // had to be sent again because the agent closed its connection, are left out of the times, as are each client's first
-// warmPairs and as many behind each new connection. Clients stop while their agent is restarted, as the platform's do.
-func (f *Fleet) Added(ctx context.Context, calls int, gap time.Duration) (result.Added, error) {
-	if len(f.o.Echo) == 0 {
+// warmUpPairs and as many behind each new connection. Clients stop while their agent is restarted, as the platform's do.
+func (f *Fleet) MeasureAdded(ctx context.Context, calls int, gap time.Duration) (result.Added, error) {
+	if len(f.options.Echo) == 0 {
 		return result.Added{}, errors.New("the time that agents add: there is no echo server to call directly")
 	}
 	var clients []*client
 	for i, a := range f.agents {
 		if a.busy {
-			clients = append(clients, newClient(a, f.o.Echo[i%len(f.o.Echo)], len(clients)))
+			clients = append(clients, newClient(a, f.options.Echo[i%len(f.options.Echo)], len(clients)))
 		}
 	}
 	each := (calls + len(clients) - 1) / len(clients)
@@ -47,30 +47,30 @@
 		all.Go(func() { errs[i] = c.run(ctx, each, gap) })
 	}
 	all.Wait()
-	return summary(clients), errors.Join(errs...)
+	return summarize(clients), errors.Join(errs...)
 }
 
 // client makes one agent's calls.
 type client struct {
 	agent  *agent
-	ends   [2]*end // through the agent, and directly
+	routes [2]*route // through the agent, and directly
 	random *rand.Rand
 	prefix string // of ids
-	n      int    // calls
+	calls  int    // calls
 	failed int
 	pairs  [2][]time.Duration
 }
 
-// end is one of the two ways.
-type end struct {
-	addr string
-	talk *talk
-	warm int // pairs still to be left out
+// route is one of the two ways.
+type route struct {
+	addr       string
+	conn       *httpConn
+	warmUpLeft int // pairs still to be left out
 }
 
 func newClient(a *agent, direct string, n int) *client {
 	return &client{
-		agent: a, ends: [2]*end{{addr: a.listen, warm: warmPairs}, {addr: direct, warm: warmPairs}},
+		agent: a, routes: [2]*route{{addr: a.listen, warmUpLeft: warmUpPairs}, {addr: direct, warmUpLeft: warmUpPairs}},
 		random: rand.New(rand.NewPCG(uint64(n), 1)),
 		prefix: strconv.FormatUint(rand.Uint64(), 16) + "-",
 	}
@@ -80,8 +80,8 @@
 func (c *client) run(ctx context.Context, pairs int, gap time.Duration) error {
 	defer c.close()
 	for tries := 0; len(c.pairs[0]) < pairs; tries++ {
-		if tries == 2*pairs+2*warmPairs {
-			return c.agent.report("%d pairs of calls gave only %d to measure, %d calls failed", tries, len(c.pairs[0]), c.failed)
+		if tries == 2*pairs+2*warmUpPairs {
+			return c.agent.errorf("%d pairs of calls gave only %d to measure, %d calls failed", tries, len(c.pairs[0]), c.failed)
 		}
 		if err := c.pair(ctx, gap); err != nil {
 			return err
@@ -94,7 +94,7 @@
 func (c *client) pair(ctx context.Context, gap time.Duration) error {
 	var took [2]time.Duration
 	counts := true
-	for way, e := range c.ends {
+	for way, e := range c.routes {
 		if err := pause(ctx, gap/2+time.Duration(c.random.Float64()*float64(gap))); err != nil {
 			return err
 		}
@@ -105,7 +105,7 @@
 		if err != nil {
 			c.failed++
 		}
-		counts = counts && clean && err == nil && e.warm == 0
+		counts = counts && clean && err == nil && e.warmUpLeft == 0
 		took[way] = t
 	}
 	if counts {
@@ -113,8 +113,8 @@
 			c.pairs[way] = append(c.pairs[way], took[way])
 		}
 	}
-	for _, e := range c.ends {
-		e.warm = max(0, e.warm-1)
+	for _, e := range c.routes {
+		e.warmUpLeft = max(0, e.warmUpLeft-1)
 	}
 	return nil
 }
@@ -122,38 +122,38 @@
 // call makes a call one way and returns how long it took, and whether it was sent once only, on a connection that was there.
 func (c *client) call(ctx context.Context, way int) (took time.Duration, clean bool, err error) {
 	if way == 0 {
-		c.agent.life.RLock()
-		defer c.agent.life.RUnlock()
+		c.agent.processMu.RLock()
+		defer c.agent.processMu.RUnlock()
 		c.agent.calls.Add(1)
 	}
-	c.n++
-	id := c.prefix + strconv.Itoa(c.n)
+	c.calls++
+	id := c.prefix + strconv.Itoa(c.calls)
 	request := fmt.Appendf(nil, "GET /%s/1 HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %s\r\n\r\n",
-		world.EchoService, id, world.EchoService, budget)
-	e := c.ends[way]
-	clean = e.talk != nil
+		world.EchoService, id, world.EchoService, callBudget)
+	e := c.routes[way]
+	clean = e.conn != nil
 	for sent := 1; ; sent++ {
 		took, err = e.call(ctx, request, id)
 		// Who reads no answer at all on a kept connection has crossed its close, and sends once more.
-		if !errors.Is(err, errNoAnswer) || !clean || sent == 2 {
+		if !errors.Is(err, errNoResponse) || !clean || sent == 2 {
 			return took, clean && sent == 1, err
 		}
 	}
 }
 
 // call sends a request, on the connection that there is or a new one, and checks that the answer is its own.
-func (e *end) call(ctx context.Context, request []byte, id string) (time.Duration, error) {
-	if e.talk == nil {
-		d := net.Dialer{Timeout: callTime}
+func (e *route) call(ctx context.Context, request []byte, id string) (time.Duration, error) {
+	if e.conn == nil {
+		d := net.Dialer{Timeout: callTimeout}
 		c, err := d.DialContext(ctx, "tcp", e.addr)
 		if err != nil {
 			return 0, err
 		}
-		e.talk, e.warm = newTalk(c), warmPairs
+		e.conn, e.warmUpLeft = newHTTPConn(c), warmUpPairs
 	}
 	begun := time.Now()
-	e.talk.SetDeadline(begun.Add(callTime))
-	r, err := e.talk.ask(request)
+	e.conn.SetDeadline(begun.Add(callTimeout))
+	r, err := e.conn.roundTrip(request)
 	switch {
 	case err != nil:
 	case r.status != http.StatusOK:
@@ -164,26 +164,26 @@
 	if err != nil || r.close {
 		e.close()
 	}
-	return r.last.Sub(begun), err
+	return r.receivedAt.Sub(begun), err
 }
 
-func (e *end) close() {
-	if e.talk != nil {
-		e.talk.Close()
-		e.talk = nil
+func (e *route) close() {
+	if e.conn != nil {
+		e.conn.Close()
+		e.conn = nil
 	}
 }
 
 func (c *client) close() {
-	for _, e := range c.ends {
+	for _, e := range c.routes {
 		e.close()
 	}
 }
 
-// summary sums up what the clients measured.
-func summary(clients []*client) result.Added {
+// summarize sums up what the clients measured.
+func summarize(clients []*client) result.Added {
 	var sum result.Added
-	hists := [2]*result.Histogram{result.NewHistogram(longest), result.NewHistogram(longest)}
+	hists := [2]*result.Histogram{result.NewHistogram(maxLatencyMillis), result.NewHistogram(maxLatencyMillis)}
 	var differences []time.Duration
 	for _, c := range clients {
 		sum.Failed += c.failed
--- a/internal/scale/realagent/configure.go
+++ b/internal/scale/realagent/configure.go
@@ -10,8 +10,8 @@
 	"time"
 )
 
-// reloadWait is how long an agent may take to say what it made of a new configuration.
-const reloadWait = 15 * time.Second
+// reloadTimeout is how long an agent may take to say what it made of a new configuration.
+const reloadTimeout = 15 * time.Second
 
 // ConfigChange is one change of configuration.
 type ConfigChange struct {
@@ -25,8 +25,8 @@
 // made of it; one that rejects it, says nothing in time or dies is an error with its name. An agent that is being restarted
 // gets it afterwards. Changes come in turn.
 func (f *Fleet) Configure(ctx context.Context, revision int, push time.Duration) error {
-	f.configuring.Lock()
-	defer f.configuring.Unlock()
+	f.configureMu.Lock()
+	defer f.configureMu.Unlock()
 	begun := time.Now()
 	change := ConfigChange{Revision: revision, At: begun.UnixNano(), InForce: make([]int64, len(f.agents))}
 	errs := make([]error, len(f.agents))
@@ -43,63 +43,63 @@
 		})
 	}
 	all.Wait()
-	f.noteChange(change)
+	f.recordChange(change)
 	return errors.Join(errs...)
 }
 
 // configure hands a revision to one agent and returns when it said that it is in force.
 func (f *Fleet) configure(ctx context.Context, a *agent, revision int) (time.Time, error) {
-	a.life.RLock()
-	defer a.life.RUnlock()
+	a.processMu.RLock()
+	defer a.processMu.RUnlock()
 	p := a.running()
 	if p == nil {
-		return time.Time{}, a.report("does not run: configuration %d is not handed out", revision)
+		return time.Time{}, a.errorf("does not run: configuration %d is not handed out", revision)
 	}
 	a.mu.Lock()
 	old := a.revision
 	a.revision = revision
 	a.mu.Unlock()
-	if err := a.writeConfig(a.config(f.o.Config)); err != nil {
+	if err := a.writeConfig(a.config(f.options.Config)); err != nil {
 		return time.Time{}, err
 	}
-	told := a.awaitReload()
+	told := a.expectReload()
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		return time.Time{}, a.report("configuration %d: %w", revision, err)
+		return time.Time{}, a.errorf("configuration %d: %w", revision, err)
 	}
 	at, err := a.reloaded(ctx, p, told)
 	if err != nil {
 		a.mu.Lock()
 		a.revision = old // what it goes on with
 		a.mu.Unlock()
-		return time.Time{}, a.report("configuration %d: %w", revision, err)
+		return time.Time{}, a.errorf("configuration %d: %w", revision, err)
 	}
 	return at, nil
 }
 
 // reloaded waits for the agent's line on a reload.
-func (a *agent) reloaded(ctx context.Context, p *process, told <-chan reload) (time.Time, error) {
-	late := time.NewTimer(reloadWait)
+func (a *agent) reloaded(ctx context.Context, p *process, told <-chan reloadResult) (time.Time, error) {
+	late := time.NewTimer(reloadTimeout)
 	defer late.Stop()
 	select {
 	case r := <-told:
 		return r.at, r.err
 	case <-p.done:
-		return time.Time{}, fmt.Errorf("it died: %w", orExited(p.err))
+		return time.Time{}, fmt.Errorf("it died: %w", exitError(p.err))
 	case <-late.C:
-		return time.Time{}, fmt.Errorf("no word on it within %v", reloadWait)
+		return time.Time{}, fmt.Errorf("no word on it within %v", reloadTimeout)
 	case <-ctx.Done():
 		return time.Time{}, ctx.Err()
 	}
 }
 
-// noteChange takes a change of configuration into the figures.
-func (f *Fleet) noteChange(c ConfigChange) {
+// recordChange takes a change of configuration into the figures.
+func (f *Fleet) recordChange(c ConfigChange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.changes = append(f.changes, c)
 	for _, at := range c.InForce {
 		if at != 0 {
-			f.inForce.AddDuration(time.Duration(at - c.At))
+			f.configInForce.AddDuration(time.Duration(at - c.At))
 		}
 	}
 }
@@ -115,7 +115,7 @@
 			ours = append(ours, a)
 		}
 	}
-	return f.each(ours, mostAgents, func(a *agent) error {
+	return f.forEachAgent(ours, maxAgents, func(a *agent) error {
 		took, err := f.restart(ctx, a, known)
 		if err != nil {
 			return err
@@ -123,26 +123,26 @@
 		a.restarts.Add(1)
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.ups.AddDuration(took)
+		f.startupTimes.AddDuration(took)
 		return nil
 	})
 }
 
 // restart replaces one agent's process and returns how long the new one took to be up.
 func (f *Fleet) restart(ctx context.Context, a *agent, known []byte) (time.Duration, error) {
-	a.life.Lock()
-	defer a.life.Unlock()
+	a.processMu.Lock()
+	defer a.processMu.Unlock()
 	p := a.running()
 	if p == nil {
-		return 0, a.report("does not run: it is not restarted")
+		return 0, a.errorf("does not run: it is not restarted")
 	}
 	if err := a.stop(p); err != nil {
 		return 0, err
 	}
 	a.mu.Lock()
-	a.known = known
+	a.cachedEndpoints = known
 	a.mu.Unlock()
-	if err := a.writeConfig(a.config(f.o.Config)); err != nil {
+	if err := a.writeConfig(a.config(f.options.Config)); err != nil {
 		return 0, err
 	}
 	return f.run(ctx, a)
--- a/internal/scale/realagent/echo.go
+++ b/internal/scale/realagent/echo.go
@@ -28,13 +28,13 @@
 
 // echoServer is one of them.
 type echoServer struct {
-	listener net.Listener
-	open     atomic.Int64 // requests
-	recent   atomic.Int64 // how long the last one took, ns
+	listener   net.Listener
+	inProgress atomic.Int64 // requests
+	recent     atomic.Int64 // how long the last one took, ns
 
-	mu    sync.Mutex
-	ended bool
-	conns map[net.Conn]struct{}
+	mu     sync.Mutex
+	closed bool
+	conns  map[net.Conn]struct{}
 }
 
 // Echo starts so many servers.
@@ -65,7 +65,7 @@
 func (e *EchoServers) Close() error {
 	var errs []error
 	for _, s := range e.servers {
-		errs = append(errs, s.end())
+		errs = append(errs, s.close())
 	}
 	e.conns.Wait()
 	return errors.Join(errs...)
@@ -77,19 +77,19 @@
 		if err != nil {
 			return // it was closed
 		}
-		if s.add(c) {
+		if s.track(c) {
 			e.conns.Go(func() {
 				s.serve(c)
-				s.drop(c)
+				s.forget(c)
 			})
 		}
 	}
 }
 
-func (s *echoServer) add(c net.Conn) bool {
+func (s *echoServer) track(c net.Conn) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.ended {
+	if s.closed {
 		c.Close()
 		return false
 	}
@@ -97,17 +97,17 @@
 	return true
 }
 
-func (s *echoServer) drop(c net.Conn) {
+func (s *echoServer) forget(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.conns, c)
 }
 
-func (s *echoServer) end() error {
+func (s *echoServer) close() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ended = true
+	s.closed = true
 	for c := range s.conns {
 		c.Close()
 	}
@@ -128,10 +128,10 @@
 			return
 		}
 		begun := time.Now()
-		s.open.Add(1)
+		s.inProgress.Add(1)
 		text = s.answer(text[:0], r)
 		_, err = c.Write(text)
-		s.open.Add(-1)
+		s.inProgress.Add(-1)
 		s.recent.Store(int64(time.Since(begun)))
 		if err != nil || r.Close {
 			return
@@ -142,7 +142,7 @@
 // answer appends the whole answer to a request.
 func (s *echoServer) answer(to []byte, r *http.Request) []byte {
 	status, body := http.StatusOK, r.Header.Get(callIDHeader)
-	report := fmt.Sprintf("outstanding=%d,backlog=0,recent_ms=%.3f", s.open.Load(), float64(s.recent.Load())/1e6)
+	report := fmt.Sprintf("outstanding=%d,backlog=0,recent_ms=%.3f", s.inProgress.Load(), float64(s.recent.Load())/1e6)
 	switch {
 	case r.URL.Path == alivePath:
 		body = "alive\n"
--- a/internal/scale/realagent/httpconn.go
+++ b/internal/scale/realagent/httpconn.go
@@ -10,32 +10,34 @@
 	"time"
 )
 
-// mostAnswer is how many bytes an answer may have; those that are awaited here are short.
-const mostAnswer = 16 << 10
+// maxResponseBytes is how many bytes an answer may have; those that are awaited here are short.
+const maxResponseBytes = 16 << 10
 
-var errNoAnswer = errors.New("the connection ended without an answer")
+var errNoResponse = errors.New("the connection ended without an answer")
 
-// talk is one connection for requests in turn. It does as little as it can around a request, unlike net/http's client, so
+// httpConn is one connection for requests in turn. It does as little as it can around a request, unlike net/http's client, so
 // that what it measures is the other side's time.
-type talk struct {
+type httpConn struct {
 	net.Conn
 	buf []byte
 }
 
-// reply is an answer; its body holds until the next request.
-type reply struct {
-	status int
-	close  bool // no request may follow on the connection
-	body   []byte
-	last   time.Time // when its last byte had been read
+// response is an answer; its body holds until the next request.
+type response struct {
+	status     int
+	close      bool // no request may follow on the connection
+	body       []byte
+	receivedAt time.Time // when its last byte had been read
 }
 
-func newTalk(c net.Conn) *talk { return &talk{Conn: c, buf: make([]byte, mostAnswer)} }
+func newHTTPConn(c net.Conn) *httpConn {
+	return &httpConn{Conn: c, buf: make([]byte, maxResponseBytes)}
+}
 
-// ask writes a request and reads its answer. It is errNoAnswer if not a byte of one came before the connection's end.
-func (t *talk) ask(request []byte) (reply, error) {
+// roundTrip writes a request and reads its answer. It is errNoResponse if not a byte of one came before the connection's end.
+func (t *httpConn) roundTrip(request []byte) (response, error) {
 	if _, err := t.Write(request); err != nil {
-		return reply{}, noAnswer(err)
+		return response{}, noResponse(err)
 	}
 	for n := 0; ; {
 		got, err := t.Read(t.buf[n:])
@@ -43,32 +45,32 @@
 		n += got
 		if err != nil {
 			if n == 0 {
-				err = noAnswer(err)
+				err = noResponse(err)
 			}
-			return reply{}, err
+			return response{}, err
 		}
-		r, whole, err := parseReply(t.buf[:n])
+		r, whole, err := parseResponse(t.buf[:n])
 		if err != nil || whole {
-			r.last = last
+			r.receivedAt = last
 			return r, err
 		}
 		if n == len(t.buf) {
-			return reply{}, fmt.Errorf("an answer of over %d bytes", n)
+			return response{}, fmt.Errorf("an answer of over %d bytes", n)
 		}
 	}
 }
 
-// noAnswer is the error of a connection that ended before an answer; one that is only silent has not ended.
-func noAnswer(err error) error {
+// noResponse is the error of a connection that ended before an answer; one that is only silent has not ended.
+func noResponse(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
-	return fmt.Errorf("%w: %w", errNoAnswer, err)
+	return fmt.Errorf("%w: %w", errNoResponse, err)
 }
 
-// parseReply reads an answer with a length, as far as it has come. It knows no other framing: neither an agent nor an echo
+// parseResponse reads an answer with a length, as far as it has come. It knows no other framing: neither an agent nor an echo
 // server has a reason to use one for a short body.
-func parseReply(text []byte) (r reply, whole bool, err error) {
+func parseResponse(text []byte) (r response, whole bool, err error) {
 	head, body, ended := bytes.Cut(text, []byte("\r\n\r\n"))
 	if !ended {
 		return r, false, nil
--- a/internal/scale/realagent/httpconn_test.go
+++ b/internal/scale/realagent/httpconn_test.go
@@ -19,7 +19,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	tk := newTalk(c)
+	tk := newHTTPConn(c)
 	for _, q := range []struct {
 		request string
 		status  int
@@ -30,19 +30,19 @@
 		{"GET /echo/1 HTTP/1.1\r\nHost: x\r\n\r\n", 404, "no X-Call-Id\n"},
 		{"GET /alive HTTP/1.1\r\nHost: x\r\n\r\n", 200, "alive\n"},
 	} {
-		r, err := tk.ask([]byte(q.request))
+		r, err := tk.roundTrip([]byte(q.request))
 		if err != nil || r.status != q.status || string(r.body) != q.body || r.close {
 			t.Errorf("%q: %d %q, closes %v, error %v", q.request, r.status, r.body, r.close, err)
 		}
 	}
-	r, err := tk.ask([]byte("GET /metrics/load HTTP/1.1\r\nHost: x\r\n\r\n"))
+	r, err := tk.roundTrip([]byte("GET /metrics/load HTTP/1.1\r\nHost: x\r\n\r\n"))
 	if err != nil || !strings.HasPrefix(string(r.body), "outstanding=1,backlog=0,recent_ms=") {
 		t.Errorf("load %q, error %v", r.body, err)
 	}
 	if err := e.Close(); err != nil {
 		t.Error(err)
 	}
-	if _, err := tk.ask([]byte("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")); !errors.Is(err, errNoAnswer) {
+	if _, err := tk.roundTrip([]byte("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")); !errors.Is(err, errNoResponse) {
 		t.Errorf("after its end: %v", err)
 	}
 }
@@ -65,7 +65,7 @@
 		"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok": {bad: true},
 		"HTTP/1.1 \r\n\r\n":                              {bad: true},
 	} {
-		r, whole, err := parseReply([]byte(text))
+		r, whole, err := parseResponse([]byte(text))
 		if (err != nil) != want.bad {
 			t.Errorf("%q: error %v", text, err)
 		}
--- a/internal/scale/realagent/process.go
+++ b/internal/scale/realagent/process.go
@@ -23,13 +23,13 @@
 )
 
 const (
-	upWait  = 20 * time.Second // for an agent to be up; the platform's clients come after 30 s
-	upLook  = 20 * time.Millisecond
-	endWait = 8 * time.Second // after SIGTERM: the longest deadline that the platform counts is 3 s, and the cores are shared
-	// pipeWait is how long the end of a process may be behind it: nobody else holds its standard error.
-	pipeWait  = time.Second
-	keptLines = 12       // of each agent's log
-	longLine  = 64 << 10 // bytes; of a longer line only so many are kept
+	upTimeout      = 20 * time.Second // for an agent to be up; the platform's clients come after 30 s
+	upPollInterval = 20 * time.Millisecond
+	stopTimeout    = 8 * time.Second // after SIGTERM: the longest deadline that the platform counts is 3 s, and the cores are shared
+	// stderrGrace is how long the end of a process may be behind it: nobody else holds its standard error.
+	stderrGrace  = time.Second
+	tailLines    = 12       // of each agent's log
+	maxLineBytes = 64 << 10 // bytes; of a longer line only so many are kept
 )
 
 // agent is one real agent: its files, its log and the process that runs now.
@@ -45,31 +45,31 @@
 	calls    atomic.Int64 // since Begin, as the restarts
 	restarts atomic.Int64
 
-	// life is held for writing while the process is replaced, and for reading by who needs it to run: clients stop and start
+	// processMu is held for writing while the process is replaced, and for reading by who needs it to run: clients stop and start
 	// with their agent, and a SIGHUP would end a process that has only just begun.
-	life sync.RWMutex
+	processMu sync.RWMutex
 
-	mu       sync.Mutex
-	proc     *process
-	revision int
-	known    []byte
-	spent    time.Duration // of processor time, by processes that have ended
-	base     time.Duration // of processor time, at Begin
-	log      ring
-	waiting  chan reload // who waits for the outcome of a SIGHUP
+	mu              sync.Mutex
+	process         *process
+	revision        int
+	cachedEndpoints []byte
+	exitedCPU       time.Duration // of processor time, by processes that have ended
+	cpuAtStart      time.Duration // of processor time, at Begin
+	tail            logTail
+	reloadWaiter    chan reloadResult // who waits for the outcome of a SIGHUP
 }
 
 // process is one life of an agent.
 type process struct {
-	cmd   *exec.Cmd
-	begun time.Time
-	done  chan struct{} // closed when it has ended, its log is read and err is set
-	err   error
-	asked atomic.Bool // to end
+	cmd           *exec.Cmd
+	startedAt     time.Time
+	done          chan struct{} // closed when it has ended, its log is read and err is set
+	err           error
+	stopRequested atomic.Bool // to end
 }
 
-// reload is what an agent said of a new configuration.
-type reload struct {
+// reloadResult is what an agent said of a new configuration.
+type reloadResult struct {
 	at  time.Time // when its line came
 	err error     // it was rejected
 }
@@ -80,7 +80,7 @@
 	defer a.mu.Unlock()
 	return text(a.position, world.ConfigOptions{
 		Listen: a.listen, Discovery: a.discovery, Relays: a.relays,
-		Revision: a.revision, CachedEndpoints: a.known, Echo: true, Seed: rand.Uint64(),
+		Revision: a.revision, CachedEndpoints: a.cachedEndpoints, Echo: true, Seed: rand.Uint64(),
 	})
 }
 
@@ -98,8 +98,8 @@
 
 func (a *agent) configPath() string { return filepath.Join(a.dir, "config.json") }
 
-// nameIn reads the agent's name out of its configuration.
-func nameIn(text []byte) (string, error) {
+// agentName reads the agent's name out of its configuration.
+func agentName(text []byte) (string, error) {
 	var head struct{ Name string }
 	if err := json.Unmarshal(text, &head); err != nil {
 		return "", fmt.Errorf("the configuration to be handed out: %w", err)
@@ -107,31 +107,31 @@
 	return head.Name, nil
 }
 
-// begin starts a process on the configuration that is in place. It is killed when the context ends, and with the process
+// startProcess starts a process on the configuration that is in place. It is killed when the context ends, and with the process
 // that started it, however that comes. What is to be done at its end is called before its done is closed.
-func (a *agent) begin(ctx context.Context, bin string, ended func(*process)) (*process, error) {
+func (a *agent) startProcess(ctx context.Context, bin string, ended func(*process)) (*process, error) {
 	cmd := exec.CommandContext(ctx, bin)
 	cmd.Env = []string{ // no more than the platform gives
 		"GW_CONFIG=" + a.configPath(), "GW_NAME=" + a.name, "GW_LISTEN=" + a.listen, "GW_DISCOVERY=" + a.discovery,
 		"TMPDIR=" + filepath.Join(a.dir, "tmp"),
 	}
 	cmd.Dir = a.dir
-	cmd.Stderr = &lines{each: a.hear}
-	cmd.WaitDelay = pipeWait
+	cmd.Stderr = &lineWriter{each: a.onLogLine}
+	cmd.WaitDelay = stderrGrace
 	// A group of its own: a terminal's interrupt is the parent's to pass on.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
-	p := &process{cmd: cmd, begun: time.Now(), done: make(chan struct{})}
+	p := &process{cmd: cmd, startedAt: time.Now(), done: make(chan struct{})}
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("agent %s: %w", a.name, err)
 	}
 	a.mu.Lock()
-	a.proc = p
+	a.process = p
 	a.mu.Unlock()
 	go func() {
 		p.err = cmd.Wait()
 		a.mu.Lock()
-		a.spent += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
-		a.proc = nil
+		a.exitedCPU += cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()
+		a.process = nil
 		a.mu.Unlock()
 		ended(p)
 		close(p.done)
@@ -143,35 +143,35 @@
 func (a *agent) running() *process {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.proc
+	return a.process
 }
 
 // awaitUp waits until the agent takes clients, for a bounded time, and returns how long that took from the process's
 // beginning.
 func (a *agent) awaitUp(ctx context.Context, p *process) (time.Duration, error) {
-	ctx, cancel := context.WithTimeout(ctx, upWait)
+	ctx, cancel := context.WithTimeout(ctx, upTimeout)
 	defer cancel()
-	look := time.NewTicker(upLook)
+	look := time.NewTicker(upPollInterval)
 	defer look.Stop()
 	said := "nothing"
 	for {
 		select {
 		case <-p.done:
-			return 0, a.report("ended before it was up: %w", orExited(p.err))
+			return 0, a.errorf("ended before it was up: %w", exitError(p.err))
 		case <-ctx.Done():
-			return 0, a.report("not up after %v (/up: %s): %w", time.Since(p.begun).Round(time.Millisecond), said, ctx.Err())
+			return 0, a.errorf("not up after %v (/up: %s): %w", time.Since(p.startedAt).Round(time.Millisecond), said, ctx.Err())
 		case <-look.C:
 		}
-		if said = up(ctx, a.listen); said == upSaid {
-			return time.Since(p.begun), nil
+		if said = queryUp(ctx, a.listen); said == upStatus {
+			return time.Since(p.startedAt), nil
 		}
 	}
 }
 
-const upSaid = "200"
+const upStatus = "200"
 
-// up asks an agent whether it takes clients and returns its status, or why there is none.
-func up(ctx context.Context, addr string) string {
+// queryUp asks an agent whether it takes clients and returns its status, or why there is none.
+func queryUp(ctx context.Context, addr string) string {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -179,62 +179,62 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(time.Second))
-	answer, err := newTalk(c).ask([]byte("GET /up HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n"))
+	answer, err := newHTTPConn(c).roundTrip([]byte("GET /up HTTP/1.1\r\nHost: service.internal\r\nConnection: close\r\n\r\n"))
 	if err != nil {
 		return err.Error()
 	}
 	if answer.status == http.StatusOK {
-		return upSaid
+		return upStatus
 	}
 	return fmt.Sprintf("%d %s", answer.status, bytes.TrimSpace(answer.body))
 }
 
 // stop asks a process to end, and kills it if it does not.
 func (a *agent) stop(p *process) error {
-	p.asked.Store(true)
+	p.stopRequested.Store(true)
 	p.cmd.Process.Signal(syscall.SIGTERM) // one that has ended is heard of by done
 	select {
 	case <-p.done:
-	case <-time.After(endWait):
+	case <-time.After(stopTimeout):
 		p.cmd.Process.Kill()
 		<-p.done
-		return a.report("did not end within %v of SIGTERM", endWait)
+		return a.errorf("did not end within %v of SIGTERM", stopTimeout)
 	}
 	if p.err != nil {
-		return a.report("ended badly after SIGTERM: %w", p.err)
+		return a.errorf("ended badly after SIGTERM: %w", p.err)
 	}
 	return nil
 }
 
-// report makes an error that names the agent and carries its last lines.
-func (a *agent) report(format string, args ...any) error {
+// errorf makes an error that names the agent and carries its last lines.
+func (a *agent) errorf(format string, args ...any) error {
 	err := fmt.Errorf("agent %s "+format, append([]any{a.name}, args...)...)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if last := a.log.text(); last != "" {
+	if last := a.tail.text(); last != "" {
 		return fmt.Errorf("%w; its last lines:\n%s", err, last)
 	}
 	return fmt.Errorf("%w; it has logged nothing", err)
 }
 
-// orExited names an end without an error.
-func orExited(err error) error {
+// exitError names an end without an error.
+func exitError(err error) error {
 	if err == nil {
 		return errors.New("exit status 0")
 	}
 	return err
 }
 
-// hear takes in a line of the agent's log.
-func (a *agent) hear(at time.Time, line string) {
+// onLogLine takes in a line of the agent's log.
+func (a *agent) onLogLine(at time.Time, line string) {
 	fields := logFields(line)
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	a.log.add(line)
-	if a.waiting == nil {
+	a.tail.add(line)
+	if a.reloadWaiter == nil {
 		return
 	}
-	r := reload{at: at}
+	r := reloadResult{at: at}
 	switch msg := fields["msg"]; {
 	case msg == "reloaded":
 	case strings.HasPrefix(msg, "not reloaded"):
@@ -242,50 +242,50 @@
 	default:
 		return
 	}
-	a.waiting <- r // it holds one
-	a.waiting = nil
+	a.reloadWaiter <- r // it holds one
+	a.reloadWaiter = nil
 }
 
-// awaitReload has the next line on a reload sent to the channel it returns.
-func (a *agent) awaitReload() <-chan reload {
-	told := make(chan reload, 1)
+// expectReload has the next line on a reload sent to the channel it returns.
+func (a *agent) expectReload() <-chan reloadResult {
+	told := make(chan reloadResult, 1)
 	a.mu.Lock()
-	a.waiting = told
+	a.reloadWaiter = told
 	a.mu.Unlock()
 	return told
 }
 
-// ring keeps the last lines of a log.
-type ring struct {
-	lines [keptLines]string
+// logTail keeps the last lines of a log.
+type logTail struct {
+	lines [tailLines]string
 	n     int // lines ever
 }
 
-func (r *ring) add(line string) {
-	r.lines[r.n%keptLines] = line
+func (r *logTail) add(line string) {
+	r.lines[r.n%tailLines] = line
 	r.n++
 }
 
-func (r *ring) text() string {
+func (r *logTail) text() string {
 	var b strings.Builder
-	for i := max(0, r.n-keptLines); i < r.n; i++ {
-		fmt.Fprintf(&b, "  %s\n", r.lines[i%keptLines])
+	for i := max(0, r.n-tailLines); i < r.n; i++ {
+		fmt.Fprintf(&b, "  %s\n", r.lines[i%tailLines])
 	}
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// lines hands on what is written to it line by line, with the time at which it came. What follows the last line's end
+// lineWriter hands on what is written to it line by line, with the time at which it came. What follows the last line's end
 // stays with it until the next write.
-type lines struct {
+type lineWriter struct {
 	each func(at time.Time, line string)
 	rest []byte
 }
 
-func (l *lines) Write(p []byte) (int, error) {
+func (l *lineWriter) Write(p []byte) (int, error) {
 	at := time.Now()
 	for rest := p; len(rest) > 0; {
 		line, after, ended := bytes.Cut(rest, []byte("\n"))
-		l.rest = append(l.rest, line[:min(len(line), longLine-len(l.rest))]...)
+		l.rest = append(l.rest, line[:min(len(line), maxLineBytes-len(l.rest))]...)
 		if ended {
 			l.each(at, string(l.rest))
 			l.rest = l.rest[:0]
--- a/internal/scale/realagent/realagent.go
+++ b/internal/scale/realagent/realagent.go
@@ -21,10 +21,10 @@
 )
 
 const (
-	mostAgents  = 200
-	startAtOnce = 16 // processes that come up at the same time
-	// longestInForce is the largest time that the histograms can tell, in ms.
-	longestInForce = 120_000
+	maxAgents        = 200
+	startConcurrency = 16 // processes that come up at the same time
+	// maxInForceMillis is the largest time that the histograms can tell, in ms.
+	maxInForceMillis = 120_000
 )
 
 // Options say which agents are real and where they find the others.
@@ -34,20 +34,20 @@
 	Agents []int // positions in the world
 	// Busy of the agents, the first ones, get the calls of Added; 0: half of them, rounded up. The others are quiet: what
 	// they cost is control's alone.
-	Busy      int
-	Echo      []string   // addresses of the echo servers, for direct calls
-	Bin       string     // the agent's program
-	Dir       string     // a temporary folder is made in it; empty: the system's
-	Discovery []string   // address by position in the world
-	Relays    [][]string // addresses by position in the world; nil: none
-	Known     []byte     // the list that the agents start with, in discovery's form; nil: none
-	Log       *slog.Logger
+	Busy            int
+	Echo            []string   // addresses of the echo servers, for direct calls
+	Program         string     // the agent's program
+	Dir             string     // a temporary folder is made in it; empty: the system's
+	Discovery       []string   // address by position in the world
+	Relays          [][]string // addresses by position in the world; nil: none
+	CachedEndpoints []byte     // the list that the agents start with, in discovery's form; nil: none
+	Log             *slog.Logger
 }
 
-// check says what of the options cannot be.
-func (o *Options) check() error {
-	if n := len(o.Agents); n == 0 || n > mostAgents {
-		return fmt.Errorf("%d real agents: there may be 1 to %d", n, mostAgents)
+// validate says what of the options cannot be.
+func (o *Options) validate() error {
+	if n := len(o.Agents); n == 0 || n > maxAgents {
+		return fmt.Errorf("%d real agents: there may be 1 to %d", n, maxAgents)
 	}
 	if o.Busy < 0 || o.Busy > len(o.Agents) {
 		return fmt.Errorf("%d busy ones of %d real agents", o.Busy, len(o.Agents))
@@ -65,29 +65,29 @@
 
 // Fleet is the real agents of a run.
 type Fleet struct {
-	o      Options
-	dir    string
-	agents []*agent
-	ctx    context.Context // of the processes
-	cancel context.CancelFunc
-	closed func() error
-
-	configuring sync.Mutex // changes of configuration come in turn
-
-	mu      sync.Mutex
-	closing bool
-	err     error
-	failed  chan struct{}
-	begun   time.Time // the measured part, as what follows
-	inForce *result.Histogram
-	changes []ConfigChange
-	ups     *result.Histogram
+	options   Options
+	dir       string
+	agents    []*agent
+	ctx       context.Context // of the processes
+	cancel    context.CancelFunc
+	closeOnce func() error
+
+	configureMu sync.Mutex // changes of configuration come in turn
+
+	mu            sync.Mutex
+	closing       bool
+	err           error
+	failed        chan struct{}
+	startedAt     time.Time // the measured part, as what follows
+	configInForce *result.Histogram
+	changes       []ConfigChange
+	startupTimes  *result.Histogram
 }
 
 // Start starts the agents and waits until all are up. An agent that does not come up is an error with its name and its last
 // lines, and then none is left. All processes end with the context, and with this process, however that comes.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
-	if err := o.check(); err != nil {
+	if err := o.validate(); err != nil {
 		return nil, err
 	}
 	if o.Busy == 0 {
@@ -100,9 +100,9 @@
 	if err != nil {
 		return nil, fmt.Errorf("real agents: %w", err)
 	}
-	f := &Fleet{o: o, dir: dir, failed: make(chan struct{})}
+	f := &Fleet{options: o, dir: dir, failed: make(chan struct{})}
 	f.ctx, f.cancel = context.WithCancel(ctx)
-	f.closed = sync.OnceValue(f.close)
+	f.closeOnce = sync.OnceValue(f.close)
 	if err := f.start(ctx); err != nil {
 		f.Close()
 		return nil, err
@@ -113,17 +113,17 @@
 
 // start prepares all agents and brings them up, some at a time.
 func (f *Fleet) start(ctx context.Context) error {
-	for i, position := range f.o.Agents {
+	for i, position := range f.options.Agents {
 		a, err := f.prepare(i, position)
 		if err != nil {
 			return err
 		}
 		f.agents = append(f.agents, a)
 	}
-	return f.each(f.agents, startAtOnce, func(a *agent) error {
+	return f.forEachAgent(f.agents, startConcurrency, func(a *agent) error {
 		took, err := f.run(ctx, a)
 		if err == nil {
-			f.o.Log.Debug("a real agent is up", "agent", a.name, "listen", a.listen, "took", took)
+			f.options.Log.Debug("a real agent is up", "agent", a.name, "listen", a.listen, "took", took)
 		}
 		return err
 	})
@@ -132,11 +132,11 @@
 // prepare makes an agent's folder, finds its address and writes its configuration.
 func (f *Fleet) prepare(i, position int) (*agent, error) {
 	a := &agent{
-		position: position, busy: i < f.o.Busy, known: f.o.Known, discovery: f.o.Discovery[position],
+		position: position, busy: i < f.options.Busy, cachedEndpoints: f.options.CachedEndpoints, discovery: f.options.Discovery[position],
 		dir: filepath.Join(f.dir, strconv.Itoa(position)),
 	}
-	if f.o.Relays != nil {
-		a.relays = f.o.Relays[position]
+	if f.options.Relays != nil {
+		a.relays = f.options.Relays[position]
 	}
 	if err := os.MkdirAll(filepath.Join(a.dir, "tmp"), 0o700); err != nil {
 		return nil, fmt.Errorf("real agent %d: %w", position, err)
@@ -145,8 +145,8 @@
 	if a.listen, err = freeAddr(position); err != nil {
 		return nil, fmt.Errorf("real agent %d: %w", position, err)
 	}
-	text := a.config(f.o.Config)
-	if a.name, err = nameIn(text); err != nil {
+	text := a.config(f.options.Config)
+	if a.name, err = agentName(text); err != nil {
 		return nil, fmt.Errorf("real agent %d: %w", position, err)
 	}
 	return a, a.writeConfig(text)
@@ -164,15 +164,15 @@
 
 // run starts an agent's process and waits until it is up.
 func (f *Fleet) run(ctx context.Context, a *agent) (time.Duration, error) {
-	p, err := a.begin(f.ctx, f.o.Bin, func(p *process) { f.ended(a, p) })
+	p, err := a.startProcess(f.ctx, f.options.Program, func(p *process) { f.onExit(a, p) })
 	if err != nil {
 		return 0, err
 	}
 	return a.awaitUp(ctx, p)
 }
 
-// each does something for some agents at once and returns all errors.
-func (f *Fleet) each(agents []*agent, atOnce int, do func(*agent) error) error {
+// forEachAgent does something for some agents at once and returns all errors.
+func (f *Fleet) forEachAgent(agents []*agent, atOnce int, do func(*agent) error) error {
 	errs := make([]error, len(agents))
 	turns := make(chan struct{}, atOnce)
 	var all sync.WaitGroup
@@ -187,12 +187,12 @@
 	return errors.Join(errs...)
 }
 
-// ended notes the end of a process. One that nobody asked to end makes the run fail.
-func (f *Fleet) ended(a *agent, p *process) {
-	if p.asked.Load() || f.ctx.Err() != nil {
+// onExit notes the end of a process. One that nobody asked to end makes the run fail.
+func (f *Fleet) onExit(a *agent, p *process) {
+	if p.stopRequested.Load() || f.ctx.Err() != nil {
 		return
 	}
-	err := a.report("died in the run: %w", orExited(p.err))
+	err := a.errorf("died in the run: %w", exitError(p.err))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.err != nil || f.closing {
@@ -200,7 +200,7 @@
 	}
 	f.err = err
 	close(f.failed)
-	f.o.Log.Error("a real agent died", "agent", a.name, "error", err)
+	f.options.Log.Error("a real agent died", "agent", a.name, "error", err)
 }
 
 // Err is the first end of a process that nobody asked for, with the agent's name and its last lines, or nil.
@@ -215,15 +215,15 @@
 
 // Close asks all agents to end, kills those that do not, and removes their files. Its errors name the agents that did not
 // end well; it can be called again and says the same.
-func (f *Fleet) Close() error { return f.closed() }
+func (f *Fleet) Close() error { return f.closeOnce() }
 
 func (f *Fleet) close() error {
 	f.mu.Lock()
 	f.closing = true
 	f.mu.Unlock()
-	err := f.each(f.agents, mostAgents, func(a *agent) error {
-		a.life.Lock()
-		defer a.life.Unlock()
+	err := f.forEachAgent(f.agents, maxAgents, func(a *agent) error {
+		a.processMu.Lock()
+		defer a.processMu.Unlock()
 		p := a.running()
 		switch {
 		case p == nil:
--- a/internal/scale/realagent/realagent_test.go
+++ b/internal/scale/realagent/realagent_test.go
@@ -105,7 +105,7 @@
 	})
 	addr := discovery(t, echo.Addrs())
 	return Options{
-		Config: config, Agents: []int{first, first + 2}, Echo: echo.Addrs(), Bin: binary(t), Dir: t.TempDir(),
+		Config: config, Agents: []int{first, first + 2}, Echo: echo.Addrs(), Program: binary(t), Dir: t.TempDir(),
 		Discovery: slices.Repeat([]string{addr}, first+3),
 	}
 }
@@ -160,7 +160,7 @@
 	o := options(t, 20)
 	f := fleet(t, t.Context(), o)
 	f.Begin()
-	added, err := f.Added(t.Context(), 100, 500*time.Microsecond)
+	added, err := f.MeasureAdded(t.Context(), 100, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 100 || added.Through.N != 100 || added.Direct.N != 100 {
 		t.Errorf("added %+v, error %v", added, err)
 	}
@@ -176,7 +176,7 @@
 		t.Error(err)
 	}
 	s := f.Stats()
-	if s.Each[0].PID != before[0] || s.Each[1].PID == before[1] || s.Each[0].Restarts != 0 || s.Each[1].Restarts != 1 || s.UpMS.N != 1 {
+	if s.Each[0].PID != before[0] || s.Each[1].PID == before[1] || s.Each[0].Restarts != 0 || s.Each[1].Restarts != 1 || s.StartupMS.N != 1 {
 		t.Errorf("not agent 22 alone was restarted: %+v, before %v", s, before)
 	}
 	gone(t, before[1:])
@@ -188,7 +188,7 @@
 			t.Errorf("agent %d has it in force %v after the beginning", i, took)
 		}
 	}
-	if s.Quiet != 1 || s.CPUPercent <= 0 || s.CallCPUMS == 0 || s.Each[0].Calls != 100+warmPairs || s.Each[1].Calls != 0 {
+	if s.IdleAgents != 1 || s.CPUPercent <= 0 || s.CallCPUMS == 0 || s.Each[0].Calls != 100+warmUpPairs || s.Each[1].Calls != 0 {
 		t.Errorf("figures %+v", s)
 	}
 	if s.RSSBytes.N != 2 || s.RSSBytes.P50 < 1<<20 || s.PeakBytes.Max < s.RSSBytes.P50 {
@@ -228,7 +228,7 @@
 		}
 	}
 	f := fleet(t, t.Context(), o)
-	added, err := f.Added(t.Context(), 10, 500*time.Microsecond)
+	added, err := f.MeasureAdded(t.Context(), 10, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 10 {
 		t.Errorf("added %+v, error %v", added, err)
 	}
@@ -310,7 +310,7 @@
 	}{
 		"good":       {func(*Options) {}, ""},
 		"none":       {func(o *Options) { o.Agents = nil }, "0 real agents"},
-		"too many":   {func(o *Options) { o.Agents = make([]int, mostAgents+1) }, "201 real agents"},
+		"too many":   {func(o *Options) { o.Agents = make([]int, maxAgents+1) }, "201 real agents"},
 		"twice":      {func(o *Options) { o.Agents = []int{1, 1} }, "twice"},
 		"no address": {func(o *Options) { o.Agents = []int{3} }, "no address"},
 		"no relays":  {func(o *Options) { o.Relays = make([][]string, 1) }, "no address"},
@@ -320,7 +320,7 @@
 		t.Run(what, func(t *testing.T) {
 			o := good
 			c.change(&o)
-			err := o.check()
+			err := o.validate()
 			if c.want == "" && err == nil {
 				return
 			}
@@ -331,15 +331,15 @@
 
 func TestLogLines(t *testing.T) {
 	var got []string
-	l := &lines{each: func(_ time.Time, line string) { got = append(got, line) }}
+	l := &lineWriter{each: func(_ time.Time, line string) { got = append(got, line) }}
 	for _, part := range []string{"one\ntw", "o\n", "\nthree", "\n", "half"} {
 		l.Write([]byte(part))
 	}
 	if strings.Join(got, "|") != "one|two||three" {
 		t.Errorf("lines %q", got)
 	}
-	var kept ring
-	for i := range keptLines + 3 {
+	var kept logTail
+	for i := range tailLines + 3 {
 		kept.add(fmt.Sprint(i))
 	}
 	if text := kept.text(); !strings.HasPrefix(text, "  3\n") || !strings.HasSuffix(text, "  14") {
--- a/internal/scale/realagent/stats.go
+++ b/internal/scale/realagent/stats.go
@@ -14,13 +14,13 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// largestMB is the most memory that the histograms can tell.
-const largestMB = 64 << 10
+// maxMegabytes is the most memory that the histograms can tell.
+const maxMegabytes = 64 << 10
 
 // Stats are the figures of the real agents since Begin.
 type Stats struct {
 	Agents     int
-	Quiet      int     // agents without a call, of which CPUPercent is
+	IdleAgents int     // agents without a call, of which CPUPercent is
 	CPUPercent float64 // of one core, a quiet agent: mean
 	// CallCPUMS is what one call costs a busy agent in processor time, ms: all that it used, less what a quiet one did.
 	// It is 0 without calls, and too large by control's part where no agent is quiet.
@@ -29,7 +29,7 @@
 	PeakBytes   result.Distribution // the largest each present process has had
 	ConfInForce *result.Histogram   // ms, from the beginning of the change: all agents and changes
 	Configs     []ConfigChange
-	UpMS        result.Distribution // of restarted agents, from their process's beginning until they take clients
+	StartupMS   result.Distribution // of restarted agents, from their process's beginning until they take clients
 	Each        []AgentStats
 }
 
@@ -50,13 +50,13 @@
 func (f *Fleet) Begin() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.begun = time.Now()
-	f.inForce, f.changes, f.ups = result.NewHistogram(longestInForce), nil, result.NewHistogram(longestInForce)
+	f.startedAt = time.Now()
+	f.configInForce, f.changes, f.startupTimes = result.NewHistogram(maxInForceMillis), nil, result.NewHistogram(maxInForceMillis)
 	for _, a := range f.agents {
 		a.calls.Store(0)
 		a.restarts.Store(0)
 		a.mu.Lock()
-		a.base = a.processorTime()
+		a.cpuAtStart = a.cpuTime()
 		a.mu.Unlock()
 	}
 }
@@ -65,19 +65,19 @@
 func (f *Fleet) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	wall := time.Since(f.begun)
-	s := Stats{Agents: len(f.agents), ConfInForce: result.NewHistogram(longestInForce), Configs: slices.Clone(f.changes), UpMS: f.ups.Distribution()}
-	s.ConfInForce.Merge(f.inForce)
+	wall := time.Since(f.startedAt)
+	s := Stats{Agents: len(f.agents), ConfInForce: result.NewHistogram(maxInForceMillis), Configs: slices.Clone(f.changes), StartupMS: f.startupTimes.Distribution()}
+	s.ConfInForce.Merge(f.configInForce)
 	for _, a := range f.agents {
 		s.Each = append(s.Each, a.stats(wall))
 	}
-	s.sum(wall)
+	s.summarize(wall)
 	return s
 }
 
-// sum computes the fleet's figures from the agents'.
-func (s *Stats) sum(wall time.Duration) {
-	rss, peak := result.NewHistogram(largestMB), result.NewHistogram(largestMB)
+// summarize computes the fleet's figures from the agents'.
+func (s *Stats) summarize(wall time.Duration) {
+	rss, peak := result.NewHistogram(maxMegabytes), result.NewHistogram(maxMegabytes)
 	quiet, busy, calls := 0.0, 0.0, int64(0)
 	for _, a := range s.Each {
 		if a.PID != 0 {
@@ -89,15 +89,15 @@
 			busy += a.CPUPercent
 		} else {
 			quiet += a.CPUPercent
-			s.Quiet++
+			s.IdleAgents++
 		}
 	}
 	s.RSSBytes, s.PeakBytes = inBytes(rss.Distribution()), inBytes(peak.Distribution())
-	if s.Quiet > 0 {
-		s.CPUPercent = quiet / float64(s.Quiet)
+	if s.IdleAgents > 0 {
+		s.CPUPercent = quiet / float64(s.IdleAgents)
 	}
 	if calls > 0 {
-		percent := busy - s.CPUPercent*float64(s.Agents-s.Quiet)
+		percent := busy - s.CPUPercent*float64(s.Agents-s.IdleAgents)
 		s.CallCPUMS = percent / 100 * float64(wall) / float64(time.Millisecond) / float64(calls)
 	}
 }
@@ -115,25 +115,25 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	s := AgentStats{Position: a.position, Name: a.name, Busy: a.busy, Calls: a.calls.Load(), Restarts: a.restarts.Load()}
-	s.CPUPercent = 100 * float64(a.processorTime()-a.base) / float64(wall)
-	if a.proc != nil {
-		s.PID = a.proc.cmd.Process.Pid
+	s.CPUPercent = 100 * float64(a.cpuTime()-a.cpuAtStart) / float64(wall)
+	if a.process != nil {
+		s.PID = a.process.cmd.Process.Pid
 		s.RSSBytes, s.PeakBytes = memory(s.PID)
 	}
 	return s
 }
 
 // processCPU is what all processes of an agent have used so far. The mutex is held.
-func (a *agent) processorTime() time.Duration {
-	if a.proc == nil {
-		return a.spent
+func (a *agent) cpuTime() time.Duration {
+	if a.process == nil {
+		return a.exitedCPU
 	}
-	return a.spent + threadsTime(a.proc.cmd.Process.Pid)
+	return a.exitedCPU + threadsCPU(a.process.cmd.Process.Pid)
 }
 
-// threadsTime is the time that a process's threads have run on a core, to the nanosecond, where /proc/PID/stat would give
+// threadsCPU is the time that a process's threads have run on a core, to the nanosecond, where /proc/PID/stat would give
 // hundredths of a second. Go's threads stay; of a process that has just ended it is 0.
-func threadsTime(pid int) (sum time.Duration) {
+func threadsCPU(pid int) (sum time.Duration) {
 	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is right
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -130,18 +130,18 @@
 
 // EventResult is one event of the scenario as it was played.
 type EventResult struct {
-	Kind       string       `json:"kind"`
-	At         float64      `json:"at_s"`
-	Length     float64      `json:"length_s"`
-	Affects    int          `json:"affects"`     // agents, servers or machines, by its kind
-	Bytes      int64        `json:"bytes"`       // of control in and out, all agents, in the event and 6 s after it
-	InForceMS  Distribution `json:"in_force_ms"` // of the changes that it made, at each agent
-	Unheard    int          `json:"unheard"`
-	ServedPct  float64      `json:"served_percent"`  // of the calls at the root, meanwhile
-	BeforePct  float64      `json:"before_percent"`  // in the 5 s before
-	BackAfterS float64      `json:"back_after_s"`    // from its end until nine tenths of before are served again; -1: not within the run
-	FullLists  int64        `json:"whole_lists"`     // that control and relays wrote meanwhile
-	Refused    int64        `json:"control_refused"` // calls of control and relays meanwhile
+	Kind                  string       `json:"kind"`
+	AtSeconds             float64      `json:"at_s"`
+	LengthSeconds         float64      `json:"length_s"`
+	Affects               int          `json:"affects"`     // agents, servers or machines, by its kind
+	Bytes                 int64        `json:"bytes"`       // of control in and out, all agents, in the event and 6 s after it
+	InForceMS             Distribution `json:"in_force_ms"` // of the changes that it made, at each agent
+	Undelivered           int          `json:"unheard"`
+	ServedPercent         float64      `json:"served_percent"`  // of the calls at the root, meanwhile
+	ServedBeforePercent   float64      `json:"before_percent"`  // in the 5 s before
+	RecoveredAfterSeconds float64      `json:"back_after_s"`    // from its end until nine tenths of before are served again; -1: not within the run
+	FullLists             int64        `json:"whole_lists"`     // that control and relays wrote meanwhile
+	Refused               int64        `json:"control_refused"` // calls of control and relays meanwhile
 }
 
 // Added is the time that a real agent adds to a call, against the same call made directly, in turn in one run.
@@ -165,31 +165,31 @@
 
 // Ratio holds a figure of the hollow agents against the real ones' of the same run.
 type Ratio struct {
-	Name   string  `json:"name"`
-	Hollow float64 `json:"hollow"`
-	Real   float64 `json:"real"`
-	Ratio  float64 `json:"ratio"`  // hollow over real
-	Factor float64 `json:"factor"` // the ratio may lie between 1/Factor and Factor
-	OK     bool    `json:"ok"`
+	Name      string  `json:"name"`
+	Simulated float64 `json:"hollow"`
+	Real      float64 `json:"real"`
+	Ratio     float64 `json:"ratio"`  // hollow over real
+	Factor    float64 `json:"factor"` // the ratio may lie between 1/Factor and Factor
+	OK        bool    `json:"ok"`
 }
 
 // Run is all that one run measured.
 type Run struct {
-	Scenario    string           `json:"scenario"`
-	Sizes       Sizes            `json:"sizes"`
-	Hollow      AgentControl     `json:"hollow"`
-	Real        AgentControl     `json:"real"`
-	Control     []ControlMachine `json:"control"`
-	Depths      []Depth          `json:"depths"`
-	Windows     []Window         `json:"windows"`
-	Events      []EventResult    `json:"events"`
-	Added       Added            `json:"added"`
-	Ratios      []Ratio          `json:"ratios"`
-	Budgets     []Budget         `json:"budgets"`
-	ModelLagMS  Distribution     `json:"model_lag_ms"`    // how late modelled calls were handled; what they found is told as of their own time
-	ModelKept   bool             `json:"model_kept_time"` // that was little enough for what is said of calls to hold
-	NotUp       int              `json:"not_up"`          // restarts of real agents after which one was not up in its time
-	LateTold    int              `json:"late_told"`       // changes that the stand-in itself told later than its stated costs explain
-	WallSeconds float64          `json:"wall_s"`
-	Incomplete  string           `json:"incomplete,omitempty"` // why the run was cut short
+	Scenario          string           `json:"scenario"`
+	Sizes             Sizes            `json:"sizes"`
+	Simulated         AgentControl     `json:"hollow"`
+	Real              AgentControl     `json:"real"`
+	Control           []ControlMachine `json:"control"`
+	Depths            []Depth          `json:"depths"`
+	Windows           []Window         `json:"windows"`
+	Events            []EventResult    `json:"events"`
+	Added             Added            `json:"added"`
+	Ratios            []Ratio          `json:"ratios"`
+	Budgets           []Budget         `json:"budgets"`
+	ModelLagMS        Distribution     `json:"model_lag_ms"`    // how late modelled calls were handled; what they found is told as of their own time
+	ModelKeptTime     bool             `json:"model_kept_time"` // that was little enough for what is said of calls to hold
+	RestartsNotUp     int              `json:"not_up"`          // restarts of real agents after which one was not up in its time
+	LateNotifications int              `json:"late_told"`       // changes that the stand-in itself told later than its stated costs explain
+	WallSeconds       float64          `json:"wall_s"`
+	Incomplete        string           `json:"incomplete,omitempty"` // why the run was cut short
 }
--- a/internal/scale/role/role.go
+++ b/internal/scale/role/role.go
@@ -18,18 +18,18 @@
 // Env names the part that a process is to be; a program that finds it set calls Serve before anything else.
 const Env = "SCALE_ROLE"
 
-// endGrace is how long a part may take to end when its input does, before it is killed.
-const endGrace = 2 * time.Second
+// stopTimeout is how long a part may take to end when its input does, before it is killed.
+const stopTimeout = 2 * time.Second
 
 // Child is a part that runs.
 type Child struct {
-	Role string
-	cmd  *exec.Cmd
-	rpc  *rpc.Client
-	in   io.Closer
-	done chan struct{}
-	mu   sync.Mutex
-	err  error // how it ended
+	Role  string
+	cmd   *exec.Cmd
+	rpc   *rpc.Client
+	stdin io.Closer
+	done  chan struct{}
+	mu    sync.Mutex
+	err   error // how it ended
 }
 
 // Start runs this program again as a part. It is killed if the starter dies, however that comes.
@@ -53,8 +53,8 @@
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("starting %s: %w", role, err)
 	}
-	c := &Child{Role: role, cmd: cmd, in: in, done: make(chan struct{})}
-	c.rpc = rpc.NewClient(pipes{out, in})
+	c := &Child{Role: role, cmd: cmd, stdin: in, done: make(chan struct{})}
+	c.rpc = rpc.NewClient(stdio{out, in})
 	go func() {
 		err := cmd.Wait()
 		c.mu.Lock()
@@ -93,12 +93,12 @@
 
 // Close ends the part's input, by which it ends, and waits for that; one that does not is killed.
 func (c *Child) Close() error {
-	c.in.Close()
+	c.stdin.Close()
 	select {
 	case <-c.done:
-	case <-time.After(endGrace):
+	case <-time.After(stopTimeout):
 		c.Kill()
-		return fmt.Errorf("%s did not end within %v", c.Role, endGrace)
+		return fmt.Errorf("%s did not end within %v", c.Role, stopTimeout)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -116,17 +116,17 @@
 	if err := s.RegisterName(name, receiver); err != nil {
 		return fmt.Errorf("role %s: %w", name, err)
 	}
-	s.ServeConn(pipes{os.Stdin, os.Stdout})
+	s.ServeConn(stdio{os.Stdin, os.Stdout})
 	return nil
 }
 
-// pipes are two one-way streams as one.
-type pipes struct {
+// stdio are two one-way streams as one.
+type stdio struct {
 	io.ReadCloser
 	io.WriteCloser
 }
 
-func (p pipes) Close() error {
+func (p stdio) Close() error {
 	p.WriteCloser.Close()
 	return p.ReadCloser.Close()
 }
--- a/internal/scale/run/budgets.go
+++ b/internal/scale/run/budgets.go
@@ -76,20 +76,20 @@
 // worse is the larger figure of the two sorts of agents, false where neither has one above 0: control that cost nothing
 // was not measured.
 func worse(r *result.Run, of func(result.AgentControl) float64) (float64, bool) {
-	v := max(of(r.Hollow), of(r.Real))
+	v := max(of(r.Simulated), of(r.Real))
 	return v, v > 0 && !math.IsInf(v, 0)
 }
 
 // recordInForce is the time until the last agent had a change, in seconds. It does not stand where a change that was due had
 // not come to an agent when the run ended, or a sort of agents has not had any.
 func inForce(r *result.Run, of func(result.AgentControl) result.Distribution) (float64, bool) {
-	ok := of(r.Hollow).N+of(r.Real).N > 0
-	for _, a := range []result.AgentControl{r.Hollow, r.Real} {
+	ok := of(r.Simulated).N+of(r.Real).N > 0
+	for _, a := range []result.AgentControl{r.Simulated, r.Real} {
 		if a.Agents > 0 && (of(a).N == 0 || a.Unheard > 0) {
 			ok = false
 		}
 	}
-	return max(of(r.Hollow).Max, of(r.Real).Max) / 1000, ok
+	return max(of(r.Simulated).Max, of(r.Real).Max) / 1000, ok
 }
 
 // checkBudgets holds a run against the operators' limits. A line that has not been measured in a run that should have
--- a/internal/scale/run/collect.go
+++ b/internal/scale/run/collect.go
@@ -56,8 +56,8 @@
 	for i := range p.scenario.Events {
 		p.result.Events = append(p.result.Events, p.summarizeEvent(i, m))
 	}
-	p.result.ModelLagMS, p.result.ModelKept = m.simulated.LagMS, m.simulated.KeptUp
-	p.result.LateTold = m.control.LateTold
+	p.result.ModelLagMS, p.result.ModelKeptTime = m.simulated.LagMS, m.simulated.KeptUp
+	p.result.LateNotifications = m.control.LateTold
 	return errors.Join(errs...)
 }
 
@@ -78,7 +78,7 @@
 		to     *result.AgentControl
 		agents []int
 		lists  []delivery
-	}{{&p.result.Hollow, p.simulatedPositions, exact}, {&p.result.Real, p.realPositions, heard}} {
+	}{{&p.result.Simulated, p.simulatedPositions, exact}, {&p.result.Real, p.realPositions, heard}} {
 		a := sort.to
 		a.Agents = len(sort.agents)
 		a.BytesIn, a.BytesOut, a.Worst6s = rates(m.control.Out, m.control.In, sort.agents, whole) // its out is their in
@@ -88,8 +88,8 @@
 		a.ConfInForce, configs = summarizeDeliveries(confs, sort.agents, p.reachability, p.endedAt.UnixNano(), p.deliveryTimeout())
 		a.Unheard = lists + configs
 	}
-	p.result.Hollow.CPUPercent = m.simulated.Control.CPUPercent
-	p.result.Hollow.HeapBytes = m.simulated.Control.HeapBytes
+	p.result.Simulated.CPUPercent = m.simulated.Control.CPUPercent
+	p.result.Simulated.HeapBytes = m.simulated.Control.HeapBytes
 	p.result.Real.CPUPercent = m.realAgents.CPUPercent
 	p.result.Real.RSSBytes = m.realAgents.RSSBytes
 }
@@ -211,14 +211,14 @@
 func (p *runner) summarizeEvent(i int, m *measurements) result.EventResult {
 	e := p.scenario.Events[i]
 	from, to := int(e.AtS), int(math.Ceil(e.AtS+e.ForS))
-	r := result.EventResult{Kind: e.Kind, At: e.AtS, Length: e.ForS, Affects: p.affectedByEvent[i]}
+	r := result.EventResult{Kind: e.Kind, AtSeconds: e.AtS, LengthSeconds: e.ForS, Affects: p.affectedByEvent[i]}
 	r.Bytes = bytesBetween(from, to+secondsAfterEvent, m.control.In, m.control.Out)
 	heard, exact := p.listDeliveries(m, i)
 	changes, agents := slices.Concat(mergeDeliveries(heard, exact, p.simulatedPositions), p.configDeliveries(m, i)), slices.Concat(p.simulatedPositions, p.realPositions)
-	r.InForceMS, r.Unheard = summarizeDeliveries(changes, agents, p.reachability, p.endedAt.UnixNano(), p.deliveryTimeout())
-	r.ServedPct = servedPercent(p.result.Windows, from, max(to, from+1))
-	r.BeforePct = servedPercent(p.result.Windows, from-secondsBeforeEvent, from)
-	r.BackAfterS = recoveredAfter(p.result.Windows, to, r.BeforePct)
+	r.InForceMS, r.Undelivered = summarizeDeliveries(changes, agents, p.reachability, p.endedAt.UnixNano(), p.deliveryTimeout())
+	r.ServedPercent = servedPercent(p.result.Windows, from, max(to, from+1))
+	r.ServedBeforePercent = servedPercent(p.result.Windows, from-secondsBeforeEvent, from)
+	r.RecoveredAfterSeconds = recoveredAfter(p.result.Windows, to, r.ServedBeforePercent)
 	for _, c := range p.snapshots {
 		switch {
 		case c.event != i:
--- a/internal/scale/run/output_test.go
+++ b/internal/scale/run/output_test.go
@@ -14,14 +14,14 @@
 // everything is a run that has all tables and all words of the text, and every key of the JSON.
 func everything() *result.Run {
 	r := passingRun()
-	r.Hollow.CPUPercent = 2.5
-	r.LateTold, r.NotUp, r.ModelKept, r.WallSeconds = 3, 1, false, 20.5
+	r.Simulated.CPUPercent = 2.5
+	r.LateNotifications, r.RestartsNotUp, r.ModelKeptTime, r.WallSeconds = 3, 1, false, 20.5
 	r.ModelLagMS = result.Distribution{N: 5, Mean: 60, P50: 55, P99: 70, Max: 80}
 	r.Incomplete = "the part hollow died"
 	r.Windows = []result.Window{{Second: 0, Roots: 20, Served: 19, Percent: 95}}
 	r.Events = []result.EventResult{{
-		Kind: "fail", At: 3, Length: 1.5, Affects: 4, Bytes: 12345, InForceMS: result.Distribution{N: 2, Mean: 8, P50: 7, P99: 9, Max: 10},
-		Unheard: 1, ServedPct: 61.5, BeforePct: 99.25, BackAfterS: 2, FullLists: 6, Refused: 7,
+		Kind: "fail", AtSeconds: 3, LengthSeconds: 1.5, Affects: 4, Bytes: 12345, InForceMS: result.Distribution{N: 2, Mean: 8, P50: 7, P99: 9, Max: 10},
+		Undelivered: 1, ServedPercent: 61.5, ServedBeforePercent: 99.25, RecoveredAfterSeconds: 2, FullLists: 6, Refused: 7,
 	}}
 	return evaluate(r, limits)
 }
--- a/internal/scale/run/ratios.go
+++ b/internal/scale/run/ratios.go
@@ -29,7 +29,7 @@
 // compareRatios holds each figure of the hollow agents against the real ones'. There is nothing to hold where a run has only one
 // sort, or nothing that a figure could be measured by; a figure that one sort lacks altogether is off.
 func compareRatios(r *result.Run) []result.Ratio {
-	if r.Hollow.Agents == 0 || r.Real.Agents == 0 {
+	if r.Simulated.Agents == 0 || r.Real.Agents == 0 {
 		return nil
 	}
 	var all []result.Ratio
@@ -37,9 +37,9 @@
 		if h.applies != nil && !h.applies(r.Sizes) {
 			continue
 		}
-		x := result.Ratio{Name: h.name, Hollow: h.of(r.Hollow), Real: h.of(r.Real), Factor: h.factor}
-		if x.Hollow > 0 && x.Real > 0 {
-			x.Ratio = max(x.Hollow, h.floor) / max(x.Real, h.floor)
+		x := result.Ratio{Name: h.name, Simulated: h.of(r.Simulated), Real: h.of(r.Real), Factor: h.factor}
+		if x.Simulated > 0 && x.Real > 0 {
+			x.Ratio = max(x.Simulated, h.floor) / max(x.Real, h.floor)
 			x.OK = x.Ratio <= h.factor && x.Ratio >= 1/h.factor
 		}
 		all = append(all, x)
--- a/internal/scale/run/run.go
+++ b/internal/scale/run/run.go
@@ -17,10 +17,10 @@
 
 // Options say how a scenario is played.
 type Options struct {
-	Bin      string // the real agents' program; not needed without real agents
-	Log      *slog.Logger
-	Progress func(string) // told what goes on, for a person
-	Stderr   io.Writer    // of the parts
+	AgentProgram string // the real agents' program; not needed without real agents
+	Log          *slog.Logger
+	Progress     func(string) // told what goes on, for a person
+	Stderr       io.Writer    // of the parts
 }
 
 const (
--- a/internal/scale/run/runner.go
+++ b/internal/scale/run/runner.go
@@ -227,8 +227,8 @@
 	up := context.AfterFunc(ctx, end)
 	defer up()
 	p.realAgents, err = realagent.Start(life, realagent.Options{
-		Config: p.world.Config, Agents: p.realPositions, Echo: p.echo.Addrs(), Bin: p.options.Bin, Discovery: p.discoveryAddrs, Relays: p.relayAddrs(),
-		Known: p.cachedEndpoints(false), Log: p.options.Log,
+		Config: p.world.Config, Agents: p.realPositions, Echo: p.echo.Addrs(), Program: p.options.AgentProgram, Discovery: p.discoveryAddrs, Relays: p.relayAddrs(),
+		CachedEndpoints: p.cachedEndpoints(false), Log: p.options.Log,
 	})
 	return err
 }
@@ -300,7 +300,7 @@
 	ctx, stop := context.WithTimeout(ctx, addedLatencyTimeout)
 	defer stop()
 	var err error
-	p.result.Added, err = p.realAgents.Added(ctx, n, addedCallGap)
+	p.result.Added, err = p.realAgents.MeasureAdded(ctx, n, addedCallGap)
 	return err
 }
 
--- a/internal/scale/run/steps.go
+++ b/internal/scale/run/steps.go
@@ -302,7 +302,7 @@
 	p.options.Log.Warn("real agents were not up after a restart", "error", err)
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.result.NotUp++
+	p.result.RestartsNotUp++
 	return nil
 }
 
--- a/internal/scale/run/text.go
+++ b/internal/scale/run/text.go
@@ -24,10 +24,10 @@
 			names = append(names, "ratio:"+x.Name)
 		}
 	}
-	if r.LateTold > 0 {
+	if r.LateNotifications > 0 {
 		names = append(names, "late_told")
 	}
-	if r.NotUp > 0 {
+	if r.RestartsNotUp > 0 {
 		names = append(names, "not_up")
 	}
 	if r.Incomplete != "" {
@@ -49,7 +49,7 @@
 	writeAgents(out, r)
 	writeControl(out, r.Control)
 	writeDepths(out, r.Depths)
-	if len(r.Depths) > 0 && !r.ModelKept {
+	if len(r.Depths) > 0 && !r.ModelKeptTime {
 		fmt.Fprintf(out, "the machine was too busy for the modelled calls: they were handled late by %s ms (p50/p99/max), and what is said of calls does not hold\n", quantiles(r.ModelLagMS))
 	}
 	writeEvents(out, r.Events)
@@ -61,11 +61,11 @@
 			fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%s\n", b.Name, b.Measured, b.Limit, verdict(b.OK))
 		}
 	})
-	if r.LateTold > 0 {
-		fmt.Fprintf(out, "late_told %d 0 OVER\n", r.LateTold)
+	if r.LateNotifications > 0 {
+		fmt.Fprintf(out, "late_told %d 0 OVER\n", r.LateNotifications)
 	}
-	if r.NotUp > 0 {
-		fmt.Fprintf(out, "not_up %d 0 OVER\n", r.NotUp)
+	if r.RestartsNotUp > 0 {
+		fmt.Fprintf(out, "not_up %d 0 OVER\n", r.RestartsNotUp)
 	}
 	if names := Violations(r); len(names) > 0 {
 		fmt.Fprintf(out, "scale: OVER %s\n", strings.Join(names, ","))
@@ -96,7 +96,7 @@
 		for _, row := range []struct {
 			name string
 			result.AgentControl
-		}{{"hollow", r.Hollow}, {"real", r.Real}} {
+		}{{"hollow", r.Simulated}, {"real", r.Real}} {
 			fmt.Fprintf(t, "%s\t%d\t%.0f\t%.0f\t%s\t%.3f\t%.2f\t%.1f\t%s\t%.1f/%.1f\t%s\t%d\n", row.name, row.Agents, row.BytesIn.Mean, row.BytesOut.Mean,
 				quantiles(row.Worst6s), row.CPUPercent, row.HeapBytes/bytesPerMB, row.RSSBytes.Max/bytesPerMB, quantiles(row.ListInForce),
 				row.ListHeard.P50, row.ListHeard.P99, quantiles(row.ConfInForce), row.Unheard)
@@ -145,8 +145,8 @@
 	table(out, func(t io.Writer) {
 		fmt.Fprintln(t, "kind\tat s\tfor s\taffects\tcontrol kB\tin force ms p50/p99/max\tunheard\tserved %\tbefore %\tback after s\twhole lists\trefused")
 		for _, e := range events {
-			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%d\t%.1f\t%s\t%d\t%.2f\t%.2f\t%.1f\t%d\t%d\n", e.Kind, e.At, e.Length, e.Affects, float64(e.Bytes)/bytesPerKB,
-				quantiles(e.InForceMS), e.Unheard, e.ServedPct, e.BeforePct, e.BackAfterS, e.FullLists, e.Refused)
+			fmt.Fprintf(t, "%s\t%.1f\t%.1f\t%d\t%.1f\t%s\t%d\t%.2f\t%.2f\t%.1f\t%d\t%d\n", e.Kind, e.AtSeconds, e.LengthSeconds, e.Affects, float64(e.Bytes)/bytesPerKB,
+				quantiles(e.InForceMS), e.Undelivered, e.ServedPercent, e.ServedBeforePercent, e.RecoveredAfterSeconds, e.FullLists, e.Refused)
 		}
 	})
 }
@@ -167,7 +167,7 @@
 	table(out, func(t io.Writer) {
 		fmt.Fprintln(t, "figure\thollow\treal\tratio\tfactor\t\twhy that factor")
 		for i, x := range all {
-			fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.2f\t%.3g\t%s\t%s\n", x.Name, x.Hollow, x.Real, x.Ratio, x.Factor, verdict(x.OK), ratioReason(all, i))
+			fmt.Fprintf(t, "%s\t%.4g\t%.4g\t%.2f\t%.3g\t%s\t%s\n", x.Name, x.Simulated, x.Real, x.Ratio, x.Factor, verdict(x.OK), ratioReason(all, i))
 		}
 	})
 }
--- a/internal/scale/run/verdict_test.go
+++ b/internal/scale/run/verdict_test.go
@@ -27,7 +27,7 @@
 	b.HeapBytes, b.RSSBytes, b.ListInForce = 0, d(20*bytesPerMB), b.ListHeard
 	return &result.Run{
 		Scenario: "fine", Sizes: result.Sizes{Servers: 20, Agents: 20, Real: 10, Depth: 2, Seconds: 8, ListChanges: 3, Configs: 2, Failures: 1},
-		Hollow: a, Real: b,
+		Simulated: a, Real: b,
 		Control: []result.ControlMachine{{Role: "control", Name: "control", Busy: 0.1, Worst6s: 0.4}, {Role: "source", Name: "source", Worst6s: 0.2}},
 		Depths:  []result.Depth{{Depth: 1, Amplification: 1.2}, {Depth: 2, Amplification: 1.5}},
 		Added:   result.Added{Through: d(0.8), Direct: d(0.4), P99MS: 0.4, CallsEach: 150},
@@ -51,39 +51,39 @@
 		{"added, a call failed", func(r *result.Run) { r.Added.Failed = 1 }, nil},
 		{"added, more than one in a hundred failed", func(r *result.Run) { r.Added.Failed = 2 }, []string{"added_p99"}},
 		{"added, not measured", func(r *result.Run) { r.Added = result.Added{} }, []string{"added_p99"}},
-		{"hollow cpu", func(r *result.Run) { r.Hollow.CPUPercent = 1.7 }, []string{"agent_cpu"}},
-		{"cpu, not measured", func(r *result.Run) { r.Hollow.CPUPercent, r.Real.CPUPercent = 0, 0 }, []string{"agent_cpu", "ratio:cpu"}},
+		{"hollow cpu", func(r *result.Run) { r.Simulated.CPUPercent = 1.7 }, []string{"agent_cpu"}},
+		{"cpu, not measured", func(r *result.Run) { r.Simulated.CPUPercent, r.Real.CPUPercent = 0, 0 }, []string{"agent_cpu", "ratio:cpu"}},
 		{"real memory", func(r *result.Run) { r.Real.RSSBytes.Max = 33 * bytesPerMB }, []string{"agent_memory"}},
-		{"hollow memory", func(r *result.Run) { r.Hollow.HeapBytes = 33 * bytesPerMB }, []string{"agent_memory"}},
+		{"hollow memory", func(r *result.Run) { r.Simulated.HeapBytes = 33 * bytesPerMB }, []string{"agent_memory"}},
 		{"bytes of one agent's worst 6 s", func(r *result.Run) { r.Real.Worst6s.Max = 23_001 }, []string{"agent_bytes"}},
-		{"last agent's list", func(r *result.Run) { r.Hollow.ListInForce.Max = 6001 }, []string{"in_force_list"}},
+		{"last agent's list", func(r *result.Run) { r.Simulated.ListInForce.Max = 6001 }, []string{"in_force_list"}},
 		{"last agent's configuration", func(r *result.Run) { r.Real.ConfInForce.Max = 6001 }, []string{"in_force_config"}},
-		{"a change that never came", func(r *result.Run) { r.Hollow.Unheard = 1 }, []string{"in_force_list", "in_force_config"}},
+		{"a change that never came", func(r *result.Run) { r.Simulated.Unheard = 1 }, []string{"in_force_list", "in_force_config"}},
 		{"lists of one sort not measured", func(r *result.Run) { r.Real.ListInForce = result.Distribution{} }, []string{"in_force_list"}},
 		{"stated work of two machines", func(r *result.Run) { r.Control[0].Worst6s, r.Control[1].Worst6s = 3, 2.5 }, []string{"control_machines"}},
 		{"real work of one", func(r *result.Run) { r.Control[0].CPUPercent = 510 }, []string{"control_machines"}},
 		{"attempts at the deepest", func(r *result.Run) { r.Depths[1].Amplification = 2.1 }, []string{"attempts_per_call"}},
 		{"attempts above it", func(r *result.Run) { r.Depths[0].Amplification = 2.1 }, nil},
-		{"hollow bytes too many", func(r *result.Run) { r.Hollow.BytesIn.Mean = 2000 }, []string{"ratio:bytes"}},
-		{"hollow bytes too few", func(r *result.Run) { r.Hollow.BytesIn.Mean = 400 }, []string{"ratio:bytes"}},
-		{"hollow lists late", func(r *result.Run) { r.Hollow.ListHeard.Mean = 1300 }, []string{"ratio:list_in_force"}},
-		{"both below the floor", func(r *result.Run) { r.Hollow.ListHeard.Mean, r.Real.ListHeard.Mean = 49, 0.4 }, nil},
-		{"hollow configurations late", func(r *result.Run) { r.Hollow.ConfInForce.P50 = 3700 }, []string{"ratio:config_in_force"}},
-		{"hollow cpu off", func(r *result.Run) { r.Real.CPUPercent, r.Hollow.CPUPercent = 1.1, 0.2 }, []string{"ratio:cpu"}},
-		{"told late", func(r *result.Run) { r.LateTold = 1 }, []string{"late_told"}},
-		{"nothing was started", func(r *result.Run) { r.Hollow, r.Real = result.AgentControl{}, result.AgentControl{} },
+		{"hollow bytes too many", func(r *result.Run) { r.Simulated.BytesIn.Mean = 2000 }, []string{"ratio:bytes"}},
+		{"hollow bytes too few", func(r *result.Run) { r.Simulated.BytesIn.Mean = 400 }, []string{"ratio:bytes"}},
+		{"hollow lists late", func(r *result.Run) { r.Simulated.ListHeard.Mean = 1300 }, []string{"ratio:list_in_force"}},
+		{"both below the floor", func(r *result.Run) { r.Simulated.ListHeard.Mean, r.Real.ListHeard.Mean = 49, 0.4 }, nil},
+		{"hollow configurations late", func(r *result.Run) { r.Simulated.ConfInForce.P50 = 3700 }, []string{"ratio:config_in_force"}},
+		{"hollow cpu off", func(r *result.Run) { r.Real.CPUPercent, r.Simulated.CPUPercent = 1.1, 0.2 }, []string{"ratio:cpu"}},
+		{"told late", func(r *result.Run) { r.LateNotifications = 1 }, []string{"late_told"}},
+		{"nothing was started", func(r *result.Run) { r.Simulated, r.Real = result.AgentControl{}, result.AgentControl{} },
 			[]string{"agent_cpu", "agent_memory", "agent_bytes", "in_force_list", "in_force_config"}},
-		{"not up", func(r *result.Run) { r.NotUp = 1 }, []string{"not_up"}},
+		{"not up", func(r *result.Run) { r.RestartsNotUp = 1 }, []string{"not_up"}},
 		{"cut short", func(r *result.Run) { r.Incomplete = "control died" }, []string{"incomplete"}},
 		{"no real agents", func(r *result.Run) { r.Sizes.Real, r.Real, r.Added = 0, result.AgentControl{}, result.Added{} }, nil},
 		{"nothing changed or failed", func(r *result.Run) {
 			r.Sizes.ListChanges, r.Sizes.Configs, r.Sizes.Failures = 0, 0, 0
-			for _, a := range []*result.AgentControl{&r.Hollow, &r.Real} {
+			for _, a := range []*result.AgentControl{&r.Simulated, &r.Real} {
 				a.ListInForce, a.ListHeard, a.ConfInForce = result.Distribution{}, result.Distribution{}, result.Distribution{}
 			}
 			r.Depths[1].Amplification = 0
 		}, nil},
-		{"no hollow agents", func(r *result.Run) { r.Sizes.Real, r.Hollow, r.Depths = 20, result.AgentControl{}, nil }, nil},
+		{"no hollow agents", func(r *result.Run) { r.Sizes.Real, r.Simulated, r.Depths = 20, result.AgentControl{}, nil }, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := passingRun()
@@ -108,7 +108,7 @@
 		last   string
 	}{
 		{"ok", func(*result.Run) {}, "scale: ok"},
-		{"two over", func(r *result.Run) { r.Hollow.CPUPercent, r.LateTold = 2.5, 3 }, "scale: OVER agent_cpu,ratio:cpu,late_told"},
+		{"two over", func(r *result.Run) { r.Simulated.CPUPercent, r.LateNotifications = 2.5, 3 }, "scale: OVER agent_cpu,ratio:cpu,late_told"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := passingRun()
--- a/internal/scale/scenario/load.go
+++ b/internal/scale/scenario/load.go
@@ -55,7 +55,7 @@
 func Parse(text []byte) (*Scenario, error) {
 	s := defaults()
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&s); err != nil {
-		return nil, readable(err)
+		return nil, explainDecodeError(err)
 	}
 	if len(s.Classes) == 0 {
 		s.Classes = append([]Class(nil), defaultClasses...)
@@ -63,8 +63,8 @@
 	return &s, s.Validate()
 }
 
-// readable names the keys and lines that the decoder's own errors keep apart from their words.
-func readable(err error) error {
+// explainDecodeError names the keys and lines that the decoder's own errors keep apart from their words.
+func explainDecodeError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
 		var all []error
@@ -111,17 +111,17 @@
 // Override takes over what is not nil, and checks the whole. After an error the scenario is as it was.
 func (s *Scenario) Override(o Overrides) error {
 	next := *s
-	put(&next.Fleet.Agents, o.Agents)
-	put(&next.Fleet.Real, o.Real)
-	put(&next.Fleet.Servers, o.Servers)
-	put(&next.Fleet.Services, o.Services)
-	put(&next.Fleet.Depth, o.Depth)
-	put(&next.Fleet.CallsPerSecond, o.CallsPerSecond)
-	put(&next.Seed, o.Seed)
-	put(&next.Seconds, o.Seconds)
-	put(&next.Control.PerMinute, o.ChangesPerMinute)
+	setIfGiven(&next.Fleet.Agents, o.Agents)
+	setIfGiven(&next.Fleet.Real, o.Real)
+	setIfGiven(&next.Fleet.Servers, o.Servers)
+	setIfGiven(&next.Fleet.Services, o.Services)
+	setIfGiven(&next.Fleet.Depth, o.Depth)
+	setIfGiven(&next.Fleet.CallsPerSecond, o.CallsPerSecond)
+	setIfGiven(&next.Seed, o.Seed)
+	setIfGiven(&next.Seconds, o.Seconds)
+	setIfGiven(&next.Control.PerMinute, o.ChangesPerMinute)
 	if o.Relays != nil {
-		next.Relays.override(*o.Relays)
+		next.Relays.setCount(*o.Relays)
 	}
 	if o.ChangesPerMinute != nil && *o.ChangesPerMinute == 0 {
 		next.Control.ChangesDay = 0 // or its mean would be played
@@ -133,21 +133,21 @@
 	return nil
 }
 
-// override makes it so many relays. Those that the file says nothing of hand out as many whole lists as defaultAdmit says.
-func (r *Relays) override(count int) {
+// setCount makes it so many relays. Those that the file says nothing of hand out as many whole lists as defaultFullListsPerSecond says.
+func (r *Relays) setCount(count int) {
 	r.Count = count
 	if count == 0 {
 		*r = Relays{}
 	} else if r.AdmitPerS == 0 {
-		r.AdmitPerS = defaultAdmit
+		r.AdmitPerS = defaultFullListsPerSecond
 	}
 }
 
-// defaultAdmit is how many whole lists a second a relay hands out where nothing is said: five of them then have 830 agents
+// defaultFullListsPerSecond is how many whole lists a second a relay hands out where nothing is said: five of them then have 830 agents
 // served within a second.
-const defaultAdmit = 200
+const defaultFullListsPerSecond = 200
 
-func put[T any](field, value *T) {
+func setIfGiven[T any](field, value *T) {
 	if value != nil {
 		*field = *value
 	}
--- a/internal/scale/sweep/capacity_test.go
+++ b/internal/scale/sweep/capacity_test.go
@@ -25,7 +25,7 @@
 // TestCapacityPage holds every marked number of the page to the figures file, within the number's printed precision.
 func TestCapacityPage(t *testing.T) {
 	text, errPage := os.ReadFile(page)
-	all, errFigures := Figures(figures)
+	all, errFigures := ReadMetrics(figures)
 	if errors.Is(errPage, fs.ErrNotExist) && errors.Is(errFigures, fs.ErrNotExist) {
 		return // neither is written yet
 	}
@@ -38,7 +38,7 @@
 }
 
 // checkPage says which numbers are not what the figures say. A page with no marked number is wrong as well.
-func checkPage(text string, all map[string]Figure) []string {
+func checkPage(text string, all map[string]Metric) []string {
 	var wrong []string
 	found := marked.FindAllStringSubmatch(text, -1)
 	if n := len(bare.FindAllString(text, -1)); n != len(found) || n == 0 {
@@ -73,7 +73,7 @@
 }
 
 func TestCheckPage(t *testing.T) {
-	all := map[string]Figure{"agents.control_bytes.slope": {Value: 1234.56}, "depth.amplification.at_14": {Value: -2.504}}
+	all := map[string]Metric{"agents.control_bytes.slope": {Value: 1234.56}, "depth.amplification.at_14": {Value: -2.504}}
 	for _, c := range []struct {
 		name, text string
 		ok         bool
--- a/internal/scale/sweep/figures.go
+++ b/internal/scale/sweep/figures.go
@@ -10,28 +10,28 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// Figure is one number of the figures file, with its unit and the play that gave it.
-type Figure struct {
+// Metric is one number of the figures file, with its unit and the play that gave it.
+type Metric struct {
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
 	Run   string  `json:"run"`
 }
 
-// Figures reads a figures file: a flat map by keys such as `agents.control_bytes.slope`.
-func Figures(file string) (map[string]Figure, error) {
+// ReadMetrics reads a figures file: a flat map by keys such as `agents.control_bytes.slope`.
+func ReadMetrics(file string) (map[string]Metric, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	var all map[string]Figure
+	var all map[string]Metric
 	if err := json.Unmarshal(text, &all); err != nil {
 		return nil, fmt.Errorf("%s: %w", file, err)
 	}
 	return all, nil
 }
 
-// WriteFigures writes a figures file, its keys in order.
-func WriteFigures(file string, all map[string]Figure) error {
+// WriteMetrics writes a figures file, its keys in order.
+func WriteMetrics(file string, all map[string]Metric) error {
 	text, err := json.MarshalIndent(all, "", "  ")
 	if err != nil {
 		return err
@@ -39,70 +39,70 @@
 	return os.WriteFile(file, append(text, '\n'), 0o644)
 }
 
-// value is one figure of a run before it has a place among others.
-type value struct {
-	v    float64
-	unit string
+// measurement is one figure of a run before it has a place among others.
+type measurement struct {
+	value float64
+	unit  string
 }
 
-// extract reads from a run every figure whose growth is of interest. A figure that the run did not measure is left out.
-func extract(r *result.Run) map[string]value {
-	all := map[string]value{}
-	agents(all, "agent", r.Hollow)
-	agents(all, "real", r.Real)
-	machines(all, r)
+// extractMetrics reads from a run every figure whose growth is of interest. A figure that the run did not measure is left out.
+func extractMetrics(r *result.Run) map[string]measurement {
+	all := map[string]measurement{}
+	addAgentMetrics(all, "agent", r.Simulated)
+	addAgentMetrics(all, "real", r.Real)
+	addControlMetrics(all, r)
 	if r.Added.Through.N > 0 {
-		all["added_p50"] = value{r.Added.MedianMS, "ms"}
-		all["added_p99"] = value{r.Added.P99MS, "ms"}
+		all["added_p50"] = measurement{r.Added.MedianMS, "ms"}
+		all["added_p99"] = measurement{r.Added.P99MS, "ms"}
 	}
 	if n := len(r.Depths); n > 0 && r.Depths[n-1].Amplification > 0 {
-		all["amplification"] = value{r.Depths[n-1].Amplification, "times"}
+		all["amplification"] = measurement{r.Depths[n-1].Amplification, "times"}
 	}
 	for i, e := range r.Events {
 		key := fmt.Sprintf("event%d_%s_", i+1, e.Kind)
-		all[key+"bytes"] = value{float64(e.Bytes), "B"}
+		all[key+"bytes"] = measurement{float64(e.Bytes), "B"}
 		if e.InForceMS.N > 0 {
-			all[key+"in_force_max"] = value{e.InForceMS.Max, "ms"}
+			all[key+"in_force_max"] = measurement{e.InForceMS.Max, "ms"}
 		}
-		all[key+"served"] = value{e.ServedPct, "%"}
-		all[key+"whole_lists"] = value{float64(e.FullLists), "lists"}
+		all[key+"served"] = measurement{e.ServedPercent, "%"}
+		all[key+"whole_lists"] = measurement{float64(e.FullLists), "lists"}
 	}
 	return all
 }
 
-func agents(all map[string]value, name string, a result.AgentControl) {
+func addAgentMetrics(all map[string]measurement, name string, a result.AgentControl) {
 	if a.Agents == 0 {
 		return
 	}
-	all[name+"_bytes_in"] = value{a.BytesIn.Mean, "B/s"}
-	all[name+"_bytes_out"] = value{a.BytesOut.Mean, "B/s"}
-	all[name+"_worst6s"] = value{a.Worst6s.Max, "B/s"}
-	all[name+"_cpu"] = value{a.CPUPercent, "% of a core"}
+	all[name+"_bytes_in"] = measurement{a.BytesIn.Mean, "B/s"}
+	all[name+"_bytes_out"] = measurement{a.BytesOut.Mean, "B/s"}
+	all[name+"_worst6s"] = measurement{a.Worst6s.Max, "B/s"}
+	all[name+"_cpu"] = measurement{a.CPUPercent, "% of a core"}
 	if a.HeapBytes > 0 {
-		all[name+"_heap"] = value{a.HeapBytes, "B"}
+		all[name+"_heap"] = measurement{a.HeapBytes, "B"}
 	}
 	if a.RSSBytes.N > 0 {
-		all[name+"_rss"] = value{a.RSSBytes.Max, "B"}
+		all[name+"_rss"] = measurement{a.RSSBytes.Max, "B"}
 	}
 	for key, d := range map[string]result.Distribution{"_list_in_force": a.ListInForce, "_config_in_force": a.ConfInForce} {
 		if d.N == 0 {
 			continue
 		}
-		all[name+key+"_p50"] = value{d.P50, "ms"}
-		all[name+key+"_p99"] = value{d.P99, "ms"}
-		all[name+key+"_max"] = value{d.Max, "ms"}
+		all[name+key+"_p50"] = measurement{d.P50, "ms"}
+		all[name+key+"_p99"] = measurement{d.P99, "ms"}
+		all[name+key+"_max"] = measurement{d.Max, "ms"}
 	}
 }
 
-// machines sums up the control side by role: control, relay, source.
-func machines(all map[string]value, r *result.Run) {
+// addControlMetrics sums up the control side by role: control, relay, source.
+func addControlMetrics(all map[string]measurement, r *result.Run) {
 	seconds := r.Sizes.Seconds
 	if seconds <= 0 {
 		return
 	}
 	add := func(key string, v float64, unit string) {
 		x := all[key]
-		all[key] = value{x.v + v, unit}
+		all[key] = measurement{x.value + v, unit}
 	}
 	for _, m := range r.Control {
 		add(m.Role+"_calls", float64(m.Calls)/seconds, "calls/s")
@@ -113,27 +113,27 @@
 		add(m.Role+"_worst6s", m.Worst6s, "machines")
 		add(m.Role+"_rss", m.RSSBytes, "B")
 		queue := all[m.Role+"_queue_p99"]
-		all[m.Role+"_queue_p99"] = value{max(queue.v, m.QueueMS.P99), "ms"}
+		all[m.Role+"_queue_p99"] = measurement{max(queue.value, m.QueueMS.P99), "ms"}
 	}
 }
 
 // AddRun adds the figures of one run under a name of its own, as `run.NAME.FIGURE`, beside those of the sweeps.
-func AddRun(all map[string]Figure, name string, r *result.Run) {
-	about := describe(r)
-	for key, v := range extract(r) {
-		all["run."+name+"."+key] = Figure{v.v, v.unit, about}
+func AddRun(all map[string]Metric, name string, r *result.Run) {
+	about := describeRun(r)
+	for key, v := range extractMetrics(r) {
+		all["run."+name+"."+key] = Metric{v.value, v.unit, about}
 	}
 	for _, b := range r.Budgets {
-		all["run."+name+".budget."+b.Name] = Figure{b.Measured, b.Unit, about}
+		all["run."+name+".budget."+b.Name] = Metric{b.Measured, b.Unit, about}
 	}
 }
 
-// describe says which run gave a figure.
-func describe(r *result.Run) string {
+// describeRun says which run gave a figure.
+func describeRun(r *result.Run) string {
 	s := r.Sizes
 	return fmt.Sprintf("run %s: servers %d, services %d, agents %d (real %d), depth %d, changes/min %.4g, %.0f s, seed %d",
 		r.Scenario, s.Servers, s.Services, s.Agents, s.Real, s.Depth, s.ChangesPerMinute, s.Seconds, s.Seed)
 }
 
-// sorted are a map's keys in order.
-func sorted[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
+// sortedKeys are a map's keys in order.
+func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/scale/sweep/fit.go
+++ b/internal/scale/sweep/fit.go
@@ -9,34 +9,34 @@
 
 // Fit is how one figure grows with one size. Its figures are in the figure's own unit.
 type Fit struct {
-	Intercept float64 `json:"intercept"`
-	Slope     float64 `json:"slope"`     // for each step of the size, by linear regression
-	Residual  float64 `json:"residual"`  // root mean square of what the line leaves
-	Quadratic float64 `json:"quadratic"` // of the parabola through the same points, by least squares
-	Bent      float64 `json:"bent"`      // how far that parabola leaves its chord within the sizes played
-	BentLeft  float64 `json:"bent_left"` // root mean square of what the parabola leaves
-	Exponent  float64 `json:"exponent"`  // of a power law, the slope of the logarithms; 0 where a figure is not above 0
-	AtOne     float64 `json:"at_one"`    // what that law says for size 1; 0 where there is none
+	Intercept        float64 `json:"intercept"`
+	Slope            float64 `json:"slope"`     // for each step of the size, by linear regression
+	Residual         float64 `json:"residual"`  // root mean square of what the line leaves
+	Quadratic        float64 `json:"quadratic"` // of the parabola through the same points, by least squares
+	ChordDeviation   float64 `json:"bent"`      // how far that parabola leaves its chord within the sizes played
+	ParabolaResidual float64 `json:"bent_left"` // root mean square of what the parabola leaves
+	Exponent         float64 `json:"exponent"`  // of a power law, the slope of the logarithms; 0 where a figure is not above 0
+	AtOne            float64 `json:"at_one"`    // what that law says for size 1; 0 where there is none
 }
 
-// fit fits the line, the parabola and the power law. It wants as many ys as xs, three at least, of two sizes at least.
-func fit(xs, ys []float64) Fit {
+// fitGrowth fits the line, the parabola and the power law. It wants as many ys as xs, three at least, of two sizes at least.
+func fitGrowth(xs, ys []float64) Fit {
 	var f Fit
 	f.Intercept, f.Slope = stat.LinearRegression(xs, ys, nil, false)
-	f.Residual = left(xs, ys, func(x float64) float64 { return f.Intercept + f.Slope*x })
-	if a, b, c, ok := parabola(xs, ys); ok {
+	f.Residual = rootMeanSquare(xs, ys, func(x float64) float64 { return f.Intercept + f.Slope*x })
+	if a, b, c, ok := fitParabola(xs, ys); ok {
 		f.Quadratic = c
-		f.BentLeft = left(xs, ys, func(x float64) float64 { return a + b*x + c*x*x })
-		width := spreadOf(xs)
-		f.Bent = math.Abs(c) * width * width / 4
+		f.ParabolaResidual = rootMeanSquare(xs, ys, func(x float64) float64 { return a + b*x + c*x*x })
+		width := rangeOf(xs)
+		f.ChordDeviation = math.Abs(c) * width * width / 4
 	}
-	f.AtOne, f.Exponent = power(xs, ys)
+	f.AtOne, f.Exponent = fitPowerLaw(xs, ys)
 	return f
 }
 
-// at is what the line says for a size. Figures are not below 0: where the line of one that falls says that, as it does of
+// predict is what the line says for a size. Figures are not below 0: where the line of one that falls says that, as it does of
 // a fixed cost that more and more agents share, the power law speaks instead.
-func (f Fit) at(x float64) float64 {
+func (f Fit) predict(x float64) float64 {
 	y := f.Intercept + f.Slope*x
 	if y <= 0 && f.AtOne > 0 {
 		return f.AtOne * math.Pow(x, f.Exponent)
@@ -44,8 +44,8 @@
 	return y
 }
 
-// left is the root mean square of what a curve leaves.
-func left(xs, ys []float64, curve func(float64) float64) float64 {
+// rootMeanSquare is the root mean square of what a curve leaves.
+func rootMeanSquare(xs, ys []float64, curve func(float64) float64) float64 {
 	sum := 0.0
 	for i, x := range xs {
 		d := ys[i] - curve(x)
@@ -54,9 +54,9 @@
 	return math.Sqrt(sum / float64(len(xs)))
 }
 
-// parabola is a + b x + c x² by least squares; false where the sizes do not settle it. The sizes are taken relative to
+// fitParabola is a + b x + c x² by least squares; false where the sizes do not settle it. The sizes are taken relative to
 // their largest for the solution's sake: their squares would drown the constant.
-func parabola(xs, ys []float64) (a, b, c float64, ok bool) {
+func fitParabola(xs, ys []float64) (a, b, c float64, ok bool) {
 	if len(xs) < 3 {
 		return 0, 0, 0, false
 	}
@@ -78,8 +78,8 @@
 	return solved.AtVec(0), solved.AtVec(1) / scale, solved.AtVec(2) / scale / scale, true
 }
 
-// power is the power law through the logarithms: its value at size 1 and its exponent; zeroes where one is not above 0.
-func power(xs, ys []float64) (atOne, exponent float64) {
+// fitPowerLaw is the power law through the logarithms: its value at size 1 and its exponent; zeroes where one is not above 0.
+func fitPowerLaw(xs, ys []float64) (atOne, exponent float64) {
 	var lx, ly []float64
 	for i := range xs {
 		if xs[i] <= 0 || ys[i] <= 0 {
@@ -91,8 +91,8 @@
 	return math.Exp(at), exponent
 }
 
-// spreadOf is the distance from the least to the largest.
-func spreadOf(xs []float64) float64 {
+// rangeOf is the distance from the least to the largest.
+func rangeOf(xs []float64) float64 {
 	lo, hi := math.Inf(1), math.Inf(-1)
 	for _, x := range xs {
 		lo, hi = min(lo, x), max(hi, x)
@@ -100,15 +100,15 @@
 	return hi - lo
 }
 
-// bentShare is how much of a figure's largest value its curve must leave the chord by to be called a kink.
-const bentShare = 0.1
+// minKinkShare is how much of a figure's largest value its curve must leave the chord by to be called a kink.
+const minKinkShare = 0.1
 
-// kinked says whether a parabola explains clearly more than the line: it bends by more than a tenth of the largest value
+// isKinked says whether a parabola explains clearly more than the line: it bends by more than a tenth of the largest value
 // and by more than three times the noise, and leaves less than half of what the line leaves.
-func (f Fit) kinked(ys []float64, noise float64) bool {
+func (f Fit) isKinked(ys []float64, noise float64) bool {
 	largest := 0.0
 	for _, y := range ys {
 		largest = max(largest, math.Abs(y))
 	}
-	return f.Bent > bentShare*largest && f.Bent > noiseTimes*noise && f.BentLeft < f.Residual/2
+	return f.ChordDeviation > minKinkShare*largest && f.ChordDeviation > noiseFactor*noise && f.ParabolaResidual < f.Residual/2
 }
--- a/internal/scale/sweep/sweep.go
+++ b/internal/scale/sweep/sweep.go
@@ -19,59 +19,59 @@
 
 // Dimension is a size that is varied alone.
 type Dimension struct {
-	Name   string
-	get    func(*scenario.Scenario) float64
-	set    func(*scenario.Scenario, float64)
-	sizes  func(*scenario.Scenario) []float64 // where none are given
-	double bool                               // grows with twice the target
+	Name              string
+	get               func(*scenario.Scenario) float64
+	set               func(*scenario.Scenario, float64)
+	sizes             func(*scenario.Scenario) []float64 // where none are given
+	doublesWithTarget bool                               // grows with twice the target
 }
 
 // Dimensions are all that can be swept, in the order in which they are. Twice the target is twice as many servers, agents,
 // changes and services, as deep as the target.
 var Dimensions = []Dimension{
 	{"servers", func(s *scenario.Scenario) float64 { return float64(s.Fleet.Servers) },
-		func(s *scenario.Scenario, v float64) { s.Fleet.Servers = int(v) }, doubled, true},
-	{"agents", agentCount, func(s *scenario.Scenario, v float64) { s.Fleet.Agents = int(v) }, doubled, true},
+		func(s *scenario.Scenario, v float64) { s.Fleet.Servers = int(v) }, doubledSizes, true},
+	{"agents", agentCount, func(s *scenario.Scenario, v float64) { s.Fleet.Agents = int(v) }, doubledSizes, true},
 	{"changes", (*scenario.Scenario).ChangesPerMinute,
-		func(s *scenario.Scenario, v float64) { s.Control.PerMinute, s.Control.ChangesDay = v, v*24*60 }, doubledChanges, true},
+		func(s *scenario.Scenario, v float64) { s.Control.PerMinute, s.Control.ChangesDay = v, v*24*60 }, doubledChangeRates, true},
 	{"services", func(s *scenario.Scenario) float64 { return float64(s.Fleet.Services) },
 		func(s *scenario.Scenario, v float64) { s.Fleet.Services = int(v) },
 		func(s *scenario.Scenario) []float64 {
-			return between(s.Fleet.Depth+1, s.Fleet.Services, s.Fleet.Servers)
+			return spacedSizes(s.Fleet.Depth+1, s.Fleet.Services, s.Fleet.Servers)
 		}, true},
 	{"depth", func(s *scenario.Scenario) float64 { return float64(s.Fleet.Depth) },
 		func(s *scenario.Scenario, v float64) { s.Fleet.Depth = int(v) },
 		func(s *scenario.Scenario) []float64 {
-			return between(1, s.Fleet.Depth, min(deepest, s.Fleet.Services-1))
+			return spacedSizes(1, s.Fleet.Depth, min(maxDepth, s.Fleet.Services-1))
 		}, false},
 }
 
-// deepest is how deep a scenario's calls go at most.
-const deepest = 14
+// maxDepth is how deep a scenario's calls go at most.
+const maxDepth = 14
 
 func agentCount(s *scenario.Scenario) float64 { return float64(s.Agents()) }
 
-// doubled are a half, one, two and four times the base's count; servers and agents have that in common. Servers carry the
+// doubledSizes are a half, one, two and four times the base's count; servers and agents have that in common. Servers carry the
 // base's services at each size.
-func doubled(s *scenario.Scenario) []float64 {
+func doubledSizes(s *scenario.Scenario) []float64 {
 	n := s.Agents()
-	return distinct([]float64{float64(max(n/2, s.Fleet.Services)), float64(n), float64(2 * n), float64(4 * n)})
+	return sortedUnique([]float64{float64(max(n/2, s.Fleet.Services)), float64(n), float64(2 * n), float64(4 * n)})
 }
 
-// doubledChanges are none, the base's changes a minute and two and four times as many, in steps that a run's length can
+// doubledChangeRates are none, the base's changes a minute and two and four times as many, in steps that a run's length can
 // tell apart.
-func doubledChanges(s *scenario.Scenario) []float64 {
+func doubledChangeRates(s *scenario.Scenario) []float64 {
 	n := max(s.ChangesPerMinute(), 60/s.Seconds)
-	return distinct([]float64{0, s.ChangesPerMinute(), n, 2 * n, 4 * n})
+	return sortedUnique([]float64{0, s.ChangesPerMinute(), n, 2 * n, 4 * n})
 }
 
-// between are five sizes: the least one, the base, and the three quarters, whole numbers, on the way to the largest one.
-func between(least, base, most int) []float64 {
+// spacedSizes are five sizes: the least one, the base, and the three quarters, whole numbers, on the way to the largest one.
+func spacedSizes(least, base, most int) []float64 {
 	all := []float64{float64(base)}
 	for quarter := range 4 {
 		all = append(all, float64(least+(most-least)*quarter/3))
 	}
-	return distinct(all)
+	return sortedUnique(all)
 }
 
 // Options say what is swept and how a scenario is played.
@@ -85,40 +85,40 @@
 	Progress func(string)
 }
 
-// basePlays is how often the base itself is played: how its figures differ then is the noise that a growth or a kink has to
-// stand out from, by noiseTimes.
+// baseRuns is how often the base itself is played: how its figures differ then is the noise that a growth or a kink has to
+// stand out from, by noiseFactor.
 const (
-	basePlays  = 3
-	noiseTimes = 3
+	baseRuns    = 3
+	noiseFactor = 3
 )
 
-// leastSizes is how many sizes a fit wants: three settle a parabola, a fourth shows what it leaves.
-const leastSizes = 4
+// minSizes is how many sizes a fit wants: three settle a parabola, a fourth shows what it leaves.
+const minSizes = 4
 
 // Growth is one figure along one dimension.
 type Growth struct {
 	Dimension string    `json:"dimension"`
-	Figure    string    `json:"figure"`
+	Metric    string    `json:"figure"`
 	Unit      string    `json:"unit"`
 	Sizes     []float64 `json:"sizes"`
 	Values    []float64 `json:"values"`
 	Fit       Fit       `json:"fit"`
 	Noise     float64   `json:"noise"`  // standard deviation of the plays of the base itself
-	Level     bool      `json:"level"`  // the growth does not stand out from the noise; the target is then the mean
+	Flat      bool      `json:"level"`  // the growth does not stand out from the noise; the target is then the mean
 	Target    float64   `json:"target"` // by the line, the other sizes being the base's
 	Twice     float64   `json:"twice"`
 	Kink      string    `json:"kink,omitempty"`
-	run       string
+	source    string
 }
 
 // Sweep is what all plays gave.
 type Sweep struct {
-	Base   string
-	Growth []Growth
-	Kinks  []string // queues that do not drain, refusals, changes that did not come, by size
-	Left   []string // what was not played, and why
-	Joint  map[string]Figure
-	Runs   []Played
+	Base    string
+	Growth  []Growth
+	Kinks   []string // queues that do not drain, refusals, changes that did not come, by size
+	Skipped []string // what was not played, and why
+	Joint   map[string]Metric
+	Runs    []Played
 }
 
 // Played is one play; its dimension is empty for the base itself.
@@ -131,11 +131,11 @@
 // Run plays all sizes. An error is a size that cannot be played or an unknown dimension; one that failed as it was played
 // is left out and said.
 func Run(ctx context.Context, base *scenario.Scenario, o Options) (*Sweep, error) {
-	dims, err := chosen(o.Only)
+	dims, err := selectDimensions(o.Only)
 	if err != nil {
 		return nil, err
 	}
-	plan, err := planned(base, dims, o)
+	plan, err := planRuns(base, dims, o)
 	if err != nil {
 		return nil, err
 	}
@@ -146,20 +146,20 @@
 		defer stop()
 	}
 	for _, p := range plan {
-		w.play(ctx, p, o)
+		w.playOne(ctx, p, o)
 	}
-	w.fit(dims, base, o.Target)
+	w.fitAll(dims, base, o.Target)
 	return w, nil
 }
 
-// point is one size that is to be played.
-type point struct {
-	dim      Dimension
-	size     float64
-	scenario *scenario.Scenario
+// plannedRun is one size that is to be played.
+type plannedRun struct {
+	dimension Dimension
+	size      float64
+	scenario  *scenario.Scenario
 }
 
-func chosen(only []string) ([]Dimension, error) {
+func selectDimensions(only []string) ([]Dimension, error) {
 	for _, name := range only {
 		if !slices.ContainsFunc(Dimensions, func(d Dimension) bool { return d.Name == name }) {
 			return nil, fmt.Errorf("only: %q is not one of servers, agents, changes, services, depth", name)
@@ -174,51 +174,51 @@
 	return dims, nil
 }
 
-// planned lays out every play and checks it, so that a size that cannot be is told before the first one.
-func planned(base *scenario.Scenario, dims []Dimension, o Options) ([]point, error) {
+// planRuns lays out every play and checks it, so that a size that cannot be is told before the first one.
+func planRuns(base *scenario.Scenario, dims []Dimension, o Options) ([]plannedRun, error) {
 	for name := range o.Sizes {
 		if !slices.ContainsFunc(Dimensions, func(d Dimension) bool { return d.Name == name }) {
 			return nil, fmt.Errorf("sizes: %q is not one of servers, agents, changes, services, depth", name)
 		}
 	}
-	var all []point
-	for range basePlays {
-		all = append(all, point{scenario: at(base, Dimension{}, 0)})
+	var all []plannedRun
+	for range baseRuns {
+		all = append(all, plannedRun{scenario: withSize(base, Dimension{}, 0)})
 	}
 	for _, d := range dims {
 		sizes := o.Sizes[d.Name]
 		if sizes == nil {
 			sizes = d.sizes(base)
 		}
-		if n := len(distinct(sizes)); n < leastSizes {
-			return nil, fmt.Errorf("sizes: %s has %d different sizes, at least %d are wanted", d.Name, n, leastSizes)
+		if n := len(sortedUnique(sizes)); n < minSizes {
+			return nil, fmt.Errorf("sizes: %s has %d different sizes, at least %d are wanted", d.Name, n, minSizes)
 		}
-		if err := toldApart(base, d, sizes); err != nil {
+		if err := checkDistinguishable(base, d, sizes); err != nil {
 			return nil, err
 		}
 		for _, size := range sizes {
 			if size == d.get(base) {
 				continue // that is the base
 			}
-			s := at(base, d, size)
+			s := withSize(base, d, size)
 			if o.Check != nil {
 				if err := o.Check(s); err != nil {
 					return nil, fmt.Errorf("sizes: %s=%g: %w", d.Name, size, err)
 				}
 			}
-			all = append(all, point{d, size, s})
+			all = append(all, plannedRun{d, size, s})
 		}
 	}
 	return all, nil
 }
 
-// toldApart refuses changes a minute of which a run's length makes the same number of changes.
-func toldApart(base *scenario.Scenario, d Dimension, sizes []float64) error {
+// checkDistinguishable refuses changes a minute of which a run's length makes the same number of changes.
+func checkDistinguishable(base *scenario.Scenario, d Dimension, sizes []float64) error {
 	if d.Name != "changes" {
 		return nil
 	}
 	by := map[float64]float64{}
-	for _, size := range distinct(sizes) {
+	for _, size := range sortedUnique(sizes) {
 		n := math.Round(size * base.Seconds / 60)
 		if other, is := by[n]; is {
 			return fmt.Errorf("sizes: changes: %g and %g a minute are both %g changes in %g s", other, size, n, base.Seconds)
@@ -228,15 +228,15 @@
 	return nil
 }
 
-func distinct(sizes []float64) []float64 {
+func sortedUnique(sizes []float64) []float64 {
 	s := slices.Clone(sizes)
 	slices.Sort(s)
 	return slices.Compact(s)
 }
 
-// at is the base with one size changed. Agents beside servers keep the base's count when the servers vary, so that one
+// withSize is the base with one size changed. Agents beside servers keep the base's count when the servers vary, so that one
 // size moves alone; the events of the base are played at each size.
-func at(base *scenario.Scenario, d Dimension, size float64) *scenario.Scenario {
+func withSize(base *scenario.Scenario, d Dimension, size float64) *scenario.Scenario {
 	s := *base
 	s.Events = slices.Clone(base.Events)
 	s.Classes = slices.Clone(base.Classes)
@@ -251,13 +251,13 @@
 	return &s
 }
 
-func (w *Sweep) play(ctx context.Context, p point, o Options) {
+func (w *Sweep) playOne(ctx context.Context, p plannedRun, o Options) {
 	name := p.scenario.Name
-	if p.dim.Name != "" {
-		name = fmt.Sprintf("%s=%g", p.dim.Name, p.size)
+	if p.dimension.Name != "" {
+		name = fmt.Sprintf("%s=%g", p.dimension.Name, p.size)
 	}
 	if ctx.Err() != nil {
-		w.Left = append(w.Left, name+": no time was left")
+		w.Skipped = append(w.Skipped, name+": no time was left")
 		return
 	}
 	if o.Progress != nil {
@@ -265,55 +265,55 @@
 	}
 	r, err := o.Play(ctx, p.scenario)
 	if err != nil {
-		w.Left = append(w.Left, fmt.Sprintf("%s: %v", name, err))
+		w.Skipped = append(w.Skipped, fmt.Sprintf("%s: %v", name, err))
 		return
 	}
-	w.Runs = append(w.Runs, Played{p.dim.Name, p.size, r})
-	w.Kinks = append(w.Kinks, strained(name, r)...)
+	w.Runs = append(w.Runs, Played{p.dimension.Name, p.size, r})
+	w.Kinks = append(w.Kinks, overloadSigns(name, r)...)
 }
 
-// busyAll is the share of a machine's time at which its queue cannot be expected to drain.
-const busyAll = 0.95
+// saturatedBusy is the share of a machine's time at which its queue cannot be expected to drain.
+const saturatedBusy = 0.95
 
-// strained names what of a run says that a size is past what the control side carries.
-func strained(name string, r *result.Run) []string {
+// overloadSigns names what of a run says that a size is past what the control side carries.
+func overloadSigns(name string, r *result.Run) []string {
 	var all []string
 	for _, m := range r.Control {
-		if m.Busy >= busyAll {
+		if m.Busy >= saturatedBusy {
 			all = append(all, fmt.Sprintf("%s: the queue of %s %s does not drain: busy %.2f of the run", name, m.Role, m.Name, m.Busy))
 		}
 		if m.Refused > 0 {
 			all = append(all, fmt.Sprintf("%s: %s %s refused %d calls", name, m.Role, m.Name, m.Refused))
 		}
 	}
-	if n := r.Hollow.Unheard + r.Real.Unheard; n > 0 {
+	if n := r.Simulated.Unheard + r.Real.Unheard; n > 0 {
 		all = append(all, fmt.Sprintf("%s: %d changes had not come to an agent when the run ended", name, n))
 	}
 	return all
 }
 
-// fit fits every figure along every dimension that has sizes enough.
-func (w *Sweep) fit(dims []Dimension, base, target *scenario.Scenario) {
-	noise := w.noise()
+// fitAll fits every figure along every dimension that has sizes enough.
+func (w *Sweep) fitAll(dims []Dimension, base, target *scenario.Scenario) {
+	noise := w.baseNoise()
 	for _, d := range dims {
-		sizes, figures, units := w.points(d, base)
-		if len(distinct(sizes)) < leastSizes {
-			w.Left = append(w.Left, fmt.Sprintf("%s: %d sizes were played, no fit", d.Name, len(distinct(sizes))))
+		sizes, figures, units := w.series(d, base)
+		if len(sortedUnique(sizes)) < minSizes {
+			w.Skipped = append(w.Skipped, fmt.Sprintf("%s: %d sizes were played, no fit", d.Name, len(sortedUnique(sizes))))
 			continue
 		}
-		run := fmt.Sprintf("sweep of %s: %s at %s, %.0f s each, seed %d", base.Name, d.Name, list(distinct(sizes)), base.Seconds, base.Seed)
-		for _, key := range sorted(figures) {
+		run := fmt.Sprintf("sweep of %s: %s at %s, %.0f s each, seed %d", base.Name, d.Name, formatSizes(sortedUnique(sizes)), base.Seconds, base.Seed)
+		for _, key := range sortedKeys(figures) {
 			if len(figures[key]) != len(sizes) {
 				continue // not every play measured it
 			}
-			w.Growth = append(w.Growth, growth(d, key, units[key], run, sizes, figures[key], noise[key], target))
+			w.Growth = append(w.Growth, newGrowth(d, key, units[key], run, sizes, figures[key], noise[key], target))
 		}
 	}
-	w.join(base, target)
+	w.joinDimensions(base, target)
 }
 
-// points are the sizes along a dimension that were played, the base's plays among them, and the figures of each, in one order.
-func (w *Sweep) points(d Dimension, base *scenario.Scenario) (sizes []float64, figures map[string][]float64, units map[string]string) {
+// series are the sizes along a dimension that were played, the base's plays among them, and the figures of each, in one order.
+func (w *Sweep) series(d Dimension, base *scenario.Scenario) (sizes []float64, figures map[string][]float64, units map[string]string) {
 	figures, units = map[string][]float64{}, map[string]string{}
 	plays := slices.Clone(w.Runs)
 	for i := range plays {
@@ -327,47 +327,47 @@
 			continue
 		}
 		sizes = append(sizes, p.Size)
-		for key, v := range extract(p.Run) {
-			figures[key] = append(figures[key], v.v)
+		for key, v := range extractMetrics(p.Run) {
+			figures[key] = append(figures[key], v.value)
 			units[key] = v.unit
 		}
 	}
 	return sizes, figures, units
 }
 
-func growth(d Dimension, key, unit, run string, sizes, values []float64, noise float64, target *scenario.Scenario) Growth {
-	g := Growth{Dimension: d.Name, Figure: key, Unit: unit, Sizes: sizes, Values: values, Noise: noise, Fit: fit(sizes, values), run: run}
-	g.Level = math.Abs(g.Fit.Slope)*spreadOf(sizes) < noiseTimes*max(noise, g.Fit.Residual)
+func newGrowth(d Dimension, key, unit, run string, sizes, values []float64, noise float64, target *scenario.Scenario) Growth {
+	g := Growth{Dimension: d.Name, Metric: key, Unit: unit, Sizes: sizes, Values: values, Noise: noise, Fit: fitGrowth(sizes, values), source: run}
+	g.Flat = math.Abs(g.Fit.Slope)*rangeOf(sizes) < noiseFactor*max(noise, g.Fit.Residual)
 	if target != nil {
 		x, twice := d.get(target), d.get(target)
-		if d.double {
+		if d.doublesWithTarget {
 			twice *= 2
 		}
-		g.Target, g.Twice = g.at(x), g.at(twice)
+		g.Target, g.Twice = g.predict(x), g.predict(twice)
 	}
-	if g.Fit.kinked(values, noise) {
-		g.Kink = fmt.Sprintf("%s bends with %s: its quadratic term is %.3g, %.3g off the chord where the line leaves %.3g", key, d.Name, g.Fit.Quadratic, g.Fit.Bent, g.Fit.Residual)
+	if g.Fit.isKinked(values, noise) {
+		g.Kink = fmt.Sprintf("%s bends with %s: its quadratic term is %.3g, %.3g off the chord where the line leaves %.3g", key, d.Name, g.Fit.Quadratic, g.Fit.ChordDeviation, g.Fit.Residual)
 	}
 	return g
 }
 
-// at is what a figure is taken to be at a size: what the line says, or the mean where there is no growth to tell.
-func (g *Growth) at(x float64) float64 {
-	if g.Level {
+// predict is what a figure is taken to be at a size: what the line says, or the mean where there is no growth to tell.
+func (g *Growth) predict(x float64) float64 {
+	if g.Flat {
 		return stat.Mean(g.Values, nil)
 	}
-	return g.Fit.at(x)
+	return g.Fit.predict(x)
 }
 
-// noise is, by figure, the standard deviation over the plays of the base.
-func (w *Sweep) noise() map[string]float64 {
+// baseNoise is, by figure, the standard deviation over the plays of the base.
+func (w *Sweep) baseNoise() map[string]float64 {
 	values := map[string][]float64{}
 	for _, p := range w.Runs {
 		if p.Dimension != "" {
 			continue
 		}
-		for key, v := range extract(p.Run) {
-			values[key] = append(values[key], v.v)
+		for key, v := range extractMetrics(p.Run) {
+			values[key] = append(values[key], v.value)
 		}
 	}
 	noise := map[string]float64{}
@@ -379,11 +379,11 @@
 	return noise
 }
 
-// join takes all dimensions together: the base's value times, for each dimension, what its line says at the target over
+// joinDimensions takes all dimensions together: the base's value times, for each dimension, what its line says at the target over
 // what it says at the base. This takes the dimensions to multiply, as agents and changes do in bytes; a figure to which
 // they add comes out too large. A figure whose line is not above 0 at the base is left out.
-func (w *Sweep) join(base, target *scenario.Scenario) {
-	w.Joint = map[string]Figure{}
+func (w *Sweep) joinDimensions(base, target *scenario.Scenario) {
+	w.Joint = map[string]Metric{}
 	if target == nil {
 		return
 	}
@@ -395,12 +395,12 @@
 	}
 	all := map[string]*joint{}
 	for _, g := range w.Growth {
-		j := all[g.Figure]
+		j := all[g.Metric]
 		if j == nil {
 			j = &joint{target: 1, twice: 1, unit: g.Unit}
-			all[g.Figure] = j
+			all[g.Metric] = j
 		}
-		here := g.at(dimension(g.Dimension).get(base))
+		here := g.predict(dimensionNamed(g.Dimension).get(base))
 		if here <= 0 {
 			j.bad = true
 			continue
@@ -416,18 +416,18 @@
 		}
 		now := j.now / float64(len(j.dims))
 		run := fmt.Sprintf("sweeps of %s together: %s, taken to multiply", base.Name, strings.Join(j.dims, ", "))
-		w.Joint["joint."+key+".base"] = Figure{now, j.unit, run}
-		w.Joint["joint."+key+".target"] = Figure{now * j.target, j.unit, run}
-		w.Joint["joint."+key+".twice"] = Figure{now * j.twice, j.unit, run}
+		w.Joint["joint."+key+".base"] = Metric{now, j.unit, run}
+		w.Joint["joint."+key+".target"] = Metric{now * j.target, j.unit, run}
+		w.Joint["joint."+key+".twice"] = Metric{now * j.twice, j.unit, run}
 	}
 }
 
-func dimension(name string) Dimension {
+func dimensionNamed(name string) Dimension {
 	return Dimensions[slices.IndexFunc(Dimensions, func(d Dimension) bool { return d.Name == name })]
 }
 
-// list writes sizes for people.
-func list(sizes []float64) string {
+// formatSizes writes sizes for people.
+func formatSizes(sizes []float64) string {
 	var all []string
 	for _, s := range sizes {
 		all = append(all, fmt.Sprintf("%g", s))
@@ -435,8 +435,8 @@
 	return strings.Join(all, ", ")
 }
 
-// means are the figure's values by size, the mean where one was played more than once.
-func (g *Growth) means() map[float64]float64 {
+// meansBySize are the figure's values by size, the mean where one was played more than once.
+func (g *Growth) meansBySize() map[float64]float64 {
 	sums, counts := map[float64]float64{}, map[float64]float64{}
 	for i, size := range g.Sizes {
 		sums[size] += g.Values[i]
@@ -448,13 +448,13 @@
 	return sums
 }
 
-// Figures are the sweep's numbers by their stable keys: DIMENSION.FIGURE.{slope,intercept,residual,quadratic,exponent,
+// Metrics are the sweep's numbers by their stable keys: DIMENSION.FIGURE.{slope,intercept,residual,quadratic,exponent,
 // target,twice,at_SIZE} and joint.FIGURE.{base,target,twice}.
-func (w *Sweep) Figures() map[string]Figure {
-	all := map[string]Figure{}
+func (w *Sweep) Metrics() map[string]Metric {
+	all := map[string]Metric{}
 	for _, g := range w.Growth {
-		key := g.Dimension + "." + g.Figure + "."
-		put := func(name string, v float64, unit string) { all[key+name] = Figure{v, unit, g.run} }
+		key := g.Dimension + "." + g.Metric + "."
+		put := func(name string, v float64, unit string) { all[key+name] = Metric{v, unit, g.source} }
 		put("slope", g.Fit.Slope, g.Unit+" each")
 		put("intercept", g.Fit.Intercept, g.Unit)
 		put("residual", g.Fit.Residual, g.Unit)
@@ -462,7 +462,7 @@
 		put("exponent", g.Fit.Exponent, "")
 		put("target", g.Target, g.Unit)
 		put("twice", g.Twice, g.Unit)
-		for size, v := range g.means() {
+		for size, v := range g.meansBySize() {
 			put(fmt.Sprintf("at_%g", size), v, g.Unit)
 		}
 	}
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -34,13 +34,13 @@
 			for _, x := range xs {
 				ys = append(ys, c.of(x))
 			}
-			f := fit(xs, ys)
+			f := fitGrowth(xs, ys)
 			for name, pair := range map[string][2]float64{"slope": {f.Slope, c.slope}, "quadratic": {f.Quadratic, c.quad}, "exponent": {f.Exponent, c.expo}} {
 				if !math.IsNaN(pair[1]) && !near(pair[0], pair[1]) {
 					t.Errorf("%s %g, want %g", name, pair[0], pair[1])
 				}
 			}
-			if got := f.kinked(ys, 0); got != c.kinked {
+			if got := f.isKinked(ys, 0); got != c.kinked {
 				t.Errorf("kinked: %v, want %v (%+v)", got, c.kinked, f)
 			}
 		})
@@ -49,23 +49,23 @@
 
 func TestNoiseIsNoKink(t *testing.T) {
 	xs, ys := []float64{1, 2, 3, 4}, []float64{10, 13, 13, 10}
-	if f := fit(xs, ys); !f.kinked(ys, 0.1) || f.kinked(ys, 2) {
-		t.Errorf("a bend of %g: kinked %v at noise 0.1, %v at noise 2", f.Bent, f.kinked(ys, 0.1), f.kinked(ys, 2))
+	if f := fitGrowth(xs, ys); !f.isKinked(ys, 0.1) || f.isKinked(ys, 2) {
+		t.Errorf("a bend of %g: kinked %v at noise 0.1, %v at noise 2", f.ChordDeviation, f.isKinked(ys, 0.1), f.isKinked(ys, 2))
 	}
 }
 
 func TestNoPowerLawAtZero(t *testing.T) {
-	if at, e := power([]float64{1, 2, 3, 4}, []float64{0, 1, 2, 3}); at != 0 || e != 0 {
+	if at, e := fitPowerLaw([]float64{1, 2, 3, 4}, []float64{0, 1, 2, 3}); at != 0 || e != 0 {
 		t.Errorf("%g x^%g, want none", at, e)
 	}
 }
 
 func TestFallingFigureStaysAboveZero(t *testing.T) {
-	f := fit([]float64{30, 60, 120, 240}, []float64{4, 2, 1, 0.5})
-	if got := f.at(1200); !near(got, 0.1) {
+	f := fitGrowth([]float64{30, 60, 120, 240}, []float64{4, 2, 1, 0.5})
+	if got := f.predict(1200); !near(got, 0.1) {
 		t.Errorf("a cost that agents share is %g at 1200, want 0.1", got)
 	}
-	if got := f.at(60); !near(got, f.Intercept+60*f.Slope) {
+	if got := f.predict(60); !near(got, f.Intercept+60*f.Slope) {
 		t.Errorf("%g at 60, want what the line says", got)
 	}
 }
@@ -88,7 +88,7 @@
 func played(_ context.Context, s *scenario.Scenario) (*result.Run, error) {
 	n, c := agentCount(s), s.ChangesPerMinute()
 	r := &result.Run{Scenario: s.Name, Sizes: result.Sizes{Agents: int(n), Seconds: s.Seconds}}
-	r.Hollow = result.AgentControl{Agents: int(n), BytesIn: result.Distribution{N: 1, Mean: 100 * c}}
+	r.Simulated = result.AgentControl{Agents: int(n), BytesIn: result.Distribution{N: 1, Mean: 100 * c}}
 	m := result.ControlMachine{Role: "control", BytesOut: int64(100 * n * c * s.Seconds), Busy: 0.1}
 	if n > 100 {
 		m.Refused, m.Busy = 3, 0.99
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := w.Figures()
+	f := w.Metrics()
 	for key, want := range map[string]float64{
 		"agents.control_bytes.slope":    1000, // at 10 changes a minute
 		"agents.control_bytes.exponent": 1,
@@ -129,10 +129,10 @@
 		}
 	}
 	file := filepath.Join(t.TempDir(), "figures.json")
-	if err := WriteFigures(file, f); err != nil {
+	if err := WriteMetrics(file, f); err != nil {
 		t.Fatal(err)
 	}
-	if back, err := Figures(file); err != nil || len(back) != len(f) || back["agents.control_bytes.slope"] != f["agents.control_bytes.slope"] {
+	if back, err := ReadMetrics(file); err != nil || len(back) != len(f) || back["agents.control_bytes.slope"] != f["agents.control_bytes.slope"] {
 		t.Errorf("the file does not give back what was written: %v", err)
 	}
 }
@@ -148,7 +148,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if all := strings.Join(w.Left, "; "); !strings.Contains(all, "agents=80: no such luck") || !strings.Contains(all, "agents: 3 sizes were played, no fit") || len(w.Growth) != 0 {
+	if all := strings.Join(w.Skipped, "; "); !strings.Contains(all, "agents=80: no such luck") || !strings.Contains(all, "agents: 3 sizes were played, no fit") || len(w.Growth) != 0 {
 		t.Errorf("left out: %s; %d growths", all, len(w.Growth))
 	}
 }
@@ -183,7 +183,7 @@
 	noisy := func(_ context.Context, s *scenario.Scenario) (*result.Run, error) {
 		n = 1 - n
 		r := &result.Run{Sizes: result.Sizes{Seconds: 6}}
-		r.Hollow = result.AgentControl{Agents: 1, CPUPercent: 1 + n/2, BytesIn: result.Distribution{N: 1, Mean: 100*agentCount(s) + n}}
+		r.Simulated = result.AgentControl{Agents: 1, CPUPercent: 1 + n/2, BytesIn: result.Distribution{N: 1, Mean: 100*agentCount(s) + n}}
 		return r, nil
 	}
 	w, err := Run(t.Context(), base(), Options{Only: []string{"agents"}, Target: target(), Play: noisy})
@@ -191,13 +191,13 @@
 		t.Fatal(err)
 	}
 	for _, g := range w.Growth {
-		switch g.Figure {
+		switch g.Metric {
 		case "agent_cpu":
-			if !g.Level || g.Kink != "" || g.Target < 1 || g.Target > 1.5 || g.Noise == 0 {
+			if !g.Flat || g.Kink != "" || g.Target < 1 || g.Target > 1.5 || g.Noise == 0 {
 				t.Errorf("%+v: want it level", g)
 			}
 		case "agent_bytes_in":
-			if g.Level || math.Abs(g.Target-83_000) > 100 {
+			if g.Flat || math.Abs(g.Target-83_000) > 100 {
 				t.Errorf("%+v: want it to grow", g)
 			}
 		}
@@ -208,7 +208,7 @@
 	for name, want := range map[string][]float64{
 		"servers": {20, 40, 80, 160}, "agents": {20, 40, 80, 160}, "changes": {0, 10, 20, 40}, "services": {5, 8, 16, 28, 40}, "depth": {1, 3, 4, 5, 7},
 	} {
-		if got := dimension(name).sizes(base()); !slices.Equal(got, want) {
+		if got := dimensionNamed(name).sizes(base()); !slices.Equal(got, want) {
 			t.Errorf("%s: %v, want %v", name, got, want)
 		}
 	}
@@ -216,8 +216,8 @@
 
 func TestOneSizeMovesAlone(t *testing.T) {
 	for _, d := range Dimensions {
-		s := at(base(), d, 7)
-		if d.Name == "changes" && at(base(), d, 0).ChangesPerMinute() != 0 {
+		s := withSize(base(), d, 7)
+		if d.Name == "changes" && withSize(base(), d, 0).ChangesPerMinute() != 0 {
 			t.Error("with no changes there are some")
 		}
 		for _, e := range Dimensions {
@@ -235,7 +235,7 @@
 func TestAddRun(t *testing.T) {
 	r, _ := played(t.Context(), base())
 	r.Budgets = []result.Budget{{Name: "agent_cpu", Measured: 0.4, Unit: "% of a core"}}
-	all := map[string]Figure{}
+	all := map[string]Metric{}
 	AddRun(all, "target", r)
 	if all["run.target.agent_bytes_in"].Value != 1000 || all["run.target.budget.agent_cpu"].Value != 0.4 {
 		t.Errorf("figures: %+v", all)
--- a/internal/scale/sweep/text.go
+++ b/internal/scale/sweep/text.go
@@ -17,14 +17,14 @@
 	for _, g := range w.Growth {
 		if g.Dimension != last {
 			last = g.Dimension
-			fmt.Fprintf(t, "\n%s at %s\tunit\tvalues\tslope\tresidual\tnoise\texponent\ttarget\ttwice\n", g.Dimension, list(distinct(g.Sizes)))
+			fmt.Fprintf(t, "\n%s at %s\tunit\tvalues\tslope\tresidual\tnoise\texponent\ttarget\ttwice\n", g.Dimension, formatSizes(sortedUnique(g.Sizes)))
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%.3g\t%.3g\t%.2f\t%.4g\t%.4g\n", g.Figure, g.Unit, g.values(), g.slope(), g.Fit.Residual, g.Noise,
+		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%.3g\t%.3g\t%.2f\t%.4g\t%.4g\n", g.Metric, g.Unit, g.formatValues(), g.formatSlope(), g.Fit.Residual, g.Noise,
 			g.Fit.Exponent, g.Target, g.Twice)
 	}
 	fmt.Fprintln(t, "\nall sizes together, taken to multiply\tunit\tbase\ttarget\ttwice")
-	for _, key := range sorted(w.Joint) {
-		if name, is := cut(key); is {
+	for _, key := range sortedKeys(w.Joint) {
+		if name, is := jointMetricName(key); is {
 			fmt.Fprintf(t, "%s\t%s\t%.4g\t%.4g\t%.4g\n", name, w.Joint[key].Unit, w.Joint[key].Value, w.Joint["joint."+name+".target"].Value, w.Joint["joint."+name+".twice"].Value)
 		}
 	}
@@ -33,8 +33,8 @@
 	return out.Flush()
 }
 
-// cut is the figure's name of a key joint.NAME.base.
-func cut(key string) (string, bool) {
+// jointMetricName is the figure's name of a key joint.NAME.base.
+func jointMetricName(key string) (string, bool) {
 	const before, after = "joint.", ".base"
 	if len(key) < len(before)+len(after) || key[len(key)-len(after):] != after {
 		return "", false
@@ -42,19 +42,19 @@
 	return key[len(before) : len(key)-len(after)], true
 }
 
-// values are a figure's means by size, in the sizes' order.
-func (g *Growth) values() string {
+// formatValues are a figure's means by size, in the sizes' order.
+func (g *Growth) formatValues() string {
 	var all []string
-	means := g.means()
-	for _, size := range distinct(g.Sizes) {
+	means := g.meansBySize()
+	for _, size := range sortedUnique(g.Sizes) {
 		all = append(all, fmt.Sprintf("%.4g", means[size]))
 	}
 	return strings.Join(all, " ")
 }
 
-// slope is a figure's slope, or that there is none to tell.
-func (g *Growth) slope() string {
-	if g.Level {
+// formatSlope is a figure's slope, or that there is none to tell.
+func (g *Growth) formatSlope() string {
+	if g.Flat {
 		return "level"
 	}
 	return fmt.Sprintf("%.4g", g.Fit.Slope)
@@ -76,7 +76,7 @@
 	if none {
 		fmt.Fprintln(out, "no kinks")
 	}
-	for _, l := range w.Left {
+	for _, l := range w.Skipped {
 		fmt.Fprintln(out, "not played:", l)
 	}
 }
