--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -14,79 +14,82 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// maxOpenRequests is how many requests an agent has open at once at most; one more is refused, as where an agent's sockets are
-// all in use.
+// maxOpenRequests is how many requests an agent has open at most; one more is rejected, as by an agent without sockets.
 const maxOpenRequests = 2048
 
-// agent is one hollow agent: what its loop is, without sockets towards clients and servers. All but its life's guarded
-// part is its shard's.
+// agent is a simulated agent: an agent's event loop without sockets towards clients and servers. It belongs to its shard,
+// but for what processMu guards.
 type agent struct {
 	shard              *shard
 	position           int // among the world's agents
 	server             *server
-	rootCallsPerSecond float64 // calls a second that begin here
+	rootCallsPerSecond float64
 
-	settings      atomic.Pointer[settings.Settings] // the shard swaps it; the client reads it
+	settings      atomic.Pointer[settings.Settings] // stored by the shard, loaded by the discovery client too
 	balancer      *balancer.Balancer
 	endpoints     *membership.Table
 	serversByID   map[balancer.ServerID]*server
-	pollEndpoints func()         // asks discovery for the list
+	pollEndpoints func()
 	classIndex    map[string]int // positions of the settings' classes, by name
-	incarnation   uint32         // counts its processes: what belongs to an earlier one is dropped
+	incarnation   uint32         // counts its processes; what belongs to an earlier one is dropped
 	isUp          bool
-	hasList       bool // a list has come
-	wasReady      bool // it was ready in this life or an earlier one: its application calls it
-	synced        bool // and it is no old one
+	hasList       bool // the process has an endpoint list, be it a cached one
+	wasReady      bool // this or an earlier process had a list: the application makes calls
+	synced        bool // the process has got the list from discovery
 	revision      uint64
 	now           time.Duration // never runs backwards
 	requests      map[balancer.RequestID]*call
 	lastID        balancer.RequestID
-	forControl    bool // what is handled now is control's
+	forControl    bool // the event being handled is accounted to control
 	events        []balancer.Event
 	actions       []balancer.Action
-	listTimes     []listTime // what it heard of lists since the measured part began
+	listTimes     []listTime // since the measured part began
 
-	processMu      sync.Mutex // guards what follows: one start, stop or reload at a time
-	cfg            *config.Config
-	configRevision int // revision of its configuration
+	processMu      sync.Mutex // one start, stop or reload at a time; guards what follows
+	config         *config.Config
+	configRevision int
 	process        *process
 }
 
-// listTime says that a list's revision was in force from some time on.
+// listTime says since when a revision of the endpoint list has been in force.
 type listTime struct {
 	revision   uint64
-	atUnixNano int64 // Unix ns
+	atUnixNano int64
 }
 
 // startProcess makes the agent a new process, which knows what its configuration says. The shard calls it.
-func (a *agent) startProcess(cfg *config.Config, decisions *balancer.Balancer, ask func()) {
+func (a *agent) startProcess(cfg *config.Config, decisions *balancer.Balancer, pollEndpoints func()) {
 	a.stopProcess()
-	a.balancer, a.pollEndpoints, a.isUp = decisions, ask, true
+	a.balancer = decisions
+	a.pollEndpoints = pollEndpoints
+	a.isUp = true
 	a.settings.Store(&cfg.Settings)
-	a.endpoints, a.serversByID = membership.New(nil), map[balancer.ServerID]*server{}
-	a.requests, a.lastID = map[balancer.RequestID]*call{}, 0
+	a.endpoints = membership.New(nil)
+	a.serversByID = map[balancer.ServerID]*server{}
+	a.requests = map[balancer.RequestID]*call{}
+	a.lastID = 0
 	a.indexClasses(&cfg.Settings)
 	if a.rootCallsPerSecond > 0 {
-		s := a.shard
-		s.queue.push(event{kind: eventRootCall, due: s.now + s.exponential(1/a.rootCallsPerSecond), agent: a, incarnation: a.incarnation})
+		a.scheduleRootCall()
 	}
 }
 
-// stopProcess drops the process and all that it had open.
+// stopProcess ends the process with all that it has open. The shard calls it.
 func (a *agent) stopProcess() {
 	a.incarnation++
-	a.isUp, a.hasList, a.synced = false, false, false
+	a.isUp = false
+	a.hasList = false
+	a.synced = false
 	open := a.requests
 	a.requests = nil
 	for _, c := range open {
-		for n := range c.attempts {
-			a.dropAttempt(c, n)
+		for number := range c.attempts {
+			a.dropAttempt(c, number)
 		}
 		a.finish(c, callFailed)
 	}
 }
 
-// indexClasses takes in the names of the settings' classes.
 func (a *agent) indexClasses(set *settings.Settings) {
 	a.classIndex = make(map[string]int, len(set.ClassNames))
 	for i, name := range set.ClassNames {
@@ -94,31 +97,29 @@
 	}
 }
 
-// onWatchEvent hands what discovery tells to the module, as the agent's loop does.
-func (a *agent) onWatchEvent(life uint32, n discovery.WatchEvent) {
-	if life != a.incarnation || !a.isUp {
+// onWatchEvent hands an event of the discovery client to the balancer, as a real agent's loop does.
+func (a *agent) onWatchEvent(incarnation uint32, watchEvent discovery.WatchEvent) {
+	if incarnation != a.incarnation || !a.isUp {
 		return
 	}
 	a.shard.cpu.measureControl(func() {
-		a.forControl = true
-		ev := n.Event(a.resolveEndpoints(n.Members))
-		a.handle(ev)
-		a.forControl = false
-		if n.Update.KeepsEndpoints() {
+		ev := watchEvent.Event(a.resolveEndpoints(watchEvent.Members))
+		a.handleForControl(ev)
+		if watchEvent.Update.KeepsEndpoints() {
 			return
 		}
-		for _, id := range a.endpoints.RemoveGone(n.Update, ev.Endpoints) {
+		for _, id := range a.endpoints.RemoveGone(watchEvent.Update, ev.Endpoints) {
 			delete(a.serversByID, id)
 		}
 		a.hasList = a.endpoints.Len() > 0 || a.hasList
 		a.wasReady = a.wasReady || a.hasList
 	})
-	if n.Update == balancer.EndpointsReplaced || n.Update == balancer.EndpointsChanged {
-		a.recordListInForce(n.Revision)
+	if watchEvent.Update == balancer.EndpointsReplaced || watchEvent.Update == balancer.EndpointsChanged {
+		a.recordListInForce(watchEvent.Revision)
 	}
 }
 
-// recordListInForce notes that the module has a revision of the list.
+// recordListInForce notes that the balancer has a revision of the list.
 func (a *agent) recordListInForce(revision uint64) {
 	a.revision = revision
 	a.listTimes = append(a.listTimes, listTime{revision, int64(a.shard.clock.Now())})
@@ -128,43 +129,52 @@
 	}
 }
 
-// resolveEndpoints turns the members of a list into the module's terms and finds the modelled servers behind them.
+// resolveEndpoints translates the members of a list for the balancer and finds the modelled servers behind them.
 func (a *agent) resolveEndpoints(members []discovery.Member) []balancer.Endpoint {
-	entries := a.endpoints.Endpoints(a.settings.Load(), members)
-	for i, e := range entries {
-		if e.State == balancer.Removed {
+	endpoints := a.endpoints.Endpoints(a.settings.Load(), members)
+	for i, endpoint := range endpoints {
+		if endpoint.State == balancer.Removed {
 			continue
 		}
 		if s := a.shard.fleet.serverOf(members[i]); s != nil {
-			a.serversByID[e.ID] = s
+			a.serversByID[endpoint.ID] = s
 		}
 	}
-	return entries
+	return endpoints
 }
 
-// adoptSettings swaps the settings for others, in the module and here, or leaves all as it is, as the agent's loop does.
+// adoptSettings replaces the settings, or leaves all as it is and returns an error, as a real agent's loop does.
 func (a *agent) adoptSettings(next *settings.Settings) (err error) {
 	a.shard.cpu.measureControl(func() {
-		if err = a.balancer.Adopt(next.Balancer); err != nil {
+		err = a.balancer.Adopt(next.Balancer)
+		if err != nil {
 			return
 		}
 		old := a.settings.Swap(next)
 		a.indexClasses(next)
-		if slices.Equal(old.ZoneNames, next.ZoneNames) && slices.Equal(old.KindNames, next.KindNames) || a.endpoints.Len() == 0 {
+		sameNames := slices.Equal(old.ZoneNames, next.ZoneNames) && slices.Equal(old.KindNames, next.KindNames)
+		if sameNames || a.endpoints.Len() == 0 {
 			return
 		}
-		// Danger: zones and kinds are positions in the settings' lists, and those have changed under the servers.
-		a.forControl = true
-		a.handle(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: a.resolveEndpoints(a.endpoints.Members())})
-		a.forControl = false
+		// The balancer knows zones and kinds by their positions in the settings, which have changed for all endpoints.
+		a.handleForControl(balancer.Event{
+			Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: a.resolveEndpoints(a.endpoints.Members()),
+		})
 	})
 	return err
 }
 
-// handle hands an event to the module and carries out what it answers, and so on with the events that come of it.
+// handleForControl handles an event whose timers are accounted to control as well.
+func (a *agent) handleForControl(ev balancer.Event) {
+	a.forControl = true
+	a.handle(ev)
+	a.forControl = false
+}
+
+// handle hands an event to the balancer and performs its actions, and so on with the events that these cause.
 func (a *agent) handle(ev balancer.Event) {
 	a.events = append(a.events, ev)
-	for i := 0; i < len(a.events); i++ { // act may add to them
+	for i := 0; i < len(a.events); i++ { // perform may append to it
 		a.now = max(a.now, a.shard.now)
 		a.actions = a.balancer.Handle(a.now, a.events[i], a.actions[:0])
 		for j := range a.actions {
@@ -174,13 +184,12 @@
 	a.events = a.events[:0]
 }
 
-// perform carries out one action.
-func (a *agent) perform(act *balancer.Action) {
-	c := a.requests[act.Request]
-	switch act.Kind {
+func (a *agent) perform(action *balancer.Action) {
+	c := a.requests[action.Request]
+	switch action.Kind {
 	case balancer.ActionSend:
 		if c != nil {
-			a.send(c, act)
+			a.send(c, action)
 		}
 	case balancer.ActionReject:
 		if c != nil {
@@ -191,23 +200,24 @@
 			a.finish(c, callFailed)
 		}
 	case balancer.ActionCancel:
-		if c != nil && act.Attempt < len(c.attempts) {
-			a.cancelAttempt(c, act.Attempt)
+		if c != nil && action.Attempt < len(c.attempts) {
+			a.cancelAttempt(c, action.Attempt)
 		}
 	case balancer.ActionSetTimer:
 		a.shard.queue.push(event{
-			kind: eventTimer, due: a.now + act.Delay, agent: a, incarnation: a.incarnation, token: uint64(act.TimerID), forControl: a.forControl,
+			kind: eventTimer, due: a.now + action.Delay, agent: a, incarnation: a.incarnation, token: uint64(action.TimerID),
+			forControl: a.forControl,
 		})
 	case balancer.ActionHealthCheck:
-		a.healthCheck(act.Server)
+		a.healthCheck(action.Server)
 	case balancer.ActionPollEndpoints:
 		a.pollEndpoints()
 	case balancer.ActionLog:
-		a.shard.counts.logLines++ // nobody reads what so many agents say
+		a.shard.counts.logLines++ // nobody reads the logs of so many agents
 	}
 }
 
-// onTimer hands a timer that fell due to the module. One that asks for the list came of a list, and is control's.
+// onTimer hands a due timer to the balancer. One that an endpoint list set polls discovery, and is accounted to control.
 func (a *agent) onTimer(ev *event) {
 	if ev.incarnation != a.incarnation || !a.isUp {
 		return
@@ -220,13 +230,19 @@
 	}
 }
 
-// startRootCall makes a call at the root, if the agent and its application are there, and says when the next one comes.
-func (a *agent) startRootCall(life uint32) {
-	if life != a.incarnation {
+// scheduleRootCall draws when the agent's application makes its next call.
+func (a *agent) scheduleRootCall() {
+	due := a.shard.now + a.shard.exponential(1/a.rootCallsPerSecond)
+	a.shard.queue.push(event{kind: eventRootCall, due: due, agent: a, incarnation: a.incarnation})
+}
+
+// startRootCall makes a root call, if the agent and its application are there, and schedules the next.
+func (a *agent) startRootCall(incarnation uint32) {
+	if incarnation != a.incarnation {
 		return
 	}
+	a.scheduleRootCall()
 	s := a.shard
-	s.queue.push(event{kind: eventRootCall, due: s.now + s.exponential(1/a.rootCallsPerSecond), agent: a, incarnation: life})
 	if a.server.state != serverUp || !a.wasReady || s.now < s.fleet.rootCallsFrom {
 		return
 	}
@@ -236,5 +252,7 @@
 	}
 	phase := s.phase()
 	second := s.counts.countRootCall(phase, s.now)
-	a.startCall(request{service: pickService(s.rng.Float64(), calls), phase: phase, second: second, root: true, remaining: math.MaxInt64})
+	a.startCall(request{
+		service: pickService(s.rng.Float64(), calls), remaining: math.MaxInt64, phase: phase, second: second, root: true,
+	})
 }
--- a/internal/scale/simagent/configsource.go
+++ b/internal/scale/simagent/configsource.go
@@ -1,36 +1,37 @@
 package simagent
 
 import (
+	"slices"
 	"sync"
 	"time"
 
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// ConfigChange says since when a revision of the configuration has been in force.
+// ConfigChange says since when a revision of the configuration has been in force. Its fields are part of a message.
 type ConfigChange struct {
 	Revision int
 	Began    int64   // Unix ns: when the source began to hand it out
-	At       []int64 // Unix ns, by agent of the world; 0: not yet, or not hollow
-	Rejected int     // agents that could not use it
+	At       []int64 // Unix ns, by agent of the world; 0: not yet, or not simulated
+	Rejected int     // agents that rejected it
 }
 
-// configSource hands configurations to the agents, one after the other, each to one agent at a time. What an agent does with one
-// takes none of its time.
+// configSource hands configurations to the agents, one revision after the other and each to one agent at a time. What an
+// agent does with one takes none of the source's time.
 type configSource struct {
 	fleet    *Fleet
-	cpu      cpuCounter // what it takes to make the texts
+	cpu      cpuCounter // for making the texts
 	rollouts chan rollout
 
-	mu             sync.Mutex
+	mu             sync.Mutex // guards what follows
 	changes        []*ConfigChange
-	newestRevision int // revision of the newest that it has begun to hand out
+	newestRevision int // that it has begun to hand out
 }
 
-// rollout is one revision to hand out, and how long that takes the source for each agent.
+// rollout is one revision to hand out.
 type rollout struct {
 	revision int
-	perAgent time.Duration
+	perAgent time.Duration // that the source takes for each agent
 }
 
 // maxQueuedRollouts is how many revisions may wait for the source.
@@ -41,37 +42,43 @@
 }
 
 // Configure has the source hand out a revision when it is done with those before. It does not wait for that.
-func (f *Fleet) Configure(revision int, push time.Duration) {
+func (f *Fleet) Configure(revision int, perAgent time.Duration) {
 	select {
-	case f.configSource.rollouts <- rollout{revision, push}:
+	case f.configSource.rollouts <- rollout{revision, perAgent}:
 	case <-f.ctx.Done():
 	}
 }
 
 // run hands out revisions until the fleet is closed.
 func (s *configSource) run() {
-	done := s.fleet.ctx.Done()
 	for {
 		select {
-		case o := <-s.rollouts:
-			began := s.fleet.clock.Now()
-			s.startRollout(o.revision, began)
-			for i, a := range s.fleet.agents {
-				if due := began + time.Duration(i)*o.perAgent; due > s.fleet.clock.Now() {
-					s.fleet.clock.Wait(due, done)
-				}
-				if s.fleet.ctx.Err() != nil {
-					return
-				}
-				text := s.render(a.position, s.fleet.configOptions(a, o.revision))
-				s.fleet.background.Go(func() { s.fleet.reloadAgent(a, o.revision, text) }) // the source does not wait for it
-			}
-		case <-done:
+		case r := <-s.rollouts:
+			s.rollOut(r)
+		case <-s.fleet.ctx.Done():
 			return
 		}
 	}
 }
 
+// rollOut hands a revision to each agent in turn. Agents reload it on goroutines of their own, which Close waits for.
+func (s *configSource) rollOut(r rollout) {
+	f := s.fleet
+	began := f.clock.Now()
+	s.startRollout(r.revision, began)
+	for i, a := range f.agents {
+		due := began + time.Duration(i)*r.perAgent
+		if due > f.clock.Now() {
+			f.clock.Wait(due, f.ctx.Done())
+		}
+		if f.ctx.Err() != nil {
+			return
+		}
+		text := s.render(a.position, f.configOptions(a, r.revision))
+		f.background.Go(func() { f.reloadAgent(a, r.revision, text) })
+	}
+}
+
 func (s *configSource) startRollout(revision int, at time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -104,6 +111,7 @@
 	}
 }
 
+// recordRejected notes that an agent has rejected a revision.
 func (s *configSource) recordRejected(revision int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,15 +123,15 @@
 }
 
 // changesSince returns copies of what was handed out from a time on.
-func (s *configSource) changesSince(from time.Duration) (out []ConfigChange) {
+func (s *configSource) changesSince(from time.Duration) (changes []ConfigChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.changes {
 		if c.Began >= int64(from) {
-			cc := *c
-			cc.At = append([]int64(nil), c.At...)
-			out = append(out, cc)
+			copied := *c
+			copied.At = slices.Clone(c.At)
+			changes = append(changes, copied)
 		}
 	}
-	return out
+	return changes
 }
--- a/internal/scale/simagent/counts.go
+++ b/internal/scale/simagent/counts.go
@@ -6,7 +6,7 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// phase is the part of the run in which a call at the root began; it and all that comes of it count there.
+// phase is the part of the run in which a root call began; the call and all that it causes count there.
 type phase uint8
 
 const (
@@ -22,45 +22,61 @@
 // maxWindows is how many seconds have windows of their own; later ones count as the last.
 const maxWindows = 24 * 3600
 
-// depthCounts is what happened to calls of one layer in one phase.
-type depthCounts struct{ Calls, Attempts, OK, Failed, Refused int64 }
+// depthCounts counts the calls to one layer in one phase.
+type depthCounts struct{ Calls, Attempts, OK, Failed, Rejected int64 }
 
 func (d *depthCounts) add(o depthCounts) {
 	d.Calls += o.Calls
 	d.Attempts += o.Attempts
 	d.OK += o.OK
 	d.Failed += o.Failed
-	d.Refused += o.Refused
+	d.Rejected += o.Rejected
 }
 
 // shardCounts is what one shard counts of the measured part.
 type shardCounts struct {
-	startedAt time.Duration // when that began; 0: not yet
+	startedAt time.Duration // of the measured part; 0: not yet
 	depths    [maxDepth + 1][phaseCount]depthCounts
 	windows   []result.Window // by second
 	roots     [phaseCount]int64
-	repeats   [3]int64 // by effect: attempts of calls that may have run before
-	logLines  int64    // lines of the module
+	repeats   [3]int64 // by idempotency: attempts of calls that may have executed before
+	logLines  int64    // of the balancers
 }
 
+// phase is the one in which a root call counts that begins now.
+func (s *shard) phase() phase {
+	switch {
+	case s.counts.startedAt == 0:
+		return phaseBefore
+	case s.fleet.deepestFailing.Load():
+		return phaseFailing
+	}
+	return phaseHealthy
+}
+
+// of returns the counts of a phase and layer.
 func (c *shardCounts) of(p phase, layer int) *depthCounts {
 	return &c.depths[min(max(layer, 0), maxDepth)][p]
 }
 
-// countRootCall counts a call at the root and returns its second.
+// countRootCall counts a root call and returns its second.
 func (c *shardCounts) countRootCall(p phase, now time.Duration) int {
 	c.roots[p]++
 	if p == phaseBefore {
 		return 0
 	}
 	second := min(int(max(0, now-c.startedAt)/time.Second), maxWindows-1)
-	for len(c.windows) <= second {
-		c.windows = append(c.windows, result.Window{Second: len(c.windows)})
-	}
+	c.growWindows(second + 1)
 	c.windows[second].Roots++
 	return second
 }
 
+func (c *shardCounts) growWindows(seconds int) {
+	for len(c.windows) < seconds {
+		c.windows = append(c.windows, result.Window{Second: len(c.windows)})
+	}
+}
+
 // countEnd counts the end of a call.
 func (c *shardCounts) countEnd(of *call, layer int, how callResult) {
 	d := c.of(of.phase, layer)
@@ -73,20 +89,18 @@
 	case callFailed:
 		d.Failed++
 	case callRejected:
-		d.Refused++
+		d.Rejected++
 	}
 }
 
-// merge takes in another shard's counts.
+// merge adds another shard's counts.
 func (c *shardCounts) merge(o *shardCounts) {
 	for i := range o.depths {
 		for p := range o.depths[i] {
 			c.depths[i][p].add(o.depths[i][p])
 		}
 	}
-	for len(c.windows) < len(o.windows) {
-		c.windows = append(c.windows, result.Window{Second: len(c.windows)})
-	}
+	c.growWindows(len(o.windows))
 	for i, w := range o.windows {
 		c.windows[i].Roots += w.Roots
 		c.windows[i].Served += w.Served
@@ -94,24 +108,25 @@
 	for p := range o.roots {
 		c.roots[p] += o.roots[p]
 	}
-	for e := range o.repeats {
-		c.repeats[e] += o.repeats[e]
+	for i := range o.repeats {
+		c.repeats[i] += o.repeats[i]
 	}
 	c.logLines += o.logLines
 }
 
-// depthResults sums up what happened by layer, the first one first, as far down as anything was called.
+// depthResults sums up the calls by layer from the first on, for layers that were called.
 func (c *shardCounts) depthResults() (all []result.Depth) {
 	for layer := 1; layer <= maxDepth; layer++ {
-		p, f := c.depths[layer][phaseHealthy], c.depths[layer][phaseFailing]
-		if p.Calls+f.Calls == 0 {
+		healthy := c.depths[layer][phaseHealthy]
+		failing := c.depths[layer][phaseFailing]
+		if healthy.Calls+failing.Calls == 0 {
 			continue
 		}
 		d := result.Depth{
-			Depth: layer, Calls: p.Calls, Attempts: p.Attempts, OK: p.OK, Failed: p.Failed, Refused: p.Refused,
-			FailCalls: f.Calls, FailAttempts: f.Attempts, FailOK: f.OK,
-			PerRoot: ratio(p.Attempts, c.roots[phaseHealthy]), FailPerRoot: ratio(f.Attempts, c.roots[phaseFailing]),
-			ServedMeanPercent: 100 * ratio(p.OK, p.Calls),
+			Depth: layer, Calls: healthy.Calls, Attempts: healthy.Attempts, OK: healthy.OK, Failed: healthy.Failed, Refused: healthy.Rejected,
+			FailCalls: failing.Calls, FailAttempts: failing.Attempts, FailOK: failing.OK,
+			PerRoot: ratio(healthy.Attempts, c.roots[phaseHealthy]), FailPerRoot: ratio(failing.Attempts, c.roots[phaseFailing]),
+			ServedMeanPercent: 100 * ratio(healthy.OK, healthy.Calls),
 		}
 		if d.PerRoot > 0 {
 			d.Amplification = d.FailPerRoot / d.PerRoot
@@ -121,8 +136,8 @@
 	return all
 }
 
-// windowResults returns the seconds with their shares. A call counts in the second that it began in, so that the last ones lack
-// what is still under way.
+// windowResults returns the seconds with their shares. A call counts in the second in which it began, so that the last
+// seconds lack what is still in flight.
 func (c *shardCounts) windowResults() []result.Window {
 	for i := range c.windows {
 		w := &c.windows[i]
--- /dev/null
+++ b/internal/scale/simagent/event.go
@@ -0,0 +1,73 @@
+package simagent
+
+import (
+	"time"
+
+	"example.org/ryeloft/internal/balancer"
+)
+
+// eventKind tells what an event is and which of its fields count.
+type eventKind uint8
+
+const (
+	eventFunc             eventKind = iota // [run]
+	eventRootCall                          // an agent's next root call [agent, incarnation]
+	eventAttemptArrived                    // at its server [attempt]
+	eventAttemptCancelled                  // at its server: the caller has gone [attempt]
+	eventWorkDone                          // at its server: its own work is done [attempt, incarnation: the server's]
+	eventCallDone                          // at its server: a call that the attempt made has ended [attempt, ok]
+	eventOutcome                           // of an attempt, at its caller [attempt, outcome, report]
+	eventTimeout                           // of an attempt, at its caller [attempt]
+	eventTimer                             // an ActionSetTimer [agent, incarnation, token, forControl]
+	eventHealthCheck                       // at its server [agent, incarnation, server, token]
+	eventHealthCheckDone                   // at its caller [agent, incarnation, token, report, ok]
+)
+
+// event is something that falls due in a shard.
+type event struct {
+	due         time.Duration
+	seq         uint64 // the queue's: events due at one time are handled in the order in which they were queued
+	kind        eventKind
+	ok          bool
+	forControl  bool // accounted to control
+	outcome     balancer.Outcome
+	incarnation uint32
+	report      loadReport
+	agent       *agent
+	server      *server
+	attempt     *attempt
+	token       uint64
+	run         func()
+}
+
+func (e *event) before(o *event) bool {
+	return e.due < o.due || e.due == o.due && e.seq < o.seq
+}
+
+// dispatch hands an event to what it is for.
+func (s *shard) dispatch(ev *event) {
+	switch ev.kind {
+	case eventFunc:
+		ev.run()
+	case eventRootCall:
+		ev.agent.startRootCall(ev.incarnation)
+	case eventAttemptArrived:
+		ev.attempt.server.receive(ev.attempt)
+	case eventAttemptCancelled:
+		ev.attempt.server.cancel(ev.attempt)
+	case eventWorkDone:
+		ev.attempt.server.onWorkDone(ev.attempt, ev.incarnation)
+	case eventCallDone:
+		ev.attempt.server.onCallDone(ev.attempt, ev.ok)
+	case eventOutcome:
+		ev.attempt.call.agent.onAttemptDone(ev.attempt, ev.outcome, ev.report)
+	case eventTimeout:
+		ev.attempt.call.agent.onAttemptTimeout(ev.attempt)
+	case eventTimer:
+		ev.agent.onTimer(ev)
+	case eventHealthCheck:
+		ev.server.onHealthCheck(ev)
+	case eventHealthCheckDone:
+		ev.agent.onHealthCheckDone(ev)
+	}
+}
--- a/internal/scale/simagent/fleet.go
+++ b/internal/scale/simagent/fleet.go
@@ -1,11 +1,14 @@
-// Package simagent runs many hollow agents in one process. A hollow agent is the real thing but for the sockets towards its
-// clients and servers: its client of discovery, with real HTTP on loopback; the reading of its configurations; its table
-// of members; its decisions. Sending and answering requests, the counter servers and their applications are modelled.
+// Package simagent runs many simulated agents in one process. A simulated agent is the real thing but for the sockets
+// towards its clients and servers: it has a discovery client with HTTP on loopback, parses its configurations, keeps the
+// table of endpoints and decides by the balancer. Requests, counter servers and their applications are modelled.
 //
-// The model runs in a few shards, each an event engine with a part of the servers and the agents by which they call on,
-// so that an application and its agent meet without locks. What happens in the model happens at its due time, however
-// late it is handled: no modelled time is longer because the process is busy, and how late it was is told as the lag.
-// What comes from discovery or the source of configuration happens when it comes.
+// The model runs in shards, each an event loop on a goroutine and thread of its own, which alone touches its servers and
+// the agents by which they call on. Other goroutines reach that state only through shard.doSync and shard.doAsync; an
+// agent's process, which discovery clients and reloads share, is guarded by the agent's processMu.
+//
+// An event takes effect at its due time however late it is handled, so that a busy machine lengthens no modelled time; the
+// delay is reported as the model's lag. What comes from discovery or the configuration source takes effect when it comes.
+// The package never decides by itself what an agent does: that is the balancer's.
 package simagent
 
 import (
@@ -14,7 +17,6 @@
 	"fmt"
 	"log/slog"
 	"runtime"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -25,31 +27,44 @@
 )
 
 const (
-	// maxShards is how many threads run the model; the rest of the machine is for control and the other parts.
+	// maxShards leaves cores to control and the other parts of a run.
 	maxShards = 4
-	// readyTimeout is how long Start waits for the agents to hold the list.
+	// readyTimeout is how long Start waits for the agents to hold the endpoint list.
 	readyTimeout = 60 * time.Second
-	// startConcurrency is how many agents are started at a time.
+	// startConcurrency is how many agents are started or restarted at once.
 	startConcurrency = 8
 )
 
-// Options say what runs. All up to Discovery have to be given.
+// Options configure a Fleet. World, Agents and Discovery are required.
 type Options struct {
 	World           *world.World
-	Agents          []int      // those that are hollow, by their places in the world
+	Agents          []int      // positions in the world of the simulated agents
 	Discovery       []string   // host and port, by agent of the world
 	Relays          [][]string // host and port of each, by agent of the world; nil: none
-	RootCallsFrom   int64      // Unix ns before which no call begins at the root; 0: as soon as its agent has the list
-	CachedEndpoints []byte     // the list that the agents begin with, in discovery's form; nil: none
+	RootCallsFrom   int64      // Unix ns before which no root call begins; 0: as soon as its agent has the list
+	CachedEndpoints []byte     // the list that the agents start with, in discovery's form; nil: none
 	Shards          int        // 0: by the machine's cores
 	Log             *slog.Logger
-	Clock           Clock // nil: the wall's
+	Clock           Clock // nil: the wall clock
 
 	// ConfigText makes an agent's configuration; nil: World.Config.
 	ConfigText func(agent int, o world.ConfigOptions) []byte
 }
 
-// Fleet is hollow agents that run.
+// validate reports agents for which the world or the options have no place.
+func (o *Options) validate() error {
+	for _, position := range o.Agents {
+		if position < 0 || position >= len(o.World.Agents) || position >= len(o.Discovery) {
+			return fmt.Errorf("simulated agents: agent %d of %d, with addresses for %d", position, len(o.World.Agents), len(o.Discovery))
+		}
+		if o.Relays != nil && position >= len(o.Relays) {
+			return fmt.Errorf("simulated agents: relays of agent %d: only %d agents have any", position, len(o.Relays))
+		}
+	}
+	return nil
+}
+
+// Fleet is a set of running simulated agents with the modelled servers of their world.
 type Fleet struct {
 	world            *world.World
 	clock            Clock
@@ -59,28 +74,28 @@
 	relayAddrs       [][]string // by agent of the world; nil: none
 	rootCallsFrom    time.Duration
 	shards           []*shard
-	servers          []*server // by place in the world
-	agents           []*agent  // hollow ones, in their order
+	servers          []*server // by position in the world
+	agents           []*agent  // in the order of Options.Agents
 	agentsByPosition map[int]*agent
-	serversByID      sync.Map // servers by the ids that lists have for them
+	serversByID      sync.Map // string to *server, by the ids that lists have for them
 
-	deepestFailing     atomic.Bool // the deepest service
+	deepestFailing     atomic.Bool // the deepest service answers errors
 	regionsPartitioned atomic.Bool
-	syncedProcesses    atomic.Int64  // lives of agents that have heard a list
+	syncedProcesses    atomic.Int64  // incarnations of agents that have got the list from discovery
 	syncedSignal       chan struct{} // holds one
 	polls              pollCounts
 
 	ctx          context.Context
 	stop         context.CancelFunc
-	background   sync.WaitGroup // lives and the source
+	background   sync.WaitGroup // discovery clients, reloads and the configuration source
 	configSource configSource
 	measurement  measurement
 }
 
-// pollCounts are the calls that the agents' clients made since the measured part began.
+// pollCounts counts the polls of the agents' discovery clients since the measured part began.
 type pollCounts struct{ total, failed, fullLists atomic.Int64 }
 
-// Start starts the agents and waits until they all hold the list, for a minute at most; Stats tells how many do.
+// Start starts the agents and waits until all hold the endpoint list, for a minute at most; Stats reports how many do.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	f, err := newFleet(o)
 	if err != nil {
@@ -88,10 +103,11 @@
 	}
 	f.measurement.recordBaseline()
 	for _, s := range f.shards {
-		go s.run()
+		go s.run() // Close waits for it
 	}
 	f.background.Go(f.configSource.run)
-	if err := f.forEachAgent(f.agents, func(a *agent) error { return f.startAgent(a, o.CachedEndpoints) }); err != nil {
+	start := func(a *agent) error { return f.startAgent(a, o.CachedEndpoints) }
+	if err := f.forEachAgent(f.agents, start); err != nil {
 		return nil, errors.Join(err, f.Close())
 	}
 	timeout := time.NewTimer(readyTimeout)
@@ -108,19 +124,27 @@
 	return f, nil
 }
 
-// newFleet makes all that runs and starts nothing.
+// Close ends the agents and the model and returns when none of their goroutines runs any more.
+func (f *Fleet) Close() error {
+	f.stop()
+	for _, a := range f.agents {
+		f.stopAgent(a)
+	}
+	f.background.Wait()
+	for _, s := range f.shards {
+		s.doAsync(func() { s.stopped = true })
+		<-s.done
+	}
+	return nil
+}
+
+// newFleet makes all parts of a fleet and starts nothing.
 func newFleet(o Options) (*Fleet, error) {
-	w := o.World
-	for _, place := range o.Agents {
-		if place < 0 || place >= len(w.Agents) || place >= len(o.Discovery) {
-			return nil, fmt.Errorf("hollow: agent %d of %d, with addresses for %d", place, len(w.Agents), len(o.Discovery))
-		}
-		if o.Relays != nil && place >= len(o.Relays) {
-			return nil, fmt.Errorf("hollow: relays of agent %d: only %d agents have any", place, len(o.Relays))
-		}
+	if err := o.validate(); err != nil {
+		return nil, err
 	}
 	f := &Fleet{
-		world: w, clock: o.Clock, log: o.Log, configText: o.ConfigText, discoveryAddrs: o.Discovery, relayAddrs: o.Relays,
+		world: o.World, clock: o.Clock, log: o.Log, configText: o.ConfigText, discoveryAddrs: o.Discovery, relayAddrs: o.Relays,
 		rootCallsFrom: time.Duration(o.RootCallsFrom), agentsByPosition: map[int]*agent{}, syncedSignal: make(chan struct{}, 1),
 	}
 	if f.clock == nil {
@@ -130,50 +154,52 @@
 		f.log = slog.New(slog.DiscardHandler)
 	}
 	if f.configText == nil {
-		f.configText = w.Config
+		f.configText = o.World.Config
 	}
 	f.ctx, f.stop = context.WithCancel(context.Background())
 	f.configSource = newConfigSource(f)
-	n := o.Shards
-	if n <= 0 {
-		n = min(max(runtime.GOMAXPROCS(0)/2, 1), maxShards)
+	shards := o.Shards
+	if shards <= 0 {
+		shards = min(max(runtime.GOMAXPROCS(0)/2, 1), maxShards)
 	}
-	for i := range n {
-		f.shards = append(f.shards, newShard(f, i, n))
+	for i := range shards {
+		f.shards = append(f.shards, newShard(f, i, shards))
 	}
 	f.addServers()
-	for _, place := range o.Agents {
-		f.addAgent(place)
+	for _, position := range o.Agents {
+		f.addAgent(position)
 	}
 	for i, s := range f.servers {
-		s.agent = f.agentsByPosition[w.CallingAgent(i)]
+		s.agent = f.agentsByPosition[f.world.CallingAgent(i)]
 	}
 	return f, nil
 }
 
-// addServers makes the servers. One whose requests call on by the agent beside another is in that one's shard.
+// addServers makes the servers. One whose requests call on by the agent beside another server is in that one's shard.
 func (f *Fleet) addServers() {
-	for i, s := range f.world.Servers {
-		root := i
+	for i, drawn := range f.world.Servers {
+		home := i
 		if a := f.world.CallingAgent(i); a >= 0 {
-			root = f.world.Agents[a].Server
+			home = f.world.Agents[a].Server
 		}
-		m := &server{
-			shard: f.shards[root%len(f.shards)], position: i, service: s.Service, region: s.Region, zone: s.Zone,
-			startedAt: s.Start, slots: s.Slots, inProgress: map[*attempt]struct{}{},
+		s := &server{
+			shard: f.shards[home%len(f.shards)], position: i, service: drawn.Service, region: drawn.Region, zone: drawn.Zone,
+			startedAt: drawn.Start, slots: drawn.Slots, inProgress: map[*attempt]struct{}{},
 		}
-		f.servers = append(f.servers, m)
-		f.serversByID.Store(s.ID, m)
+		f.servers = append(f.servers, s)
+		f.serversByID.Store(drawn.ID, s)
 	}
 }
 
-func (f *Fleet) addAgent(place int) {
-	of := f.world.Agents[place]
-	a := &agent{shard: f.servers[of.Server].shard, position: place, server: f.servers[of.Server], rootCallsPerSecond: of.RootCallsPerSecond}
-	f.agents, f.agentsByPosition[place] = append(f.agents, a), a
+func (f *Fleet) addAgent(position int) {
+	drawn := f.world.Agents[position]
+	beside := f.servers[drawn.Server]
+	a := &agent{shard: beside.shard, position: position, server: beside, rootCallsPerSecond: drawn.RootCallsPerSecond}
+	f.agents = append(f.agents, a)
+	f.agentsByPosition[position] = a
 }
 
-// serverOf finds the modelled server behind a member of a list, in whatever generation its id is; nil if there is none.
+// serverOf finds the modelled server behind a member of a list, whatever generation its id is of; nil if there is none.
 func (f *Fleet) serverOf(m discovery.Member) *server {
 	if s, known := f.serversByID.Load(m.ID); known {
 		return s.(*server)
@@ -186,7 +212,7 @@
 	return f.servers[i]
 }
 
-// noteSynced notes that an agent holds the list.
+// noteSynced counts an incarnation of an agent that has got the list from discovery.
 func (f *Fleet) noteSynced() {
 	f.syncedProcesses.Add(1)
 	select {
@@ -195,38 +221,13 @@
 	}
 }
 
-// networkDelay is how long something takes from one server's place to another's.
-func (f *Fleet) networkDelay(from, to *server) time.Duration {
-	fleet, ms := &f.world.Scenario.Fleet, 0.0
-	switch {
-	case from == to:
-	case from.region != to.region:
-		ms = fleet.RegionMS
-	case from.zone != to.zone:
-		ms = fleet.CrossMS
-	default:
-		ms = fleet.NetworkMS
-	}
-	return time.Duration(ms * float64(time.Millisecond))
-}
-
-// phase says where a call counts that begins at the root now.
-func (s *shard) phase() phase {
-	switch {
-	case s.counts.startedAt == 0:
-		return phaseBefore
-	case s.fleet.deepestFailing.Load():
-		return phaseFailing
-	}
-	return phaseHealthy
-}
-
-// forEachAgent does something for agents, a few at a time.
+// forEachAgent calls do for agents, startConcurrency at a time, and returns when all calls have.
 func (f *Fleet) forEachAgent(agents []*agent, do func(*agent) error) error {
-	var wait sync.WaitGroup
-	next, errs := make(chan *agent), make([]error, startConcurrency)
+	var workers sync.WaitGroup
+	next := make(chan *agent)
+	errs := make([]error, startConcurrency)
 	for i := range errs {
-		wait.Go(func() {
+		workers.Go(func() {
 			for a := range next {
 				errs[i] = errors.Join(errs[i], do(a))
 			}
@@ -236,86 +237,6 @@
 		next <- a
 	}
 	close(next)
-	wait.Wait()
+	workers.Wait()
 	return errors.Join(errs...)
 }
-
-// Step plays one step of the world's events: on servers first, then on the agents that it starts again. It returns when
-// these are up, not when they hold the list.
-func (f *Fleet) Step(st world.Step) error {
-	f.applyFlags(st)
-	if st.Silent {
-		for _, a := range f.agentsBeside(st.Down) {
-			f.stopAgent(a)
-		}
-	}
-	for _, i := range st.Down {
-		s := f.servers[i]
-		s.shard.doSync(func() { s.takeDown(downState(st)) })
-	}
-	for _, i := range st.Up {
-		s := f.servers[i]
-		s.shard.doSync(func() { s.restart(st.Cold) })
-	}
-	return f.forEachAgent(f.agentsAt(st.Restart), func(a *agent) error {
-		if st.Forget {
-			return f.startAgent(a, nil)
-		}
-		return f.startAgent(a, f.cachedEndpoints(a))
-	})
-}
-
-// applyFlags plays what a step says of the whole fleet.
-func (f *Fleet) applyFlags(st world.Step) {
-	if st.Fail != nil {
-		f.deepestFailing.Store(*st.Fail)
-	}
-	if st.CutRegions != nil {
-		f.regionsPartitioned.Store(*st.CutRegions)
-	}
-}
-
-// downState is what becomes of the servers that a step takes down.
-func downState(st world.Step) serverState {
-	if st.Silent {
-		return serverUnreachable
-	}
-	return serverCrashed
-}
-
-// agentsBeside returns the agents beside servers.
-func (f *Fleet) agentsBeside(servers []int) (out []*agent) {
-	if len(servers) == 0 {
-		return nil
-	}
-	for _, a := range f.agents {
-		if slices.Contains(servers, a.server.position) {
-			out = append(out, a)
-		}
-	}
-	return out
-}
-
-// agentsAt returns the hollow ones among agents.
-func (f *Fleet) agentsAt(places []int) (out []*agent) {
-	for _, i := range places {
-		if a := f.agentsByPosition[i]; a != nil {
-			out = append(out, a)
-		}
-	}
-	return out
-}
-
-// Close ends the agents and the model and returns when nothing of them runs any more.
-func (f *Fleet) Close() error {
-	f.stop()
-	for _, a := range f.agents {
-		f.stopAgent(a)
-	}
-	f.background.Wait()
-	for _, s := range f.shards {
-		s.doAsync(func() { s.stopped = true })
-		<-s.done
-	}
-	return nil
-}
--- a/internal/scale/simagent/fleet_test.go
+++ b/internal/scale/simagent/fleet_test.go
@@ -124,7 +124,7 @@
 			for _, a := range f.agents {
 				a.shard.doSync(func() {
 					if again := slices.Contains(restart, a.position); again != (a.incarnation > 1) || !a.hasList {
-						t.Errorf("agent %d: life %d, ready %v", a.position, a.incarnation, a.hasList)
+						t.Errorf("agent %d: incarnation %d, ready %v", a.position, a.incarnation, a.hasList)
 					}
 				})
 			}
@@ -300,7 +300,7 @@
 	for want, change := range map[string]func(*Options){
 		"relays of agent 0": func(o *Options) { o.Relays = [][]string{} },
 		"agent 99 of 24":    func(o *Options) { o.Agents = []int{99} },
-		"hollow agent 0":    func(o *Options) { o.ConfigText = func(int, world.ConfigOptions) []byte { return []byte("{}") } },
+		"simulated agent 0": func(o *Options) { o.ConfigText = func(int, world.ConfigOptions) []byte { return []byte("{}") } },
 	} {
 		o := Options{World: w, Agents: []int{0}, Discovery: []string{"127.0.0.1:1"}}
 		change(&o)
--- a/internal/scale/simagent/model_test.go
+++ b/internal/scale/simagent/model_test.go
@@ -79,7 +79,7 @@
 	return j
 }
 
-// What is due comes in its order, and what is due at once as it was heard of.
+// What is due comes in its order, and what is due at once in the order in which it was queued.
 func TestQueueOrder(t *testing.T) {
 	var q eventQueue
 	rng := rand.New(rand.NewPCG(1, 1))
@@ -212,7 +212,7 @@
 	}
 	m.run(m.clock.now + time.Minute)
 	if to.busySlots != 0 || first.finished || second.finished {
-		t.Errorf("%d busy, heard of %v and %v", to.busySlots, first.finished, second.finished)
+		t.Errorf("%d busy, finished %v and %v", to.busySlots, first.finished, second.finished)
 	}
 	third := m.attempt(a, to, m.clock.now+time.Hour)
 	third.state, third.serverIncarnation = attemptCalling, to.incarnation
@@ -249,7 +249,7 @@
 		t.Errorf("%d open at the end", len(a.requests))
 	}
 	d := m.shards[0].counts.of(phaseHealthy, 1)
-	if d.Calls != maxOpenRequests+100 || d.OK+d.Failed+d.Refused != d.Calls || d.Refused < 100 {
+	if d.Calls != maxOpenRequests+100 || d.OK+d.Failed+d.Rejected != d.Calls || d.Rejected < 100 {
 		t.Errorf("%+v", d)
 	}
 }
--- a/internal/scale/simagent/server.go
+++ b/internal/scale/simagent/server.go
@@ -5,15 +5,14 @@
 	"time"
 
 	"example.org/ryeloft/internal/balancer"
-	"example.org/ryeloft/internal/settings"
 )
 
-// serverState is what a server's process and machine are.
+// serverState is what has become of a server's process and machine.
 type serverState uint8
 
 const (
 	serverUp          serverState = iota
-	serverCrashed                 // the process has died: connections are refused
+	serverCrashed                 // connections are refused
 	serverUnreachable             // the machine has vanished: nothing comes back
 )
 
@@ -23,100 +22,70 @@
 const (
 	attemptInTransit attemptState = iota
 	attemptQueued
-	attemptWorking // on its own part
-	attemptCalling // others, in turn: it has no slot any more
+	attemptWorking // the server's own work
+	attemptCalling // other services in turn, without a slot
 	attemptDone
-	attemptAbandoned // its caller has gone; it keeps its slot until its own part is done
+	attemptAbandoned // its caller has gone; it keeps its slot until the server's own work is done
 )
 
 // recentGain is the weight of one request in the service time that a server reports, which covers the last one or two.
 const recentGain = 0.5
 
-// server is one modelled counter server and the application in it. A request has one of its slots for the server's own part
-// of the work and none while it waits for the calls that it makes, or depth would take slots that the scenarios reckon as
-// free; what the server reports as outstanding is all that it holds. It is its shard's.
+// server is a modelled counter server with its application. A request occupies a slot for the server's own work but not
+// while it waits for the calls it makes, as scenarios size slots for work alone. It belongs to its shard.
 type server struct {
 	shard    *shard
 	position int // among the world's
 	service  int
 	region   int
 	zone     int
-	agent    *agent // beside it; nil if that is a real one or none: then it works without calls of its own
+	agent    *agent // by which requests call on; nil: they make no calls
 
 	state        serverState
 	incarnation  uint32        // counts its processes
-	startedAt    time.Duration // of this one, Unix time; 0: long ago
+	startedAt    time.Duration // of this process, Unix time; 0: long ago
 	slots        int
-	busySlots    int // slots in use
+	busySlots    int
 	queue        []*attempt
-	inProgress   map[*attempt]struct{} // that it has begun and not answered
-	recentMillis float64               // service time, ms
+	inProgress   map[*attempt]struct{} // started and not answered
+	recentMillis float64               // service time
 }
 
-// loadReport is a server's own figures, as it puts them into answers.
-type loadReport struct {
-	known            bool
-	inFlight, queued int32
-	recentMillis     float32 // ms
-}
-
-func (s *server) report() loadReport {
-	return loadReport{true, int32(len(s.inProgress) + len(s.queue)), int32(len(s.queue)), float32(s.recentMillis)}
-}
-
-// toBalancer is what an agent takes from a report, by the names of its settings' fields.
-func (r loadReport) toBalancer(set *settings.Settings) balancer.LoadReport {
-	l := settings.UnknownLoad()
-	if !r.known || set.Balancer.Reports == balancer.ReportsOff {
-		return l
-	}
-	for _, name := range set.ReportFields {
-		switch name {
-		case "outstanding":
-			settings.SetLoadField(&l, name, float64(r.inFlight))
-		case "backlog":
-			settings.SetLoadField(&l, name, float64(r.queued))
-		case "recent_ms":
-			settings.SetLoadField(&l, name, float64(r.recentMillis))
-		}
-	}
-	return l
-}
-
-// receive takes in an attempt, or turns it away.
-func (s *server) receive(j *attempt) {
+// receive starts, queues or rejects an attempt that has arrived.
+func (s *server) receive(att *attempt) {
 	f := s.shard.fleet
 	switch {
 	case s.state == serverUnreachable:
 	case s.state == serverCrashed:
-		s.respond(j, balancer.OutcomeConnectFailed)
+		s.respond(att, balancer.OutcomeConnectFailed)
 	case f.deepestFailing.Load() && s.service == f.world.Deepest:
-		s.respond(j, balancer.OutcomeError)
-	case s.shard.now >= j.deadline: // it is over already
-		s.respond(j, balancer.OutcomeRejected)
+		s.respond(att, balancer.OutcomeError)
+	case s.shard.now >= att.deadline:
+		s.respond(att, balancer.OutcomeRejected)
 	case s.busySlots < s.slots:
-		s.start(j)
+		s.start(att)
 	case len(s.queue) < f.world.Scenario.Fleet.QueueSlots:
-		j.state = attemptQueued
-		s.queue = append(s.queue, j)
+		att.state = attemptQueued
+		s.queue = append(s.queue, att)
 	default:
-		s.respond(j, balancer.OutcomeRejected)
+		s.respond(att, balancer.OutcomeRejected)
 	}
 }
 
 // start works on an attempt.
-func (s *server) start(j *attempt) {
+func (s *server) start(att *attempt) {
 	s.busySlots++
-	s.inProgress[j] = struct{}{}
-	j.state, j.serverIncarnation = attemptWorking, s.incarnation
-	f := s.shard.fleet
-	mean := f.world.Services[s.service].Work.Seconds() / (f.world.Servers[s.position].Speed * s.warmUpFactor())
+	s.inProgress[att] = struct{}{}
+	att.state = attemptWorking
+	att.serverIncarnation = s.incarnation
+	world := s.shard.fleet.world
+	mean := world.Services[s.service].Work.Seconds() / (world.Servers[s.position].Speed * s.warmUpFactor())
 	took := s.shard.exponential(mean)
 	s.recentMillis += recentGain * (float64(took)/float64(time.Millisecond) - s.recentMillis)
-	s.shard.queue.push(event{kind: eventWorkDone, due: s.shard.now + took, attempt: j, incarnation: s.incarnation})
+	s.shard.queue.push(event{kind: eventWorkDone, due: s.shard.now + took, attempt: att, incarnation: s.incarnation})
 }
 
-// warmUpFactor is the share of its speed that the server has by now.
+// warmUpFactor is the share of its speed that the server has reached since its process started.
 func (s *server) warmUpFactor() float64 {
 	fleet := &s.shard.fleet.world.Scenario.Fleet
 	age := (s.shard.now - s.startedAt).Seconds()
@@ -126,73 +95,73 @@
 	return fleet.ColdFrom + (1-fleet.ColdFrom)*max(0, age)/fleet.WarmS
 }
 
-// onWorkDone ends the server's own part of an attempt, and begins its calls.
-func (s *server) onWorkDone(j *attempt, life uint32) {
-	if life != s.incarnation {
+// onWorkDone ends the server's own work on an attempt, and begins its calls.
+func (s *server) onWorkDone(att *attempt, incarnation uint32) {
+	if incarnation != s.incarnation {
 		return
 	}
-	if j.state == attemptAbandoned {
-		s.release(j)
+	if att.state == attemptAbandoned {
+		s.release(att)
 		return
 	}
-	j.state = attemptCalling
+	att.state = attemptCalling
 	s.busySlots--
 	s.startQueued()
-	s.callNext(j)
+	s.callNext(att)
 }
 
-// callNext makes the next of the service's calls through the agent beside the server, or answers if there are no more.
-func (s *server) callNext(j *attempt) {
+// callNext makes the next of the service's calls through the server's agent, or answers if there are no more.
+func (s *server) callNext(att *attempt) {
 	calls := s.shard.fleet.world.Services[s.service].Calls
-	for s.agent != nil && j.nextCall < len(calls) {
-		c := calls[j.nextCall]
-		j.nextCall++
-		if !drawChance(s.shard.rng, c.Chance) {
+	for s.agent != nil && att.nextCall < len(calls) {
+		next := calls[att.nextCall]
+		att.nextCall++
+		if !drawChance(s.shard.rng, next.Chance) {
 			continue
 		}
-		if s.shard.now >= j.deadline {
-			s.complete(j, balancer.OutcomeError)
+		if s.shard.now >= att.deadline {
+			s.complete(att, balancer.OutcomeError)
 			return
 		}
-		j.child = s.agent.startCall(request{
-			service: c.Service, remaining: j.deadline - s.shard.now, phase: j.call.phase, parent: j,
+		att.child = s.agent.startCall(request{
+			service: next.Service, remaining: att.deadline - s.shard.now, phase: att.call.phase, parent: att,
 		})
 		return
 	}
-	s.complete(j, balancer.OutcomeOK)
+	s.complete(att, balancer.OutcomeOK)
 }
 
-// onCallDone takes in the end of a call that an attempt made.
-func (s *server) onCallDone(j *attempt, ok bool) {
-	if j.state != attemptCalling || j.serverIncarnation != s.incarnation {
+// onCallDone handles the end of a call that an attempt made.
+func (s *server) onCallDone(att *attempt, ok bool) {
+	if att.state != attemptCalling || att.serverIncarnation != s.incarnation {
 		return
 	}
-	j.child = nil
+	att.child = nil
 	if !ok {
-		s.complete(j, balancer.OutcomeError)
+		s.complete(att, balancer.OutcomeError)
 		return
 	}
-	s.callNext(j)
+	s.callNext(att)
 }
 
-// complete answers an attempt and goes on with another.
-func (s *server) complete(j *attempt, how balancer.Outcome) {
-	s.release(j)
-	s.respond(j, how)
+// complete answers an attempt that is in progress.
+func (s *server) complete(att *attempt, outcome balancer.Outcome) {
+	s.release(att)
+	s.respond(att, outcome)
 }
 
-// release drops an attempt from what the server has begun, and goes on with those that wait for its slot, if it has one.
-func (s *server) release(j *attempt) {
-	held := j.state == attemptWorking || j.state == attemptAbandoned
-	j.state = attemptDone
-	delete(s.inProgress, j)
-	if held {
+// release ends an attempt that is in progress and frees its slot, if it has one, for those that are queued.
+func (s *server) release(att *attempt) {
+	hasSlot := att.state == attemptWorking || att.state == attemptAbandoned
+	att.state = attemptDone
+	delete(s.inProgress, att)
+	if hasSlot {
 		s.busySlots--
 		s.startQueued()
 	}
 }
 
-// startQueued begins what waits while there are slots.
+// startQueued starts queued attempts while there are free slots.
 func (s *server) startQueued() {
 	for len(s.queue) > 0 && s.busySlots < s.slots {
 		next := s.queue[0]
@@ -205,90 +174,80 @@
 	}
 }
 
-// cancel drops an attempt whose caller has gone: one that waits at once, one that calls with its call. One that works
-// keeps its slot until that is done.
-func (s *server) cancel(j *attempt) {
+// cancel ends an attempt whose caller has gone. One that the server itself works on keeps its slot until that is done.
+func (s *server) cancel(att *attempt) {
 	if s.state != serverUp {
 		return
 	}
-	switch j.state {
-	case attemptInTransit: // it was turned away, or the two have crossed; then it is over when it comes
-		j.state = attemptDone
+	switch att.state {
+	case attemptInTransit: // it was rejected, or the cancellation has overtaken it
+		att.state = attemptDone
 	case attemptQueued:
-		j.state = attemptDone
-		if i := slices.Index(s.queue, j); i >= 0 {
+		att.state = attemptDone
+		if i := slices.Index(s.queue, att); i >= 0 {
 			s.queue = slices.Delete(s.queue, i, i+1)
 		}
 	case attemptWorking:
-		j.state = attemptAbandoned
+		att.state = attemptAbandoned
 	case attemptCalling:
-		if j.serverIncarnation != s.incarnation {
+		if att.serverIncarnation != s.incarnation {
 			return
 		}
-		child := j.child
-		s.release(j)
+		child := att.child
+		s.release(att)
 		if child != nil {
 			s.agent.cancelCall(child)
 		}
 	}
 }
 
-// respond sends an attempt's outcome to its caller, with the server's report if it is an answer.
-func (s *server) respond(j *attempt, how balancer.Outcome) {
-	j.state = attemptDone
-	ev := event{kind: eventOutcome, due: s.shard.now, attempt: j, outcome: how}
-	if how == balancer.OutcomeOK || how == balancer.OutcomeError || how == balancer.OutcomeRejected {
+// respond sends an attempt's outcome to its caller, with a load report if the outcome is a response of the server.
+func (s *server) respond(att *attempt, outcome balancer.Outcome) {
+	att.state = attemptDone
+	ev := event{kind: eventOutcome, due: s.shard.now, attempt: att, outcome: outcome}
+	if outcome == balancer.OutcomeOK || outcome == balancer.OutcomeError || outcome == balancer.OutcomeRejected {
 		ev.report = s.report()
 	}
-	s.shard.transmit(s, j.call.agent.server, ev)
-}
-
-// onHealthCheck answers a probe, unless nothing comes back.
-func (s *server) onHealthCheck(ev *event) {
-	if s.state == serverUnreachable {
-		return
-	}
-	ok := s.state == serverUp
-	back := event{kind: eventHealthCheckDone, due: s.shard.now, agent: ev.agent, incarnation: ev.incarnation, token: ev.token, ok: ok}
-	if ok {
-		back.report = s.report()
-	}
-	s.shard.transmit(s, ev.agent.server, back)
+	s.shard.transmit(s, att.call.agent.server, ev)
 }
 
-// takeDown ends the server's process, or its machine, with all that it had. A process that dies resets its connections.
+// takeDown ends the server's process, or its machine, with all attempts that it has.
 func (s *server) takeDown(to serverState) {
 	if s.state == serverUp {
-		for _, j := range s.queue {
-			s.loseAttempt(j, to)
+		for _, att := range s.queue {
+			s.loseAttempt(att, to)
 		}
-		for j := range s.inProgress {
-			s.loseAttempt(j, to)
+		for att := range s.inProgress {
+			s.loseAttempt(att, to)
 		}
 	}
-	s.state, s.queue, s.busySlots = to, nil, 0
+	s.state = to
+	s.queue = nil
+	s.busySlots = 0
 	s.incarnation++
 	clear(s.inProgress)
 }
 
-// loseAttempt drops one attempt in hand.
-func (s *server) loseAttempt(j *attempt, to serverState) {
-	child := j.child
-	j.state, j.child = attemptDone, nil
+// loseAttempt ends an attempt with the server's process. A crash resets its connection; a vanished machine does not.
+func (s *server) loseAttempt(att *attempt, to serverState) {
+	child := att.child
+	att.state = attemptDone
+	att.child = nil
 	if to == serverCrashed {
-		s.respond(j, balancer.OutcomeReset)
+		s.respond(att, balancer.OutcomeReset)
 	}
 	if child != nil {
 		s.agent.cancelCall(child)
 	}
 }
 
-// restart begins a new process, a cold one if it says so.
+// restart begins a new process, which warms up if it starts cold.
 func (s *server) restart(cold bool) {
 	if s.state == serverUp {
 		return
 	}
-	s.state, s.recentMillis = serverUp, 0
+	s.state = serverUp
+	s.recentMillis = 0
 	s.incarnation++
 	if cold {
 		s.startedAt = s.shard.now
--- a/internal/scale/simagent/service.go
+++ b/internal/scale/simagent/service.go
@@ -12,15 +12,20 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
+// ServiceName is the name by which the part's methods are called, as in "Hollow.Start".
+const ServiceName = "Hollow"
+
+// The messages of the part follow. gob sends them by the names of their fields.
+
 // StartArgs say what the part runs. The world is drawn from the scenario, as in every other part.
 type StartArgs struct {
 	Scenario  scenario.Scenario
 	Echo      []string // addresses of the echo servers
-	Agents    []int    // those that are hollow, by their places in the world
+	Agents    []int    // positions in the world of the simulated agents
 	Discovery []string // host and port, by agent of the world
 	Relays    [][]string
-	Begin     int64  // Unix ns before which no call begins at the root; 0: as soon as its agent has the list
-	Known     []byte // the list that the agents begin with, in discovery's form; nil: none
+	Begin     int64  // Unix ns before which no root call begins; 0: as soon as its agent has the list
+	Known     []byte // the list that the agents start with, in discovery's form; nil: none
 }
 
 // StartReply says how many agents hold the list.
@@ -29,8 +34,7 @@
 // StepArgs hold one step of the world's events.
 type StepArgs struct{ Step world.Step }
 
-// GobEncode writes a step as JSON. Danger: gob leaves out what points to a zero value, and a step that ends a failure or a
-// cut would say nothing.
+// GobEncode writes a step as JSON, as gob would leave out pointers to false, by which a step ends a failure or partition.
 func (a StepArgs) GobEncode() ([]byte, error) { return json.Marshal(a.Step) }
 
 // GobDecode reads what GobEncode wrote.
@@ -45,20 +49,23 @@
 // StatsArgs ask for what was measured.
 type StatsArgs struct{}
 
-// errNotStarted is the answer to whatever comes before Start.
-var errNotStarted = errors.New("hollow: not started")
+var (
+	errNotStarted     = errors.New("simulated agents have not been started")
+	errAlreadyStarted = errors.New("simulated agents have been started already")
+)
 
-// Service offers a fleet as the part "hollow".
+// Service offers a Fleet to the process that started this one. Its zero value is ready for Start; all other methods fail
+// before that. mu guards fleet.
 type Service struct {
 	mu    sync.Mutex
 	fleet *Fleet
 }
 
-// Main is the part's program: it serves until its input ends, and with it the process.
+// Main is the part's program: it serves a Service until its input ends.
 func Main() error {
 	s := new(Service)
-	err := role.Serve("Hollow", s)
-	if f, started := s.startedFleet(); started == nil {
+	err := role.Serve(ServiceName, s)
+	if f, notStarted := s.startedFleet(); notStarted == nil {
 		err = errors.Join(err, f.Close())
 	}
 	return err
@@ -78,7 +85,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.fleet != nil {
-		return errors.New("hollow: started already")
+		return errAlreadyStarted
 	}
 	w, err := world.Draw(&args.Scenario)
 	if err != nil {
@@ -88,7 +95,8 @@
 		w.AddEcho(args.Echo)
 	}
 	s.fleet, err = Start(context.Background(), Options{
-		World: w, Agents: args.Agents, Discovery: args.Discovery, Relays: args.Relays, RootCallsFrom: args.Begin, CachedEndpoints: args.Known,
+		World: w, Agents: args.Agents, Discovery: args.Discovery, Relays: args.Relays, RootCallsFrom: args.Begin,
+		CachedEndpoints: args.Known,
 	})
 	if err != nil {
 		return err
@@ -97,7 +105,7 @@
 	return nil
 }
 
-// Step plays one step. It returns when the agents that it starts are up, not when they hold the list.
+// Step plays one step. It returns when the agents that it restarts are up, not when they hold the list.
 func (s *Service) Step(args StepArgs, _ *struct{}) error {
 	f, err := s.startedFleet()
 	if err != nil {
@@ -116,7 +124,7 @@
 	return nil
 }
 
-// Begin begins the measured part: what is counted starts from 0.
+// Begin begins the measured part: all counts start from 0.
 func (s *Service) Begin(_ struct{}, _ *struct{}) error {
 	f, err := s.startedFleet()
 	if err != nil {
@@ -126,7 +134,7 @@
 	return nil
 }
 
-// Stats tells what was measured since.
+// Stats reports what was measured since Begin.
 func (s *Service) Stats(_ StatsArgs, reply *StatsReply) error {
 	f, err := s.startedFleet()
 	if err != nil {
--- a/internal/scale/simagent/shard.go
+++ b/internal/scale/simagent/shard.go
@@ -7,169 +7,58 @@
 	"sync/atomic"
 	"time"
 
-	"example.org/ryeloft/internal/balancer"
-	"example.org/ryeloft/internal/clock"
 	"example.org/ryeloft/internal/scale/result"
 )
 
 const (
-	// minRest is how long a shard that has nothing due rests at least. What falls due meanwhile is handled late, as of its own
-	// time: no modelled time is longer for it.
+	// minRest bounds how often an idle shard wakes up. Events that fall due meanwhile are handled late, as of their own time.
 	minRest = time.Millisecond
+	// maxRest bounds a rest where nothing is due.
+	maxRest = time.Second
 	// eventsPerPoll is after how many events a shard reads the clock and its inbox again.
 	eventsPerPoll = 32
-	// maxRest bounds a rest where nothing at all is due.
-	maxRest      = time.Second
-	maxLagMillis = 60e3 // ms; beyond, lags count as this
+	maxLagMillis  = 60e3 // longer lags count as this
 )
 
-// Clock is the time that the model runs by. The wall's is the only one so far; one that jumps from event to event needs
-// nothing else of the engine.
-type Clock interface {
-	Now() time.Duration                             // since 1970; never runs backwards
-	Wait(until time.Duration, wake <-chan struct{}) // until then, or until woken
-}
-
-// wallClock is real time: the wall's at the start, and what has passed.
-type wallClock struct{ clock.Anchored }
-
-func (w wallClock) Wait(until time.Duration, wake <-chan struct{}) {
-	t := time.NewTimer(until - w.Now())
-	defer t.Stop()
-	select {
-	case <-t.C:
-	case <-wake:
-	}
-}
-
-// eventKind tells what an event is and which of its fields count.
-type eventKind uint8
-
-const (
-	eventFunc             eventKind = iota // [do]
-	eventRootCall                          // an agent's next call at the root [agent, life]
-	eventAttemptArrived                    // an attempt, at its server [job]
-	eventAttemptCancelled                  // its caller waits for it no more, at its server [job]
-	eventWorkDone                          // its own work is done, at its server [job, life: the server's]
-	eventCallDone                          // a call that it made has ended [job, ok]
-	eventOutcome                           // of an attempt, at its caller [job, outcome, load]
-	eventTimeout                           // of an attempt, at its caller [job]
-	eventTimer                             // an ActionSetTimer [agent, life, token, control]
-	eventHealthCheck                       // a probe, at its server [agent, life, server]
-	eventHealthCheckDone                   // its answer, at its caller [agent, life, server, load, ok]
-)
-
-// event is something that falls due in a shard.
-type event struct {
-	due         time.Duration
-	seq         uint64 // the shard's: what is due at once happens in the order in which it was heard of
-	kind        eventKind
-	ok          bool
-	forControl  bool // a timer of the control's part
-	outcome     balancer.Outcome
-	incarnation uint32
-	report      loadReport
-	agent       *agent
-	server      *server
-	attempt     *attempt
-	token       uint64
-	run         func()
-}
-
-// eventQueue is a heap of events, four to each, the next one first.
-type eventQueue struct {
-	events []event
-	seq    uint64
-}
-
-func (e *event) before(o *event) bool {
-	return e.due < o.due || e.due == o.due && e.seq < o.seq
-}
-
-func (q *eventQueue) push(ev event) {
-	q.seq++
-	ev.seq = q.seq
-	q.events = append(q.events, ev)
-	i := len(q.events) - 1
-	for i > 0 {
-		up := (i - 1) / 4
-		if !ev.before(&q.events[up]) {
-			break
-		}
-		q.events[i] = q.events[up]
-		i = up
-	}
-	q.events[i] = ev
-}
-
-func (q *eventQueue) pop() event {
-	first, n := q.events[0], len(q.events)-1
-	last := q.events[n]
-	q.events[n] = event{}
-	q.events = q.events[:n]
-	if n > 0 {
-		q.siftDown(last)
-	}
-	return first
-}
-
-// siftDown puts an event in the place of the first.
-func (q *eventQueue) siftDown(ev event) {
-	i, n := 0, len(q.events)
-	for {
-		least := 4*i + 1
-		if least >= n {
-			break
-		}
-		for j := least + 1; j <= min(4*i+4, n-1); j++ {
-			if q.events[j].before(&q.events[least]) {
-				least = j
-			}
-		}
-		if !q.events[least].before(&ev) {
-			break
-		}
-		q.events[i] = q.events[least]
-		i = least
-	}
-	q.events[i] = ev
-}
-
-// shard runs the events of a part of the servers and of the agents beside them, on a thread of its own. What other
-// goroutines want of these they send to it.
+// shard is the event loop of a part of the servers and of their agents, on a goroutine and thread of its own that alone
+// touches their state. Other goroutines send it events; mu guards the inbox through which they do.
 type shard struct {
 	fleet   *Fleet
 	index   int // among the fleet's
 	clock   Clock
 	rng     *rand.Rand
-	now     time.Duration // as of the event that is handled
+	now     time.Duration // due time of the event being handled
 	queue   eventQueue
-	outbox  [][]event // to other shards, by their number, until the batch ends
+	outbox  [][]event // to other shards, by their index, until the batch ends
 	stopped bool      // set by an event
 
 	mu         sync.Mutex
 	inbox      []event
-	spareInbox []event
+	spareInbox []event // the loop's, swapped with the inbox
 	closed     bool
 	wake       chan struct{}
-	restsUntil atomic.Int64 // until when it rests
+	restsUntil atomic.Int64 // Unix ns; 0: it does not rest
 
-	lag    *result.Histogram // ms: when events were handled, after when they were due
+	lag    *result.Histogram // ms from when events were due until they were handled
 	counts shardCounts
 	cpu    cpuMeter
 	done   chan struct{}
 }
 
-func newShard(f *Fleet, number, shards int) *shard {
+func newShard(f *Fleet, index, shards int) *shard {
 	return &shard{
-		fleet: f, index: number, clock: f.clock, rng: rand.New(rand.NewPCG(f.world.Scenario.Seed, uint64(number))), outbox: make([][]event, shards), wake: make(chan struct{}, 1),
-		lag: result.NewHistogram(maxLagMillis), done: make(chan struct{}),
+		fleet: f, index: index, clock: f.clock,
+		rng:    rand.New(rand.NewPCG(f.world.Scenario.Seed, uint64(index))),
+		outbox: make([][]event, shards),
+		wake:   make(chan struct{}, 1),
+		lag:    result.NewHistogram(maxLagMillis),
+		done:   make(chan struct{}),
 	}
 }
 
-// run handles events until one of them says stop.
+// run handles events until one of them stops it.
 func (s *shard) run() {
-	runtime.LockOSThread() // its processor time is read by thread
+	runtime.LockOSThread() // cpuMeter reads the thread's processor time
 	defer runtime.UnlockOSThread()
 	defer close(s.done)
 	defer s.close()
@@ -184,7 +73,7 @@
 	}
 }
 
-// runDue handles all that is due.
+// runDue handles all events that are due.
 func (s *shard) runDue() {
 	now := s.clock.Now()
 	for n := 1; len(s.queue.events) > 0 && s.queue.events[0].due <= now && !s.stopped; n++ {
@@ -200,14 +89,15 @@
 	}
 }
 
-// rest waits until something is due, and for a tick at least, so that a shard wakes a thousand times a second at most.
+// rest waits until an event is due, for minRest at least.
 func (s *shard) rest() {
 	now := s.clock.Now()
 	until := now + maxRest
 	if len(s.queue.events) > 0 {
 		until = min(until, max(s.queue.events[0].due, now+minRest))
 	}
-	s.restsUntil.Store(int64(until)) // before the inbox is looked at: whoever sends now looks at it after
+	// Before the inbox is checked: a sender appends to the inbox first and looks at restsUntil after that.
+	s.restsUntil.Store(int64(until))
 	s.mu.Lock()
 	idle := len(s.inbox) == 0
 	s.mu.Unlock()
@@ -217,7 +107,7 @@
 	s.restsUntil.Store(0)
 }
 
-// drainInbox moves what was sent into the queue.
+// drainInbox moves what other goroutines sent into the queue.
 func (s *shard) drainInbox() {
 	s.mu.Lock()
 	s.inbox, s.spareInbox = s.spareInbox[:0], s.inbox
@@ -228,7 +118,7 @@
 	}
 }
 
-// enqueue hands events to the shard from outside. It is false if the shard has ended.
+// enqueue sends events to the shard from another goroutine. It returns false if the shard has ended.
 func (s *shard) enqueue(events ...event) bool {
 	s.mu.Lock()
 	if s.closed {
@@ -251,11 +141,12 @@
 
 func (s *shard) close() {
 	s.mu.Lock()
-	s.closed, s.inbox = true, nil
+	s.closed = true
+	s.inbox = nil
 	s.mu.Unlock()
 }
 
-// post hands an event to another shard at the end of the batch, or to this one.
+// post sends an event of this shard to another at the end of the batch, or queues it here.
 func (s *shard) post(to *shard, ev event) {
 	if to == s {
 		s.queue.push(ev)
@@ -274,49 +165,25 @@
 	}
 }
 
-// doAsync has the shard run a function, as of now.
-func (s *shard) doAsync(do func()) bool {
-	return s.enqueue(event{kind: eventFunc, due: s.clock.Now(), run: do})
+// doAsync has the shard run a function, as of now. It returns false if the shard has ended.
+func (s *shard) doAsync(run func()) bool {
+	return s.enqueue(event{kind: eventFunc, due: s.clock.Now(), run: run})
 }
 
-// doSync has the shard run a function and waits for it. It is false if the shard has ended before.
-func (s *shard) doSync(do func()) bool {
-	done := make(chan struct{})
-	if !s.doAsync(func() { do(); close(done) }) {
+// doSync has the shard run a function and waits for it. It returns false if the shard ended before.
+func (s *shard) doSync(run func()) bool {
+	finished := make(chan struct{})
+	sent := s.doAsync(func() {
+		run()
+		close(finished)
+	})
+	if !sent {
 		return false
 	}
 	select {
-	case <-done:
+	case <-finished:
 		return true
 	case <-s.done:
 		return false
 	}
 }
-
-// dispatch does what an event says.
-func (s *shard) dispatch(ev *event) {
-	switch ev.kind {
-	case eventFunc:
-		ev.run()
-	case eventRootCall:
-		ev.agent.startRootCall(ev.incarnation)
-	case eventAttemptArrived:
-		ev.attempt.server.receive(ev.attempt)
-	case eventAttemptCancelled:
-		ev.attempt.server.cancel(ev.attempt)
-	case eventWorkDone:
-		ev.attempt.server.onWorkDone(ev.attempt, ev.incarnation)
-	case eventCallDone:
-		ev.attempt.server.onCallDone(ev.attempt, ev.ok)
-	case eventOutcome:
-		ev.attempt.call.agent.onAttemptDone(ev.attempt, ev.outcome, ev.report)
-	case eventTimeout:
-		ev.attempt.call.agent.onAttemptTimeout(ev.attempt)
-	case eventTimer:
-		ev.agent.onTimer(ev)
-	case eventHealthCheck:
-		ev.server.onHealthCheck(ev)
-	case eventHealthCheckDone:
-		ev.agent.onHealthCheckDone(ev)
-	}
-}
--- a/internal/scale/simagent/stats.go
+++ b/internal/scale/simagent/stats.go
@@ -10,33 +10,33 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// ListChange says since when a revision of the list has been in force.
+// ListChange says since when a revision of the endpoint list has been in force. Its fields are part of a message.
 type ListChange struct {
 	Revision uint64
-	At       []int64 // Unix ns, by agent of the world; 0: not yet, or not hollow
+	At       []int64 // Unix ns, by agent of the world; 0: not yet, or not simulated
 }
 
-// maxLagP99Millis is the lag at P99, in ms, beyond which the model has not kept real time.
+// maxLagP99Millis is the lag at P99 beyond which the model has not kept real time.
 const maxLagP99Millis = 50
 
-// StatsReply is what was measured since Begin.
+// StatsReply is what was measured since Begin. Its fields are part of a message.
 type StatsReply struct {
 	Agents  int
 	Ready   int // agents that hold the list
 	Seconds float64
 
-	Roots, FailRoots int64 // calls at the root, in peace and while the deepest service failed
+	Roots, FailRoots int64 // root calls, and those made while the deepest service failed
 	Depths           []result.Depth
 	Windows          []result.Window
-	Doubled          int64    // attempts of side_effect calls that may have run before: must be 0
-	Again            [3]int64 // the same by effect: pure, token, side_effect
+	Doubled          int64    // attempts of non-idempotent calls that may have executed before: must be 0
+	Again            [3]int64 // such attempts by idempotency: idempotent, with a key, not
 
-	Lists   []ListChange   // every revision from the first after Begin to the newest heard of
-	Configs []ConfigChange // every revision that was begun after Begin
+	Lists   []ListChange   // every revision from the first after Begin to the newest that an agent got
+	Configs []ConfigChange // every revision whose rollout began after Begin
 	Control result.AgentControl
 
-	ListCalls, ListFails, WholeLists int64 // of the clients: calls, those of them that failed, whole lists that were told
-	Logged                           int64 // lines of the modules
+	ListCalls, ListFails, WholeLists int64 // polls of discovery, failed ones, full lists that came
+	Logged                           int64 // log lines of the balancers
 
 	// Processor time in seconds: of the process; of the modelled calls; of making configurations, which is the platform's;
 	// of the garbage collector by the runtime's estimate; and what of the first is neither the second nor the third.
@@ -44,19 +44,19 @@
 
 	Heap, Stacks float64 // bytes: live after a collection, less what the empty model takes; of the goroutines
 	Goroutines   int
-	LagMS        result.Distribution // how late the model handled what was due
-	KeptUp       bool                // that was within 50 ms for 99 in 100
+	LagMS        result.Distribution // how late the model handled events
+	KeptUp       bool                // LagMS was within maxLagP99Millis for 99 in 100
 }
 
-// measurement is where the measured part began.
+// measurement is the state at the beginning of the measured part.
 type measurement struct {
 	mu                sync.Mutex
-	baselineHeapBytes float64 // bytes of heap before any agent began
+	baselineHeapBytes float64 // before any agent was started
 	startedAt         time.Duration
 	cpuAtStart        time.Duration
 	sourceCPUAtStart  int64
 	gcCPUAtStart      float64
-	newestAtStart     uint64 // the newest revision that any agent held then
+	newestAtStart     uint64 // newest revision of the list that any agent held
 }
 
 // recordBaseline measures the heap of the model alone.
@@ -71,17 +71,17 @@
 }
 
 // countReady counts the agents that hold the list.
-func (f *Fleet) countReady() (n int) {
+func (f *Fleet) countReady() (ready int) {
 	for _, s := range f.shards {
 		s.doSync(func() {
 			for _, a := range f.agents {
 				if a.shard == s && a.synced {
-					n++
+					ready++
 				}
 			}
 		})
 	}
-	return n
+	return ready
 }
 
 // Begin begins the measured part.
@@ -107,43 +107,44 @@
 	f.polls.total.Store(0)
 	f.polls.failed.Store(0)
 	f.polls.fullLists.Store(0)
-	m.cpuAtStart, m.sourceCPUAtStart, m.gcCPUAtStart = cpuTime(processCPUClock), f.configSource.cpu.spent.Load(), gcCPUSeconds()
+	m.cpuAtStart = cpuTime(processCPUClock)
+	m.sourceCPUAtStart = f.configSource.cpu.spent.Load()
+	m.gcCPUAtStart = gcCPUSeconds()
 }
 
-// Stats tells what was measured. It costs a garbage collection, after the processor time was read. The heap is what is
-// live then, less what the empty model took before the agents began: the calls under way and the counts are in it, so that
-// an agent's part is an upper figure.
+// Stats reports what was measured. It costs a garbage collection, after the processor time was read. The calls in flight
+// and the counts are part of the heap, so that an agent's share is an upper figure.
 func (f *Fleet) Stats() StatsReply {
 	m := &f.measurement
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	cpu, collector := cpuTime(processCPUClock), gcCPUSeconds()
+	cpu := cpuTime(processCPUClock)
+	gcCPU := gcCPUSeconds()
 	r := StatsReply{
 		Agents: len(f.agents), Ready: f.countReady(), Seconds: (f.clock.Now() - m.startedAt).Seconds(),
-		CPU: (cpu - m.cpuAtStart).Seconds(), CollectorCPU: collector - m.gcCPUAtStart,
+		CPU: (cpu - m.cpuAtStart).Seconds(), CollectorCPU: gcCPU - m.gcCPUAtStart,
 		SourceCPU: time.Duration(f.configSource.cpu.spent.Load() - m.sourceCPUAtStart).Seconds(),
 		ListCalls: f.polls.total.Load(), ListFails: f.polls.failed.Load(), WholeLists: f.polls.fullLists.Load(),
 		Configs: f.configSource.changesSince(m.startedAt), Goroutines: runtime.NumGoroutine(),
 	}
-	all, lag := shardCounts{}, result.NewHistogram(maxLagMillis)
-	heard := map[int][]listTime{}
+	counts := shardCounts{}
+	lag := result.NewHistogram(maxLagMillis)
+	times := map[int][]listTime{}
 	for _, s := range f.shards {
 		s.doSync(func() {
 			r.ModelCPU += s.cpu.modelTime().Seconds()
-			all.merge(&s.counts)
+			counts.merge(&s.counts)
 			lag.Merge(s.lag)
 			for _, a := range f.agents {
 				if a.shard == s {
-					heard[a.position] = slices.Clone(a.listTimes)
+					times[a.position] = slices.Clone(a.listTimes)
 				}
 			}
 		})
 	}
+	r.addCounts(&counts)
 	r.ControlCPU = r.CPU - r.ModelCPU - r.SourceCPU
-	r.Roots, r.FailRoots = all.roots[phaseHealthy], all.roots[phaseFailing]
-	r.Depths, r.Windows = all.depthResults(), all.windowResults()
-	r.Again, r.Doubled, r.Logged = all.repeats, all.repeats[balancer.NonIdempotent], all.logLines
-	r.Lists = f.listChanges(heard)
+	r.Lists = f.listChanges(times)
 	r.LagMS = lag.Distribution()
 	r.KeptUp = r.LagMS.P99 <= maxLagP99Millis
 	r.Heap, r.Stacks = liveHeap()
@@ -152,47 +153,56 @@
 	return r
 }
 
-// controlCost sums up what control cost the agents, as far as it shows here; bytes and the lists' times show at control.
+// addCounts fills in what the shards counted.
+func (r *StatsReply) addCounts(c *shardCounts) {
+	r.Roots = c.roots[phaseHealthy]
+	r.FailRoots = c.roots[phaseFailing]
+	r.Depths = c.depthResults()
+	r.Windows = c.windowResults()
+	r.Again = c.repeats
+	r.Doubled = c.repeats[balancer.NonIdempotent]
+	r.Logged = c.logLines
+}
+
+// controlCost sums up what control cost the agents, as far as it shows here; bytes and the times of lists show at control.
 func (f *Fleet) controlCost(r *StatsReply) result.AgentControl {
-	c := result.AgentControl{Agents: len(f.agents)}
+	cost := result.AgentControl{Agents: len(f.agents)}
 	if len(f.agents) == 0 || r.Seconds <= 0 {
-		return c
+		return cost
 	}
-	each := float64(len(f.agents))
-	c.CPUPercent = 100 * r.ControlCPU / r.Seconds / each
-	c.HeapBytes = r.Heap / each
-	took := result.NewHistogram(maxLagMillis * 60)
-	for _, conf := range r.Configs {
+	agents := float64(len(f.agents))
+	cost.CPUPercent = 100 * r.ControlCPU / r.Seconds / agents
+	cost.HeapBytes = r.Heap / agents
+	inForce := result.NewHistogram(maxLagMillis * 60)
+	for _, change := range r.Configs {
 		for _, a := range f.agents {
-			if at := conf.At[a.position]; at != 0 {
-				took.AddDuration(time.Duration(at - conf.Began))
+			if at := change.At[a.position]; at != 0 {
+				inForce.AddDuration(time.Duration(at - change.Began))
 			}
 		}
 	}
-	c.ConfInForce = took.Distribution()
-	return c
+	cost.ConfInForce = inForce.Distribution()
+	return cost
 }
 
-// listDeliveries turns what the agents heard into times by revision. An agent that heard of several revisions in one answer has
-// had them all in force since.
-func (f *Fleet) listChanges(heard map[int][]listTime) (out []ListChange) {
+// listChanges turns the agents' list times into times by revision. An agent that got several revisions in one answer has
+// had all of them in force since.
+func (f *Fleet) listChanges(times map[int][]listTime) (changes []ListChange) {
 	newest := f.measurement.newestAtStart
-	for _, all := range heard {
-		for _, h := range all {
-			newest = max(newest, h.revision)
+	for _, ofAgent := range times {
+		for _, t := range ofAgent {
+			newest = max(newest, t.revision)
 		}
 	}
-	for r := f.measurement.newestAtStart + 1; r <= newest; r++ {
-		l := ListChange{Revision: r, At: make([]int64, len(f.world.Agents))}
-		for place, all := range heard {
-			for _, h := range all {
-				if h.revision >= r {
-					l.At[place] = h.atUnixNano
-					break
-				}
+	for revision := f.measurement.newestAtStart + 1; revision <= newest; revision++ {
+		change := ListChange{Revision: revision, At: make([]int64, len(f.world.Agents))}
+		for position, ofAgent := range times {
+			i := slices.IndexFunc(ofAgent, func(t listTime) bool { return t.revision >= revision })
+			if i >= 0 {
+				change.At[position] = ofAgent[i].atUnixNano
 			}
 		}
-		out = append(out, l)
+		changes = append(changes, change)
 	}
-	return out
+	return changes
 }
--- /dev/null
+++ b/internal/scale/simagent/steps.go
@@ -0,0 +1,73 @@
+package simagent
+
+import (
+	"slices"
+
+	"example.org/ryeloft/internal/scale/world"
+)
+
+// Step plays one step of the world's events: on servers first, then on the agents that it restarts. It returns when these
+// are up, not when they hold the list.
+func (f *Fleet) Step(step world.Step) error {
+	f.applyFlags(step)
+	if step.Silent {
+		for _, a := range f.agentsBeside(step.Down) {
+			f.stopAgent(a)
+		}
+	}
+	for _, i := range step.Down {
+		s := f.servers[i]
+		s.shard.doSync(func() { s.takeDown(downState(step)) })
+	}
+	for _, i := range step.Up {
+		s := f.servers[i]
+		s.shard.doSync(func() { s.restart(step.Cold) })
+	}
+	return f.forEachAgent(f.agentsAt(step.Restart), func(a *agent) error {
+		if step.Forget {
+			return f.startAgent(a, nil)
+		}
+		return f.startAgent(a, f.cachedEndpoints(a))
+	})
+}
+
+// applyFlags plays what a step says of the whole fleet.
+func (f *Fleet) applyFlags(step world.Step) {
+	if step.Fail != nil {
+		f.deepestFailing.Store(*step.Fail)
+	}
+	if step.CutRegions != nil {
+		f.regionsPartitioned.Store(*step.CutRegions)
+	}
+}
+
+// downState is the state of servers that a step takes down.
+func downState(step world.Step) serverState {
+	if step.Silent {
+		return serverUnreachable
+	}
+	return serverCrashed
+}
+
+// agentsBeside returns the simulated agents beside servers.
+func (f *Fleet) agentsBeside(servers []int) (beside []*agent) {
+	if len(servers) == 0 {
+		return nil
+	}
+	for _, a := range f.agents {
+		if slices.Contains(servers, a.server.position) {
+			beside = append(beside, a)
+		}
+	}
+	return beside
+}
+
+// agentsAt returns the simulated agents among positions in the world.
+func (f *Fleet) agentsAt(positions []int) (agents []*agent) {
+	for _, i := range positions {
+		if a := f.agentsByPosition[i]; a != nil {
+			agents = append(agents, a)
+		}
+	}
+	return agents
+}
