--- a/internal/scale/realagent/realagent_test.go
+++ b/internal/scale/realagent/realagent_test.go
@@ -77,8 +77,8 @@
 	if o.Revision >= 100 {
 		attempts = 0
 	}
-	if o.Known != nil {
-		known = fmt.Sprintf(`"known":%s,`, o.Known)
+	if o.CachedEndpoints != nil {
+		known = fmt.Sprintf(`"known":%s,`, o.CachedEndpoints)
 	}
 	return fmt.Appendf(nil, `{"name":"r%d","listen":%q,"discovery":%q,"seed":"%x",%s
  "limits":{"cores":1.0,"memory_mb":64,"sockets":256},
@@ -105,7 +105,7 @@
 	})
 	addr := discovery(t, echo.Addrs())
 	return Options{
-		Config: config, Agents: []int{first, first + 2}, Echo: echo.Addrs(), Bin: binary(t), Dir: t.TempDir(),
+		Config: config, Agents: []int{first, first + 2}, Echo: echo.Addrs(), Program: binary(t), Dir: t.TempDir(),
 		Discovery: slices.Repeat([]string{addr}, first+3),
 	}
 }
@@ -160,7 +160,7 @@
 	o := options(t, 20)
 	f := fleet(t, t.Context(), o)
 	f.Begin()
-	added, err := f.Added(t.Context(), 100, 500*time.Microsecond)
+	added, err := f.MeasureAdded(t.Context(), 100, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 100 || added.Through.N != 100 || added.Direct.N != 100 {
 		t.Errorf("added %+v, error %v", added, err)
 	}
@@ -176,11 +176,11 @@
 		t.Error(err)
 	}
 	s := f.Stats()
-	if s.Each[0].PID != before[0] || s.Each[1].PID == before[1] || s.Each[0].Restarts != 0 || s.Each[1].Restarts != 1 || s.UpMS.N != 1 {
+	if s.Each[0].PID != before[0] || s.Each[1].PID == before[1] || s.Each[0].Restarts != 0 || s.Each[1].Restarts != 1 || s.StartupMS.N != 1 {
 		t.Errorf("not agent 22 alone was restarted: %+v, before %v", s, before)
 	}
 	gone(t, before[1:])
-	if d := s.ConfInForce.Dist(); d.N != 2 || d.Max < 20 || len(s.Configs) != 1 || s.Configs[0].Revision != 1 {
+	if d := s.ConfInForce.Distribution(); d.N != 2 || d.Max < 20 || len(s.Configs) != 1 || s.Configs[0].Revision != 1 {
 		t.Errorf("in force after %+v ms: %+v", d, s.Configs)
 	}
 	for i, at := range s.Configs[0].InForce {
@@ -188,7 +188,7 @@
 			t.Errorf("agent %d has it in force %v after the beginning", i, took)
 		}
 	}
-	if s.Quiet != 1 || s.CPUPercent <= 0 || s.CallCPUMS == 0 || s.Each[0].Calls != 100+warmPairs || s.Each[1].Calls != 0 {
+	if s.IdleAgents != 1 || s.CPUPercent <= 0 || s.CallCPUMS == 0 || s.Each[0].Calls != 100+warmUpPairs || s.Each[1].Calls != 0 {
 		t.Errorf("figures %+v", s)
 	}
 	if s.RSSBytes.N != 2 || s.RSSBytes.P50 < 1<<20 || s.PeakBytes.Max < s.RSSBytes.P50 {
@@ -228,7 +228,7 @@
 		}
 	}
 	f := fleet(t, t.Context(), o)
-	added, err := f.Added(t.Context(), 10, 500*time.Microsecond)
+	added, err := f.MeasureAdded(t.Context(), 10, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 10 {
 		t.Errorf("added %+v, error %v", added, err)
 	}
@@ -268,8 +268,8 @@
 	o := options(t, 40)
 	f := fleet(t, t.Context(), o)
 	mentions(t, f.Configure(t.Context(), 100, 0), "agent r40", "agent r42", "not reloaded", "MaxAttempts")
-	if s := f.Stats(); s.ConfInForce.Dist().N != 0 || f.Err() != nil {
-		t.Errorf("in force all the same: %+v, error %v", s.ConfInForce.Dist(), f.Err())
+	if s := f.Stats(); s.ConfInForce.Distribution().N != 0 || f.Err() != nil {
+		t.Errorf("in force all the same: %+v, error %v", s.ConfInForce.Distribution(), f.Err())
 	}
 	if err := f.Configure(t.Context(), 2, 0); err != nil {
 		t.Errorf("the next one: %v", err)
@@ -310,7 +310,7 @@
 	}{
 		"good":       {func(*Options) {}, ""},
 		"none":       {func(o *Options) { o.Agents = nil }, "0 real agents"},
-		"too many":   {func(o *Options) { o.Agents = make([]int, mostAgents+1) }, "201 real agents"},
+		"too many":   {func(o *Options) { o.Agents = make([]int, maxAgents+1) }, "201 real agents"},
 		"twice":      {func(o *Options) { o.Agents = []int{1, 1} }, "twice"},
 		"no address": {func(o *Options) { o.Agents = []int{3} }, "no address"},
 		"no relays":  {func(o *Options) { o.Relays = make([][]string, 1) }, "no address"},
@@ -320,7 +320,7 @@
 		t.Run(what, func(t *testing.T) {
 			o := good
 			c.change(&o)
-			err := o.check()
+			err := o.validate()
 			if c.want == "" && err == nil {
 				return
 			}
@@ -331,15 +331,15 @@
 
 func TestLogLines(t *testing.T) {
 	var got []string
-	l := &lines{each: func(_ time.Time, line string) { got = append(got, line) }}
+	l := &lineWriter{each: func(_ time.Time, line string) { got = append(got, line) }}
 	for _, part := range []string{"one\ntw", "o\n", "\nthree", "\n", "half"} {
 		l.Write([]byte(part))
 	}
 	if strings.Join(got, "|") != "one|two||three" {
 		t.Errorf("lines %q", got)
 	}
-	var kept ring
-	for i := range keptLines + 3 {
+	var kept logTail
+	for i := range tailLines + 3 {
 		kept.add(fmt.Sprint(i))
 	}
 	if text := kept.text(); !strings.HasPrefix(text, "  3\n") || !strings.HasSuffix(text, "  14") {
--- /dev/null
+++ b/internal/scale/simagent/call.go
@@ -0,0 +1,219 @@
+package simagent
+
+import (
+	"slices"
+	"time"
+
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/settings"
+)
+
+// callResult is how a call ended for the application that made it.
+type callResult uint8
+
+const (
+	callServed callResult = iota
+	callFailed
+	callRejected
+)
+
+// request is what an application asks its agent for.
+type request struct {
+	service   int // called service
+	remaining time.Duration
+	phase     phase // of the run in which the root call began
+	second    int   // of the measured part in which the root call began
+	root      bool
+	parent    *attempt // that waits for the call; nil for a root call, or once that attempt has gone
+}
+
+// call is a request as its agent sees it, until it is answered and all its attempts are back. It belongs to the agent's
+// shard; other shards read only fields that never change after creation.
+type call struct {
+	request
+	agent       *agent
+	incarnation uint32 // of the agent
+	id          balancer.RequestID
+	idempotency balancer.Idempotency
+	deadline    time.Duration
+
+	attempts []*attempt
+	inFlight int
+	answered bool
+}
+
+// attempt is one try of a call at one server. The caller's shard owns the fields up to outcome, the server's shard the rest.
+type attempt struct {
+	call     *call
+	number   int // among the call's attempts
+	server   *server
+	serverID balancer.ServerID // as the caller's balancer knows the server
+	deadline time.Duration     // after which nobody waits for the attempt
+	finished bool              // the caller knows the outcome
+	outcome  balancer.Outcome
+
+	serverIncarnation uint32
+	state             attemptState
+	nextCall          int   // index into the service's calls
+	child             *call // call that the attempt waits for
+}
+
+// startCall takes a request of the application beside the agent.
+func (a *agent) startCall(r request) *call {
+	s := a.shard
+	service := &s.fleet.world.Services[r.service]
+	s.counts.of(r.phase, service.Layer).Calls++
+	c := &call{request: r, agent: a, incarnation: a.incarnation}
+	class, known := 0, false
+	if a.isUp && a.hasList {
+		class, known = a.classIndex[service.Name]
+	}
+	if !known {
+		a.finish(c, callFailed)
+		return c
+	}
+	if len(a.requests) >= maxOpenRequests {
+		a.finish(c, callRejected)
+		return c
+	}
+	classSettings := &a.settings.Load().Balancer.Classes[class]
+	remaining := min(r.remaining, classSettings.Deadline)
+	c.idempotency = classSettings.Idempotency
+	c.id = a.nextRequestID()
+	c.deadline = s.now + remaining
+	a.requests[c.id] = c
+	a.handle(balancer.Event{Kind: balancer.EventRequest, Request: c.id, Class: class, Remaining: remaining})
+	return c
+}
+
+func (a *agent) nextRequestID() balancer.RequestID {
+	for {
+		a.lastID++
+		if a.requests[a.lastID] == nil {
+			return a.lastID
+		}
+	}
+}
+
+// finish gives a call its answer, unless it has one.
+func (a *agent) finish(c *call, result callResult) {
+	if !c.answered {
+		c.answered = true
+		a.shard.counts.countEnd(c, a.shard.fleet.world.Services[c.service].Layer, result)
+		if c.parent != nil {
+			// As an event of its own: the parent's next call must not start while this agent is still handling an event.
+			a.shard.queue.push(event{kind: eventCallDone, due: a.shard.now, attempt: c.parent, ok: result == callServed})
+		}
+	}
+	a.forget(c)
+}
+
+// forget drops a call once it is answered and none of its attempts is in flight.
+func (a *agent) forget(c *call) {
+	if c.answered && c.inFlight == 0 && a.requests[c.id] == c {
+		delete(a.requests, c.id)
+	}
+}
+
+// cancelCall ends a call whose application has gone.
+func (a *agent) cancelCall(c *call) {
+	if c.answered || c.incarnation != a.incarnation {
+		return
+	}
+	c.parent = nil
+	a.finish(c, callFailed)
+	if a.isUp {
+		a.handle(balancer.Event{Kind: balancer.EventClientClosed, Request: c.id})
+	}
+	a.forget(c)
+}
+
+// send makes an attempt at a server. One that can no longer be made ends as expired.
+func (a *agent) send(c *call, action *balancer.Action) {
+	s := a.shard
+	target := a.serversByID[action.Server]
+	number := len(c.attempts)
+	remaining := c.deadline - a.now
+	if action.Timeout != 0 {
+		remaining = min(remaining, action.Timeout)
+	}
+	if c.answered || remaining <= 0 || target == nil {
+		c.attempts = append(c.attempts, &attempt{call: c, number: number, finished: true, outcome: balancer.OutcomeExpired})
+		a.events = append(a.events, balancer.Event{
+			Kind: balancer.EventOutcome, Request: c.id, Attempt: number, Server: action.Server,
+			Outcome: balancer.OutcomeExpired, Answered: c.answered, Load: settings.UnknownLoad(),
+		})
+		return
+	}
+	if c.mayHaveExecuted() && c.phase != phaseBefore {
+		s.counts.repeats[c.idempotency]++
+	}
+	att := &attempt{call: c, number: number, server: target, serverID: action.Server, deadline: a.now + remaining}
+	c.attempts = append(c.attempts, att)
+	c.inFlight++
+	s.counts.of(c.phase, s.fleet.world.Services[c.service].Layer).Attempts++
+	s.transmit(a.server, target, event{kind: eventAttemptArrived, due: a.now, attempt: att})
+	s.queue.push(event{kind: eventTimeout, due: att.deadline, attempt: att})
+}
+
+// notExecuted are the outcomes after which no server has begun to work on an attempt.
+var notExecuted = []balancer.Outcome{
+	balancer.OutcomeRejected, balancer.OutcomeConnectFailed, balancer.OutcomeExpired, balancer.OutcomeServerDraining,
+}
+
+// mayHaveExecuted reports whether an attempt of the call may have been executed, as far as the agent can know.
+func (c *call) mayHaveExecuted() bool {
+	return slices.ContainsFunc(c.attempts, func(att *attempt) bool {
+		return !att.finished || !slices.Contains(notExecuted, att.outcome)
+	})
+}
+
+// onAttemptDone handles the outcome of an attempt.
+func (a *agent) onAttemptDone(att *attempt, outcome balancer.Outcome, report loadReport) {
+	c := att.call
+	if att.finished || c.incarnation != a.incarnation {
+		return
+	}
+	att.finished = true
+	att.outcome = outcome
+	c.inFlight--
+	if outcome == balancer.OutcomeOK {
+		a.finish(c, callServed)
+	}
+	a.handle(balancer.Event{
+		Kind: balancer.EventOutcome, Request: c.id, Attempt: att.number, Server: att.serverID, Outcome: outcome,
+		Answered: c.answered, Load: report.toBalancer(a.settings.Load()),
+	})
+	a.forget(c)
+}
+
+// onAttemptTimeout gives up an attempt that is still in flight at its timeout.
+func (a *agent) onAttemptTimeout(att *attempt) {
+	if att.finished || att.call.incarnation != a.incarnation {
+		return
+	}
+	a.closeConnection(att)
+	a.onAttemptDone(att, balancer.OutcomeTimeout, loadReport{})
+}
+
+// cancelAttempt gives up an attempt on ActionCancel; its outcome is an event of its own.
+func (a *agent) cancelAttempt(c *call, number int) {
+	if att := c.attempts[number]; !att.finished {
+		a.closeConnection(att)
+		a.shard.queue.push(event{kind: eventOutcome, due: a.shard.now, attempt: att, outcome: balancer.OutcomeCancelled})
+	}
+}
+
+// dropAttempt gives up an attempt of a process that has ended.
+func (a *agent) dropAttempt(c *call, number int) {
+	if att := c.attempts[number]; !att.finished {
+		att.finished = true
+		c.inFlight--
+		a.closeConnection(att)
+	}
+}
+
+// closeConnection tells an attempt's server that the caller has gone.
+func (a *agent) closeConnection(att *attempt) {
+	a.shard.transmit(a.server, att.server, event{kind: eventAttemptCancelled, due: max(a.now, a.shard.now), attempt: att})
+}
--- /dev/null
+++ b/internal/scale/simagent/counts.go
@@ -0,0 +1,155 @@
+package simagent
+
+import (
+	"time"
+
+	"example.org/ryeloft/internal/scale/result"
+)
+
+// phase is the part of the run in which a root call began; the call and all that it causes count there.
+type phase uint8
+
+const (
+	phaseBefore phase = iota // the measured part
+	phaseHealthy
+	phaseFailing // the deepest service fails
+	phaseCount
+)
+
+// maxDepth is the deepest layer that is counted by itself; deeper ones count as this.
+const maxDepth = 64
+
+// maxWindows is how many seconds have windows of their own; later ones count as the last.
+const maxWindows = 24 * 3600
+
+// depthCounts counts the calls to one layer in one phase.
+type depthCounts struct{ Calls, Attempts, OK, Failed, Rejected int64 }
+
+func (d *depthCounts) add(o depthCounts) {
+	d.Calls += o.Calls
+	d.Attempts += o.Attempts
+	d.OK += o.OK
+	d.Failed += o.Failed
+	d.Rejected += o.Rejected
+}
+
+// shardCounts is what one shard counts of the measured part.
+type shardCounts struct {
+	startedAt time.Duration // of the measured part; 0: not yet
+	depths    [maxDepth + 1][phaseCount]depthCounts
+	windows   []result.Window // by second
+	roots     [phaseCount]int64
+	repeats   [3]int64 // by idempotency: attempts of calls that may have executed before
+	logLines  int64    // of the balancers
+}
+
+// phase is the one in which a root call counts that begins now.
+func (s *shard) phase() phase {
+	switch {
+	case s.counts.startedAt == 0:
+		return phaseBefore
+	case s.fleet.deepestFailing.Load():
+		return phaseFailing
+	}
+	return phaseHealthy
+}
+
+// of returns the counts of a phase and layer.
+func (c *shardCounts) of(p phase, layer int) *depthCounts {
+	return &c.depths[min(max(layer, 0), maxDepth)][p]
+}
+
+// countRootCall counts a root call and returns its second.
+func (c *shardCounts) countRootCall(p phase, now time.Duration) int {
+	c.roots[p]++
+	if p == phaseBefore {
+		return 0
+	}
+	second := min(int(max(0, now-c.startedAt)/time.Second), maxWindows-1)
+	c.growWindows(second + 1)
+	c.windows[second].Roots++
+	return second
+}
+
+func (c *shardCounts) growWindows(seconds int) {
+	for len(c.windows) < seconds {
+		c.windows = append(c.windows, result.Window{Second: len(c.windows)})
+	}
+}
+
+// countEnd counts the end of a call.
+func (c *shardCounts) countEnd(of *call, layer int, how callResult) {
+	d := c.of(of.phase, layer)
+	switch how {
+	case callServed:
+		d.OK++
+		if of.root && of.phase != phaseBefore && of.second < len(c.windows) {
+			c.windows[of.second].Served++
+		}
+	case callFailed:
+		d.Failed++
+	case callRejected:
+		d.Rejected++
+	}
+}
+
+// merge adds another shard's counts.
+func (c *shardCounts) merge(o *shardCounts) {
+	for i := range o.depths {
+		for p := range o.depths[i] {
+			c.depths[i][p].add(o.depths[i][p])
+		}
+	}
+	c.growWindows(len(o.windows))
+	for i, w := range o.windows {
+		c.windows[i].Roots += w.Roots
+		c.windows[i].Served += w.Served
+	}
+	for p := range o.roots {
+		c.roots[p] += o.roots[p]
+	}
+	for i := range o.repeats {
+		c.repeats[i] += o.repeats[i]
+	}
+	c.logLines += o.logLines
+}
+
+// depthResults sums up the calls by layer from the first on, for layers that were called.
+func (c *shardCounts) depthResults() (all []result.Depth) {
+	for layer := 1; layer <= maxDepth; layer++ {
+		healthy := c.depths[layer][phaseHealthy]
+		failing := c.depths[layer][phaseFailing]
+		if healthy.Calls+failing.Calls == 0 {
+			continue
+		}
+		d := result.Depth{
+			Depth: layer, Calls: healthy.Calls, Attempts: healthy.Attempts, OK: healthy.OK, Failed: healthy.Failed, Refused: healthy.Rejected,
+			FailCalls: failing.Calls, FailAttempts: failing.Attempts, FailOK: failing.OK,
+			PerRoot: ratio(healthy.Attempts, c.roots[phaseHealthy]), FailPerRoot: ratio(failing.Attempts, c.roots[phaseFailing]),
+			ServedMeanPercent: 100 * ratio(healthy.OK, healthy.Calls),
+		}
+		if d.PerRoot > 0 {
+			d.Amplification = d.FailPerRoot / d.PerRoot
+		}
+		all = append(all, d)
+	}
+	return all
+}
+
+// windowResults returns the seconds with their shares. A call counts in the second in which it began, so that the last
+// seconds lack what is still in flight.
+func (c *shardCounts) windowResults() []result.Window {
+	for i := range c.windows {
+		w := &c.windows[i]
+		w.Percent = 100 * ratio(w.Served, w.Roots)
+	}
+	return c.windows
+}
+
+// ratio is part over whole, and 0 of nothing.
+func ratio(part, whole int64) float64 {
+	if whole == 0 {
+		return 0
+	}
+	return float64(part) / float64(whole)
+}
--- /dev/null
+++ b/internal/scale/simagent/server.go
@@ -0,0 +1,255 @@
+package simagent
+
+import (
+	"slices"
+	"time"
+
+	"example.org/ryeloft/internal/balancer"
+)
+
+// serverState is what has become of a server's process and machine.
+type serverState uint8
+
+const (
+	serverUp          serverState = iota
+	serverCrashed                 // connections are refused
+	serverUnreachable             // the machine has vanished: nothing comes back
+)
+
+// attemptState is where a server has an attempt.
+type attemptState uint8
+
+const (
+	attemptInTransit attemptState = iota
+	attemptQueued
+	attemptWorking // the server's own work
+	attemptCalling // other services in turn, without a slot
+	attemptDone
+	attemptAbandoned // its caller has gone; it keeps its slot until the server's own work is done
+)
+
+// recentGain is the weight of one request in the service time that a server reports, which covers the last one or two.
+const recentGain = 0.5
+
+// server is a modelled counter server with its application. A request occupies a slot for the server's own work but not
+// while it waits for the calls it makes, as scenarios size slots for work alone. It belongs to its shard.
+type server struct {
+	shard    *shard
+	position int // among the world's
+	service  int
+	region   int
+	zone     int
+	agent    *agent // by which requests call on; nil: they make no calls
+
+	state        serverState
+	incarnation  uint32        // counts its processes
+	startedAt    time.Duration // of this process, Unix time; 0: long ago
+	slots        int
+	busySlots    int
+	queue        []*attempt
+	inProgress   map[*attempt]struct{} // started and not answered
+	recentMillis float64               // service time
+}
+
+// receive starts, queues or rejects an attempt that has arrived.
+func (s *server) receive(att *attempt) {
+	f := s.shard.fleet
+	switch {
+	case s.state == serverUnreachable:
+	case s.state == serverCrashed:
+		s.respond(att, balancer.OutcomeConnectFailed)
+	case f.deepestFailing.Load() && s.service == f.world.Deepest:
+		s.respond(att, balancer.OutcomeError)
+	case s.shard.now >= att.deadline:
+		s.respond(att, balancer.OutcomeRejected)
+	case s.busySlots < s.slots:
+		s.start(att)
+	case len(s.queue) < f.world.Scenario.Fleet.QueueSlots:
+		att.state = attemptQueued
+		s.queue = append(s.queue, att)
+	default:
+		s.respond(att, balancer.OutcomeRejected)
+	}
+}
+
+// start works on an attempt.
+func (s *server) start(att *attempt) {
+	s.busySlots++
+	s.inProgress[att] = struct{}{}
+	att.state = attemptWorking
+	att.serverIncarnation = s.incarnation
+	world := s.shard.fleet.world
+	mean := world.Services[s.service].Work.Seconds() / (world.Servers[s.position].Speed * s.warmUpFactor())
+	took := s.shard.exponential(mean)
+	s.recentMillis += recentGain * (float64(took)/float64(time.Millisecond) - s.recentMillis)
+	s.shard.queue.push(event{kind: eventWorkDone, due: s.shard.now + took, attempt: att, incarnation: s.incarnation})
+}
+
+// warmUpFactor is the share of its speed that the server has reached since its process started.
+func (s *server) warmUpFactor() float64 {
+	fleet := &s.shard.fleet.world.Scenario.Fleet
+	age := (s.shard.now - s.startedAt).Seconds()
+	if s.startedAt == 0 || age >= fleet.WarmS || fleet.WarmS <= 0 {
+		return 1
+	}
+	return fleet.ColdFrom + (1-fleet.ColdFrom)*max(0, age)/fleet.WarmS
+}
+
+// onWorkDone ends the server's own work on an attempt, and begins its calls.
+func (s *server) onWorkDone(att *attempt, incarnation uint32) {
+	if incarnation != s.incarnation {
+		return
+	}
+	if att.state == attemptAbandoned {
+		s.release(att)
+		return
+	}
+	att.state = attemptCalling
+	s.busySlots--
+	s.startQueued()
+	s.callNext(att)
+}
+
+// callNext makes the next of the service's calls through the server's agent, or answers if there are no more.
+func (s *server) callNext(att *attempt) {
+	calls := s.shard.fleet.world.Services[s.service].Calls
+	for s.agent != nil && att.nextCall < len(calls) {
+		next := calls[att.nextCall]
+		att.nextCall++
+		if !drawChance(s.shard.rng, next.Chance) {
+			continue
+		}
+		if s.shard.now >= att.deadline {
+			s.complete(att, balancer.OutcomeError)
+			return
+		}
+		att.child = s.agent.startCall(request{
+			service: next.Service, remaining: att.deadline - s.shard.now, phase: att.call.phase, parent: att,
+		})
+		return
+	}
+	s.complete(att, balancer.OutcomeOK)
+}
+
+// onCallDone handles the end of a call that an attempt made.
+func (s *server) onCallDone(att *attempt, ok bool) {
+	if att.state != attemptCalling || att.serverIncarnation != s.incarnation {
+		return
+	}
+	att.child = nil
+	if !ok {
+		s.complete(att, balancer.OutcomeError)
+		return
+	}
+	s.callNext(att)
+}
+
+// complete answers an attempt that is in progress.
+func (s *server) complete(att *attempt, outcome balancer.Outcome) {
+	s.release(att)
+	s.respond(att, outcome)
+}
+
+// release ends an attempt that is in progress and frees its slot, if it has one, for those that are queued.
+func (s *server) release(att *attempt) {
+	hasSlot := att.state == attemptWorking || att.state == attemptAbandoned
+	att.state = attemptDone
+	delete(s.inProgress, att)
+	if hasSlot {
+		s.busySlots--
+		s.startQueued()
+	}
+}
+
+// startQueued starts queued attempts while there are free slots.
+func (s *server) startQueued() {
+	for len(s.queue) > 0 && s.busySlots < s.slots {
+		next := s.queue[0]
+		s.queue = slices.Delete(s.queue, 0, 1)
+		if s.shard.now >= next.deadline {
+			s.respond(next, balancer.OutcomeRejected)
+			continue
+		}
+		s.start(next)
+	}
+}
+
+// cancel ends an attempt whose caller has gone. One that the server itself works on keeps its slot until that is done.
+func (s *server) cancel(att *attempt) {
+	if s.state != serverUp {
+		return
+	}
+	switch att.state {
+	case attemptInTransit: // it was rejected, or the cancellation has overtaken it
+		att.state = attemptDone
+	case attemptQueued:
+		att.state = attemptDone
+		if i := slices.Index(s.queue, att); i >= 0 {
+			s.queue = slices.Delete(s.queue, i, i+1)
+		}
+	case attemptWorking:
+		att.state = attemptAbandoned
+	case attemptCalling:
+		if att.serverIncarnation != s.incarnation {
+			return
+		}
+		child := att.child
+		s.release(att)
+		if child != nil {
+			s.agent.cancelCall(child)
+		}
+	}
+}
+
+// respond sends an attempt's outcome to its caller, with a load report if the outcome is a response of the server.
+func (s *server) respond(att *attempt, outcome balancer.Outcome) {
+	att.state = attemptDone
+	ev := event{kind: eventOutcome, due: s.shard.now, attempt: att, outcome: outcome}
+	if outcome == balancer.OutcomeOK || outcome == balancer.OutcomeError || outcome == balancer.OutcomeRejected {
+		ev.report = s.report()
+	}
+	s.shard.transmit(s, att.call.agent.server, ev)
+}
+
+// takeDown ends the server's process, or its machine, with all attempts that it has.
+func (s *server) takeDown(to serverState) {
+	if s.state == serverUp {
+		for _, att := range s.queue {
+			s.loseAttempt(att, to)
+		}
+		for att := range s.inProgress {
+			s.loseAttempt(att, to)
+		}
+	}
+	s.state = to
+	s.queue = nil
+	s.busySlots = 0
+	s.incarnation++
+	clear(s.inProgress)
+}
+
+// loseAttempt ends an attempt with the server's process. A crash resets its connection; a vanished machine does not.
+func (s *server) loseAttempt(att *attempt, to serverState) {
+	child := att.child
+	att.state = attemptDone
+	att.child = nil
+	if to == serverCrashed {
+		s.respond(att, balancer.OutcomeReset)
+	}
+	if child != nil {
+		s.agent.cancelCall(child)
+	}
+}
+
+// restart begins a new process, which warms up if it starts cold.
+func (s *server) restart(cold bool) {
+	if s.state == serverUp {
+		return
+	}
+	s.state = serverUp
+	s.recentMillis = 0
+	s.incarnation++
+	if cold {
+		s.startedAt = s.shard.now
+	}
+}
--- /dev/null
+++ b/internal/scale/simagent/shard.go
@@ -0,0 +1,189 @@
+package simagent
+
+import (
+	"math/rand/v2"
+	"runtime"
+	"sync"
+	"sync/atomic"
+	"time"
+
+	"example.org/ryeloft/internal/scale/result"
+)
+
+const (
+	// minRest bounds how often an idle shard wakes up. Events that fall due meanwhile are handled late, as of their own time.
+	minRest = time.Millisecond
+	// maxRest bounds a rest where nothing is due.
+	maxRest = time.Second
+	// eventsPerPoll is after how many events a shard reads the clock and its inbox again.
+	eventsPerPoll = 32
+	maxLagMillis  = 60e3 // longer lags count as this
+)
+
+// shard is the event loop of a part of the servers and of their agents, on a goroutine and thread of its own that alone
+// touches their state. Other goroutines send it events; mu guards the inbox through which they do.
+type shard struct {
+	fleet   *Fleet
+	index   int // among the fleet's
+	clock   Clock
+	rng     *rand.Rand
+	now     time.Duration // due time of the event being handled
+	queue   eventQueue
+	outbox  [][]event // to other shards, by their index, until the batch ends
+	stopped bool      // set by an event
+
+	mu         sync.Mutex
+	inbox      []event
+	spareInbox []event // the loop's, swapped with the inbox
+	closed     bool
+	wake       chan struct{}
+	restsUntil atomic.Int64 // Unix ns; 0: it does not rest
+
+	lag    *result.Histogram // ms from when events were due until they were handled
+	counts shardCounts
+	cpu    cpuMeter
+	done   chan struct{}
+}
+
+func newShard(f *Fleet, index, shards int) *shard {
+	return &shard{
+		fleet: f, index: index, clock: f.clock,
+		rng:    rand.New(rand.NewPCG(f.world.Scenario.Seed, uint64(index))),
+		outbox: make([][]event, shards),
+		wake:   make(chan struct{}, 1),
+		lag:    result.NewHistogram(maxLagMillis),
+		done:   make(chan struct{}),
+	}
+}
+
+// run handles events until one of them stops it.
+func (s *shard) run() {
+	runtime.LockOSThread() // cpuMeter reads the thread's processor time
+	defer runtime.UnlockOSThread()
+	defer close(s.done)
+	defer s.close()
+	s.cpu.start()
+	for !s.stopped {
+		s.drainInbox()
+		s.runDue()
+		s.flushOutbox()
+		if !s.stopped {
+			s.rest()
+		}
+	}
+}
+
+// runDue handles all events that are due.
+func (s *shard) runDue() {
+	now := s.clock.Now()
+	for n := 1; len(s.queue.events) > 0 && s.queue.events[0].due <= now && !s.stopped; n++ {
+		ev := s.queue.pop()
+		s.lag.AddDuration(now - ev.due)
+		s.now = ev.due
+		s.dispatch(&ev)
+		if n%eventsPerPoll == 0 {
+			s.flushOutbox()
+			s.drainInbox()
+			now = s.clock.Now()
+		}
+	}
+}
+
+// rest waits until an event is due, for minRest at least.
+func (s *shard) rest() {
+	now := s.clock.Now()
+	until := now + maxRest
+	if len(s.queue.events) > 0 {
+		until = min(until, max(s.queue.events[0].due, now+minRest))
+	}
+	// Before the inbox is checked: a sender appends to the inbox first and looks at restsUntil after that.
+	s.restsUntil.Store(int64(until))
+	s.mu.Lock()
+	idle := len(s.inbox) == 0
+	s.mu.Unlock()
+	if idle {
+		s.clock.Wait(until, s.wake)
+	}
+	s.restsUntil.Store(0)
+}
+
+// drainInbox moves what other goroutines sent into the queue.
+func (s *shard) drainInbox() {
+	s.mu.Lock()
+	s.inbox, s.spareInbox = s.spareInbox[:0], s.inbox
+	s.mu.Unlock()
+	for i := range s.spareInbox {
+		s.queue.push(s.spareInbox[i])
+		s.spareInbox[i] = event{}
+	}
+}
+
+// enqueue sends events to the shard from another goroutine. It returns false if the shard has ended.
+func (s *shard) enqueue(events ...event) bool {
+	s.mu.Lock()
+	if s.closed {
+		s.mu.Unlock()
+		return false
+	}
+	s.inbox = append(s.inbox, events...)
+	s.mu.Unlock()
+	for i := range events {
+		if int64(events[i].due) < s.restsUntil.Load() {
+			select {
+			case s.wake <- struct{}{}:
+			default:
+			}
+			break
+		}
+	}
+	return true
+}
+
+func (s *shard) close() {
+	s.mu.Lock()
+	s.closed = true
+	s.inbox = nil
+	s.mu.Unlock()
+}
+
+// post sends an event of this shard to another at the end of the batch, or queues it here.
+func (s *shard) post(to *shard, ev event) {
+	if to == s {
+		s.queue.push(ev)
+		return
+	}
+	s.outbox[to.index] = append(s.outbox[to.index], ev)
+}
+
+func (s *shard) flushOutbox() {
+	for i, events := range s.outbox {
+		if len(events) > 0 {
+			s.fleet.shards[i].enqueue(events...)
+			clear(events)
+			s.outbox[i] = events[:0]
+		}
+	}
+}
+
+// doAsync has the shard run a function, as of now. It returns false if the shard has ended.
+func (s *shard) doAsync(run func()) bool {
+	return s.enqueue(event{kind: eventFunc, due: s.clock.Now(), run: run})
+}
+
+// doSync has the shard run a function and waits for it. It returns false if the shard ended before.
+func (s *shard) doSync(run func()) bool {
+	finished := make(chan struct{})
+	sent := s.doAsync(func() {
+		run()
+		close(finished)
+	})
+	if !sent {
+		return false
+	}
+	select {
+	case <-finished:
+		return true
+	case <-s.done:
+		return false
+	}
+}
