--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -29,7 +29,7 @@
 // connections shut out all others.
 type admission struct {
 	*net.TCPListener
-	figures   *figures
+	metrics   *Metrics
 	most      int            // connections, of which one without a request goes for each further one,
 	busy      int            // and so many where all have a request; both are the mutex's
 	finishing atomic.Bool    // no connection is waited for any more
@@ -384,7 +384,7 @@
 	case http.StateClosed:
 		a.release(c)
 		if c.reading && !c.head.ended {
-			a.figures.count(func(t *tally) { t.halfHeads++ })
+			a.metrics.HeadIncomplete()
 		}
 	}
 }
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -73,7 +73,8 @@
 
 func serve(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, listening func() (*net.TCPListener, error), log *slog.Logger) error {
 	own := limitsOf(cfg, 1)
-	pool := newPool(&cfg.Settings, own.backends)
+	counters := &Metrics{}
+	pool := newPool(&cfg.Settings, own.backends, counters)
 	l, err := newLoop(&cfg.Settings, cfg.Seed, pool, log)
 	if err != nil {
 		return err
@@ -85,14 +86,14 @@
 		l.send(input{event: n.Event(nil), members: n.Members})
 	}
 	d := discovery.New(discovery.Options{
-		Addr: cfg.Discovery, Settings: l.set.Load, Notify: tell, OnPoll: pool.counts.called, Log: log,
+		Addr: cfg.Discovery, Settings: l.set.Load, Notify: tell, OnPoll: counters.PollEnded, Log: log,
 		Name: cfg.Name, Relays: cfg.Relays,
 	})
 	d.StartFrom(cfg.CachedEndpoints)
 	l.follow = d.Poll
-	clients := &admission{figures: &pool.counts, freed: make(chan struct{}, 1)}
+	clients := &admission{metrics: counters, freed: make(chan struct{}, 1)}
 	handler := &server{
-		loop: l, figures: &pool.counts, clients: clients, most: int64(own.busy - own.busy/8),
+		loop: l, metrics: counters, clients: clients, most: int64(own.busy - own.busy/8),
 		drain: &drain{clients: clients, ended: work.Done(), log: log}, hurry: make(chan struct{}), buffers: newBuffers(own.streams),
 	}
 	shares := newRooms(cfg, clients, pool)
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -161,7 +161,7 @@
 		return nil, nil, part, err
 	}
 	if !m.probe {
-		p.counts.total(func(n *totals) { n.tries++ })
+		p.metrics.AttemptSent()
 	}
 	resp, body, rest, err := c.read()
 	if err == nil && rest != nil {
@@ -170,7 +170,7 @@
 	}
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, errNotTaken) {
-			p.counts.count(func(n *tally) { n.broke(c.used, err) })
+			p.metrics.AnswerBroken(c.used, err)
 			p.lost(c, c.limit.N == maxHeader)
 		}
 		return nil, nil, all, err
--- a/internal/agent/closing_test.go
+++ b/internal/agent/closing_test.go
@@ -77,7 +77,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	a := &admission{TCPListener: listener, figures: &figures{}, most: 2, busy: 2}
+	a := &admission{TCPListener: listener, metrics: &Metrics{}, most: 2, busy: 2}
 	accept := func() (*clientConn, net.Conn) {
 		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -195,7 +195,7 @@
 			}
 		}, errLeaving},
 	} {
-		d := &drain{clients: &admission{figures: &figures{}}, ended: t.Context().Done(), log: discard}
+		d := &drain{clients: &admission{metrics: &Metrics{}}, ended: t.Context().Done(), log: discard}
 		if c.do(d); d.away() != c.want {
 			t.Errorf("%s: %v, want %v", c.name, d.away(), c.want)
 		}
@@ -272,7 +272,7 @@
 
 // Of the clients without a request those that are sending one make room last.
 func TestSlowSendersMakeRoomLast(t *testing.T) {
-	a := &admission{figures: &figures{}, most: 2, busy: 3}
+	a := &admission{metrics: &Metrics{}, most: 2, busy: 3}
 	conn := func(reading bool) *clientConn {
 		c := &clientConn{TCPConn: &net.TCPConn{}}
 		c.reading = reading
--- a/internal/agent/figures.go
+++ b/internal/agent/figures.go
@@ -1,12 +1,9 @@
+// Package metrics counts what the agent does and shows it: in the text form that collectors read, and as log lines at
+// intervals. It decides nothing.
 package agent
 
 import (
-	"fmt"
-	"io"
-	"log/slog"
-	"maps"
 	"net/http"
-	"slices"
 	"sync"
 	"sync/atomic"
 	"time"
@@ -15,186 +12,227 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-const (
-	// reportEvery is how often the counters are logged: often enough to place a bad spell, too seldom to drown it.
-	reportEvery = 5 * time.Second
-	// gaugeEvery is how often the loop publishes what it knows of the servers.
-	gaugeEvery = 100 * time.Millisecond
-)
-
-// figures tell the operators what the agent did, on the console and in the log. They decide nothing.
-type figures struct {
-	mu sync.Mutex
-	tally
-	totals
-	logged  totals // when the last line was written
-	classes map[string]*[results]int
-
-	active             atomic.Int64 // requests taken and not ended
-	listed, avoidedNow atomic.Int64 // servers; the loop publishes them
+// Metrics holds all counters and gauges of one agent process. Its mutex guards the counters; the gauges are atomic. Any
+// goroutine may call its methods. The zero value is ready for use.
+type Metrics struct {
+	mu       sync.Mutex
+	interval interval
+	totals   totals
+	logged   totals // the totals when the last line was logged
+	classes  map[string]*[resultCount]int
+
+	active           atomic.Int64 // requests accepted and not yet ended
+	endpoints        atomic.Int64
+	ejectedEndpoints atomic.Int64
 }
 
-// ending is how a request ended for its client.
-type ending int
+// Result is how a request ended for its client.
+type Result int
 
+// The results that are counted for each class.
 const (
-	resultOK ending = iota
-	resultShed
-	resultErrors
-	results
+	ResultOK     Result = iota
+	ResultShed          // rejected with 429 or 503
+	ResultErrors        // any other end
+	resultCount
 )
 
-var resultNames = [results]string{"ok", "shed", "errors"}
+// resultNames are the results in the text form.
+var resultNames = [resultCount]string{"ok", "shed", "errors"}
 
-func resultOf(status int) ending {
+// ResultOf returns the result that an answer's status stands for.
+func ResultOf(status int) Result {
 	switch status {
 	case http.StatusOK:
-		return resultOK
+		return ResultOK
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable:
-		return resultShed
+		return ResultShed
 	}
-	return resultErrors
+	return ResultErrors
 }
 
-// totals count since the agent's start and never fall.
+// totals count since the start of the process and never fall.
 type totals struct {
-	responses         [results]int
-	tries             int // attempts written whole
-	applied, rejected int // configurations
-}
-
-// tally counts since the log's last line.
-type tally struct {
-	taken, gone          int                                          // requests
-	turnedAway           int                                          // of the refused: the agent held too many
-	attempts             [int(balancer.OutcomeServerDraining) + 1]int // by outcome
-	dialed, reused       int                                          // connections that attempts and probes used
-	brokenReused         int                                          // of the reused: no whole answer came
-	probes, probesFailed int                                          //
-	reports              int                                          // answers that told a load
-	lastBreak            string                                       // why the last answer did not come whole
-	badRequests          int                                          // turned down before they were taken
-	lastBad              string                                       // why the last of them was
-	halfHeads            int                                          // connections that ended within a request's head
-	listCalls, listFails int                                          // calls of discovery
-	slowestList          time.Duration                                // longest that a call took beyond what it may wait
-	slowestLoop          time.Duration                                // longest that one input kept the loop
-}
-
-// count changes the tally.
-func (f *figures) count(change func(*tally)) {
-	f.mu.Lock()
-	change(&f.tally)
-	f.mu.Unlock()
-}
-
-// called counts a call of discovery.
-func (f *figures) called(c discovery.PollResult) {
-	f.count(func(t *tally) {
-		if t.listCalls++; c.Err != nil {
-			t.listFails++
-		}
-		t.slowestList = max(t.slowestList, c.Duration-c.Wait)
-	})
+	responses       [resultCount]int
+	attempts        int // those written to their last byte
+	configsApplied  int
+	configsRejected int
+}
+
+// interval counts since the last log line.
+type interval struct {
+	requests          int
+	clientsClosed     int // requests whose client closed its connection
+	overLimit         int // requests rejected because the agent itself held too many
+	outcomes          [int(balancer.OutcomeServerDraining) + 1]int
+	dialed            int
+	reused            int
+	reusedBroken      int // reused connections on which no complete answer came
+	healthChecks      int
+	healthCheckErrors int
+	loadReports       int
+	lastBrokenAnswer  string
+	badRequests       int
+	lastBadRequest    string
+	incompleteHeads   int // connections that ended within a request's head
+	polls             int
+	pollErrors        int
+	slowestPoll       time.Duration // beyond the time that the poll was allowed to wait
+	slowestLoop       time.Duration
 }
 
-// total changes the totals.
-func (f *figures) total(change func(*totals)) {
-	f.mu.Lock()
-	change(&f.totals)
-	f.mu.Unlock()
+// count changes the interval's counters under the mutex.
+func (m *Metrics) count(change func(*interval)) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	change(&m.interval)
 }
 
-// know has the classes shown from now on; those known stay, or their figures would fall.
-func (f *figures) know(classes []string) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.classes == nil {
-		f.classes = map[string]*[results]int{}
+// AddClasses has classes shown from now on. Known classes stay, because a counter must not fall.
+func (m *Metrics) AddClasses(names []string) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	if m.classes == nil {
+		m.classes = map[string]*[resultCount]int{}
 	}
-	for _, name := range classes {
-		if f.classes[name] == nil {
-			f.classes[name] = new([results]int)
+	for _, name := range names {
+		if m.classes[name] == nil {
+			m.classes[name] = new([resultCount]int)
 		}
 	}
 }
 
-// answered counts a request of a class by the answer that its client gets.
-func (f *figures) answered(class string, r ending) {
-	f.mu.Lock()
-	f.responses[r]++
-	f.classes[class][r]++
-	f.mu.Unlock()
+// RequestOpened counts a request that is complete as active.
+func (m *Metrics) RequestOpened() { m.active.Add(1) }
+
+// RequestClosed ends what RequestOpened began.
+func (m *Metrics) RequestClosed() { m.active.Add(-1) }
+
+// RequestDispatched counts a request that was handed to the balancer.
+func (m *Metrics) RequestDispatched() {
+	m.count(func(i *interval) { i.requests++ })
+}
+
+// RequestOverLimit counts a request that was rejected because the agent itself held too many.
+func (m *Metrics) RequestOverLimit() {
+	m.count(func(i *interval) { i.overLimit++ })
+}
+
+// RequestAnswered counts a request of a class by the answer that its client gets. The class must have been added.
+func (m *Metrics) RequestAnswered(class string, result Result) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.totals.responses[result]++
+	m.classes[class][result]++
 }
 
-// write writes the figures in the text form that collectors read.
-func (f *figures) write(w io.Writer) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for _, class := range slices.Sorted(maps.Keys(f.classes)) {
-		for r, n := range f.classes[class] {
-			fmt.Fprintf(w, "gw_responses_total{kind=%q,result=%q} %d\n", class, resultNames[r], n)
+// ClientClosed counts a request whose client closed its connection before the answer.
+func (m *Metrics) ClientClosed() {
+	m.count(func(i *interval) { i.clientsClosed++ })
+}
+
+// BadRequest counts a request that was not accepted, and keeps the reason of the last one.
+func (m *Metrics) BadRequest(reason string) {
+	m.count(func(i *interval) {
+		i.badRequests++
+		i.lastBadRequest = reason
+	})
+}
+
+// HeadIncomplete counts a connection that ended within a request's head.
+func (m *Metrics) HeadIncomplete() {
+	m.count(func(i *interval) { i.incompleteHeads++ })
+}
+
+// AttemptSent counts an attempt that was written to its last byte.
+func (m *Metrics) AttemptSent() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.totals.attempts++
+}
+
+// AttemptsSent returns how many attempts were written to their last byte.
+func (m *Metrics) AttemptsSent() int {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	return m.totals.attempts
+}
+
+// AttemptEnded counts an attempt by its outcome, and its load report if it brought one.
+func (m *Metrics) AttemptEnded(outcome balancer.Outcome, load balancer.LoadReport) {
+	m.count(func(i *interval) {
+		i.outcomes[outcome]++
+		if load.Known {
+			i.loadReports++
 		}
-	}
-	fmt.Fprintf(w, "gw_tries_total %d\ngw_active %d\ngw_pool_size %d\ngw_pool_ejected %d\n",
-		f.tries, f.active.Load(), f.listed.Load(), f.avoidedNow.Load())
-	fmt.Fprintf(w, "gw_config_applied_total %d\ngw_config_rejected_total %d\n", f.applied, f.rejected)
-}
-
-// report logs what was counted since the last report, if anything was.
-func (f *figures) report(log *slog.Logger, ready, draining int) {
-	f.mu.Lock()
-	t, now, last := f.tally, f.totals, f.logged
-	f.tally, f.logged = tally{}, now
-	f.mu.Unlock()
-	if t == (tally{}) && now == last {
-		return
-	}
-	answers := func(r ending) int { return now.responses[r] - last.responses[r] }
-	log.Info("counters", "taken", t.taken, "served", answers(resultOK), "refused", answers(resultShed), "turned_away", t.turnedAway,
-		"failed", answers(resultErrors), "gone", t.gone, "tries", now.tries-last.tries, "slowest_loop", t.slowestLoop,
-		slog.Group("servers", "ready", ready, "draining", draining))
-	if t.listCalls > 0 {
-		log.Info("discovery calls", "calls", t.listCalls, "failed", t.listFails, "slowest", t.slowestList)
-	}
-	t.reportAttempts(log)
-}
-
-// reportAttempts logs what became of attempts, connections and probes. Each line is short: what collects the log may cut
-// lines at 400 bytes, and did so before the calls of discovery when all counters stood in one.
-func (t *tally) reportAttempts(log *slog.Logger) {
-	of := func(o balancer.Outcome) int { return t.attempts[o] }
-	log.Info("attempts", "ok", of(balancer.OutcomeOK), "error", of(balancer.OutcomeError), "full", of(balancer.OutcomeRejected),
-		"timeout", of(balancer.OutcomeTimeout), "connect", of(balancer.OutcomeConnectFailed), "reset", of(balancer.OutcomeReset),
-		"cancelled", of(balancer.OutcomeCancelled), "moot", of(balancer.OutcomeExpired), "leaving", of(balancer.OutcomeServerDraining),
-		slog.Group("connections", "dialed", t.dialed, "reused", t.reused, "broken_reused", t.brokenReused),
-		slog.Group("probes", "sent", t.probes, "failed", t.probesFailed), "reports", t.reports)
-	if t.lastBreak != "" {
-		log.Info("last broken answer", "error", t.lastBreak)
-	}
-	if t.badRequests > 0 || t.halfHeads > 0 {
-		log.Info("bad requests", "requests", t.badRequests, "last", t.lastBad, "half_heads", t.halfHeads)
-	}
+	})
 }
 
-// broke notes that an answer did not come whole, and why.
-func (t *tally) broke(reused bool, why error) {
-	if reused {
-		t.brokenReused++
-	}
-	t.lastBreak = why.Error()
+// HealthCheckEnded counts a health check, and its load report if it brought one.
+func (m *Metrics) HealthCheckEnded(outcome balancer.Outcome, load balancer.LoadReport) {
+	m.count(func(i *interval) {
+		i.healthChecks++
+		if outcome != balancer.OutcomeOK {
+			i.healthCheckErrors++
+		}
+		if load.Known {
+			i.loadReports++
+		}
+	})
 }
 
-// ended notes how an attempt or a probe ended.
-func (t *tally) ended(ev *balancer.Event) {
-	if ev.Load.Known {
-		t.reports++
-	}
-	if ev.Kind == balancer.EventOutcome {
-		t.attempts[ev.Outcome]++
-		return
-	}
-	if t.probes++; ev.Outcome != balancer.OutcomeOK {
-		t.probesFailed++
-	}
+// ConnectionDialed counts a new connection to a server.
+func (m *Metrics) ConnectionDialed() {
+	m.count(func(i *interval) { i.dialed++ })
+}
+
+// ConnectionReused counts an idle connection to a server that is used again.
+func (m *Metrics) ConnectionReused() {
+	m.count(func(i *interval) { i.reused++ })
+}
+
+// AnswerBroken counts an answer that did not come completely, and keeps the reason of the last one.
+func (m *Metrics) AnswerBroken(reusedConn bool, reason error) {
+	m.count(func(i *interval) {
+		if reusedConn {
+			i.reusedBroken++
+		}
+		i.lastBrokenAnswer = reason.Error()
+	})
+}
+
+// PollEnded counts a poll of discovery.
+func (m *Metrics) PollEnded(p discovery.PollResult) {
+	m.count(func(i *interval) {
+		i.polls++
+		if p.Err != nil {
+			i.pollErrors++
+		}
+		i.slowestPoll = max(i.slowestPoll, p.Duration-p.Wait)
+	})
+}
+
+// ConfigApplied counts a configuration that a reload put in force.
+func (m *Metrics) ConfigApplied() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.totals.configsApplied++
+}
+
+// ConfigRejected counts a configuration that a reload rejected.
+func (m *Metrics) ConfigRejected() {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.totals.configsRejected++
+}
+
+// LoopBusy notes for how long one input kept the event loop busy.
+func (m *Metrics) LoopBusy(d time.Duration) {
+	m.count(func(i *interval) { i.slowestLoop = max(i.slowestLoop, d) })
+}
+
+// SetEndpoints sets the gauges of listed endpoints and of those that are ejected for all classes.
+func (m *Metrics) SetEndpoints(listed, ejected int) {
+	m.endpoints.Store(int64(listed))
+	m.ejectedEndpoints.Store(int64(ejected))
 }
--- a/internal/agent/leaving_test.go
+++ b/internal/agent/leaving_test.go
@@ -80,7 +80,7 @@
 	b := newBackend(t, serves)
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
 	for _, idle := range []bool{false, true} {
-		p := newPool(&cfg.Settings, 4)
+		p := newPool(&cfg.Settings, 4, &Metrics{})
 		to := p.target(b.addr, 0)
 		m := newMessage("GET", "/", "x", nil, nil, nil)
 		if idle {
@@ -89,13 +89,13 @@
 			}
 			<-b.got
 		}
-		tries := p.counts.tries
+		tries := p.metrics.AttemptsSent()
 		to.leave()
 		if r := exchangeBy(p, t.Context(), to, &m, time.Time{}); r.outcome != balancer.OutcomeServerDraining {
 			t.Errorf("idle connection %v: outcome %d", idle, r.outcome)
 		}
-		if len(b.got) > 0 || p.counts.tries != tries || p.open != len(to.idle) {
-			t.Errorf("idle connection %v: %d sent, %d tries counted, %d connections open and %d idle", idle, len(b.got), p.counts.tries, p.open, len(to.idle))
+		if len(b.got) > 0 || p.metrics.AttemptsSent() != tries || p.open != len(to.idle) {
+			t.Errorf("idle connection %v: %d sent, %d tries counted, %d connections open and %d idle", idle, len(b.got), p.metrics.AttemptsSent(), p.open, len(to.idle))
 		}
 	}
 }
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -207,7 +207,7 @@
 func TestPoolResize(t *testing.T) {
 	b := newBackend(t, serves)
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	p := newPool(&cfg.Settings, 4)
+	p := newPool(&cfg.Settings, 4, &Metrics{})
 	to := p.target(b.addr, 0)
 	var held []*conn
 	for range 4 {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -19,6 +19,10 @@
 	inputQueue = 256 // inputs that may wait for the loop; whoever has one more waits with it
 	sweepEvery = time.Second
 	mostRecent = 4096 // ids of ended requests that are known, twice
+	// reportEvery is how often the counters are logged: often enough to place a bad spell, too seldom to drown it.
+	reportEvery = 5 * time.Second
+	// gaugeEvery is how often the loop publishes what it knows of the servers.
+	gaugeEvery = 100 * time.Millisecond
 )
 
 // input is what has happened, on its way to the loop: an event for the module and what it has no use for.
@@ -108,7 +112,7 @@
 	}
 	l.servers = membership.New(l.clock.Now)
 	l.set.Store(set)
-	pool.counts.know(set.ClassNames)
+	pool.metrics.AddClasses(set.ClassNames)
 	return l, nil
 }
 
@@ -159,16 +163,15 @@
 			begun := time.Now()
 			l.take(ctx, in)
 			took := time.Since(begun)
-			l.pool.counts.count(func(t *tally) { t.slowestLoop = max(t.slowestLoop, took) })
+			l.pool.metrics.LoopBusy(took)
 		case <-wake.C:
 		case <-sweep.C:
 			l.pool.sweep()
 			l.callIDs.age()
 		case <-gauges:
-			l.pool.counts.listed.Store(int64(l.servers.Len()))
-			l.pool.counts.avoidedNow.Store(int64(l.balancer.EjectedEndpoints(l.clock.Now())))
+			l.pool.metrics.SetEndpoints(l.servers.Len(), l.balancer.EjectedEndpoints(l.clock.Now()))
 		case <-report.C:
-			l.pool.counts.report(l.log, l.servers.Count(balancer.Ready), l.servers.Count(balancer.Draining))
+			l.pool.metrics.Log(l.log, l.servers.Count(balancer.Ready), l.servers.Count(balancer.Draining))
 			if step := l.steps.Observe(clock.Wall(), l.clock.Elapsed()); step != 0 {
 				l.log.Warn("the wall clock was stepped", "by", step)
 			}
@@ -203,7 +206,7 @@
 			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(callIDHeader + " is in use\n")}
 			return
 		}
-		l.pool.counts.count(func(t *tally) { t.taken++ })
+		l.pool.metrics.RequestDispatched()
 		if !in.call.translate(l.set.Load()) {
 			l.callIDs.release(in.call.callID)
 			in.call.answered <- answer{status: statusRefused}
@@ -238,7 +241,7 @@
 		}
 		l.handle(ctx, ev)
 	case balancer.EventOutcome:
-		l.pool.counts.count(func(t *tally) { t.ended(&ev) })
+		l.pool.metrics.AttemptEnded(ev.Outcome, ev.Load)
 		r := l.requests[ev.Request]
 		r.attempts[ev.Attempt]()
 		r.out--
@@ -253,7 +256,7 @@
 		l.forget(r)
 	default:
 		if ev.Kind == balancer.EventHealthCheck {
-			l.pool.counts.count(func(t *tally) { t.ended(&ev) })
+			l.pool.metrics.HealthCheckEnded(ev.Outcome, ev.Load)
 		}
 		l.handle(ctx, ev)
 	}
@@ -262,7 +265,7 @@
 // hangUp ends a request whose client has gone, with an answer of nothing if the handler has not heard.
 func (l *loop) hangUp(ctx context.Context, r *request) {
 	r.end(answer{})
-	l.pool.counts.count(func(t *tally) { t.gone++ })
+	l.pool.metrics.ClientClosed()
 	l.handle(ctx, balancer.Event{Kind: balancer.EventClientClosed, Request: r.id})
 	l.forget(r)
 }
--- /dev/null
+++ b/internal/agent/metrics_log.go
@@ -0,0 +1,47 @@
+package agent
+
+import (
+	"log/slog"
+
+	"example.org/ryeloft/internal/balancer"
+)
+
+// Log logs what was counted since the last call, if anything was, beside how many endpoints are ready and draining.
+func (m *Metrics) Log(log *slog.Logger, ready, draining int) {
+	m.mu.Lock()
+	since, now, before := m.interval, m.totals, m.logged
+	m.interval = interval{}
+	m.logged = now
+	m.mu.Unlock()
+	if since == (interval{}) && now == before {
+		return
+	}
+	responses := func(r Result) int { return now.responses[r] - before.responses[r] }
+	log.Info("counters",
+		"requests", since.requests, "ok", responses(ResultOK), "shed", responses(ResultShed), "over_limit", since.overLimit,
+		"errors", responses(ResultErrors), "client_closed", since.clientsClosed, "attempts", now.attempts-before.attempts,
+		"slowest_loop", since.slowestLoop, slog.Group("endpoints", "ready", ready, "draining", draining))
+	if since.polls > 0 {
+		log.Info("discovery polls", "polls", since.polls, "failed", since.pollErrors, "slowest", since.slowestPoll)
+	}
+	since.logAttempts(log)
+}
+
+// logAttempts logs what became of attempts, connections and health checks. The lines are short because collectors may cut
+// a line at 400 bytes.
+func (i *interval) logAttempts(log *slog.Logger) {
+	outcome := func(o balancer.Outcome) int { return i.outcomes[o] }
+	log.Info("attempts",
+		"ok", outcome(balancer.OutcomeOK), "error", outcome(balancer.OutcomeError), "rejected", outcome(balancer.OutcomeRejected),
+		"timeout", outcome(balancer.OutcomeTimeout), "connect_failed", outcome(balancer.OutcomeConnectFailed),
+		"reset", outcome(balancer.OutcomeReset), "cancelled", outcome(balancer.OutcomeCancelled),
+		"expired", outcome(balancer.OutcomeExpired), "server_draining", outcome(balancer.OutcomeServerDraining),
+		slog.Group("connections", "dialed", i.dialed, "reused", i.reused, "reused_broken", i.reusedBroken),
+		slog.Group("health_checks", "sent", i.healthChecks, "failed", i.healthCheckErrors), "load_reports", i.loadReports)
+	if i.lastBrokenAnswer != "" {
+		log.Info("last broken answer", "error", i.lastBrokenAnswer)
+	}
+	if i.badRequests > 0 || i.incompleteHeads > 0 {
+		log.Info("bad requests", "requests", i.badRequests, "last", i.lastBadRequest, "incomplete_heads", i.incompleteHeads)
+	}
+}
--- /dev/null
+++ b/internal/agent/metrics_text.go
@@ -0,0 +1,27 @@
+package agent
+
+import (
+	"fmt"
+	"io"
+	"maps"
+	"slices"
+)
+
+// WriteText writes all metrics in the text form that collectors read. It returns the first error of the writer.
+func (m *Metrics) WriteText(w io.Writer) error {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	for _, class := range slices.Sorted(maps.Keys(m.classes)) {
+		for result, n := range m.classes[class] {
+			if _, err := fmt.Fprintf(w, "gw_responses_total{kind=%q,result=%q} %d\n", class, resultNames[result], n); err != nil {
+				return err
+			}
+		}
+	}
+	if _, err := fmt.Fprintf(w, "gw_tries_total %d\ngw_active %d\ngw_pool_size %d\ngw_pool_ejected %d\n",
+		m.totals.attempts, m.active.Load(), m.endpoints.Load(), m.ejectedEndpoints.Load()); err != nil {
+		return err
+	}
+	_, err := fmt.Fprintf(w, "gw_config_applied_total %d\ngw_config_rejected_total %d\n", m.totals.configsApplied, m.totals.configsRejected)
+	return err
+}
--- /dev/null
+++ b/internal/agent/metrics_whitebox_test.go
@@ -0,0 +1,56 @@
+package agent
+
+import (
+	"log/slog"
+	"strings"
+	"testing"
+	"time"
+
+	"example.org/ryeloft/internal/discovery"
+)
+
+// A call of discovery is counted, as failed too if it was, and its time is what it took beyond its wait.
+func TestCallsOfDiscoveryAreCounted(t *testing.T) {
+	var m Metrics
+	m.PollEnded(discovery.PollResult{Wait: 3 * time.Second, Duration: 3200 * time.Millisecond})
+	m.PollEnded(discovery.PollResult{Duration: 500 * time.Millisecond, Err: discovery.ErrTruncatedList})
+	m.PollEnded(discovery.PollResult{Wait: 2 * time.Second, Duration: time.Millisecond})
+	if m.interval.polls != 3 || m.interval.pollErrors != 1 || m.interval.slowestPoll != 500*time.Millisecond {
+		t.Errorf("%d calls, %d failed, the slowest %v", m.interval.polls, m.interval.pollErrors, m.interval.slowestPoll)
+	}
+}
+
+// No line of counters is longer than what collectors of logs keep of one.
+func TestCountersAreShortLines(t *testing.T) {
+	const kept = 400 // bytes
+	var m Metrics
+	var text strings.Builder
+	log := slog.New(slog.NewTextHandler(&text, nil)).With("agent", "a-name-of-20-letters")
+	m.AddClasses([]string{"class"})
+	m.count(func(i *interval) {
+		i.lastBrokenAnswer = "read tcp 127.127.127.127:30000->127.127.127.127:30000: read: connection reset by peer"
+		i.lastBadRequest = "X-Call-Class is unknown"
+		const many = 1_000_000
+		for _, counter := range []*int{
+			&i.requests, &i.clientsClosed, &i.overLimit, &i.dialed, &i.reused, &i.reusedBroken, &i.badRequests,
+			&i.polls, &i.pollErrors, &i.healthChecks, &i.healthCheckErrors, &i.loadReports, &i.incompleteHeads,
+		} {
+			*counter = many
+		}
+		i.slowestPoll = 1234567 * time.Microsecond
+		i.slowestLoop = 1234567 * time.Microsecond
+		for outcome := range i.outcomes {
+			i.outcomes[outcome] = many
+		}
+	})
+	m.Log(log, 1000, 1000)
+	lines := strings.Split(strings.TrimSpace(text.String()), "\n")
+	if len(lines) != 5 {
+		t.Errorf("%d lines, want 5", len(lines))
+	}
+	for _, line := range lines {
+		if len(line) > kept {
+			t.Errorf("%d bytes: %s", len(line), line)
+		}
+	}
+}
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -80,7 +80,7 @@
 // itself on a stale connection and does not tell whether a request's last byte went out, on which it hangs
 // whether the request may have run.
 type pool struct {
-	counts figures
+	metrics *Metrics
 
 	mu             sync.Mutex
 	connectTimeout time.Duration
@@ -105,8 +105,8 @@
 }
 
 // newPool returns a pool of so many connections at most.
-func newPool(s *settings.Settings, most int) *pool {
-	p := &pool{most: most, targets: map[*target]struct{}{}}
+func newPool(s *settings.Settings, most int, m *Metrics) *pool {
+	p := &pool{metrics: m, most: most, targets: map[*target]struct{}{}}
 	p.adopt(s)
 	return p
 }
@@ -166,7 +166,7 @@
 			return p.dial(ctx, t)
 		}
 		if p.fresh(c) && !c.stale() {
-			p.counts.count(func(n *tally) { n.reused++ })
+			p.metrics.ConnectionReused()
 			return c, nil
 		}
 		p.discard(c)
@@ -242,7 +242,7 @@
 		}
 		return nil, err
 	}
-	p.counts.count(func(n *tally) { n.dialed++ })
+	p.metrics.ConnectionDialed()
 	c := &conn{Conn: raw, to: t}
 	c.limit.R = c
 	c.br = bufio.NewReader(&c.limit)
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -19,7 +19,7 @@
 		return okText, false
 	})
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4), discard)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &Metrics{}), discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +93,7 @@
 func TestPoolIsBounded(t *testing.T) {
 	x, y := newBackend(t, serves), newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	p := newPool(&cfg.Settings, 1)
+	p := newPool(&cfg.Settings, 1, &Metrics{})
 	toX, toY := p.target(x.addr, 0), p.target(y.addr, 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
@@ -123,7 +123,7 @@
 func TestIdleConnectionsEnd(t *testing.T) {
 	b := newBackend(t, serves)
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	p := newPool(&cfg.Settings, 4)
+	p := newPool(&cfg.Settings, 4, &Metrics{})
 	to := p.target(b.addr, 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
@@ -158,7 +158,7 @@
 
 // The connection that was used last is the least likely to be closed by the backend.
 func TestNewestConnectionFirst(t *testing.T) {
-	p := newPool(&configFor(t, "127.0.0.1:1", testSettings).Settings, 4)
+	p := newPool(&configFor(t, "127.0.0.1:1", testSettings).Settings, 4, &Metrics{})
 	x := p.target("x", 0)
 	older, newer := &conn{to: x}, &conn{to: x}
 	p.put(older)
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -35,11 +35,11 @@
 		}
 	}
 	if err != nil {
-		l.pool.counts.total(func(t *totals) { t.rejected++ })
+		l.pool.metrics.ConfigRejected()
 		l.log.Error("not reloaded, the old configuration stays", "error", err)
 		return
 	}
-	l.pool.counts.total(func(t *totals) { t.applied++ })
+	l.pool.metrics.ConfigApplied()
 	l.log.Info("reloaded", "discovery", r.Config.Discovery, "relays", len(r.Config.Relays), "classes", r.Config.Settings.ClassNames,
 		"max_attempts", r.Config.Settings.Balancer.MaxAttempts)
 	select {
@@ -55,7 +55,7 @@
 	}
 	old := l.set.Swap(next)
 	l.pool.adopt(next)
-	l.pool.counts.know(next.ClassNames)
+	l.pool.metrics.AddClasses(next.ClassNames)
 	if slices.Equal(old.ZoneNames, next.ZoneNames) && slices.Equal(old.KindNames, next.KindNames) || l.servers.Len() == 0 {
 		return nil
 	}
--- a/internal/agent/rooms_test.go
+++ b/internal/agent/rooms_test.go
@@ -16,7 +16,7 @@
 
 // roomsFor makes the rooms of a process that does nothing else.
 func roomsFor(cfg *config.Config) *rooms {
-	return newRooms(cfg, &admission{figures: &figures{}, freed: make(chan struct{}, 1)}, newPool(&settings.Settings{}, 1))
+	return newRooms(cfg, &admission{metrics: &Metrics{}, freed: make(chan struct{}, 1)}, newPool(&settings.Settings{}, 1, &Metrics{}))
 }
 
 func TestRoomIsPassedOn(t *testing.T) {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -52,7 +52,7 @@
 // server is the client's side: it turns requests into calls for the loop, and its answers into responses.
 type server struct {
 	loop    *loop
-	figures *figures
+	metrics *Metrics
 	clients *admission
 	buffers buffers // of streams
 	most    int64   // requests held at once
@@ -105,22 +105,22 @@
 	}
 	if u := c.message.long; u != nil {
 		u.ended = func() {
-			s.figures.active.Add(1)
+			s.metrics.RequestOpened()
 			s.clients.noteBody(connOf(r))
 		}
 		defer s.endUpload(w, u)
 		if !u.admit(s.buffers) {
-			s.figures.count(func(t *tally) { t.turnedAway++ })
+			s.metrics.RequestOverLimit()
 			s.answer(w, r, c, answer{status: statusRefused, retryAfter: s.fullAdvice()})
 			return
 		}
 	} else {
-		s.figures.active.Add(1)
-		defer s.figures.active.Add(-1)
+		s.metrics.RequestOpened()
+		defer s.metrics.RequestClosed()
 	}
 	defer s.held.Add(-1)
 	if s.held.Add(1) > s.most {
-		s.figures.count(func(t *tally) { t.turnedAway++ })
+		s.metrics.RequestOverLimit()
 		s.answer(w, r, c, answer{status: statusRefused, retryAfter: s.fullAdvice()})
 		return
 	}
@@ -158,7 +158,7 @@
 func (s *server) endUpload(w http.ResponseWriter, u *upload) {
 	u.stop(http.NewResponseController(w))
 	if u.done.Load() {
-		s.figures.active.Add(-1)
+		s.metrics.RequestClosed()
 	}
 	if u.part != nil && u.claim() { // no attempt has
 		u.release()
@@ -184,10 +184,7 @@
 
 // turnDown answers what was never taken.
 func (s *server) turnDown(w http.ResponseWriter, why *badRequest) {
-	s.figures.count(func(t *tally) {
-		t.badRequests++
-		t.lastBad = why.what
-	})
+	s.metrics.BadRequest(why.what)
 	s.respond(w, why.answer())
 }
 
@@ -198,7 +195,9 @@
 		"drain-on":  func(io.Writer) error { s.drain.on(); return nil },
 		"drain-off": func(io.Writer) error { return s.drain.off() },
 		"vars": func(w io.Writer) error {
-			s.figures.write(w)
+			if err := s.metrics.WriteText(w); err != nil {
+				return err
+			}
 			_, err := fmt.Fprintln(w, "eof")
 			return err
 		},
@@ -207,7 +206,7 @@
 
 // answer gives a request that was taken its answer and counts it.
 func (s *server) answer(w http.ResponseWriter, r *http.Request, c *call, a answer) {
-	s.figures.answered(c.kind, resultOf(a.status))
+	s.metrics.RequestAnswered(c.kind, ResultOf(a.status))
 	s.finishBody(w, c)
 	s.respond(w, a)
 	if u := c.message.long; u != nil && !u.done.Load() && http.NewResponseController(w).Flush() == nil {
@@ -229,11 +228,11 @@
 	s.head(w, a, a.rest.length)
 	err := s.pass(w, r, a.rest)
 	if err == nil {
-		s.figures.answered(c.kind, resultOK)
+		s.metrics.RequestAnswered(c.kind, ResultOK)
 		return
 	}
-	s.figures.answered(c.kind, resultErrors)
-	s.figures.count(func(t *tally) { t.lastBreak = err.Error() })
+	s.metrics.RequestAnswered(c.kind, ResultErrors)
+	s.metrics.AnswerBroken(false, err)
 	// The client has to see that this was not all, also where only the close would end the answer.
 	connOf(r).cut()
 	panic(http.ErrAbortHandler)
