--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -16,6 +16,7 @@
 	"unsafe"
 
 	"example.org/ryeloft/internal/clock"
+	"example.org/ryeloft/internal/metrics"
 )
 
 const (
@@ -29,7 +30,7 @@
 // connections shut out all others.
 type admission struct {
 	*net.TCPListener
-	metrics   *Metrics
+	metrics   *metrics.Metrics
 	most      int            // connections, of which one without a request goes for each further one,
 	busy      int            // and so many where all have a request; both are the mutex's
 	finishing atomic.Bool    // no connection is waited for any more
--- a/internal/agent/admission_test.go
+++ b/internal/agent/admission_test.go
@@ -10,6 +10,8 @@
 	"syscall"
 	"testing"
 	"time"
+
+	"example.org/ryeloft/internal/metrics"
 )
 
 // dial opens a client's connection to an agent.
@@ -106,7 +108,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	a := &admission{TCPListener: listener, metrics: &Metrics{}, most: 1}
+	a := &admission{TCPListener: listener, metrics: &metrics.Metrics{}, most: 1}
 	accept := func() *clientConn {
 		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
@@ -149,7 +151,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	a := &admission{TCPListener: listener, metrics: &Metrics{}, most: 1, busy: 2}
+	a := &admission{TCPListener: listener, metrics: &metrics.Metrics{}, most: 1, busy: 2}
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
@@ -266,7 +268,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &admission{TCPListener: l.(*net.TCPListener), metrics: &Metrics{}, freed: make(chan struct{}, 1), most: queued, busy: queued}
+	a := &admission{TCPListener: l.(*net.TCPListener), metrics: &metrics.Metrics{}, freed: make(chan struct{}, 1), most: queued, busy: queued}
 	for range queued {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -14,6 +14,7 @@
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/metrics"
 )
 
 const (
@@ -73,7 +74,7 @@
 
 func serve(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, listening func() (*net.TCPListener, error), log *slog.Logger) error {
 	own := limitsOf(cfg, 1)
-	counters := &Metrics{}
+	counters := &metrics.Metrics{}
 	pool := newPool(&cfg.Settings, own.backends, counters)
 	l, err := newLoop(&cfg.Settings, cfg.Seed, pool, log)
 	if err != nil {
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/metrics"
 )
 
 // Each row of the protocol's table of outcomes, first at one backend that then serves: a keyed request may go
@@ -137,7 +138,7 @@
 		return "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\noutstanding=7,recent_ms=12", false
 	})
 	cfg := configFor(t, "127.0.0.1:1", strings.Replace(testSettings, `"off"`, `"on_probe"`, 1))
-	p := newPool(&cfg.Settings, 4, &Metrics{})
+	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	r := p.probe(context.Background(), p.target(b.addr, 0), &cfg.Settings)
 	if r.outcome != balancer.OutcomeOK || r.load.InFlight != 7 || r.load.ServiceTime != 12*time.Millisecond || r.load.Queue != -1 {
 		t.Errorf("got %+v", r)
@@ -156,7 +157,7 @@
 func TestLateRepeatIsNotSent(t *testing.T) {
 	b := newBackend(t, serves)
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	p := newPool(&cfg.Settings, 4, &Metrics{})
+	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	to := p.target(b.addr, 0)
 	m := newMessage("POST", "/keyed/1", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
@@ -172,7 +173,7 @@
 // A request that waits for a connection when its time is up or when it is cancelled never ran.
 func TestConnectionThatNeverComesUp(t *testing.T) {
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	p := newPool(&cfg.Settings, 4, &Metrics{})
+	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	to := p.target("127.0.0.1:1", 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	over, cancel := context.WithDeadline(context.Background(), time.Now())
@@ -194,7 +195,7 @@
 func TestEarlyClosesAreLearnt(t *testing.T) {
 	b := newBackend(t, serves)
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	p := newPool(&cfg.Settings, 4, &Metrics{})
+	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	to := p.target(b.addr, 0)
 	const idle = 200 * time.Millisecond
 	for range 3 { // lost on a connection that had been idle for so long
--- a/internal/agent/closing_test.go
+++ b/internal/agent/closing_test.go
@@ -10,6 +10,8 @@
 	"strings"
 	"testing"
 	"time"
+
+	"example.org/ryeloft/internal/metrics"
 )
 
 // whole makes a whole request of the unsafe class as it is sent.
@@ -77,7 +79,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	a := &admission{TCPListener: listener, metrics: &Metrics{}, most: 2, busy: 2}
+	a := &admission{TCPListener: listener, metrics: &metrics.Metrics{}, most: 2, busy: 2}
 	accept := func() (*clientConn, net.Conn) {
 		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -9,6 +9,8 @@
 	"sync"
 	"testing"
 	"time"
+
+	"example.org/ryeloft/internal/metrics"
 )
 
 // freeAddr is an address that was free just now.
@@ -195,7 +197,7 @@
 			}
 		}, errLeaving},
 	} {
-		d := &drain{clients: &admission{metrics: &Metrics{}}, ended: t.Context().Done(), log: discard}
+		d := &drain{clients: &admission{metrics: &metrics.Metrics{}}, ended: t.Context().Done(), log: discard}
 		if c.do(d); d.away() != c.want {
 			t.Errorf("%s: %v, want %v", c.name, d.away(), c.want)
 		}
@@ -272,7 +274,7 @@
 
 // Of the clients without a request those that are sending one make room last.
 func TestSlowSendersMakeRoomLast(t *testing.T) {
-	a := &admission{metrics: &Metrics{}, most: 2, busy: 3}
+	a := &admission{metrics: &metrics.Metrics{}, most: 2, busy: 3}
 	conn := func(reading bool) *clientConn {
 		c := &clientConn{TCPConn: &net.TCPConn{}}
 		c.reading = reading
--- a/internal/agent/leaving_test.go
+++ b/internal/agent/leaving_test.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/metrics"
 )
 
 // deaf returns an address at which connections never come up.
@@ -80,7 +81,7 @@
 	b := newBackend(t, serves)
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
 	for _, idle := range []bool{false, true} {
-		p := newPool(&cfg.Settings, 4, &Metrics{})
+		p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 		to := p.target(b.addr, 0)
 		m := newMessage("GET", "/", "x", nil, nil, nil)
 		if idle {
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -14,6 +14,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/metrics"
 )
 
 // process is one of several that run one agent.
@@ -207,7 +208,7 @@
 func TestPoolResize(t *testing.T) {
 	b := newBackend(t, serves)
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	p := newPool(&cfg.Settings, 4, &Metrics{})
+	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	to := p.target(b.addr, 0)
 	var held []*conn
 	for range 4 {
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -12,6 +12,7 @@
 
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/metrics"
 )
 
 // The id of a request that is open, or was a moment ago, is no other's: the second is refused and the first served.
@@ -96,7 +97,7 @@
 func TestLoopCarriesOut(t *testing.T) {
 	b := newBackend(t, serves)
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &Metrics{}), discard)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -135,7 +136,7 @@
 // A request is answered once: the outcome of an attempt that crosses the hangup of its client changes nothing.
 func TestLateOutcomeIsDropped(t *testing.T) {
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &Metrics{}), discard)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -243,7 +244,7 @@
 	}
 	x, y := newBackend(t, script), newBackend(t, script)
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &Metrics{}), discard)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -290,7 +291,7 @@
 			for _, second := range []balancer.Outcome{balancer.OutcomeOK, balancer.OutcomeTimeout, balancer.OutcomeCancelled} {
 				for _, gone := range []bool{false, true} { // an attempt may find the client gone before its handler does
 					cfg := configFor(t, "127.0.0.1:1", strings.Replace(testSettings, `"maxAttempts":3`, `"maxAttempts":2`, 1))
-					l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &Metrics{}), discard)
+					l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), discard)
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -12,6 +12,7 @@
 	"syscall"
 	"time"
 
+	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/settings"
 )
 
@@ -80,7 +81,7 @@
 // itself on a stale connection and does not tell whether a request's last byte went out, on which it hangs
 // whether the request may have run.
 type pool struct {
-	metrics *Metrics
+	metrics *metrics.Metrics
 
 	mu             sync.Mutex
 	connectTimeout time.Duration
@@ -105,7 +106,7 @@
 }
 
 // newPool returns a pool of so many connections at most.
-func newPool(s *settings.Settings, most int, m *Metrics) *pool {
+func newPool(s *settings.Settings, most int, m *metrics.Metrics) *pool {
 	p := &pool{metrics: m, most: most, targets: map[*target]struct{}{}}
 	p.adopt(s)
 	return p
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -8,6 +8,7 @@
 
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/metrics"
 )
 
 // A backend at the address of one that has gone has connections of its own: those of the old one close, the one in
@@ -19,7 +20,7 @@
 		return okText, false
 	})
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &Metrics{}), discard)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), discard)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -93,7 +94,7 @@
 func TestPoolIsBounded(t *testing.T) {
 	x, y := newBackend(t, serves), newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	p := newPool(&cfg.Settings, 1, &Metrics{})
+	p := newPool(&cfg.Settings, 1, &metrics.Metrics{})
 	toX, toY := p.target(x.addr, 0), p.target(y.addr, 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
@@ -123,7 +124,7 @@
 func TestIdleConnectionsEnd(t *testing.T) {
 	b := newBackend(t, serves)
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	p := newPool(&cfg.Settings, 4, &Metrics{})
+	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	to := p.target(b.addr, 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), wait)
@@ -158,7 +159,7 @@
 
 // The connection that was used last is the least likely to be closed by the backend.
 func TestNewestConnectionFirst(t *testing.T) {
-	p := newPool(&configFor(t, "127.0.0.1:1", testSettings).Settings, 4, &Metrics{})
+	p := newPool(&configFor(t, "127.0.0.1:1", testSettings).Settings, 4, &metrics.Metrics{})
 	x := p.target("x", 0)
 	older, newer := &conn{to: x}, &conn{to: x}
 	p.put(older)
--- a/internal/agent/rooms_test.go
+++ b/internal/agent/rooms_test.go
@@ -11,12 +11,13 @@
 	"time"
 
 	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/settings"
 )
 
 // roomsFor makes the rooms of a process that does nothing else.
 func roomsFor(cfg *config.Config) *rooms {
-	return newRooms(cfg, &admission{metrics: &Metrics{}, freed: make(chan struct{}, 1)}, newPool(&settings.Settings{}, 1, &Metrics{}))
+	return newRooms(cfg, &admission{metrics: &metrics.Metrics{}, freed: make(chan struct{}, 1)}, newPool(&settings.Settings{}, 1, &metrics.Metrics{}))
 }
 
 func TestRoomIsPassedOn(t *testing.T) {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -16,6 +16,7 @@
 
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/clock"
+	"example.org/ryeloft/internal/metrics"
 )
 
 const (
@@ -52,7 +53,7 @@
 // server is the client's side: it turns requests into calls for the loop, and its answers into responses.
 type server struct {
 	loop    *loop
-	metrics *Metrics
+	metrics *metrics.Metrics
 	clients *admission
 	buffers buffers // of streams
 	most    int64   // requests held at once
@@ -206,7 +207,7 @@
 
 // answer gives a request that was taken its answer and counts it.
 func (s *server) answer(w http.ResponseWriter, r *http.Request, c *call, a answer) {
-	s.metrics.RequestAnswered(c.kind, ResultOf(a.status))
+	s.metrics.RequestAnswered(c.kind, metrics.ResultOf(a.status))
 	s.finishBody(w, c)
 	s.respond(w, a)
 	if u := c.message.long; u != nil && !u.done.Load() && http.NewResponseController(w).Flush() == nil {
@@ -228,10 +229,10 @@
 	s.head(w, a, a.rest.length)
 	err := s.pass(w, r, a.rest)
 	if err == nil {
-		s.metrics.RequestAnswered(c.kind, ResultOK)
+		s.metrics.RequestAnswered(c.kind, metrics.ResultOK)
 		return
 	}
-	s.metrics.RequestAnswered(c.kind, ResultErrors)
+	s.metrics.RequestAnswered(c.kind, metrics.ResultErrors)
 	s.metrics.AnswerBroken(false, err)
 	// The client has to see that this was not all, also where only the close would end the answer.
 	connOf(r).cut()
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -17,6 +17,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/metrics"
 )
 
 // streaming starts an agent in front of a server that a handler plays.
@@ -250,7 +251,7 @@
 		return "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nhalf", false
 	})
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	p := newPool(&cfg.Settings, 4, &Metrics{})
+	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	fired := time.AfterFunc(0, func() {}) // but the context has not heard of it
 	for fired.Stop() {
@@ -287,7 +288,7 @@
 			}
 		}()
 		cfg := configFor(t, "127.0.0.1:1", testSettings)
-		p := newPool(&cfg.Settings, 4, &Metrics{})
+		p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 		store := newBuffers(2 * streamPart)
 		u := &upload{length: 100_000, budget: wait, ended: func() {}, rest: &paced{body: bytes.NewReader(pattern(100_000)), rc: http.NewResponseController(httptest.NewRecorder())}}
 		if !u.admit(store) || len(store) != 1 {
@@ -377,11 +378,11 @@
 	none := newBuffers(0)
 	none.try()
 	none.try()
-	lp, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &Metrics{}), discard)
+	lp, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), discard)
 	if err != nil {
 		t.Fatal(err)
 	}
-	clients := &admission{metrics: &Metrics{}, most: 10}
+	clients := &admission{metrics: &metrics.Metrics{}, most: 10}
 	s := &server{loop: lp, metrics: lp.pool.metrics, clients: clients, buffers: none, most: 10, drain: &drain{clients: clients}}
 	srv := httptest.NewUnstartedServer(s)
 	tcp, err := listen(t.Context(), "127.0.0.1:0", false)
@@ -405,7 +406,7 @@
 // rivals does not cut it off.
 func TestFlowingAnswerIsTheOnlyOne(t *testing.T) {
 	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &Metrics{}), discard)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), discard)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/agent/figures.go
+++ b/internal/metrics/metrics.go
@@ -1,6 +1,6 @@
 // Package metrics counts what the agent does and shows it: in the text form that collectors read, and as log lines at
 // intervals. It decides nothing.
-package agent
+package metrics
 
 import (
 	"net/http"
