--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -100,12 +100,12 @@
 	shares := newRooms(cfg, clients, pool)
 	var beside *link
 	if cfg.AdminAddr != "" {
-		c, err := listenConsole(ctx, cfg.AdminAddr, handler.calls())
+		c, err := Listen(ctx, cfg.AdminAddr, handler.calls())
 		if err != nil {
 			return err
 		}
-		defer c.close()
-		go c.serve()
+		defer c.Close()
+		go c.Serve()
 		l.shown = true
 		beside = joinLink(linkPath(cfg.Name), shares, log)
 		defer beside.close()
--- a/internal/agent/console.go
+++ b/internal/agent/console.go
@@ -1,3 +1,4 @@
+// Package admin serves the operators' console: one line of text is a command, and its answer begins with ok or fail.
 package agent
 
 import (
@@ -13,97 +14,111 @@
 )
 
 const (
-	mostCallers = 8               // connections to the console at once
-	callTime    = 2 * time.Second // for a call, from connecting to the last byte of its answer
-	maxCallLine = 256             // bytes
+	// MaxLineBytes is how long a line may be, its end included.
+	MaxLineBytes = 256
+
+	maxConns       = 8
+	commandTimeout = 2 * time.Second // from accepting a connection to the last byte of its answer
+	// acceptBackoff is how long to wait when no connection can be accepted, mostly for want of descriptors.
+	acceptBackoff = 10 * time.Millisecond
 )
 
-// console answers the operators' calls, one line to a connection. It has connections of its own and asks neither the
-// loop nor admission, so that it answers while both are at their limits.
-type console struct {
+// Command carries out one command and writes its answer. An error is answered with fail and its text.
+type Command func(io.Writer) error
+
+// Console answers commands, one to a connection. It owns its listener and its connections, which its mutex guards, and
+// shares no limit with the clients' connections, so that it answers while the agent is overloaded.
+type Console struct {
 	listener net.Listener
-	calls    map[string]func(io.Writer) error // an error is answered with fail and why
+	commands map[string]Command
 
-	mu      sync.Mutex
-	callers []net.Conn // the longest here first
+	mu    sync.Mutex
+	conns []net.Conn // the oldest first
 }
 
-func listenConsole(ctx context.Context, addr string, calls map[string]func(io.Writer) error) (*console, error) {
+// Listen opens a console. It answers once Serve runs.
+func Listen(ctx context.Context, addr string, commands map[string]Command) (*Console, error) {
 	l, err := new(net.ListenConfig).Listen(ctx, "tcp", addr)
 	if err != nil {
 		return nil, fmt.Errorf("the console: %w", err)
 	}
-	return &console{listener: l, calls: calls}, nil
+	return &Console{listener: l, commands: commands}, nil
 }
 
-// serve answers calls until the console is closed.
-func (c *console) serve() {
+// Addr is the console's address.
+func (c *Console) Addr() net.Addr { return c.listener.Addr() }
+
+// Serve answers commands until the console is closed. It does not wait for the commands that are being answered then:
+// commandTimeout bounds them, and they change nothing that outlives the process.
+func (c *Console) Serve() {
 	for {
-		caller, err := c.listener.Accept()
+		conn, err := c.listener.Accept()
 		if errors.Is(err, net.ErrClosed) {
 			return
 		}
-		if err != nil { // descriptors are short: the next caller may find one
-			time.Sleep(10 * time.Millisecond)
+		if err != nil {
+			time.Sleep(acceptBackoff)
 			continue
 		}
-		c.admit(caller)
+		c.add(conn)
 		go func() {
-			defer c.leave(caller)
-			caller.SetDeadline(time.Now().Add(callTime))
-			c.answer(caller)
+			defer c.remove(conn)
+			conn.SetDeadline(time.Now().Add(commandTimeout))
+			c.handle(conn)
 		}()
 	}
 }
 
-func (c *console) close() { c.listener.Close() }
+// Close ends Serve.
+func (c *Console) Close() { c.listener.Close() }
 
-// admit makes room for a caller. Danger: callers that connect and say nothing would keep all others out.
-func (c *console) admit(caller net.Conn) {
+// add takes in a connection. The oldest one is closed if there are too many, because callers that connect and send
+// nothing would otherwise keep all others out.
+func (c *Console) add(conn net.Conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.callers = append(c.callers, caller)
-	if len(c.callers) > mostCallers {
-		c.callers[0].Close()
-		c.callers = c.callers[1:]
+	c.conns = append(c.conns, conn)
+	if len(c.conns) > maxConns {
+		c.conns[0].Close()
+		c.conns = c.conns[1:]
 	}
 }
 
-func (c *console) leave(caller net.Conn) {
-	caller.Close()
+func (c *Console) remove(conn net.Conn) {
+	conn.Close()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for i, o := range c.callers {
-		if o == caller {
-			c.callers = append(c.callers[:i:i], c.callers[i+1:]...)
+	for i, other := range c.conns {
+		if other == conn {
+			c.conns = append(c.conns[:i:i], c.conns[i+1:]...)
 			return
 		}
 	}
 }
 
-// answer reads a call and answers it.
-func (c *console) answer(caller net.Conn) {
-	line, err := bufio.NewReaderSize(caller, maxCallLine).ReadSlice('\n')
-	out := bufio.NewWriter(caller)
-	defer out.Flush()
+// handle reads a command and answers it.
+func (c *Console) handle(conn net.Conn) {
+	line, err := bufio.NewReaderSize(conn, MaxLineBytes).ReadSlice('\n')
+	// A caller that does not read its answer sees the connection close.
+	_, _ = io.WriteString(conn, c.answer(line, err))
+}
+
+// answer returns the complete answer to a line, or to the error of reading it.
+func (c *Console) answer(line []byte, err error) string {
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		fmt.Fprintf(out, "fail a call has at most %d bytes\n", maxCallLine)
-		return
+		return fmt.Sprintf("fail a call has at most %d bytes\n", MaxLineBytes)
 	case err != nil:
-		fmt.Fprintln(out, "fail no whole line came")
-		return
+		return "fail no whole line came\n"
 	}
 	name := strings.TrimSpace(string(line))
-	call := c.calls[name]
-	if call == nil {
-		fmt.Fprintf(out, "fail unknown call %q\n", name)
-		return
+	command := c.commands[name]
+	if command == nil {
+		return fmt.Sprintf("fail unknown call %q\n", name)
 	}
-	var text strings.Builder // an answer is known whole before its first word
-	if err := call(&text); err != nil {
-		fmt.Fprintf(out, "fail %v\n", err)
-		return
+	var text strings.Builder
+	if err := command(&text); err != nil {
+		return fmt.Sprintf("fail %v\n", err)
 	}
-	fmt.Fprintf(out, "ok\n%s", text.String())
+	return "ok\n" + text.String()
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -190,8 +190,8 @@
 }
 
 // calls are what the operators may ask on the console.
-func (s *server) calls() map[string]func(io.Writer) error {
-	return map[string]func(io.Writer) error{
+func (s *server) calls() map[string]Command {
+	return map[string]Command{
 		"check":     func(io.Writer) error { return s.takesClients() },
 		"drain-on":  func(io.Writer) error { s.drain.on(); return nil },
 		"drain-off": func(io.Writer) error { return s.drain.off() },
