--- a/internal/agent/console.go
+++ b/internal/admin/console.go
@@ -1,5 +1,5 @@
 // Package admin serves the operators' console: one line of text is a command, and its answer begins with ok or fail.
-package agent
+package admin
 
 import (
 	"bufio"
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -11,6 +11,7 @@
 	"syscall"
 	"time"
 
+	"example.org/ryeloft/internal/admin"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/discovery"
@@ -100,7 +101,7 @@
 	shares := newRooms(cfg, clients, pool)
 	var beside *link
 	if cfg.AdminAddr != "" {
-		c, err := Listen(ctx, cfg.AdminAddr, handler.calls())
+		c, err := admin.Listen(ctx, cfg.AdminAddr, handler.calls())
 		if err != nil {
 			return err
 		}
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/admin"
 	"example.org/ryeloft/internal/metrics"
 )
 
@@ -65,7 +66,7 @@
 		{"reboot\n", `fail unknown call "reboot"`},
 		{"check", "fail no whole line"},
 		{"", "fail no whole line"},
-		{strings.Repeat("x", MaxLineBytes+1) + "\n", "fail a call has at most"},
+		{strings.Repeat("x", admin.MaxLineBytes+1) + "\n", "fail a call has at most"},
 	} {
 		if got := operator(t, console, c.call); !strings.HasPrefix(got, c.want) {
 			t.Errorf("%.20q is answered %q, want %q", c.call, got, c.want)
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -14,6 +14,7 @@
 	"sync/atomic"
 	"time"
 
+	"example.org/ryeloft/internal/admin"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/clock"
 	"example.org/ryeloft/internal/metrics"
@@ -190,8 +191,8 @@
 }
 
 // calls are what the operators may ask on the console.
-func (s *server) calls() map[string]Command {
-	return map[string]Command{
+func (s *server) calls() map[string]admin.Command {
+	return map[string]admin.Command{
 		"check":     func(io.Writer) error { return s.takesClients() },
 		"drain-on":  func(io.Writer) error { s.drain.on(); return nil },
 		"drain-off": func(io.Writer) error { return s.drain.off() },
