--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -107,7 +107,7 @@
 	return free.Addr().String()
 }
 
-const wait = 20 * time.Second
+const Timeout = 20 * time.Second
 
 // follows waits until the list has been asked for and is watched.
 func follows(t *testing.T, asked chan string) {
@@ -118,7 +118,7 @@
 			if q != "" {
 				return
 			}
-		case <-time.After(wait):
+		case <-time.After(Timeout):
 			t.Fatal("the program does not follow the list")
 		}
 	}
@@ -144,7 +144,7 @@
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(wait):
+	case <-time.After(Timeout):
 		t.Fatal("the program goes on")
 	}
 }
@@ -260,7 +260,7 @@
 			t.Fatal(err)
 		}
 		for begun := time.Now(); call(console, "check") != "ok\n"; time.Sleep(10 * time.Millisecond) {
-			if time.Since(begun) > wait {
+			if time.Since(begun) > Timeout {
 				t.Fatalf("start %d: check is answered %q", i, call(console, "check"))
 			}
 		}
@@ -282,7 +282,7 @@
 		return err.Error()
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(wait))
+	c.SetDeadline(time.Now().Add(Timeout))
 	fmt.Fprintln(c, name)
 	answer, _ := io.ReadAll(c)
 	return string(answer)
@@ -305,7 +305,7 @@
 		t.Fatal(err)
 	}
 	for begun := time.Now(); call(console, "check") != "ok\n"; time.Sleep(10 * time.Millisecond) {
-		if time.Since(begun) > wait {
+		if time.Since(begun) > Timeout {
 			t.Fatalf("check is answered %q", call(console, "check"))
 		}
 	}
@@ -346,7 +346,7 @@
 	for range 4 * sockets { // connections have had to make room all the while
 		select {
 		case <-full:
-		case <-time.After(wait):
+		case <-time.After(Timeout):
 			t.Fatal("idle clients are never closed")
 		}
 	}
@@ -371,12 +371,12 @@
 	defer list.Close()
 	go list.Serve(l)
 	served := 0
-	for begun := time.Now(); served < 20 && time.Since(begun) < wait; {
+	for begun := time.Now(); served < 20 && time.Since(begun) < Timeout; {
 		req, _ := http.NewRequest(http.MethodGet, "http://"+listen+"/c/1", nil)
 		req.Header.Set("X-Call-Id", fmt.Sprint(time.Now().UnixNano()))
 		req.Header.Set("X-Call-Class", "c")
 		req.Header.Set("X-Budget", "5000m")
-		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: wait}).Do(req)
+		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: Timeout}).Do(req)
 		switch {
 		case err != nil: // it made room before its request was read, and is sent once more
 			continue
--- a/cmd/agent/reloads_test.go
+++ b/cmd/agent/reloads_test.go
@@ -227,7 +227,7 @@
 	}
 	select {
 	case <-a.ended:
-	case <-time.After(wait):
+	case <-time.After(Timeout):
 		t.Errorf("agent %d goes on after SIGTERM", a.rank)
 		a.cmd.Process.Kill()
 		<-a.ended
@@ -281,7 +281,7 @@
 				return
 			}
 		}
-		if time.Since(begun) > wait {
+		if time.Since(begun) > Timeout {
 			t.Fatalf("the agent at %s is not up: %v", listen, err)
 		}
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -1,16 +1,12 @@
 package agent
 
 import (
-	"bufio"
-	"bytes"
 	"context"
 	"fmt"
 	"io"
-	"log/slog"
 	"net"
 	"net/http"
 	"strings"
-	"sync"
 	"sync/atomic"
 	"testing"
 	"time"
@@ -18,48 +14,6 @@
 	"example.org/ryeloft/internal/config"
 )
 
-// The classes: a keyed one dropped by all, a keyed one dropped by its cell, an unsafe one and a safe one.
-const testSettings = `{
- "categories":[
-  {"name":"keyed","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},
-  {"name":"celled","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"cell","repeatWindow":30000},
-  {"name":"unsafe","aim":20000,"deadline":30000,"credit":1,"effect":"side_effect"},
-  {"name":"safe","aim":20000,"deadline":30000,"credit":1,"effect":"pure"}],
- "accounts":[{"name":"acme","portion":1}],
- "localities":["a"],"skus":["m1"],"replicasOfMe":1,"rank":0,"discovery":"automatic","tick":5,
- "report":{"fields":["outstanding","recent_ms"],"how":"off"},
- "limits":{"maxAttempts":3,"cancel":true,"secondCopies":true,"retryAfter":true,"connectTimeout":2000,"idleClose":30000},
- "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"extraFloor":100,"extraWindow":1000}}`
-
-// configFor is the configuration of an agent with a settings text.
-func configFor(t *testing.T, discovery, settings string) *config.Config {
-	t.Helper()
-	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f",
-		"limits":{"cores":1,"memory_mb":192,"sockets":1024},
-		"known":{"revision":1,"complete":true,"members":[]},"settings":%s}`, discovery, settings)
-	cfg, err := config.Parse([]byte(text))
-	if err != nil {
-		t.Fatal(err)
-	}
-	return cfg
-}
-
-var discard = slog.New(slog.DiscardHandler)
-
-// wait bounds what a test waits for; nothing passes by it.
-const wait = 20 * time.Second
-
-func receive[T any](t *testing.T, what string, from <-chan T) T {
-	t.Helper()
-	select {
-	case v := <-from:
-		return v
-	case <-time.After(wait):
-		t.Fatalf("no %s", what)
-		panic("unreachable")
-	}
-}
-
 // running is an agent under test.
 type running struct {
 	url    string
@@ -81,17 +35,17 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r := &running{
 		url: "http://" + listener.Addr().String(), stop: stop, ended: make(chan error, 1),
-		client:  &http.Client{Transport: &http.Transport{}, Timeout: wait},
+		client:  &http.Client{Transport: &http.Transport{}, Timeout: Timeout},
 		reloads: make(chan config.ReloadResult),
 	}
 	go func() {
-		r.ended <- serve(ctx, cfg, r.reloads, func() (*net.TCPListener, error) { return listener, nil }, discard)
+		r.ended <- serve(ctx, cfg, r.reloads, func() (*net.TCPListener, error) { return listener, nil }, DiscardLogger)
 	}()
 	t.Cleanup(func() {
 		stop()
 		r.client.CloseIdleConnections()
 	})
-	for begun := time.Now(); time.Since(begun) < wait; time.Sleep(time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < Timeout; time.Sleep(time.Millisecond) {
 		resp, err := r.client.Get(r.url + readyPath)
 		if err != nil {
 			continue
@@ -136,86 +90,20 @@
 	return resp.StatusCode, string(body)
 }
 
-// backend is a TCP server that hands each request to a script, on whichever connection it comes.
-type backend struct {
-	addr     string
-	accepted chan net.Conn
-	got      chan *http.Request
-	ended    chan error // the agent has closed a connection
-}
-
-// play answers a request on its connection: the text is written as it is, and closes says whether the
-// connection ends then. No text and not closing is silence.
-type play func(n int, req *http.Request) (text string, closes bool)
-
-const okText = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Type: text/x-made\r\n\r\nserved"
-
-func serves(int, *http.Request) (string, bool) { return okText, false }
-
-func newBackend(t *testing.T, script play) *backend {
-	t.Helper()
-	listener, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	b := &backend{
-		addr: listener.Addr().String(), accepted: make(chan net.Conn, 100), got: make(chan *http.Request, 100),
-		ended: make(chan error, 100),
-	}
-	t.Cleanup(func() { listener.Close() })
-	var mu sync.Mutex
-	n := 0
-	go func() {
-		for {
-			c, err := listener.Accept()
-			if err != nil {
-				return
-			}
-			t.Cleanup(func() { c.Close() })
-			b.accepted <- c
-			go func() {
-				br := bufio.NewReader(c)
-				for {
-					req, err := http.ReadRequest(br)
-					if err != nil {
-						c.Close()
-						b.ended <- err
-						return
-					}
-					body, _ := io.ReadAll(req.Body)
-					req.Body = io.NopCloser(bytes.NewReader(body))
-					mu.Lock()
-					k := n
-					n++
-					mu.Unlock()
-					b.got <- req
-					text, closes := script(k, req)
-					io.WriteString(c, text)
-					if closes {
-						c.Close()
-						return
-					}
-				}
-			}()
-		}
-	}()
-	return b
-}
-
 // agentFor starts an agent that knows the backends, each in a cell of its own number.
-func agentFor(t *testing.T, settings string, backends ...*backend) *running {
+func agentFor(t *testing.T, settings string, backends ...*Server) *running {
 	t.Helper()
 	var members []string
 	for i, b := range backends {
-		members = append(members, host(fmt.Sprintf("s-%d", i), b.addr, "Ready", i))
+		members = append(members, Member(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
 	}
-	l := newLists(t, hosts(1, true, members...))
-	return start(t, configFor(t, l.Listener.Addr().String(), settings))
+	l := NewDiscovery(t, List(1, true, members...))
+	return start(t, Config(t, l.Listener.Addr().String(), settings))
 }
 
 func TestPassesOnUnchanged(t *testing.T) {
-	b := newBackend(t, serves)
-	a := agentFor(t, testSettings, b)
+	b := NewServer(t, Serve)
+	a := agentFor(t, Settings, b)
 	req := a.request("keyed", "1500m")
 	req.Header.Set("Traceparent", "00-1-2-01")
 	resp, err := a.client.Do(req)
@@ -227,7 +115,7 @@
 	if resp.StatusCode != 200 || string(body) != "served" || resp.Header.Get("Content-Type") != "text/x-made" {
 		t.Errorf("answer %d %q %v", resp.StatusCode, body, resp.Header)
 	}
-	got := receive(t, "request", b.got)
+	got := Receive(t, "request", b.Requests)
 	sent, _ := io.ReadAll(got.Body)
 	if got.Method != "POST" || got.RequestURI != "/keyed/7f%2F3a?x=1&y" || string(sent) != "body of keyed" ||
 		got.Header.Get(callIDHeader) != "call-1" || got.Header.Get(keyHeader) != "key-1" ||
@@ -243,11 +131,11 @@
 // answers, and ends well.
 func TestStop(t *testing.T) {
 	goOn := make(chan struct{})
-	b := newBackend(t, func(int, *http.Request) (string, bool) {
+	b := NewServer(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return okText, false
+		return OKAnswer, false
 	})
-	a := agentFor(t, testSettings, b)
+	a := agentFor(t, Settings, b)
 	answers := make(chan *http.Response, 2)
 	ask := func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(a.request("unsafe", "15000m"))
@@ -257,18 +145,18 @@
 		answers <- resp
 	}
 	go ask()
-	receive(t, "request", b.got)
+	Receive(t, "request", b.Requests)
 	a.stop()
 	go ask() // the listener is still open
-	receive(t, "request after the signal", b.got)
+	Receive(t, "request after the signal", b.Requests)
 	close(goOn)
 	for range 2 {
-		resp := receive(t, "answer", answers)
+		resp := Receive(t, "answer", answers)
 		if resp == nil || resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("answered %v", resp)
 		}
 	}
-	if err := receive(t, "end", a.ended); err != nil {
+	if err := Receive(t, "end", a.ended); err != nil {
 		t.Error(err)
 	}
 }
--- /dev/null
+++ b/internal/agent/agenttest.go
@@ -0,0 +1,72 @@
+// Package agenttest holds what the tests of several of the agent's packages share: a configuration, scripted servers, a
+// discovery service, and listeners at which connections do not come up. It is no part of the agent.
+package agent
+
+import (
+	"bytes"
+	"fmt"
+	"io"
+	"log/slog"
+	"testing"
+	"time"
+
+	"example.org/ryeloft/internal/config"
+)
+
+// Settings are the settings of a test agent. Their classes: a keyed one dropped by all, a keyed one dropped by its cell, an unsafe one and a safe one.
+const Settings = `{
+ "categories":[
+  {"name":"keyed","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},
+  {"name":"celled","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"cell","repeatWindow":30000},
+  {"name":"unsafe","aim":20000,"deadline":30000,"credit":1,"effect":"side_effect"},
+  {"name":"safe","aim":20000,"deadline":30000,"credit":1,"effect":"pure"}],
+ "accounts":[{"name":"acme","portion":1}],
+ "localities":["a"],"skus":["m1"],"replicasOfMe":1,"rank":0,"discovery":"automatic","tick":5,
+ "report":{"fields":["outstanding","recent_ms"],"how":"off"},
+ "limits":{"maxAttempts":3,"cancel":true,"secondCopies":true,"retryAfter":true,"connectTimeout":2000,"idleClose":30000},
+ "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"extraFloor":100,"extraWindow":1000}}`
+
+// Config returns the configuration of an agent with a settings text and the address of a discovery service.
+func Config(t *testing.T, discovery, settings string) *config.Config {
+	t.Helper()
+	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f",
+		"limits":{"cores":1,"memory_mb":192,"sockets":1024},
+		"known":{"revision":1,"complete":true,"members":[]},"settings":%s}`, discovery, settings)
+	cfg, err := config.Parse([]byte(text))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return cfg
+}
+
+// DiscardLogger drops what is logged.
+var DiscardLogger = slog.New(slog.DiscardHandler)
+
+// Timeout bounds what a test waits for; nothing passes by it.
+const Timeout = 20 * time.Second
+
+// Receive returns the next value of a channel, or fails the test if none comes.
+func Receive[T any](t *testing.T, what string, from <-chan T) T {
+	t.Helper()
+	select {
+	case v := <-from:
+		return v
+	case <-time.After(Timeout):
+		t.Fatalf("no %s", what)
+		panic("unreachable")
+	}
+}
+
+// Pattern is a text of so many bytes of which no two parts are alike.
+func Pattern(n int) []byte {
+	var b bytes.Buffer
+	for i := 0; b.Len() < n; i++ {
+		fmt.Fprintf(&b, "%d,", i)
+	}
+	return b.Bytes()[:n]
+}
+
+// send writes to a peer under test, which may have closed the connection on purpose.
+func send(w io.Writer, text string) {
+	_, _ = io.WriteString(w, text)
+}
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -35,7 +35,7 @@
 		{"said to be oversized", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhalf", false, true},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nhalf", false, true},
 		{"bad chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhalf", false, true},
-		{"another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n" + okText, false, true},
+		{"another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n" + OKAnswer, false, true},
 		{"nonsense", "SSH-2.0-x\r\n\r\n", true, true},
 		{"endless header", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10), true, true},
 	} {
@@ -44,25 +44,25 @@
 				if n == 0 {
 					return row.text, row.closes
 				}
-				return okText, false
+				return OKAnswer, false
 			}
 			for _, class := range []string{"keyed", "unsafe"} {
 				// The other attempt goes to the second backend, so one script serves for both.
-				both := newBackend(t, script)
-				other := newBackend(t, serves)
-				a := agentFor(t, testSettings, both, other)
-				for len(both.got) == 0 { // until the draw falls on the first
+				both := NewServer(t, script)
+				other := NewServer(t, Serve)
+				a := agentFor(t, Settings, both, other)
+				for len(both.Requests) == 0 { // until the draw falls on the first
 					status, body := a.do(t, a.request(class, "15000m"))
 					again := class == "keyed" || !row.ran
 					switch {
-					case len(both.got) == 0 && status == 200:
-						<-other.got
+					case len(both.Requests) == 0 && status == 200:
+						<-other.Requests
 					case again && (status != 200 || body != "served"):
 						t.Errorf("%s: answered %d %q", class, status, body)
 					case !again && status != statusFailed:
 						t.Errorf("%s: answered %d", class, status)
-					case again && len(both.got)+len(other.got) != 2, !again && len(both.got)+len(other.got) != 1:
-						t.Errorf("%s: sent %d times", class, len(both.got)+len(other.got))
+					case again && len(both.Requests)+len(other.Requests) != 2, !again && len(both.Requests)+len(other.Requests) != 1:
+						t.Errorf("%s: sent %d times", class, len(both.Requests)+len(other.Requests))
 					}
 				}
 			}
@@ -72,19 +72,19 @@
 
 // exchangeBy exchanges a message on plain terms; the context bounds it.
 func exchangeBy(p *pool, ctx context.Context, to *target, m *message, sendBy time.Time) result {
-	return p.exchange(ctx, to, m, &terms{deadline: time.Now().Add(wait), sendBy: sendBy})
+	return p.exchange(ctx, to, m, &terms{deadline: time.Now().Add(Timeout), sendBy: sendBy})
 }
 
 // A good answer is served whatever stands before and behind it; its connection is not used again, or what stands
 // behind it would be the next request's answer.
 func TestMoreThanAnAnswer(t *testing.T) {
 	for what, text := range map[string]string{
-		"a copy behind":   okText + strings.Replace(okText, "served", "again!", 1),
-		"noise behind":    okText + "\x00\x01\r\n\r\n",
-		"hints before":    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + okText,
-		"a broken report": strings.Replace(okText, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
+		"a copy behind":   OKAnswer + strings.Replace(OKAnswer, "served", "again!", 1),
+		"noise behind":    OKAnswer + "\x00\x01\r\n\r\n",
+		"hints before":    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OKAnswer,
+		"a broken report": strings.Replace(OKAnswer, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
 	} {
-		a := agentFor(t, testSettings, newBackend(t, func(int, *http.Request) (string, bool) { return text, false }))
+		a := agentFor(t, Settings, NewServer(t, func(int, *http.Request) (string, bool) { return text, false }))
 		for range 3 {
 			if status, body := a.do(t, a.request("unsafe", "15000m")); status != 200 || body != "served" {
 				t.Errorf("%s: answered %d %q", what, status, body)
@@ -96,10 +96,10 @@
 // A keyed request that may have run is not sent to a backend that does not know its key.
 func TestKeyedStaysInItsCell(t *testing.T) {
 	breaks := func(int, *http.Request) (string, bool) { return "", true }
-	x, y := newBackend(t, breaks), newBackend(t, breaks)
-	a := agentFor(t, testSettings, x, y)
+	x, y := NewServer(t, breaks), NewServer(t, breaks)
+	a := agentFor(t, Settings, x, y)
 	a.do(t, a.request("celled", "15000m"))
-	if len(x.got) > 0 && len(y.got) > 0 {
+	if len(x.Requests) > 0 && len(y.Requests) > 0 {
 		t.Error("sent to both cells")
 	}
 }
@@ -110,36 +110,36 @@
 		t.Fatal(err)
 	}
 	closed.Close()
-	gone := &backend{addr: closed.Addr().String()}
-	a := agentFor(t, testSettings, gone)
+	gone := &Server{Addr: closed.Addr().String()}
+	a := agentFor(t, Settings, gone)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused {
 		t.Errorf("answered %d: what never ran can be refused", status)
 	}
 }
 
 func TestTimeout(t *testing.T) {
-	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	b := NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
+	a := agentFor(t, Settings, b)
 	status, _ := a.do(t, a.request("unsafe", "150m"))
 	if status != statusFailed {
 		t.Errorf("answered %d: it may have run", status)
 	}
-	receive(t, "close of the connection", b.ended)
-	if len(b.got) != 1 {
-		t.Errorf("sent %d times", len(b.got))
+	Receive(t, "close of the connection", b.Closed)
+	if len(b.Requests) != 1 {
+		t.Errorf("sent %d times", len(b.Requests))
 	}
 }
 
 func TestProbe(t *testing.T) {
-	b := newBackend(t, func(_ int, r *http.Request) (string, bool) {
+	b := NewServer(t, func(_ int, r *http.Request) (string, bool) {
 		if r.URL.Path != loadPath {
 			return "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", false
 		}
 		return "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\noutstanding=7,recent_ms=12", false
 	})
-	cfg := configFor(t, "127.0.0.1:1", strings.Replace(testSettings, `"off"`, `"on_probe"`, 1))
+	cfg := Config(t, "127.0.0.1:1", strings.Replace(Settings, `"off"`, `"on_probe"`, 1))
 	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
-	r := p.probe(context.Background(), p.target(b.addr, 0), &cfg.Settings)
+	r := p.probe(context.Background(), p.target(b.Addr, 0), &cfg.Settings)
 	if r.outcome != balancer.OutcomeOK || r.load.InFlight != 7 || r.load.ServiceTime != 12*time.Millisecond || r.load.Queue != -1 {
 		t.Errorf("got %+v", r)
 	}
@@ -155,24 +155,24 @@
 
 // A repeat that comes up too late to be dropped is not sent, and so has not run.
 func TestLateRepeatIsNotSent(t *testing.T) {
-	b := newBackend(t, serves)
-	cfg := configFor(t, "127.0.0.1:1", testSettings)
+	b := NewServer(t, Serve)
+	cfg := Config(t, "127.0.0.1:1", Settings)
 	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
-	to := p.target(b.addr, 0)
+	to := p.target(b.Addr, 0)
 	m := newMessage("POST", "/keyed/1", "x", nil, nil, nil)
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+	ctx, cancel := context.WithTimeout(context.Background(), Timeout)
 	defer cancel()
-	if r := exchangeBy(p, ctx, to, &m, time.Now()); r.outcome != balancer.OutcomeExpired || len(b.got) > 0 {
-		t.Errorf("outcome %d, %d sent", r.outcome, len(b.got))
+	if r := exchangeBy(p, ctx, to, &m, time.Now()); r.outcome != balancer.OutcomeExpired || len(b.Requests) > 0 {
+		t.Errorf("outcome %d, %d sent", r.outcome, len(b.Requests))
 	}
-	if r := exchangeBy(p, ctx, to, &m, time.Now().Add(wait)); r.outcome != balancer.OutcomeOK {
+	if r := exchangeBy(p, ctx, to, &m, time.Now().Add(Timeout)); r.outcome != balancer.OutcomeOK {
 		t.Errorf("in time: outcome %d", r.outcome)
 	}
 }
 
 // A request that waits for a connection when its time is up or when it is cancelled never ran.
 func TestConnectionThatNeverComesUp(t *testing.T) {
-	cfg := configFor(t, "127.0.0.1:1", testSettings)
+	cfg := Config(t, "127.0.0.1:1", Settings)
 	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	to := p.target("127.0.0.1:1", 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
@@ -193,16 +193,16 @@
 
 // A backend that resets whatever comes on a connection idle for a while costs a few requests, not one in two.
 func TestEarlyClosesAreLearnt(t *testing.T) {
-	b := newBackend(t, serves)
-	cfg := configFor(t, "127.0.0.1:1", testSettings)
+	b := NewServer(t, Serve)
+	cfg := Config(t, "127.0.0.1:1", Settings)
 	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
-	to := p.target(b.addr, 0)
+	to := p.target(b.Addr, 0)
 	const idle = 200 * time.Millisecond
 	for range 3 { // lost on a connection that had been idle for so long
 		p.lost(&conn{used: true, idle: idle}, true)
 	}
 	m := newMessage("GET", "/", "x", nil, nil, nil)
-	ctx, cancel := context.WithTimeout(context.Background(), wait)
+	ctx, cancel := context.WithTimeout(context.Background(), Timeout)
 	defer cancel()
 	for _, c := range []struct {
 		idle   time.Duration
@@ -214,8 +214,8 @@
 		if r := exchangeBy(p, ctx, to, &m, time.Time{}); r.outcome != balancer.OutcomeOK {
 			t.Fatalf("outcome %d", r.outcome)
 		}
-		<-b.got
-		if n := len(b.accepted); n != c.dialed {
+		<-b.Requests
+		if n := len(b.Accepted); n != c.dialed {
 			t.Errorf("after %v without use: %d connections, want %d", c.idle, n, c.dialed)
 		}
 	}
@@ -224,7 +224,7 @@
 // An answer that is cut is never passed on as whole, however it is framed and wherever it breaks: a short one fails, and
 // the client of a long one sees that there was more.
 func TestCutAnswersAreNotWhole(t *testing.T) {
-	long := string(pattern(maxBody + 1000))
+	long := string(Pattern(maxBody + 1000))
 	for name, text := range map[string]string{
 		"no length":             "HTTP/1.1 200 OK\r\n\r\nhalf",
 		"no length and nothing": "HTTP/1.1 200 OK\r\n\r\n",
--- a/internal/agent/closing_test.go
+++ b/internal/agent/closing_test.go
@@ -40,15 +40,15 @@
 // When the agent is told to end, it ends the connections that rest. One on which a request has begun does not rest: the
 // request is served, and its connection ends behind the answer.
 func TestRequestCrossesTheEnd(t *testing.T) {
-	b := newBackend(t, serves)
-	a := agentFor(t, testSettings, b)
+	b := NewServer(t, Serve)
+	a := agentFor(t, Settings, b)
 	_, rests := a.resting(t)
 	crosses, br := a.resting(t)
 	text := a.whole(t, "")
 	half := len(text) / 2
 	io.WriteString(crosses, text[:half])
-	for len(b.got) > 0 {
-		<-b.got
+	for len(b.Requests) > 0 {
+		<-b.Requests
 	}
 	a.stop()
 	if _, err := rests.ReadByte(); err != io.EOF {
@@ -66,8 +66,8 @@
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Errorf("the connection ends with %v", err)
 	}
-	if err := receive(t, "end", a.ended); err != nil || len(b.got) != 1 {
-		t.Errorf("ended with %v, %d requests came", err, len(b.got))
+	if err := Receive(t, "end", a.ended); err != nil || len(b.Requests) != 1 {
+		t.Errorf("ended with %v, %d requests came", err, len(b.Requests))
 	}
 }
 
@@ -86,7 +86,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(wait))
+		c.SetDeadline(time.Now().Add(Timeout))
 		conn, err := a.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -130,15 +130,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			goOn := make(chan struct{})
-			b := newBackend(t, func(int, *http.Request) (string, bool) {
+			b := NewServer(t, func(int, *http.Request) (string, bool) {
 				<-goOn
-				return okText, false
+				return OKAnswer, false
 			})
-			a := agentFor(t, testSettings, b)
+			a := agentFor(t, Settings, b)
 			conn := a.dial(t)
 			io.WriteString(conn, a.whole(t, c.more)+ahead)
 			if c.status == http.StatusOK {
-				receive(t, "request", b.got)
+				Receive(t, "request", b.Requests)
 			}
 			if c.ends != nil {
 				c.ends(a)
--- /dev/null
+++ b/internal/agent/discoveryserver.go
@@ -0,0 +1,79 @@
+package agent
+
+import (
+	"fmt"
+	"net/http"
+	"net/http/httptest"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+)
+
+// Discovery is a discovery service: it answers the complete list at once, and each watch with what comes on Next.
+type Discovery struct {
+	*httptest.Server
+	Calls chan string // the queries, in the order of the calls
+	Next  chan []byte // the answers to watches
+
+	mu   sync.Mutex
+	list func() []byte // returns nil while discovery is down
+}
+
+// NewDiscovery starts a discovery service with a complete list; nil refuses all calls.
+func NewDiscovery(t *testing.T, list []byte) *Discovery {
+	d := &Discovery{Calls: make(chan string, 1000), Next: make(chan []byte), list: func() []byte { return list }}
+	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
+	t.Cleanup(func() {
+		d.CloseClientConnections()
+		d.Close()
+	})
+	return d
+}
+
+// SetList replaces the complete list. The function is called once for each call of discovery.
+func (d *Discovery) SetList(list func() []byte) {
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	d.list = list
+}
+
+func (d *Discovery) serve(w http.ResponseWriter, r *http.Request) {
+	d.Calls <- r.URL.RawQuery
+	d.mu.Lock()
+	list := d.list()
+	d.mu.Unlock()
+	switch {
+	case list == nil:
+		w.WriteHeader(http.StatusServiceUnavailable)
+	case r.URL.RawQuery == "":
+		send(w, string(list))
+	default:
+		d.watch(w, r)
+	}
+}
+
+func (d *Discovery) watch(w http.ResponseWriter, r *http.Request) {
+	var nothing <-chan time.Time // new, where the call does not wait
+	if r.URL.Query().Get("wait_ms") == "0" {
+		nothing = time.After(50 * time.Millisecond)
+	}
+	select {
+	case text := <-d.Next:
+		send(w, string(text))
+	case <-nothing:
+		send(w, fmt.Sprintf(`{"revision":%s,"complete":false,"members":[]}`, r.URL.Query().Get("after")))
+	case <-r.Context().Done():
+	}
+}
+
+// List is a list of members as discovery writes it.
+func List(revision int, complete bool, members ...string) []byte {
+	return fmt.Appendf(nil, `{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ","))
+}
+
+// Member is a member of a list as discovery writes it.
+func Member(id, addr, phase string, cell int) string {
+	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m1","cell":%d,"phase":%q,"size":1,"up_since_ms":0}`,
+		id, addr, cell, phase)
+}
--- a/internal/agent/large_test.go
+++ b/internal/agent/large_test.go
@@ -15,28 +15,28 @@
 // smallest limits; of a list that cannot be used nothing is taken, and the whole list is asked for.
 func TestLargeFleet(t *testing.T) {
 	const size, longestID = 1024, 256 // members, bytes
-	x, y := newBackend(t, serves), newBackend(t, serves)
+	x, y := NewServer(t, Serve), NewServer(t, Serve)
 	list := func(revision int, complete bool, phase string, of func(i int) bool) []byte {
 		var members []string
 		for i := range size {
-			addr := x.addr
+			addr := x.Addr
 			if i%2 == 1 {
-				addr = y.addr
+				addr = y.Addr
 			}
 			if of(i) {
-				members = append(members, host(fmt.Sprintf("%0*d", longestID, i), addr, phase, i))
+				members = append(members, Member(fmt.Sprintf("%0*d", longestID, i), addr, phase, i))
 			}
 		}
 		var text bytes.Buffer
-		if err := json.Indent(&text, hosts(revision, complete, members...), "", "    "); err != nil {
+		if err := json.Indent(&text, List(revision, complete, members...), "", "    "); err != nil {
 			t.Fatal(err)
 		}
 		return text.Bytes()
 	}
 	all := func(int) bool { return true }
-	l := newLists(t, list(1, true, "Ready", all))
-	set := strings.NewReplacer(`"replicasOfMe":1,"rank":0`, fmt.Sprintf(`"replicasOfMe":%d,"rank":%d`, size, size-1)).Replace(testSettings)
-	cfg := configFor(t, l.Listener.Addr().String(), set)
+	l := NewDiscovery(t, list(1, true, "Ready", all))
+	set := strings.NewReplacer(`"replicasOfMe":1,"rank":0`, fmt.Sprintf(`"replicasOfMe":%d,"rank":%d`, size, size-1)).Replace(Settings)
+	cfg := Config(t, l.Listener.Addr().String(), set)
 	cfg.MemoryMB, cfg.Sockets = 32, 256
 	known, err := discovery.Parse(list(1, true, "Ready", all))
 	if err != nil {
@@ -51,16 +51,16 @@
 				t.Fatalf("answered %d", status)
 			}
 			select {
-			case <-x.got:
+			case <-x.Requests:
 				got[0]++
-			case <-y.got:
+			case <-y.Requests:
 				got[1]++
 			}
 		}
 		return got
 	}
-	receive(t, "first call", l.calls)
-	receive(t, "watch", l.calls)
+	Receive(t, "first call", l.Calls)
+	Receive(t, "watch", l.Calls)
 	if got := served(); got[0] == 0 || got[1] == 0 {
 		t.Errorf("of the known list: %v at the backends", got)
 	}
@@ -74,12 +74,12 @@
 		{list(4, false, "Gone", func(i int) bool { return i%2 == 1 }), true, false, "after=4&"},
 	} {
 		if i == 2 { // the whole list that is asked for after the broken one
-			if q := receive(t, "watch", l.calls); !strings.HasPrefix(q, "after=1&") {
+			if q := Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=1&") {
 				t.Errorf("after the whole list: asked %q", q)
 			}
 		}
-		l.next <- c.text
-		if q := receive(t, "call", l.calls); !strings.HasPrefix(q, c.query) || c.query == "" && q != "" {
+		l.Next <- c.text
+		if q := Receive(t, "call", l.Calls); !strings.HasPrefix(q, c.query) || c.query == "" && q != "" {
 			t.Errorf("list %d: asked %q, want %q", i, q, c.query)
 		}
 		if c.query == "" { // it is answered at once: all are ready
--- a/internal/agent/limits_test.go
+++ b/internal/agent/limits_test.go
@@ -10,8 +10,8 @@
 	old := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(old)
 	debug.SetMemoryLimit(1 << 40)
-	a := agentFor(t, testSettings, newBackend(t, serves))
-	cfg := configFor(t, "127.0.0.1:1", testSettings)
+	a := agentFor(t, Settings, NewServer(t, Serve))
+	cfg := Config(t, "127.0.0.1:1", Settings)
 	if got, want := debug.SetMemoryLimit(-1), limitsOf(cfg, 1).collector; got != want || want > int64(cfg.MemoryMB)<<20 {
 		t.Errorf("%s: the collector may hold %d bytes, want %d", a.url, got, want)
 	}
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -18,17 +18,17 @@
 // The id of a request that is open, or was a moment ago, is no other's: the second is refused and the first served.
 func TestCallIDsAreUsedOnce(t *testing.T) {
 	goOn := make(chan struct{})
-	b := newBackend(t, func(int, *http.Request) (string, bool) {
+	b := NewServer(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return okText, false
+		return OKAnswer, false
 	})
-	a := agentFor(t, testSettings, b)
+	a := agentFor(t, Settings, b)
 	first := make(chan int, 1)
 	go func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
 		first <- status
 	}()
-	id := receive(t, "request", b.got).Header.Get(callIDHeader)
+	id := Receive(t, "request", b.Requests).Header.Get(callIDHeader)
 	again := func() int {
 		req := a.request("unsafe", "15000m")
 		req.Header.Set(callIDHeader, id)
@@ -39,13 +39,13 @@
 		t.Errorf("while the first is open: answered %d", status)
 	}
 	close(goOn)
-	if status := receive(t, "answer", first); status != 200 {
+	if status := Receive(t, "answer", first); status != 200 {
 		t.Errorf("the first is answered %d", status)
 	}
 	if status := again(); status != http.StatusConflict {
 		t.Errorf("when the first has ended: answered %d", status)
 	}
-	if n := len(b.got); n > 0 {
+	if n := len(b.Requests); n > 0 {
 		t.Errorf("%d more went on", n)
 	}
 	ids := callIDs{open: map[string]struct{}{}, recent: map[string]struct{}{}}
@@ -65,8 +65,8 @@
 // A client that hangs up cancels its attempts, which closes their connections.
 func TestHangup(t *testing.T) {
 	released := make(chan struct{})
-	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	b := NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
+	a := agentFor(t, Settings, b)
 	ctx, hangUp := context.WithCancel(context.Background())
 	go func() {
 		defer close(released)
@@ -75,10 +75,10 @@
 			t.Errorf("answered %s", resp.Status)
 		}
 	}()
-	receive(t, "request", b.got)
+	Receive(t, "request", b.Requests)
 	hangUp()
-	receive(t, "hangup", released)
-	receive(t, "close of the connection", b.ended)
+	Receive(t, "hangup", released)
+	Receive(t, "close of the connection", b.Closed)
 }
 
 // idOf is the number of the backend with a name.
@@ -95,34 +95,34 @@
 
 // The loop keeps a repeat from being sent too late, and forgets backends that are gone.
 func TestLoopCarriesOut(t *testing.T) {
-	b := newBackend(t, serves)
-	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), discard)
+	b := NewServer(t, Serve)
+	cfg := Config(t, "127.0.0.1:1", Settings)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx := t.Context()
 	list := func(mode balancer.DiscoveryUpdate, phase string) {
 		l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: mode},
-			members: []discovery.Member{{ID: "x", Address: b.addr, State: phase}}})
+			members: []discovery.Member{{ID: "x", Address: b.Addr, State: phase}}})
 	}
 	list(balancer.EndpointsReplaced, "Ready")
 	x := idOf(t, l, "x")
-	r := &request{call: &call{id: 7, deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays,
+	r := &request{call: &call{id: 7, deadline: l.clock.Now() + Timeout, answered: make(chan answer, 1), gone: stays,
 		message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}}
 	l.requests[r.id] = r
-	send := balancer.Action{Kind: balancer.ActionSend, Request: r.id, Server: x, Timeout: wait}
+	send := balancer.Action{Kind: balancer.ActionSend, Request: r.id, Server: x, Timeout: Timeout}
 	l.act(ctx, &send)
-	if in := receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OutcomeOK {
+	if in := Receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OutcomeOK {
 		t.Fatalf("outcome %d", in.event.Outcome)
 	}
 	send.DispatchWithin = 1 // a nanosecond, which is over before a connection can be had
 	l.act(ctx, &send)
-	if in := receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OutcomeExpired {
+	if in := Receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OutcomeExpired {
 		t.Errorf("sent too late: outcome %d", in.event.Outcome)
 	}
 	list(balancer.EndpointsChanged, "Gone")
-	receive(t, "close of the idle connection", b.ended)
+	Receive(t, "close of the idle connection", b.Closed)
 	if len(l.targets) > 0 || len(l.pool.targets) > 0 || l.servers.Len() > 0 {
 		t.Errorf("still known: %v %v", l.targets, l.servers.Members())
 	}
@@ -135,15 +135,15 @@
 
 // A request is answered once: the outcome of an attempt that crosses the hangup of its client changes nothing.
 func TestLateOutcomeIsDropped(t *testing.T) {
-	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), discard)
+	cfg := Config(t, "127.0.0.1:1", Settings)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx := t.Context()
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
 		members: []discovery.Member{{ID: "x", Address: "127.0.0.1:1", State: "Ready"}}})
-	c := &call{set: l.set.Load(), class: 2, deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/", "x", nil, nil, nil)}
+	c := &call{set: l.set.Load(), class: 2, deadline: l.clock.Now() + Timeout, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/", "x", nil, nil, nil)}
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 	if len(l.requests) != 1 || l.requests[c.id].out != 1 {
 		t.Fatalf("after the request: %+v", l.requests)
@@ -164,23 +164,23 @@
 	loads := func(req *http.Request) bool { return req.URL.Path == loadPath }
 	report := "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\noutstanding=1,recent_ms=50"
 	reject, serve := make(chan struct{}), make(chan struct{})
-	x := newBackend(t, func(_ int, req *http.Request) (string, bool) {
+	x := NewServer(t, func(_ int, req *http.Request) (string, bool) {
 		if loads(req) {
 			return report, false
 		}
 		<-reject
 		return "HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", false
 	})
-	y := newBackend(t, func(_ int, req *http.Request) (string, bool) {
+	y := NewServer(t, func(_ int, req *http.Request) (string, bool) {
 		if loads(req) {
 			return report, false
 		}
 		<-serve
-		return okText, false
+		return OKAnswer, false
 	})
 	// With a tick of 5 s one probe of each lasts for the whole test.
 	a := agentFor(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
-		`"maxAttempts":3`, `"maxAttempts":20,"probes":true`).Replace(testSettings), x, y)
+		`"maxAttempts":3`, `"maxAttempts":20,"probes":true`).Replace(Settings), x, y)
 	answers := make(chan int, asked+more)
 	ask := func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
@@ -192,15 +192,15 @@
 	atX, atY := 0, 0
 	for atX+atY < asked {
 		select {
-		case req := <-x.got:
+		case req := <-x.Requests:
 			if !loads(req) {
 				atX++
 			}
-		case req := <-y.got:
+		case req := <-y.Requests:
 			if !loads(req) {
 				atY++
 			}
-		case <-time.After(wait):
+		case <-time.After(Timeout):
 			t.Fatalf("%d and %d requests have come", atX, atY)
 		}
 	}
@@ -210,11 +210,11 @@
 			select {
 			case status := <-answers:
 				t.Fatalf("answered %d after %d rejections, with %d requests at the other", status, atX, atY)
-			case req := <-y.got:
+			case req := <-y.Requests:
 				if !loads(req) {
 					atY++
 				}
-			case <-time.After(wait):
+			case <-time.After(Timeout):
 				t.Fatalf("%d of %d requests are at the other", atY, n)
 			}
 		}
@@ -226,7 +226,7 @@
 	arrive(asked + more)
 	close(serve)
 	for range asked + more {
-		if status := receive(t, "answer", answers); status != http.StatusOK {
+		if status := Receive(t, "answer", answers); status != http.StatusOK {
 			t.Errorf("answered %d after %d rejections", status, atX)
 		}
 	}
@@ -240,23 +240,23 @@
 		if got.Add(1) == 1 {
 			return "", false
 		}
-		return okText, false
+		return OKAnswer, false
 	}
-	x, y := newBackend(t, script), newBackend(t, script)
-	cfg := configFor(t, "127.0.0.1:1", testSettings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), discard)
+	x, y := NewServer(t, script), NewServer(t, script)
+	cfg := Config(t, "127.0.0.1:1", Settings)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx := t.Context()
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
-		members: []discovery.Member{{ID: "x", Address: x.addr, State: "Ready"}, {ID: "y", Address: y.addr, State: "Ready"}}})
-	c := &call{set: l.set.Load(), deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
+		members: []discovery.Member{{ID: "x", Address: x.Addr, State: "Ready"}, {ID: "y", Address: y.Addr, State: "Ready"}}})
+	c := &call{set: l.set.Load(), deadline: l.clock.Now() + Timeout, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 	select {
-	case <-x.got:
-	case <-y.got:
-	case <-time.After(wait):
+	case <-x.Requests:
+	case <-y.Requests:
+	case <-time.After(Timeout):
 		t.Fatal("no request")
 	}
 	for range 2 { // the module's looks at the silent attempt, due or not
@@ -264,15 +264,15 @@
 		l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: look.id})
 	}
 	for range 2 { // the copy's answer, and the end of the first attempt
-		l.take(ctx, receive(t, "outcome", l.inputs))
+		l.take(ctx, Receive(t, "outcome", l.inputs))
 	}
-	if a := receive(t, "answer", c.answered); a.status != http.StatusOK {
+	if a := Receive(t, "answer", c.answered); a.status != http.StatusOK {
 		t.Errorf("answered %d", a.status)
 	}
 	select { // a busy machine may have the two backends' scripts run the other way round
-	case <-x.ended:
-	case <-y.ended:
-	case <-time.After(wait):
+	case <-x.Closed:
+	case <-y.Closed:
+	case <-time.After(Timeout):
 		t.Error("the silent connection is not closed")
 	}
 	if n := got.Load(); n != 2 || len(l.requests) > 0 {
@@ -290,15 +290,15 @@
 		for _, first := range []balancer.Outcome{balancer.OutcomeOK, balancer.OutcomeTimeout, balancer.OutcomeReset, balancer.OutcomeExpired} {
 			for _, second := range []balancer.Outcome{balancer.OutcomeOK, balancer.OutcomeTimeout, balancer.OutcomeCancelled} {
 				for _, gone := range []bool{false, true} { // an attempt may find the client gone before its handler does
-					cfg := configFor(t, "127.0.0.1:1", strings.Replace(testSettings, `"maxAttempts":3`, `"maxAttempts":2`, 1))
-					l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), discard)
+					cfg := Config(t, "127.0.0.1:1", strings.Replace(Settings, `"maxAttempts":3`, `"maxAttempts":2`, 1))
+					l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), DiscardLogger)
 					if err != nil {
 						t.Fatal(err)
 					}
 					ctx := t.Context()
 					l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
 						members: []discovery.Member{{ID: "x", Address: "127.0.0.1:1", State: "Ready"}, {ID: "y", Address: "127.0.0.1:1", State: "Ready"}}})
-					c := &call{set: l.set.Load(), deadline: l.clock.Now() + wait, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
+					c := &call{set: l.set.Load(), deadline: l.clock.Now() + Timeout, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
 					l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 					for l.requests[c.id].out < 2 { // the module's looks at the silent attempt, due or not
 						look := heap.Pop(&l.timers).(timer)
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -14,17 +14,17 @@
 // file changes nothing.
 func TestNewSettings(t *testing.T) {
 	goOn := make(chan struct{}, 100)
-	b := newBackend(t, func(_ int, r *http.Request) (string, bool) {
+	b := NewServer(t, func(_ int, r *http.Request) (string, bool) {
 		if r.Header.Get("X-Wait") != "" {
 			<-goOn
 		}
-		return okText, false
+		return OKAnswer, false
 	})
 	a, console := withConsole(t, b)
 	expect := func(line string) {
 		t.Helper()
 		for begun := time.Now(); !strings.Contains(operator(t, console, "vars\n"), line+"\n"); time.Sleep(time.Millisecond) {
-			if time.Since(begun) > wait {
+			if time.Since(begun) > Timeout {
 				t.Fatalf("no %q in the figures", line)
 			}
 		}
@@ -36,7 +36,7 @@
 		status, _ := a.do(t, held)
 		answered <- status
 	}()
-	receive(t, "request", b.got)
+	Receive(t, "request", b.Requests)
 
 	a.reloads <- config.ReloadResult{Err: errors.New("broken")}
 	expect("gw_config_rejected_total 1")
@@ -48,13 +48,13 @@
 	text := strings.NewReplacer(`"categories":[`, `"categories":[
 	  {"name":"new","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},`,
 		`{"name":"celled","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"cell","repeatWindow":30000},`, "",
-		`"effect":"pure"`, `"effect":"side_effect"`).Replace(testSettings)
-	l := newLists(t, hosts(1, true, host("y", b.addr, "Ready", 0)))
-	next := configFor(t, l.Listener.Addr().String(), text)
+		`"effect":"pure"`, `"effect":"side_effect"`).Replace(Settings)
+	l := NewDiscovery(t, List(1, true, Member("y", b.Addr, "Ready", 0)))
+	next := Config(t, l.Listener.Addr().String(), text)
 	a.reloads <- config.ReloadResult{Config: next}
 	expect("gw_config_applied_total 1")
 	expect(`gw_responses_total{kind="new",result="ok"} 0`)
-	receive(t, "call to the new discovery", l.calls)
+	Receive(t, "call to the new discovery", l.Calls)
 	for _, c := range []struct {
 		class, method string
 		want          int
@@ -67,7 +67,7 @@
 		}
 	}
 	goOn <- struct{}{}
-	if status := receive(t, "answer", answered); status != 200 {
+	if status := Receive(t, "answer", answered); status != 200 {
 		t.Errorf("what was under way is answered %d", status)
 	}
 	expect(`gw_responses_total{kind="celled",result="ok"} 2`)
@@ -75,10 +75,10 @@
 
 // A request that was read by the old settings is looked up by name in the new ones.
 func TestTranslate(t *testing.T) {
-	old := configFor(t, "127.0.0.1:1", testSettings).Settings
-	next := configFor(t, "127.0.0.1:1", strings.NewReplacer(
+	old := Config(t, "127.0.0.1:1", Settings).Settings
+	next := Config(t, "127.0.0.1:1", strings.NewReplacer(
 		`"name":"celled"`, `"name":"other"`, `"effect":"pure"`, `"effect":"side_effect"`,
-		`{"name":"keyed","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},`, "").Replace(testSettings)).Settings
+		`{"name":"keyed","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},`, "").Replace(Settings)).Settings
 	for class, want := range []int{-1, -1, 1, -1} { // keyed and celled have gone, safe has another effect
 		c := &call{set: &old, class: class}
 		if ok := c.translate(&next); ok != (want >= 0) || ok && c.class != want {
--- a/internal/agent/rooms_test.go
+++ b/internal/agent/rooms_test.go
@@ -138,7 +138,7 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			k := joinLink(path, roomsFor(cfg), discard)
+			k := joinLink(path, roomsFor(cfg), DiscardLogger)
 			defer k.close()
 			other, err := l.Accept()
 			if err != nil {
@@ -156,7 +156,7 @@
 				if clients == c.clients && servers == c.servers {
 					break
 				}
-				if time.Since(begun) > wait {
+				if time.Since(begun) > Timeout {
 					t.Fatalf("%d clients and %d servers, want %d and %d", clients, servers, c.clients, c.servers)
 				}
 			}
@@ -166,7 +166,7 @@
 				if clients == one.busy && servers == one.backends {
 					break
 				}
-				if time.Since(begun) > wait {
+				if time.Since(begun) > Timeout {
 					t.Fatalf("%d clients and %d servers of a process that is left alone", clients, servers)
 				}
 			}
@@ -180,7 +180,7 @@
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
 	path := filepath.Join(t.TempDir(), "l")
 	cfg := &config.Config{MemoryMB: 1 << 20, Sockets: 384}
-	k := joinLink(path, roomsFor(cfg), discard)
+	k := joinLink(path, roomsFor(cfg), DiscardLogger)
 	defer k.close()
 	if err := k.serves(); err != nil {
 		t.Fatal(err)
@@ -190,7 +190,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(wait))
+	c.SetDeadline(time.Now().Add(Timeout))
 	want := fmt.Sprintf("pass 0 %d\ny", limitsOf(cfg, 2).backends-leastRoom)
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != want {
--- a/internal/agent/server_test.go
+++ b/internal/agent/server_test.go
@@ -12,8 +12,8 @@
 
 // A client that closes its own side only has gone as well, and must not be told that it was served.
 func TestHalfCloseIsNotServed(t *testing.T) {
-	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	b := NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
+	a := agentFor(t, Settings, b)
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -22,17 +22,17 @@
 	if err := a.request("unsafe", "15000m").Write(c); err != nil {
 		t.Fatal(err)
 	}
-	receive(t, "request", b.got)
+	Receive(t, "request", b.Requests)
 	c.(*net.TCPConn).CloseWrite()
-	c.SetReadDeadline(time.Now().Add(wait))
+	c.SetReadDeadline(time.Now().Add(Timeout))
 	if text, _ := io.ReadAll(c); len(text) > 0 {
 		t.Errorf("answered %q", text)
 	}
 }
 
 func TestBadRequests(t *testing.T) {
-	b := newBackend(t, serves)
-	a := agentFor(t, testSettings, b)
+	b := NewServer(t, Serve)
+	a := agentFor(t, Settings, b)
 	for what, change := range map[string]func(*http.Request){
 		"class":    func(r *http.Request) { r.Header.Set(classHeader, "nobody") },
 		"path":     func(r *http.Request) { r.URL.Path = "/safe/1"; r.URL.RawPath = "" },
@@ -56,14 +56,14 @@
 			t.Errorf("%s: answered %d", what, status)
 		}
 	}
-	if len(b.got) > 0 {
-		t.Errorf("%d reached the backend", len(b.got))
+	if len(b.Requests) > 0 {
+		t.Errorf("%d reached the backend", len(b.Requests))
 	}
 }
 
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
-	l := newLists(t, hosts(1, true, host("x", "127.0.0.1:1", "Terminating", 0)))
-	a := start(t, configFor(t, l.Listener.Addr().String(), testSettings))
+	l := NewDiscovery(t, List(1, true, Member("x", "127.0.0.1:1", "Terminating", 0)))
+	a := start(t, Config(t, l.Listener.Addr().String(), Settings))
 	resp, err := a.client.Do(a.request("unsafe", "15000m"))
 	if err != nil {
 		t.Fatal(err)
@@ -84,8 +84,8 @@
 			t.Errorf("a budget of %v: margin %v, want %v", budget, got, want)
 		}
 	}
-	b := newBackend(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, testSettings, b)
+	b := NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
+	a := agentFor(t, Settings, b)
 	begun := time.Now()
 	ctx, gone := context.WithCancel(t.Context())
 	defer gone()
@@ -95,7 +95,7 @@
 			resp.Body.Close()
 		}
 	}()
-	sent := receive(t, "request", b.got)
+	sent := Receive(t, "request", b.Requests)
 	left, err := parseBudget(sent.Header.Get(budgetHeader))
 	if latest := 20*time.Second - mostMargin; err != nil || left > latest || left < latest-time.Since(begun) {
 		t.Errorf("passed on with a budget of %v, want at most %v: %v", left, latest, err)
