--- a/internal/agent/admission_test.go
+++ b/internal/agent/admission_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/metrics"
 )
 
@@ -22,7 +23,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(Timeout))
+	c.SetDeadline(time.Now().Add(agenttest.Timeout))
 	return c
 }
 
@@ -42,17 +43,17 @@
 // disturbed by them.
 func TestSilentClientsMakeRoom(t *testing.T) {
 	goOn := make(chan struct{})
-	b := NewServer(t, func(int, *http.Request) (string, bool) {
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return OKAnswer, false
+		return agenttest.OKAnswer, false
 	})
-	a := agentFor(t, Settings, b)
+	a := agentFor(t, agenttest.Settings, b)
 	first := make(chan int, 1)
 	go func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
 		first <- status
 	}()
-	Receive(t, "request", b.Requests)
+	agenttest.Receive(t, "request", b.Requests)
 	silent := make([]net.Conn, 1024)
 	for i := range silent {
 		silent[i] = a.dial(t)
@@ -69,10 +70,10 @@
 		resp.Body.Close()
 		second <- resp.StatusCode
 	}()
-	Receive(t, "request of a newcomer", b.Requests)
+	agenttest.Receive(t, "request of a newcomer", b.Requests)
 	close(goOn)
 	for _, answered := range []chan int{first, second} {
-		if status := Receive(t, "answer", answered); status != 200 {
+		if status := agenttest.Receive(t, "answer", answered); status != 200 {
 			t.Errorf("answered %d", status)
 		}
 	}
@@ -81,7 +82,7 @@
 // An application that keeps each connection that it has used once, and holds a third of the sockets at most, gets one for its
 // next request as soon as the terms let the agent close one.
 func TestKeptConnectionsLeaveSome(t *testing.T) {
-	a := agentFor(t, Settings, NewServer(t, Serve))
+	a := agentFor(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	held := make(chan struct{}, 1024/3)
 	for i := range 1024/3 + 1 {
 		select {
@@ -158,7 +159,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(Timeout))
+		c.SetDeadline(time.Now().Add(agenttest.Timeout))
 		return c
 	}
 	const crossing = "GET /up HTTP/1.1\r\n"
@@ -203,7 +204,7 @@
 
 // Clients that say nothing, or never end what they say, are closed; so are those with nothing more to say.
 func TestSlowClientsAreClosed(t *testing.T) {
-	a := agentFor(t, Settings, NewServer(t, Serve))
+	a := agentFor(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	whole := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n"
 	for what, c := range map[string]struct{ text, answer string }{
 		"silence":     {"", ""},
@@ -223,8 +224,8 @@
 // A body that says where it ends in two ways can hide a second request, and headers that stand there twice mean
 // two things: neither goes on to a backend.
 func TestAmbiguousRequests(t *testing.T) {
-	b := NewServer(t, Serve)
-	a := agentFor(t, Settings, b)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	a := agentFor(t, agenttest.Settings, b)
 	head := func(extra string) string {
 		return "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n" + extra + "\r\n"
 	}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/config"
 )
 
@@ -35,17 +36,17 @@
 	ctx, stop := context.WithCancel(context.Background())
 	r := &running{
 		url: "http://" + listener.Addr().String(), stop: stop, ended: make(chan error, 1),
-		client:  &http.Client{Transport: &http.Transport{}, Timeout: Timeout},
+		client:  &http.Client{Transport: &http.Transport{}, Timeout: agenttest.Timeout},
 		reloads: make(chan config.ReloadResult),
 	}
 	go func() {
-		r.ended <- serve(ctx, cfg, r.reloads, func() (*net.TCPListener, error) { return listener, nil }, DiscardLogger)
+		r.ended <- serve(ctx, cfg, r.reloads, func() (*net.TCPListener, error) { return listener, nil }, agenttest.DiscardLogger)
 	}()
 	t.Cleanup(func() {
 		stop()
 		r.client.CloseIdleConnections()
 	})
-	for begun := time.Now(); time.Since(begun) < Timeout; time.Sleep(time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(time.Millisecond) {
 		resp, err := r.client.Get(r.url + readyPath)
 		if err != nil {
 			continue
@@ -91,19 +92,19 @@
 }
 
 // agentFor starts an agent that knows the backends, each in a cell of its own number.
-func agentFor(t *testing.T, settings string, backends ...*Server) *running {
+func agentFor(t *testing.T, settings string, backends ...*agenttest.Server) *running {
 	t.Helper()
 	var members []string
 	for i, b := range backends {
-		members = append(members, Member(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
+		members = append(members, agenttest.Member(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
 	}
-	l := NewDiscovery(t, List(1, true, members...))
-	return start(t, Config(t, l.Listener.Addr().String(), settings))
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, members...))
+	return start(t, agenttest.Config(t, l.Listener.Addr().String(), settings))
 }
 
 func TestPassesOnUnchanged(t *testing.T) {
-	b := NewServer(t, Serve)
-	a := agentFor(t, Settings, b)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	a := agentFor(t, agenttest.Settings, b)
 	req := a.request("keyed", "1500m")
 	req.Header.Set("Traceparent", "00-1-2-01")
 	resp, err := a.client.Do(req)
@@ -115,7 +116,7 @@
 	if resp.StatusCode != 200 || string(body) != "served" || resp.Header.Get("Content-Type") != "text/x-made" {
 		t.Errorf("answer %d %q %v", resp.StatusCode, body, resp.Header)
 	}
-	got := Receive(t, "request", b.Requests)
+	got := agenttest.Receive(t, "request", b.Requests)
 	sent, _ := io.ReadAll(got.Body)
 	if got.Method != "POST" || got.RequestURI != "/keyed/7f%2F3a?x=1&y" || string(sent) != "body of keyed" ||
 		got.Header.Get(callIDHeader) != "call-1" || got.Header.Get(keyHeader) != "key-1" ||
@@ -131,11 +132,11 @@
 // answers, and ends well.
 func TestStop(t *testing.T) {
 	goOn := make(chan struct{})
-	b := NewServer(t, func(int, *http.Request) (string, bool) {
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return OKAnswer, false
+		return agenttest.OKAnswer, false
 	})
-	a := agentFor(t, Settings, b)
+	a := agentFor(t, agenttest.Settings, b)
 	answers := make(chan *http.Response, 2)
 	ask := func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(a.request("unsafe", "15000m"))
@@ -145,18 +146,18 @@
 		answers <- resp
 	}
 	go ask()
-	Receive(t, "request", b.Requests)
+	agenttest.Receive(t, "request", b.Requests)
 	a.stop()
 	go ask() // the listener is still open
-	Receive(t, "request after the signal", b.Requests)
+	agenttest.Receive(t, "request after the signal", b.Requests)
 	close(goOn)
 	for range 2 {
-		resp := Receive(t, "answer", answers)
+		resp := agenttest.Receive(t, "answer", answers)
 		if resp == nil || resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("answered %v", resp)
 		}
 	}
-	if err := Receive(t, "end", a.ended); err != nil {
+	if err := agenttest.Receive(t, "end", a.ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/metrics"
 )
@@ -35,7 +36,7 @@
 		{"said to be oversized", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhalf", false, true},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nhalf", false, true},
 		{"bad chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhalf", false, true},
-		{"another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n" + OKAnswer, false, true},
+		{"another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n" + agenttest.OKAnswer, false, true},
 		{"nonsense", "SSH-2.0-x\r\n\r\n", true, true},
 		{"endless header", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10), true, true},
 	} {
@@ -44,13 +45,13 @@
 				if n == 0 {
 					return row.text, row.closes
 				}
-				return OKAnswer, false
+				return agenttest.OKAnswer, false
 			}
 			for _, class := range []string{"keyed", "unsafe"} {
 				// The other attempt goes to the second backend, so one script serves for both.
-				both := NewServer(t, script)
-				other := NewServer(t, Serve)
-				a := agentFor(t, Settings, both, other)
+				both := agenttest.NewServer(t, script)
+				other := agenttest.NewServer(t, agenttest.Serve)
+				a := agentFor(t, agenttest.Settings, both, other)
 				for len(both.Requests) == 0 { // until the draw falls on the first
 					status, body := a.do(t, a.request(class, "15000m"))
 					again := class == "keyed" || !row.ran
@@ -72,19 +73,19 @@
 
 // exchangeBy exchanges a message on plain terms; the context bounds it.
 func exchangeBy(p *pool, ctx context.Context, to *target, m *message, sendBy time.Time) result {
-	return p.exchange(ctx, to, m, &terms{deadline: time.Now().Add(Timeout), sendBy: sendBy})
+	return p.exchange(ctx, to, m, &terms{deadline: time.Now().Add(agenttest.Timeout), sendBy: sendBy})
 }
 
 // A good answer is served whatever stands before and behind it; its connection is not used again, or what stands
 // behind it would be the next request's answer.
 func TestMoreThanAnAnswer(t *testing.T) {
 	for what, text := range map[string]string{
-		"a copy behind":   OKAnswer + strings.Replace(OKAnswer, "served", "again!", 1),
-		"noise behind":    OKAnswer + "\x00\x01\r\n\r\n",
-		"hints before":    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + OKAnswer,
-		"a broken report": strings.Replace(OKAnswer, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
+		"a copy behind":   agenttest.OKAnswer + strings.Replace(agenttest.OKAnswer, "served", "again!", 1),
+		"noise behind":    agenttest.OKAnswer + "\x00\x01\r\n\r\n",
+		"hints before":    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + agenttest.OKAnswer,
+		"a broken report": strings.Replace(agenttest.OKAnswer, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
 	} {
-		a := agentFor(t, Settings, NewServer(t, func(int, *http.Request) (string, bool) { return text, false }))
+		a := agentFor(t, agenttest.Settings, agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return text, false }))
 		for range 3 {
 			if status, body := a.do(t, a.request("unsafe", "15000m")); status != 200 || body != "served" {
 				t.Errorf("%s: answered %d %q", what, status, body)
@@ -96,8 +97,8 @@
 // A keyed request that may have run is not sent to a backend that does not know its key.
 func TestKeyedStaysInItsCell(t *testing.T) {
 	breaks := func(int, *http.Request) (string, bool) { return "", true }
-	x, y := NewServer(t, breaks), NewServer(t, breaks)
-	a := agentFor(t, Settings, x, y)
+	x, y := agenttest.NewServer(t, breaks), agenttest.NewServer(t, breaks)
+	a := agentFor(t, agenttest.Settings, x, y)
 	a.do(t, a.request("celled", "15000m"))
 	if len(x.Requests) > 0 && len(y.Requests) > 0 {
 		t.Error("sent to both cells")
@@ -110,34 +111,34 @@
 		t.Fatal(err)
 	}
 	closed.Close()
-	gone := &Server{Addr: closed.Addr().String()}
-	a := agentFor(t, Settings, gone)
+	gone := &agenttest.Server{Addr: closed.Addr().String()}
+	a := agentFor(t, agenttest.Settings, gone)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != statusRefused {
 		t.Errorf("answered %d: what never ran can be refused", status)
 	}
 }
 
 func TestTimeout(t *testing.T) {
-	b := NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, Settings, b)
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
+	a := agentFor(t, agenttest.Settings, b)
 	status, _ := a.do(t, a.request("unsafe", "150m"))
 	if status != statusFailed {
 		t.Errorf("answered %d: it may have run", status)
 	}
-	Receive(t, "close of the connection", b.Closed)
+	agenttest.Receive(t, "close of the connection", b.Closed)
 	if len(b.Requests) != 1 {
 		t.Errorf("sent %d times", len(b.Requests))
 	}
 }
 
 func TestProbe(t *testing.T) {
-	b := NewServer(t, func(_ int, r *http.Request) (string, bool) {
+	b := agenttest.NewServer(t, func(_ int, r *http.Request) (string, bool) {
 		if r.URL.Path != loadPath {
 			return "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", false
 		}
 		return "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\noutstanding=7,recent_ms=12", false
 	})
-	cfg := Config(t, "127.0.0.1:1", strings.Replace(Settings, `"off"`, `"on_probe"`, 1))
+	cfg := agenttest.Config(t, "127.0.0.1:1", strings.Replace(agenttest.Settings, `"off"`, `"on_probe"`, 1))
 	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	r := p.probe(context.Background(), p.target(b.Addr, 0), &cfg.Settings)
 	if r.outcome != balancer.OutcomeOK || r.load.InFlight != 7 || r.load.ServiceTime != 12*time.Millisecond || r.load.Queue != -1 {
@@ -155,24 +156,24 @@
 
 // A repeat that comes up too late to be dropped is not sent, and so has not run.
 func TestLateRepeatIsNotSent(t *testing.T) {
-	b := NewServer(t, Serve)
-	cfg := Config(t, "127.0.0.1:1", Settings)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	to := p.target(b.Addr, 0)
 	m := newMessage("POST", "/keyed/1", "x", nil, nil, nil)
-	ctx, cancel := context.WithTimeout(context.Background(), Timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Timeout)
 	defer cancel()
 	if r := exchangeBy(p, ctx, to, &m, time.Now()); r.outcome != balancer.OutcomeExpired || len(b.Requests) > 0 {
 		t.Errorf("outcome %d, %d sent", r.outcome, len(b.Requests))
 	}
-	if r := exchangeBy(p, ctx, to, &m, time.Now().Add(Timeout)); r.outcome != balancer.OutcomeOK {
+	if r := exchangeBy(p, ctx, to, &m, time.Now().Add(agenttest.Timeout)); r.outcome != balancer.OutcomeOK {
 		t.Errorf("in time: outcome %d", r.outcome)
 	}
 }
 
 // A request that waits for a connection when its time is up or when it is cancelled never ran.
 func TestConnectionThatNeverComesUp(t *testing.T) {
-	cfg := Config(t, "127.0.0.1:1", Settings)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	to := p.target("127.0.0.1:1", 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
@@ -193,8 +194,8 @@
 
 // A backend that resets whatever comes on a connection idle for a while costs a few requests, not one in two.
 func TestEarlyClosesAreLearnt(t *testing.T) {
-	b := NewServer(t, Serve)
-	cfg := Config(t, "127.0.0.1:1", Settings)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	to := p.target(b.Addr, 0)
 	const idle = 200 * time.Millisecond
@@ -202,7 +203,7 @@
 		p.lost(&conn{used: true, idle: idle}, true)
 	}
 	m := newMessage("GET", "/", "x", nil, nil, nil)
-	ctx, cancel := context.WithTimeout(context.Background(), Timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Timeout)
 	defer cancel()
 	for _, c := range []struct {
 		idle   time.Duration
@@ -224,7 +225,7 @@
 // An answer that is cut is never passed on as whole, however it is framed and wherever it breaks: a short one fails, and
 // the client of a long one sees that there was more.
 func TestCutAnswersAreNotWhole(t *testing.T) {
-	long := string(Pattern(maxBody + 1000))
+	long := string(agenttest.Pattern(maxBody + 1000))
 	for name, text := range map[string]string{
 		"no length":             "HTTP/1.1 200 OK\r\n\r\nhalf",
 		"no length and nothing": "HTTP/1.1 200 OK\r\n\r\n",
--- a/internal/agent/closing_test.go
+++ b/internal/agent/closing_test.go
@@ -11,6 +11,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/metrics"
 )
 
@@ -40,8 +41,8 @@
 // When the agent is told to end, it ends the connections that rest. One on which a request has begun does not rest: the
 // request is served, and its connection ends behind the answer.
 func TestRequestCrossesTheEnd(t *testing.T) {
-	b := NewServer(t, Serve)
-	a := agentFor(t, Settings, b)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	a := agentFor(t, agenttest.Settings, b)
 	_, rests := a.resting(t)
 	crosses, br := a.resting(t)
 	text := a.whole(t, "")
@@ -66,7 +67,7 @@
 	if _, err := br.ReadByte(); err != io.EOF {
 		t.Errorf("the connection ends with %v", err)
 	}
-	if err := Receive(t, "end", a.ended); err != nil || len(b.Requests) != 1 {
+	if err := agenttest.Receive(t, "end", a.ended); err != nil || len(b.Requests) != 1 {
 		t.Errorf("ended with %v, %d requests came", err, len(b.Requests))
 	}
 }
@@ -86,7 +87,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(Timeout))
+		c.SetDeadline(time.Now().Add(agenttest.Timeout))
 		conn, err := a.Accept()
 		if err != nil {
 			t.Fatal(err)
@@ -130,15 +131,15 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			goOn := make(chan struct{})
-			b := NewServer(t, func(int, *http.Request) (string, bool) {
+			b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 				<-goOn
-				return OKAnswer, false
+				return agenttest.OKAnswer, false
 			})
-			a := agentFor(t, Settings, b)
+			a := agentFor(t, agenttest.Settings, b)
 			conn := a.dial(t)
 			io.WriteString(conn, a.whole(t, c.more)+ahead)
 			if c.status == http.StatusOK {
-				Receive(t, "request", b.Requests)
+				agenttest.Receive(t, "request", b.Requests)
 			}
 			if c.ends != nil {
 				c.ends(a)
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/admin"
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/metrics"
 )
 
@@ -26,15 +27,15 @@
 }
 
 // withConsole starts an agent that has a console and knows the backends.
-func withConsole(t *testing.T, backends ...*Server) (*running, string) {
+func withConsole(t *testing.T, backends ...*agenttest.Server) (*running, string) {
 	t.Helper()
 	t.Setenv("TMPDIR", t.TempDir()) // where processes of one agent would meet
 	var members []string
 	for i, b := range backends {
-		members = append(members, Member(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
+		members = append(members, agenttest.Member(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
 	}
-	l := NewDiscovery(t, List(1, true, members...))
-	cfg := Config(t, l.Listener.Addr().String(), Settings)
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, members...))
+	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
 	cfg.AdminAddr = freeAddr(t)
 	return start(t, cfg), cfg.AdminAddr
 }
@@ -47,7 +48,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(Timeout))
+	c.SetDeadline(time.Now().Add(agenttest.Timeout))
 	io.WriteString(c, text)
 	if !strings.HasSuffix(text, "\n") {
 		c.(*net.TCPConn).CloseWrite()
@@ -57,7 +58,7 @@
 }
 
 func TestConsoleCalls(t *testing.T) {
-	_, console := withConsole(t, NewServer(t, Serve))
+	_, console := withConsole(t, agenttest.NewServer(t, agenttest.Serve))
 	for _, c := range []struct{ call, want string }{
 		{"check\n", "ok\n"},
 		{"check\r\n", "ok\n"},
@@ -83,9 +84,9 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	cfg := Config(t, "127.0.0.1:1", Settings)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	cfg.AdminAddr = taken.Addr().String()
-	if err := Run(t.Context(), cfg, nil, DiscardLogger); err == nil || !strings.Contains(err.Error(), cfg.AdminAddr) {
+	if err := Run(t.Context(), cfg, nil, agenttest.DiscardLogger); err == nil || !strings.Contains(err.Error(), cfg.AdminAddr) {
 		t.Errorf("error %v", err)
 	}
 }
@@ -94,9 +95,9 @@
 // and what was taken is answered. Afterwards all is as before.
 func TestConsoleDrain(t *testing.T) {
 	goOn := make(chan struct{}, 2)
-	b := NewServer(t, func(int, *http.Request) (string, bool) {
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return OKAnswer, false
+		return agenttest.OKAnswer, false
 	})
 	a, console := withConsole(t, b)
 	up := func() int {
@@ -120,7 +121,7 @@
 		}
 		taken <- resp
 	}()
-	Receive(t, "request", b.Requests)
+	agenttest.Receive(t, "request", b.Requests)
 	for range 2 { // twice is as good as once
 		if got := operator(t, console, "drain-on\n"); got != "ok\n" {
 			t.Fatalf("drain-on: %q", got)
@@ -130,12 +131,12 @@
 		t.Errorf("while clients are sent away /up answers %d, check %q", status, said)
 	}
 	begun := time.Now()
-	unused.SetReadDeadline(begun.Add(Timeout))
+	unused.SetReadDeadline(begun.Add(agenttest.Timeout))
 	if _, err := unused.Read(make([]byte, 1)); err != io.EOF || time.Since(begun) > idleGrace+time.Second {
 		t.Errorf("an idle connection ends with %v after %v", err, time.Since(begun))
 	}
 	goOn <- struct{}{}
-	if resp := Receive(t, "answer", taken); resp == nil || resp.StatusCode != 200 || !resp.Close {
+	if resp := agenttest.Receive(t, "answer", taken); resp == nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("what was taken is answered %v", resp)
 	}
 	if got := operator(t, console, "drain-off\n"); got != "ok\n" || up() != 200 {
@@ -170,7 +171,7 @@
 			}
 		}, errLeaving},
 	} {
-		d := &drain{clients: &admission{metrics: &metrics.Metrics{}}, ended: t.Context().Done(), log: DiscardLogger}
+		d := &drain{clients: &admission{metrics: &metrics.Metrics{}}, ended: t.Context().Done(), log: agenttest.DiscardLogger}
 		if c.do(d); d.away() != c.want {
 			t.Errorf("%s: %v, want %v", c.name, d.away(), c.want)
 		}
@@ -182,9 +183,9 @@
 func TestDrainEndsSlowClients(t *testing.T) {
 	goOn := make(chan struct{})
 	defer close(goOn)
-	b := NewServer(t, func(int, *http.Request) (string, bool) {
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return OKAnswer, false
+		return agenttest.OKAnswer, false
 	})
 	a, console := withConsole(t, b)
 	head := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 15000m\r\nContent-Length: 0\r\n\r\n"
@@ -197,7 +198,7 @@
 			return
 		}
 		defer c.Close()
-		c.SetDeadline(begun.Add(Timeout))
+		c.SetDeadline(begun.Add(agenttest.Timeout))
 		text := fmt.Sprintf(head, id)
 		io.WriteString(c, text[:30])
 		time.Sleep(ends - begins)
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/discovery"
@@ -15,26 +16,26 @@
 // An agent that starts with a known list asks for what has changed since, and for the whole list where discovery does
 // not know that revision any more, or the known list is no whole one.
 func TestStartsFromTheKnownList(t *testing.T) {
-	x := NewServer(t, Serve)
-	member := Member("x", x.Addr, "Ready", 0)
+	x := agenttest.NewServer(t, agenttest.Serve)
+	member := agenttest.Member("x", x.Addr, "Ready", 0)
 	for _, c := range []struct {
 		known, change string
 		want          []string
 	}{
-		{string(List(7, true, member)), string(List(8, false)), []string{"after=7&wait_ms=", "after=8&wait_ms="}},
-		{string(List(7, true, member)), string(List(3, false)), []string{"after=7&wait_ms=", "", "after=1&wait_ms="}},
-		{string(List(7, false, member)), "", []string{"", "after=1&wait_ms="}},
-		{string(List(7, true)), "", []string{"", "after=1&wait_ms="}},
+		{string(agenttest.List(7, true, member)), string(agenttest.List(8, false)), []string{"after=7&wait_ms=", "after=8&wait_ms="}},
+		{string(agenttest.List(7, true, member)), string(agenttest.List(3, false)), []string{"after=7&wait_ms=", "", "after=1&wait_ms="}},
+		{string(agenttest.List(7, false, member)), "", []string{"", "after=1&wait_ms="}},
+		{string(agenttest.List(7, true)), "", []string{"", "after=1&wait_ms="}},
 	} {
-		l := NewDiscovery(t, List(1, true, member))
-		cfg := Config(t, l.Listener.Addr().String(), Settings)
+		l := agenttest.NewDiscovery(t, agenttest.List(1, true, member))
+		cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
 		var err error
 		if cfg.CachedEndpoints, err = discovery.Parse([]byte(c.known)); err != nil {
 			t.Fatal(err)
 		}
 		start(t, cfg)
 		for i, want := range c.want {
-			if q := Receive(t, "call", l.Calls); !strings.HasPrefix(q, want) || want == "" && q != "" {
+			if q := agenttest.Receive(t, "call", l.Calls); !strings.HasPrefix(q, want) || want == "" && q != "" {
 				t.Errorf("known %s: call %d asks %q, want %q", c.known, i, q, want)
 			}
 			if i == 0 && c.change != "" {
@@ -46,17 +47,17 @@
 
 // A backend that drains gets nothing new once a watch has told so, and its list is followed without a gap.
 func TestDrain(t *testing.T) {
-	x, y := NewServer(t, Serve), NewServer(t, Serve)
-	l := NewDiscovery(t, List(1, true, Member("x", x.Addr, "Ready", 0), Member("y", y.Addr, "Ready", 0)))
-	a := start(t, Config(t, l.Listener.Addr().String(), Settings))
-	if q := Receive(t, "first call", l.Calls); q != "" {
+	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", x.Addr, "Ready", 0), agenttest.Member("y", y.Addr, "Ready", 0)))
+	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
+	if q := agenttest.Receive(t, "first call", l.Calls); q != "" {
 		t.Errorf("the first call asks %q", q)
 	}
-	if q := Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=1&wait_ms=") {
+	if q := agenttest.Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=1&wait_ms=") {
 		t.Errorf("the second call asks %q", q)
 	}
-	l.Next <- List(2, false, Member("x", x.Addr, "Terminating", 0))
-	if q := Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=2&") {
+	l.Next <- agenttest.List(2, false, agenttest.Member("x", x.Addr, "Terminating", 0))
+	if q := agenttest.Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=2&") {
 		t.Errorf("the third call asks %q", q)
 	}
 	for range 40 {
@@ -72,20 +73,20 @@
 // A reload moves to another discovery, which is asked for its whole list although its revisions are lower; the old
 // one's watch is given up.
 func TestReload(t *testing.T) {
-	x, y := NewServer(t, Serve), NewServer(t, Serve)
-	old := NewDiscovery(t, List(7, true, Member("x", x.Addr, "Ready", 0)))
-	next := NewDiscovery(t, List(2, true, Member("y", y.Addr, "Ready", 0)))
-	cfg := Config(t, old.Listener.Addr().String(), Settings)
+	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
+	old := agenttest.NewDiscovery(t, agenttest.List(7, true, agenttest.Member("x", x.Addr, "Ready", 0)))
+	next := agenttest.NewDiscovery(t, agenttest.List(2, true, agenttest.Member("y", y.Addr, "Ready", 0)))
+	cfg := agenttest.Config(t, old.Listener.Addr().String(), agenttest.Settings)
 	a := start(t, cfg)
-	Receive(t, "first call", old.Calls)
-	Receive(t, "watch", old.Calls)
+	agenttest.Receive(t, "first call", old.Calls)
+	agenttest.Receive(t, "watch", old.Calls)
 	moved := *cfg
 	moved.Discovery = next.Listener.Addr().String()
 	a.reloads <- config.ReloadResult{Config: &moved}
-	if q := Receive(t, "call to the new discovery", next.Calls); q != "" {
+	if q := agenttest.Receive(t, "call to the new discovery", next.Calls); q != "" {
 		t.Errorf("the first call asks %q", q)
 	}
-	if q := Receive(t, "watch", next.Calls); !strings.HasPrefix(q, "after=2&") {
+	if q := agenttest.Receive(t, "watch", next.Calls); !strings.HasPrefix(q, "after=2&") {
 		t.Errorf("the second call asks %q", q)
 	}
 	for range 5 {
@@ -104,27 +105,27 @@
 // Without discovery, and with lists that cannot be read, the agent goes on with what it has; then it asks for
 // the whole list.
 func TestDiscoveryLoss(t *testing.T) {
-	x, y := NewServer(t, Serve), NewServer(t, Serve)
-	l := NewDiscovery(t, List(1, true, Member("x", x.Addr, "Ready", 0)))
-	a := start(t, Config(t, l.Listener.Addr().String(), Settings))
-	Receive(t, "first call", l.Calls)
+	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", x.Addr, "Ready", 0)))
+	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
+	agenttest.Receive(t, "first call", l.Calls)
 	for i, text := range []string{"no list", `{"revision":7,"complete":true,"members":[{"id":"x","phase":"Odd"}]}`, `{"complete":true}`} {
-		Receive(t, "watch", l.Calls)
+		agenttest.Receive(t, "watch", l.Calls)
 		if i == 2 {
 			l.SetList(func() []byte { return nil })
 		}
 		l.Next <- []byte(text)
-		if q := Receive(t, "call", l.Calls); q != "" {
+		if q := agenttest.Receive(t, "call", l.Calls); q != "" {
 			t.Errorf("after %s: asked %q", text, q)
 		}
 	}
-	Receive(t, "call again", l.Calls)
+	agenttest.Receive(t, "call again", l.Calls)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
 		t.Errorf("without discovery: answered %d", status)
 	}
-	l.SetList(func() []byte { return List(9, true, Member("y", y.Addr, "Ready", 0)) })
+	l.SetList(func() []byte { return agenttest.List(9, true, agenttest.Member("y", y.Addr, "Ready", 0)) })
 	for {
-		if q := Receive(t, "call", l.Calls); strings.HasPrefix(q, "after=9&") {
+		if q := agenttest.Receive(t, "call", l.Calls); strings.HasPrefix(q, "after=9&") {
 			break
 		}
 	}
@@ -136,17 +137,17 @@
 // Changes that do not follow the list held, as after a restart of discovery, lead to the whole list; so does a
 // discovery that is silent when a watch is over.
 func TestDiscoveryGapAndSilence(t *testing.T) {
-	b := NewServer(t, Serve)
-	l := NewDiscovery(t, List(8, true, Member("x", b.Addr, "Ready", 0)))
-	start(t, Config(t, l.Listener.Addr().String(), Settings))
-	Receive(t, "first call", l.Calls)
-	Receive(t, "watch", l.Calls)
-	l.Next <- List(3, false)
-	if q := Receive(t, "call after the gap", l.Calls); q != "" {
+	b := agenttest.NewServer(t, agenttest.Serve)
+	l := agenttest.NewDiscovery(t, agenttest.List(8, true, agenttest.Member("x", b.Addr, "Ready", 0)))
+	start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
+	agenttest.Receive(t, "first call", l.Calls)
+	agenttest.Receive(t, "watch", l.Calls)
+	l.Next <- agenttest.List(3, false)
+	if q := agenttest.Receive(t, "call after the gap", l.Calls); q != "" {
 		t.Errorf("after a gap: asked %q", q)
 	}
 	for range 2 { // the watch that gets no answer, and the one after it
-		if q := Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=8&") {
+		if q := agenttest.Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=8&") {
 			t.Errorf("asked %q", q)
 		}
 	}
@@ -154,19 +155,19 @@
 
 // Where the list must be asked for, the module hears of a failure and decides when to ask again.
 func TestAskedDiscovery(t *testing.T) {
-	b := NewServer(t, Serve)
-	set := strings.Replace(Settings, `"automatic"`, `"subscribe"`, 1)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	set := strings.Replace(agenttest.Settings, `"automatic"`, `"subscribe"`, 1)
 	set = strings.Replace(set, `"extraFloor"`, `"mustAskIn":50,"extraFloor"`, 1)
-	whole := List(1, true, Member("x", b.Addr, "Ready", 0))
+	whole := agenttest.List(1, true, agenttest.Member("x", b.Addr, "Ready", 0))
 	calls := 0
-	l := NewDiscovery(t, whole)
+	l := agenttest.NewDiscovery(t, whole)
 	l.SetList(func() []byte {
 		if calls++; calls <= 2 {
 			return nil
 		}
 		return whole
 	})
-	a := start(t, Config(t, l.Listener.Addr().String(), set)) // which returns when the list has come
+	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), set)) // which returns when the list has come
 	if n := len(l.Calls); n < 3 {
 		t.Errorf("up after %d calls, of which two failed", n)
 	}
@@ -183,16 +184,16 @@
 			for _, moves := range []bool{false, true} {
 				t.Run(fmt.Sprintf("%s/%s/moves %v", mode, how, moves), func(t *testing.T) {
 					t.Parallel()
-					x, y := NewServer(t, Serve), NewServer(t, Serve)
-					next := NewDiscovery(t, List(1, true, Member("y", y.Addr, "Ready", 0)))
-					set := strings.NewReplacer(`"automatic"`, mode, `"extraFloor"`, `"mustAskIn":10000,"extraFloor"`).Replace(Settings)
-					addr, fd := FullListener(t)
+					x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
+					next := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("y", y.Addr, "Ready", 0)))
+					set := strings.NewReplacer(`"automatic"`, mode, `"extraFloor"`, `"mustAskIn":10000,"extraFloor"`).Replace(agenttest.Settings)
+					addr, fd := agenttest.FullListener(t)
 					if how == "answer" {
-						addr = NewServer(t, func(int, *http.Request) (string, bool) { return "", false }).Addr
+						addr = agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false }).Addr
 					}
-					cfg := Config(t, addr, set)
+					cfg := agenttest.Config(t, addr, set)
 					var err error
-					if cfg.CachedEndpoints, err = discovery.Parse(List(7, true, Member("x", x.Addr, "Ready", 0))); err != nil {
+					if cfg.CachedEndpoints, err = discovery.Parse(agenttest.List(7, true, agenttest.Member("x", x.Addr, "Ready", 0))); err != nil {
 						t.Fatal(err)
 					}
 					a := start(t, cfg)
@@ -207,7 +208,7 @@
 						return // nothing comes up
 					}
 					begun := time.Now()
-					Receive(t, "call", next.Calls)
+					agenttest.Receive(t, "call", next.Calls)
 					if took := time.Since(begun); took > balancer.NotifyBoundAfterMigration {
 						t.Errorf("asked after %v", took)
 					}
@@ -219,11 +220,11 @@
 
 // A process that knows a list is ready at once although discovery refuses all calls.
 func TestReadyInTimeWithAList(t *testing.T) {
-	text := strings.NewReplacer(`"discovery":"automatic"`, `"discovery":"subscribe"`, `"extraFloor"`, `"mustAskIn":10000,"extraFloor"`).Replace(Settings)
-	l := NewDiscovery(t, nil) // refuses all
-	cfg := Config(t, l.Listener.Addr().String(), text)
+	text := strings.NewReplacer(`"discovery":"automatic"`, `"discovery":"subscribe"`, `"extraFloor"`, `"mustAskIn":10000,"extraFloor"`).Replace(agenttest.Settings)
+	l := agenttest.NewDiscovery(t, nil) // refuses all
+	cfg := agenttest.Config(t, l.Listener.Addr().String(), text)
 	var err error
-	if cfg.CachedEndpoints, err = discovery.Parse(List(1, true, Member("x", "127.0.0.1:1", "Ready", 0))); err != nil {
+	if cfg.CachedEndpoints, err = discovery.Parse(agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Ready", 0))); err != nil {
 		t.Fatal(err)
 	}
 	begun := time.Now()
--- a/internal/agent/gone_test.go
+++ b/internal/agent/gone_test.go
@@ -9,6 +9,8 @@
 	"strings"
 	"syscall"
 	"testing"
+
+	"example.org/ryeloft/internal/agenttest"
 )
 
 // accept has a listener that was full take its connections, old and new.
@@ -56,12 +58,12 @@
 			for _, size := range []int{10, maxBody + 1000} {
 				t.Run(fmt.Sprintf("%s/cancel %v/%d bytes", how, cancel, size), func(t *testing.T) {
 					t.Parallel()
-					addr, fd := FullListener(t)
+					addr, fd := agenttest.FullListener(t)
 					got := make(chan *http.Request, 100)
 					set := strings.NewReplacer(`"cancel":true`, fmt.Sprintf(`"cancel":%v`, cancel),
-						`"connectTimeout":2000`, `"connectTimeout":20000`).Replace(Settings)
-					l := NewDiscovery(t, List(1, true, Member("x", addr, "Ready", 0)))
-					a := start(t, Config(t, l.Listener.Addr().String(), set))
+						`"connectTimeout":2000`, `"connectTimeout":20000`).Replace(agenttest.Settings)
+					l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", addr, "Ready", 0)))
+					a := start(t, agenttest.Config(t, l.Listener.Addr().String(), set))
 					c := a.dial(t)
 					req := a.request("unsafe", "15000m")
 					req.Body, req.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", size))), int64(size)
@@ -79,7 +81,7 @@
 						t.Errorf("a client that stays is answered %d", status)
 					}
 					want := next.Header.Get(callIDHeader)
-					if id := Receive(t, "request", got).Header.Get(callIDHeader); id != want || len(got) > 0 {
+					if id := agenttest.Receive(t, "request", got).Header.Get(callIDHeader); id != want || len(got) > 0 {
 						t.Errorf("%s and %d more came, want %s", id, len(got), want)
 					}
 				})
@@ -101,16 +103,16 @@
 						failed <- struct{}{}
 						return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false
 					}
-					return OKAnswer, false
+					return agenttest.OKAnswer, false
 				}
-				x, y := NewServer(t, fails), NewServer(t, fails)
-				a := agentFor(t, strings.Replace(Settings, `"cancel":true`, fmt.Sprintf(`"cancel":%v`, cancel), 1), x, y)
+				x, y := agenttest.NewServer(t, fails), agenttest.NewServer(t, fails)
+				a := agentFor(t, strings.Replace(agenttest.Settings, `"cancel":true`, fmt.Sprintf(`"cancel":%v`, cancel), 1), x, y)
 				c := a.dial(t)
 				if err := a.request("safe", "15000m").Write(c); err != nil {
 					t.Fatal(err)
 				}
 				clients <- c
-				Receive(t, "attempt", failed)
+				agenttest.Receive(t, "attempt", failed)
 				// The loop has heard of the failure before this one's end.
 				for range 20 {
 					if status, _ := a.do(t, a.request("unsafe", "15000m")); status != http.StatusOK {
@@ -118,7 +120,7 @@
 					}
 				}
 				tries := 0
-				for _, b := range []*Server{x, y} {
+				for _, b := range []*agenttest.Server{x, y} {
 					for range len(b.Requests) {
 						if r := <-b.Requests; strings.HasPrefix(r.URL.Path, "/safe") {
 							tries++
--- a/internal/agent/large_test.go
+++ b/internal/agent/large_test.go
@@ -8,6 +8,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/discovery"
 )
 
@@ -15,7 +16,7 @@
 // smallest limits; of a list that cannot be used nothing is taken, and the whole list is asked for.
 func TestLargeFleet(t *testing.T) {
 	const size, longestID = 1024, 256 // members, bytes
-	x, y := NewServer(t, Serve), NewServer(t, Serve)
+	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
 	list := func(revision int, complete bool, phase string, of func(i int) bool) []byte {
 		var members []string
 		for i := range size {
@@ -24,19 +25,19 @@
 				addr = y.Addr
 			}
 			if of(i) {
-				members = append(members, Member(fmt.Sprintf("%0*d", longestID, i), addr, phase, i))
+				members = append(members, agenttest.Member(fmt.Sprintf("%0*d", longestID, i), addr, phase, i))
 			}
 		}
 		var text bytes.Buffer
-		if err := json.Indent(&text, List(revision, complete, members...), "", "    "); err != nil {
+		if err := json.Indent(&text, agenttest.List(revision, complete, members...), "", "    "); err != nil {
 			t.Fatal(err)
 		}
 		return text.Bytes()
 	}
 	all := func(int) bool { return true }
-	l := NewDiscovery(t, list(1, true, "Ready", all))
-	set := strings.NewReplacer(`"replicasOfMe":1,"rank":0`, fmt.Sprintf(`"replicasOfMe":%d,"rank":%d`, size, size-1)).Replace(Settings)
-	cfg := Config(t, l.Listener.Addr().String(), set)
+	l := agenttest.NewDiscovery(t, list(1, true, "Ready", all))
+	set := strings.NewReplacer(`"replicasOfMe":1,"rank":0`, fmt.Sprintf(`"replicasOfMe":%d,"rank":%d`, size, size-1)).Replace(agenttest.Settings)
+	cfg := agenttest.Config(t, l.Listener.Addr().String(), set)
 	cfg.MemoryMB, cfg.Sockets = 32, 256
 	known, err := discovery.Parse(list(1, true, "Ready", all))
 	if err != nil {
@@ -59,8 +60,8 @@
 		}
 		return got
 	}
-	Receive(t, "first call", l.Calls)
-	Receive(t, "watch", l.Calls)
+	agenttest.Receive(t, "first call", l.Calls)
+	agenttest.Receive(t, "watch", l.Calls)
 	if got := served(); got[0] == 0 || got[1] == 0 {
 		t.Errorf("of the known list: %v at the backends", got)
 	}
@@ -74,12 +75,12 @@
 		{list(4, false, "Gone", func(i int) bool { return i%2 == 1 }), true, false, "after=4&"},
 	} {
 		if i == 2 { // the whole list that is asked for after the broken one
-			if q := Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=1&") {
+			if q := agenttest.Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=1&") {
 				t.Errorf("after the whole list: asked %q", q)
 			}
 		}
 		l.Next <- c.text
-		if q := Receive(t, "call", l.Calls); !strings.HasPrefix(q, c.query) || c.query == "" && q != "" {
+		if q := agenttest.Receive(t, "call", l.Calls); !strings.HasPrefix(q, c.query) || c.query == "" && q != "" {
 			t.Errorf("list %d: asked %q, want %q", i, q, c.query)
 		}
 		if c.query == "" { // it is answered at once: all are ready
--- a/internal/agent/leaving_test.go
+++ b/internal/agent/leaving_test.go
@@ -5,6 +5,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/metrics"
 )
@@ -12,12 +13,12 @@
 // A request on its way to a backend that begins to leave before anything was sent goes on to another at once, whatever its
 // class and however few attempts are allowed.
 func TestLeavingWhileConnecting(t *testing.T) {
-	x, y := DeafAddr(t), NewServer(t, Serve)
+	x, y := agenttest.DeafAddr(t), agenttest.NewServer(t, agenttest.Serve)
 	set := strings.NewReplacer(`"maxAttempts":3`, `"maxAttempts":1`, `"extraFloor":100`, `"extraFloor":0`,
-		`"connectTimeout":2000`, `"connectTimeout":20000`).Replace(Settings)
-	l := NewDiscovery(t, List(1, true, Member("x", x, "Ready", 0)))
-	a := start(t, Config(t, l.Listener.Addr().String(), set))
-	Receive(t, "first call", l.Calls)
+		`"connectTimeout":2000`, `"connectTimeout":20000`).Replace(agenttest.Settings)
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", x, "Ready", 0)))
+	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), set))
+	agenttest.Receive(t, "first call", l.Calls)
 	for i, class := range []string{"unsafe", "keyed", "safe"} {
 		answered := make(chan int, 1)
 		go func() {
@@ -25,22 +26,22 @@
 			answered <- status
 		}()
 		time.Sleep(200 * time.Millisecond) // it waits for the connection
-		Receive(t, "watch", l.Calls)
+		agenttest.Receive(t, "watch", l.Calls)
 		begun := time.Now()
-		l.Next <- List(2+2*i, true, Member("x", x, "Terminating", 0), Member("y", y.Addr, "Ready", 0))
-		if status := Receive(t, "answer", answered); status != 200 || time.Since(begun) > 5*time.Second {
+		l.Next <- agenttest.List(2+2*i, true, agenttest.Member("x", x, "Terminating", 0), agenttest.Member("y", y.Addr, "Ready", 0))
+		if status := agenttest.Receive(t, "answer", answered); status != 200 || time.Since(begun) > 5*time.Second {
 			t.Errorf("%s: answered %d after %v", class, status, time.Since(begun))
 		}
-		Receive(t, "request", y.Requests)
-		Receive(t, "watch", l.Calls)
-		l.Next <- List(3+2*i, true, Member("x", x, "Ready", 0)) // it stays after all
+		agenttest.Receive(t, "request", y.Requests)
+		agenttest.Receive(t, "watch", l.Calls)
+		l.Next <- agenttest.List(3+2*i, true, agenttest.Member("x", x, "Ready", 0)) // it stays after all
 	}
 }
 
 // Nothing is written to a backend that has begun to leave, on no kind of connection, and its idle ones stay.
 func TestNothingNewToLeaving(t *testing.T) {
-	b := NewServer(t, Serve)
-	cfg := Config(t, "127.0.0.1:1", Settings)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	for _, idle := range []bool{false, true} {
 		p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 		to := p.target(b.Addr, 0)
--- a/internal/agent/limits_test.go
+++ b/internal/agent/limits_test.go
@@ -3,6 +3,8 @@
 import (
 	"runtime/debug"
 	"testing"
+
+	"example.org/ryeloft/internal/agenttest"
 )
 
 // The collector keeps to its part of the memory, with a console and without.
@@ -10,8 +12,8 @@
 	old := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(old)
 	debug.SetMemoryLimit(1 << 40)
-	a := agentFor(t, Settings, NewServer(t, Serve))
-	cfg := Config(t, "127.0.0.1:1", Settings)
+	a := agentFor(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	if got, want := debug.SetMemoryLimit(-1), limitsOf(cfg, 1).collector; got != want || want > int64(cfg.MemoryMB)<<20 {
 		t.Errorf("%s: the collector may hold %d bytes, want %d", a.url, got, want)
 	}
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -13,6 +13,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/metrics"
 )
@@ -31,8 +32,8 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p := &process{console: cfg.AdminAddr, stop: stop, ended: make(chan error, 1)}
 	t.Cleanup(stop)
-	go func() { p.ended <- Run(ctx, &cfg, nil, DiscardLogger) }()
-	for begun := time.Now(); time.Since(begun) < Timeout; time.Sleep(time.Millisecond) {
+	go func() { p.ended <- Run(ctx, &cfg, nil, agenttest.DiscardLogger) }()
+	for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(time.Millisecond) {
 		if c, err := net.Dial("tcp", p.console); err == nil {
 			c.Close()
 			if operator(t, p.console, "check\n") == "ok\n" {
@@ -48,13 +49,13 @@
 // goes ends well, long before it would be killed.
 func TestReplacement(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	b := NewServer(t, Serve)
-	l := NewDiscovery(t, List(1, true, Member("x", b.Addr, "Ready", 0)))
+	b := agenttest.NewServer(t, agenttest.Serve)
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", b.Addr, "Ready", 0)))
 	go func() {
 		for range b.Requests { // nobody looks
 		}
 	}()
-	cfg := Config(t, l.Listener.Addr().String(), Settings)
+	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
 	cfg.Listen = freeAddr(t)
 	now := begin(t, *cfg)
 
@@ -64,7 +65,7 @@
 	var all sync.WaitGroup
 	for i := range 4 {
 		all.Go(func() {
-			client := &http.Client{Transport: &http.Transport{}, Timeout: Timeout}
+			client := &http.Client{Transport: &http.Transport{}, Timeout: agenttest.Timeout}
 			defer client.CloseIdleConnections()
 			for n := 0; clients.Err() == nil; n++ {
 				req, _ := http.NewRequest("GET", "http://"+cfg.Listen+"/safe/1", nil)
@@ -87,7 +88,7 @@
 		next := begin(t, *cfg)
 		now.stop()
 		begun := time.Now()
-		if err := Receive(t, "end of the process that is replaced", now.ended); err != nil || time.Since(begun) > killDeadline {
+		if err := agenttest.Receive(t, "end of the process that is replaced", now.ended); err != nil || time.Since(begun) > killDeadline {
 			t.Errorf("ended after %v with %v", time.Since(begun), err)
 		}
 		now = next
@@ -117,7 +118,7 @@
 	cfg := &config.Config{MemoryMB: 1 << 20, Sockets: 384} // not the tests' memory
 	one, two := limitsOf(cfg, 1), limitsOf(cfg, 2)
 	join := func() *link {
-		k := joinLink(path, roomsFor(cfg), DiscardLogger)
+		k := joinLink(path, roomsFor(cfg), agenttest.DiscardLogger)
 		t.Cleanup(k.close)
 		return k
 	}
@@ -131,7 +132,7 @@
 	expect := func(what string, k *link, processes, clients, servers int) {
 		t.Helper()
 		var r rooms
-		for begun := time.Now(); time.Since(begun) < Timeout; time.Sleep(time.Millisecond) {
+		for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(time.Millisecond) {
 			k.mu.Lock()
 			r = *k.rooms
 			r.admission.mu.Lock()
@@ -171,7 +172,7 @@
 		t.Fatal(err)
 	}
 	for begun := time.Now(); !first.leave(); time.Sleep(time.Millisecond) {
-		if time.Since(begun) > Timeout {
+		if time.Since(begun) > agenttest.Timeout {
 			t.Fatal("the first does not hear that another takes clients")
 		}
 	}
@@ -206,8 +207,8 @@
 
 // A pool that is given less room closes what is idle at once.
 func TestPoolResize(t *testing.T) {
-	b := NewServer(t, Serve)
-	cfg := Config(t, "127.0.0.1:1", Settings)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	to := p.target(b.Addr, 0)
 	var held []*conn
@@ -223,7 +224,7 @@
 	}
 	p.resize(1)
 	for range 3 {
-		Receive(t, "close of an idle connection", b.Closed)
+		agenttest.Receive(t, "close of an idle connection", b.Closed)
 	}
 	if p.open != 1 || len(to.idle) != 1 || to.idle[0] != held[3] {
 		t.Errorf("%d connections", p.open)
@@ -232,20 +233,20 @@
 
 // What is still open when the process is about to be killed is answered as failed.
 func TestLastAnswers(t *testing.T) {
-	b := NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, strings.ReplaceAll(Settings, `"aim":20000,"deadline":30000`, `"aim":1000,"deadline":1000`), b)
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
+	a := agentFor(t, strings.ReplaceAll(agenttest.Settings, `"aim":20000,"deadline":30000`, `"aim":1000,"deadline":1000`), b)
 	answered := make(chan int, 1)
 	go func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
 		answered <- status
 	}()
-	Receive(t, "request", b.Requests)
+	agenttest.Receive(t, "request", b.Requests)
 	begun := time.Now()
 	a.stop()
-	if status := Receive(t, "answer", answered); status != statusFailed || time.Since(begun) > time.Second+killAfter {
+	if status := agenttest.Receive(t, "answer", answered); status != statusFailed || time.Since(begun) > time.Second+killAfter {
 		t.Errorf("answered %d after %v", status, time.Since(begun))
 	}
-	if err := Receive(t, "end", a.ended); err != nil {
+	if err := agenttest.Receive(t, "end", a.ended); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/metrics"
@@ -18,17 +19,17 @@
 // The id of a request that is open, or was a moment ago, is no other's: the second is refused and the first served.
 func TestCallIDsAreUsedOnce(t *testing.T) {
 	goOn := make(chan struct{})
-	b := NewServer(t, func(int, *http.Request) (string, bool) {
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return OKAnswer, false
+		return agenttest.OKAnswer, false
 	})
-	a := agentFor(t, Settings, b)
+	a := agentFor(t, agenttest.Settings, b)
 	first := make(chan int, 1)
 	go func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
 		first <- status
 	}()
-	id := Receive(t, "request", b.Requests).Header.Get(callIDHeader)
+	id := agenttest.Receive(t, "request", b.Requests).Header.Get(callIDHeader)
 	again := func() int {
 		req := a.request("unsafe", "15000m")
 		req.Header.Set(callIDHeader, id)
@@ -39,7 +40,7 @@
 		t.Errorf("while the first is open: answered %d", status)
 	}
 	close(goOn)
-	if status := Receive(t, "answer", first); status != 200 {
+	if status := agenttest.Receive(t, "answer", first); status != 200 {
 		t.Errorf("the first is answered %d", status)
 	}
 	if status := again(); status != http.StatusConflict {
@@ -65,8 +66,8 @@
 // A client that hangs up cancels its attempts, which closes their connections.
 func TestHangup(t *testing.T) {
 	released := make(chan struct{})
-	b := NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, Settings, b)
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
+	a := agentFor(t, agenttest.Settings, b)
 	ctx, hangUp := context.WithCancel(context.Background())
 	go func() {
 		defer close(released)
@@ -75,10 +76,10 @@
 			t.Errorf("answered %s", resp.Status)
 		}
 	}()
-	Receive(t, "request", b.Requests)
+	agenttest.Receive(t, "request", b.Requests)
 	hangUp()
-	Receive(t, "hangup", released)
-	Receive(t, "close of the connection", b.Closed)
+	agenttest.Receive(t, "hangup", released)
+	agenttest.Receive(t, "close of the connection", b.Closed)
 }
 
 // idOf is the number of the backend with a name.
@@ -95,9 +96,9 @@
 
 // The loop keeps a repeat from being sent too late, and forgets backends that are gone.
 func TestLoopCarriesOut(t *testing.T) {
-	b := NewServer(t, Serve)
-	cfg := Config(t, "127.0.0.1:1", Settings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), DiscardLogger)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), agenttest.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -108,21 +109,21 @@
 	}
 	list(balancer.EndpointsReplaced, "Ready")
 	x := idOf(t, l, "x")
-	r := &request{call: &call{id: 7, deadline: l.clock.Now() + Timeout, answered: make(chan answer, 1), gone: stays,
+	r := &request{call: &call{id: 7, deadline: l.clock.Now() + agenttest.Timeout, answered: make(chan answer, 1), gone: stays,
 		message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}}
 	l.requests[r.id] = r
-	send := balancer.Action{Kind: balancer.ActionSend, Request: r.id, Server: x, Timeout: Timeout}
+	send := balancer.Action{Kind: balancer.ActionSend, Request: r.id, Server: x, Timeout: agenttest.Timeout}
 	l.act(ctx, &send)
-	if in := Receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OutcomeOK {
+	if in := agenttest.Receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OutcomeOK {
 		t.Fatalf("outcome %d", in.event.Outcome)
 	}
 	send.DispatchWithin = 1 // a nanosecond, which is over before a connection can be had
 	l.act(ctx, &send)
-	if in := Receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OutcomeExpired {
+	if in := agenttest.Receive(t, "outcome", l.inputs); in.event.Outcome != balancer.OutcomeExpired {
 		t.Errorf("sent too late: outcome %d", in.event.Outcome)
 	}
 	list(balancer.EndpointsChanged, "Gone")
-	Receive(t, "close of the idle connection", b.Closed)
+	agenttest.Receive(t, "close of the idle connection", b.Closed)
 	if len(l.targets) > 0 || len(l.pool.targets) > 0 || l.servers.Len() > 0 {
 		t.Errorf("still known: %v %v", l.targets, l.servers.Members())
 	}
@@ -135,15 +136,15 @@
 
 // A request is answered once: the outcome of an attempt that crosses the hangup of its client changes nothing.
 func TestLateOutcomeIsDropped(t *testing.T) {
-	cfg := Config(t, "127.0.0.1:1", Settings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), DiscardLogger)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), agenttest.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx := t.Context()
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
 		members: []discovery.Member{{ID: "x", Address: "127.0.0.1:1", State: "Ready"}}})
-	c := &call{set: l.set.Load(), class: 2, deadline: l.clock.Now() + Timeout, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/", "x", nil, nil, nil)}
+	c := &call{set: l.set.Load(), class: 2, deadline: l.clock.Now() + agenttest.Timeout, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/", "x", nil, nil, nil)}
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 	if len(l.requests) != 1 || l.requests[c.id].out != 1 {
 		t.Fatalf("after the request: %+v", l.requests)
@@ -164,23 +165,23 @@
 	loads := func(req *http.Request) bool { return req.URL.Path == loadPath }
 	report := "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\noutstanding=1,recent_ms=50"
 	reject, serve := make(chan struct{}), make(chan struct{})
-	x := NewServer(t, func(_ int, req *http.Request) (string, bool) {
+	x := agenttest.NewServer(t, func(_ int, req *http.Request) (string, bool) {
 		if loads(req) {
 			return report, false
 		}
 		<-reject
 		return "HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", false
 	})
-	y := NewServer(t, func(_ int, req *http.Request) (string, bool) {
+	y := agenttest.NewServer(t, func(_ int, req *http.Request) (string, bool) {
 		if loads(req) {
 			return report, false
 		}
 		<-serve
-		return OKAnswer, false
+		return agenttest.OKAnswer, false
 	})
 	// With a tick of 5 s one probe of each lasts for the whole test.
 	a := agentFor(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
-		`"maxAttempts":3`, `"maxAttempts":20,"probes":true`).Replace(Settings), x, y)
+		`"maxAttempts":3`, `"maxAttempts":20,"probes":true`).Replace(agenttest.Settings), x, y)
 	answers := make(chan int, asked+more)
 	ask := func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
@@ -200,7 +201,7 @@
 			if !loads(req) {
 				atY++
 			}
-		case <-time.After(Timeout):
+		case <-time.After(agenttest.Timeout):
 			t.Fatalf("%d and %d requests have come", atX, atY)
 		}
 	}
@@ -214,7 +215,7 @@
 				if !loads(req) {
 					atY++
 				}
-			case <-time.After(Timeout):
+			case <-time.After(agenttest.Timeout):
 				t.Fatalf("%d of %d requests are at the other", atY, n)
 			}
 		}
@@ -226,7 +227,7 @@
 	arrive(asked + more)
 	close(serve)
 	for range asked + more {
-		if status := Receive(t, "answer", answers); status != http.StatusOK {
+		if status := agenttest.Receive(t, "answer", answers); status != http.StatusOK {
 			t.Errorf("answered %d after %d rejections", status, atX)
 		}
 	}
@@ -240,23 +241,23 @@
 		if got.Add(1) == 1 {
 			return "", false
 		}
-		return OKAnswer, false
+		return agenttest.OKAnswer, false
 	}
-	x, y := NewServer(t, script), NewServer(t, script)
-	cfg := Config(t, "127.0.0.1:1", Settings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), DiscardLogger)
+	x, y := agenttest.NewServer(t, script), agenttest.NewServer(t, script)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), agenttest.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx := t.Context()
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
 		members: []discovery.Member{{ID: "x", Address: x.Addr, State: "Ready"}, {ID: "y", Address: y.Addr, State: "Ready"}}})
-	c := &call{set: l.set.Load(), deadline: l.clock.Now() + Timeout, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
+	c := &call{set: l.set.Load(), deadline: l.clock.Now() + agenttest.Timeout, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 	select {
 	case <-x.Requests:
 	case <-y.Requests:
-	case <-time.After(Timeout):
+	case <-time.After(agenttest.Timeout):
 		t.Fatal("no request")
 	}
 	for range 2 { // the module's looks at the silent attempt, due or not
@@ -264,15 +265,15 @@
 		l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: look.id})
 	}
 	for range 2 { // the copy's answer, and the end of the first attempt
-		l.take(ctx, Receive(t, "outcome", l.inputs))
+		l.take(ctx, agenttest.Receive(t, "outcome", l.inputs))
 	}
-	if a := Receive(t, "answer", c.answered); a.status != http.StatusOK {
+	if a := agenttest.Receive(t, "answer", c.answered); a.status != http.StatusOK {
 		t.Errorf("answered %d", a.status)
 	}
 	select { // a busy machine may have the two backends' scripts run the other way round
 	case <-x.Closed:
 	case <-y.Closed:
-	case <-time.After(Timeout):
+	case <-time.After(agenttest.Timeout):
 		t.Error("the silent connection is not closed")
 	}
 	if n := got.Load(); n != 2 || len(l.requests) > 0 {
@@ -290,15 +291,15 @@
 		for _, first := range []balancer.Outcome{balancer.OutcomeOK, balancer.OutcomeTimeout, balancer.OutcomeReset, balancer.OutcomeExpired} {
 			for _, second := range []balancer.Outcome{balancer.OutcomeOK, balancer.OutcomeTimeout, balancer.OutcomeCancelled} {
 				for _, gone := range []bool{false, true} { // an attempt may find the client gone before its handler does
-					cfg := Config(t, "127.0.0.1:1", strings.Replace(Settings, `"maxAttempts":3`, `"maxAttempts":2`, 1))
-					l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), DiscardLogger)
+					cfg := agenttest.Config(t, "127.0.0.1:1", strings.Replace(agenttest.Settings, `"maxAttempts":3`, `"maxAttempts":2`, 1))
+					l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), agenttest.DiscardLogger)
 					if err != nil {
 						t.Fatal(err)
 					}
 					ctx := t.Context()
 					l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
 						members: []discovery.Member{{ID: "x", Address: "127.0.0.1:1", State: "Ready"}, {ID: "y", Address: "127.0.0.1:1", State: "Ready"}}})
-					c := &call{set: l.set.Load(), deadline: l.clock.Now() + Timeout, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
+					c := &call{set: l.set.Load(), deadline: l.clock.Now() + agenttest.Timeout, answered: make(chan answer, 1), gone: stays, message: newMessage("POST", "/keyed/1", "x", nil, nil, nil)}
 					l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 					for l.requests[c.id].out < 2 { // the module's looks at the silent attempt, due or not
 						look := heap.Pop(&l.timers).(timer)
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -5,21 +5,23 @@
 	"strings"
 	"testing"
 	"time"
+
+	"example.org/ryeloft/internal/agenttest"
 )
 
 // The figures tell each end of a request by class, every class from 0, and the tries and servers behind them.
 func TestFigures(t *testing.T) {
-	b := NewServer(t, func(n int, _ *http.Request) (string, bool) {
+	b := agenttest.NewServer(t, func(n int, _ *http.Request) (string, bool) {
 		if n == 0 {
 			return "", true // the connection breaks: the request may have run
 		}
-		return OKAnswer, false
+		return agenttest.OKAnswer, false
 	})
 	a, console := withConsole(t, b)
 	expect := func(lines ...string) {
 		t.Helper()
 		var got string
-		for begun := time.Now(); time.Since(begun) < Timeout; time.Sleep(10 * time.Millisecond) {
+		for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(10 * time.Millisecond) {
 			got = operator(t, console, "vars\n")
 			missing := false
 			for _, l := range lines {
@@ -43,8 +45,8 @@
 
 // What the agent itself turns away is refused, and counted so.
 func TestFiguresOfRefusals(t *testing.T) {
-	l := NewDiscovery(t, List(1, true, Member("x", "127.0.0.1:1", "Terminating", 0)))
-	cfg := Config(t, l.Listener.Addr().String(), Settings)
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Terminating", 0)))
+	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
 	cfg.AdminAddr = freeAddr(t)
 	t.Setenv("TMPDIR", t.TempDir())
 	a := start(t, cfg)
--- a/internal/agent/pool_test.go
+++ b/internal/agent/pool_test.go
@@ -6,6 +6,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/metrics"
@@ -15,12 +16,12 @@
 // use when it is back, and the new one's stay when the old one is forgotten.
 func TestNewBackendAtAnOldAddress(t *testing.T) {
 	goOn := make(chan struct{}, 1)
-	b := NewServer(t, func(int, *http.Request) (string, bool) {
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-goOn
-		return OKAnswer, false
+		return agenttest.OKAnswer, false
 	})
-	cfg := Config(t, "127.0.0.1:1", Settings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), DiscardLogger)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), agenttest.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -29,25 +30,25 @@
 	}
 	old, next := discovery.Member{ID: "old", Address: b.Addr, State: "Ready"}, discovery.Member{ID: "next", Address: b.Addr, State: "Ready"}
 	list(balancer.EndpointsReplaced, old)
-	ctx, cancel := context.WithTimeout(t.Context(), Timeout)
+	ctx, cancel := context.WithTimeout(t.Context(), agenttest.Timeout)
 	defer cancel()
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	inUse := make(chan result, 1)
 	first := l.targets[idOf(t, l, "old")]
 	go func() { inUse <- exchangeBy(l.pool, ctx, first, &m, time.Time{}) }()
-	Receive(t, "request", b.Requests)
+	agenttest.Receive(t, "request", b.Requests)
 	list(balancer.EndpointsChanged, next)
 	goOn <- struct{}{}
 	second := l.targets[idOf(t, l, "next")]
 	inUse2 := make(chan result, 1)
-	Receive(t, "answer of the old one", inUse)
+	agenttest.Receive(t, "answer of the old one", inUse)
 	go func() { inUse2 <- exchangeBy(l.pool, ctx, second, &m, time.Time{}) }()
-	Receive(t, "request", b.Requests)
+	agenttest.Receive(t, "request", b.Requests)
 	if n := len(b.Accepted); n != 2 {
 		t.Errorf("%d connections to two backends", n)
 	}
 	goOn <- struct{}{}
-	Receive(t, "answer of the new one", inUse2)
+	agenttest.Receive(t, "answer of the new one", inUse2)
 	old.State = "Gone"
 	list(balancer.EndpointsChanged, old)
 	if len(first.idle) != 0 || len(second.idle) != 1 || l.pool.open != 1 {
@@ -55,11 +56,11 @@
 	}
 	// A restart of the process at the same address is another target as well, and what comes back late closes.
 	go func() { inUse2 <- exchangeBy(l.pool, ctx, second, &m, time.Time{}) }()
-	Receive(t, "request", b.Requests)
+	agenttest.Receive(t, "request", b.Requests)
 	next.StartedAtMillis = 5
 	list(balancer.EndpointsChanged, next)
 	goOn <- struct{}{}
-	Receive(t, "late answer", inUse2)
+	agenttest.Receive(t, "late answer", inUse2)
 	if len(second.idle) != 0 || l.pool.open != 0 {
 		t.Errorf("after a restart %d are idle, %d open", len(second.idle), l.pool.open)
 	}
@@ -68,20 +69,20 @@
 // An idle connection that the backend has closed is not written to: it would end as a reset, which an unsafe
 // request does not survive.
 func TestStaleConnection(t *testing.T) {
-	b := NewServer(t, Serve)
-	a := agentFor(t, Settings, b)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	a := agentFor(t, agenttest.Settings, b)
 	for i := range 3 {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
 		if status != 200 {
 			t.Fatalf("request %d: answered %d", i, status)
 		}
-		Receive(t, "connection", b.Accepted).Close()
+		agenttest.Receive(t, "connection", b.Accepted).Close()
 	}
 }
 
 func TestConnectionsAreReused(t *testing.T) {
-	b := NewServer(t, Serve)
-	a := agentFor(t, Settings, b)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	a := agentFor(t, agenttest.Settings, b)
 	for range 5 {
 		a.do(t, a.request("unsafe", "15000m"))
 	}
@@ -92,12 +93,12 @@
 
 // The pool keeps to its sockets: an idle connection makes room, one in use does not.
 func TestPoolIsBounded(t *testing.T) {
-	x, y := NewServer(t, Serve), NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
-	cfg := Config(t, "127.0.0.1:1", Settings)
+	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := newPool(&cfg.Settings, 1, &metrics.Metrics{})
 	toX, toY := p.target(x.Addr, 0), p.target(y.Addr, 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
-	ctx, cancel := context.WithTimeout(context.Background(), Timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Timeout)
 	defer cancel()
 	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.OutcomeOK {
 		t.Fatalf("outcome %d", r.outcome)
@@ -105,13 +106,13 @@
 	silent := make(chan result, 1)
 	held, giveUp := context.WithCancel(ctx)
 	go func() { silent <- exchangeBy(p, held, toY, &m, time.Time{}) }()
-	Receive(t, "close of the idle connection", x.Closed)
-	Receive(t, "request", y.Requests)
+	agenttest.Receive(t, "close of the idle connection", x.Closed)
+	agenttest.Receive(t, "request", y.Requests)
 	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.OutcomeExpired {
 		t.Errorf("with the only socket in use: outcome %d", r.outcome)
 	}
 	giveUp()
-	if r := Receive(t, "cancelled attempt", silent); r.outcome != balancer.OutcomeCancelled {
+	if r := agenttest.Receive(t, "cancelled attempt", silent); r.outcome != balancer.OutcomeCancelled {
 		t.Errorf("given up: outcome %d", r.outcome)
 	}
 	if r := exchangeBy(p, ctx, toX, &m, time.Time{}); r.outcome != balancer.OutcomeOK {
@@ -122,12 +123,12 @@
 // What may be closed by the backend before a request has crossed is not used, and is swept away; ActClose closes
 // what is idle.
 func TestIdleConnectionsEnd(t *testing.T) {
-	b := NewServer(t, Serve)
-	cfg := Config(t, "127.0.0.1:1", Settings)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	to := p.target(b.Addr, 0)
 	m := newMessage("GET", "/", "x", nil, nil, nil)
-	ctx, cancel := context.WithTimeout(context.Background(), Timeout)
+	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Timeout)
 	defer cancel()
 	for i, end := range []func(c *conn){
 		func(c *conn) { // no sweep has come
@@ -136,11 +137,11 @@
 		func(c *conn) {
 			c.since = c.since.Add(-p.idleClose + idleMargin/2)
 			p.sweep()
-			Receive(t, "close by the sweep", b.Closed)
+			agenttest.Receive(t, "close by the sweep", b.Closed)
 		},
 		func(*conn) {
 			p.closeIdle(to)
-			Receive(t, "close of the idle connection", b.Closed)
+			agenttest.Receive(t, "close of the idle connection", b.Closed)
 		},
 		func(*conn) {},
 	} {
@@ -159,7 +160,7 @@
 
 // The connection that was used last is the least likely to be closed by the backend.
 func TestNewestConnectionFirst(t *testing.T) {
-	p := newPool(&Config(t, "127.0.0.1:1", Settings).Settings, 4, &metrics.Metrics{})
+	p := newPool(&agenttest.Config(t, "127.0.0.1:1", agenttest.Settings).Settings, 4, &metrics.Metrics{})
 	x := p.target("x", 0)
 	older, newer := &conn{to: x}, &conn{to: x}
 	p.put(older)
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -7,6 +7,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/config"
 )
 
@@ -14,17 +15,17 @@
 // file changes nothing.
 func TestNewSettings(t *testing.T) {
 	goOn := make(chan struct{}, 100)
-	b := NewServer(t, func(_ int, r *http.Request) (string, bool) {
+	b := agenttest.NewServer(t, func(_ int, r *http.Request) (string, bool) {
 		if r.Header.Get("X-Wait") != "" {
 			<-goOn
 		}
-		return OKAnswer, false
+		return agenttest.OKAnswer, false
 	})
 	a, console := withConsole(t, b)
 	expect := func(line string) {
 		t.Helper()
 		for begun := time.Now(); !strings.Contains(operator(t, console, "vars\n"), line+"\n"); time.Sleep(time.Millisecond) {
-			if time.Since(begun) > Timeout {
+			if time.Since(begun) > agenttest.Timeout {
 				t.Fatalf("no %q in the figures", line)
 			}
 		}
@@ -36,7 +37,7 @@
 		status, _ := a.do(t, held)
 		answered <- status
 	}()
-	Receive(t, "request", b.Requests)
+	agenttest.Receive(t, "request", b.Requests)
 
 	a.reloads <- config.ReloadResult{Err: errors.New("broken")}
 	expect("gw_config_rejected_total 1")
@@ -48,13 +49,13 @@
 	text := strings.NewReplacer(`"categories":[`, `"categories":[
 	  {"name":"new","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},`,
 		`{"name":"celled","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"cell","repeatWindow":30000},`, "",
-		`"effect":"pure"`, `"effect":"side_effect"`).Replace(Settings)
-	l := NewDiscovery(t, List(1, true, Member("y", b.Addr, "Ready", 0)))
-	next := Config(t, l.Listener.Addr().String(), text)
+		`"effect":"pure"`, `"effect":"side_effect"`).Replace(agenttest.Settings)
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("y", b.Addr, "Ready", 0)))
+	next := agenttest.Config(t, l.Listener.Addr().String(), text)
 	a.reloads <- config.ReloadResult{Config: next}
 	expect("gw_config_applied_total 1")
 	expect(`gw_responses_total{kind="new",result="ok"} 0`)
-	Receive(t, "call to the new discovery", l.Calls)
+	agenttest.Receive(t, "call to the new discovery", l.Calls)
 	for _, c := range []struct {
 		class, method string
 		want          int
@@ -67,7 +68,7 @@
 		}
 	}
 	goOn <- struct{}{}
-	if status := Receive(t, "answer", answered); status != 200 {
+	if status := agenttest.Receive(t, "answer", answered); status != 200 {
 		t.Errorf("what was under way is answered %d", status)
 	}
 	expect(`gw_responses_total{kind="celled",result="ok"} 2`)
@@ -75,10 +76,10 @@
 
 // A request that was read by the old settings is looked up by name in the new ones.
 func TestTranslate(t *testing.T) {
-	old := Config(t, "127.0.0.1:1", Settings).Settings
-	next := Config(t, "127.0.0.1:1", strings.NewReplacer(
+	old := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings).Settings
+	next := agenttest.Config(t, "127.0.0.1:1", strings.NewReplacer(
 		`"name":"celled"`, `"name":"other"`, `"effect":"pure"`, `"effect":"side_effect"`,
-		`{"name":"keyed","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},`, "").Replace(Settings)).Settings
+		`{"name":"keyed","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},`, "").Replace(agenttest.Settings)).Settings
 	for class, want := range []int{-1, -1, 1, -1} { // keyed and celled have gone, safe has another effect
 		c := &call{set: &old, class: class}
 		if ok := c.translate(&next); ok != (want >= 0) || ok && c.class != want {
--- a/internal/agent/rooms_test.go
+++ b/internal/agent/rooms_test.go
@@ -10,6 +10,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/settings"
@@ -138,7 +139,7 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			k := joinLink(path, roomsFor(cfg), DiscardLogger)
+			k := joinLink(path, roomsFor(cfg), agenttest.DiscardLogger)
 			defer k.close()
 			other, err := l.Accept()
 			if err != nil {
@@ -156,7 +157,7 @@
 				if clients == c.clients && servers == c.servers {
 					break
 				}
-				if time.Since(begun) > Timeout {
+				if time.Since(begun) > agenttest.Timeout {
 					t.Fatalf("%d clients and %d servers, want %d and %d", clients, servers, c.clients, c.servers)
 				}
 			}
@@ -166,7 +167,7 @@
 				if clients == one.busy && servers == one.backends {
 					break
 				}
-				if time.Since(begun) > Timeout {
+				if time.Since(begun) > agenttest.Timeout {
 					t.Fatalf("%d clients and %d servers of a process that is left alone", clients, servers)
 				}
 			}
@@ -180,7 +181,7 @@
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
 	path := filepath.Join(t.TempDir(), "l")
 	cfg := &config.Config{MemoryMB: 1 << 20, Sockets: 384}
-	k := joinLink(path, roomsFor(cfg), DiscardLogger)
+	k := joinLink(path, roomsFor(cfg), agenttest.DiscardLogger)
 	defer k.close()
 	if err := k.serves(); err != nil {
 		t.Fatal(err)
@@ -190,7 +191,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(Timeout))
+	c.SetDeadline(time.Now().Add(agenttest.Timeout))
 	want := fmt.Sprintf("pass 0 %d\ny", limitsOf(cfg, 2).backends-leastRoom)
 	got := make([]byte, len(want))
 	if _, err := io.ReadFull(c, got); err != nil || string(got) != want {
--- a/internal/agent/server_test.go
+++ b/internal/agent/server_test.go
@@ -8,12 +8,14 @@
 	"strings"
 	"testing"
 	"time"
+
+	"example.org/ryeloft/internal/agenttest"
 )
 
 // A client that closes its own side only has gone as well, and must not be told that it was served.
 func TestHalfCloseIsNotServed(t *testing.T) {
-	b := NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, Settings, b)
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
+	a := agentFor(t, agenttest.Settings, b)
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -22,17 +24,17 @@
 	if err := a.request("unsafe", "15000m").Write(c); err != nil {
 		t.Fatal(err)
 	}
-	Receive(t, "request", b.Requests)
+	agenttest.Receive(t, "request", b.Requests)
 	c.(*net.TCPConn).CloseWrite()
-	c.SetReadDeadline(time.Now().Add(Timeout))
+	c.SetReadDeadline(time.Now().Add(agenttest.Timeout))
 	if text, _ := io.ReadAll(c); len(text) > 0 {
 		t.Errorf("answered %q", text)
 	}
 }
 
 func TestBadRequests(t *testing.T) {
-	b := NewServer(t, Serve)
-	a := agentFor(t, Settings, b)
+	b := agenttest.NewServer(t, agenttest.Serve)
+	a := agentFor(t, agenttest.Settings, b)
 	for what, change := range map[string]func(*http.Request){
 		"class":    func(r *http.Request) { r.Header.Set(classHeader, "nobody") },
 		"path":     func(r *http.Request) { r.URL.Path = "/safe/1"; r.URL.RawPath = "" },
@@ -62,8 +64,8 @@
 }
 
 func TestRefusalTellsWhenToComeBack(t *testing.T) {
-	l := NewDiscovery(t, List(1, true, Member("x", "127.0.0.1:1", "Terminating", 0)))
-	a := start(t, Config(t, l.Listener.Addr().String(), Settings))
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Terminating", 0)))
+	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
 	resp, err := a.client.Do(a.request("unsafe", "15000m"))
 	if err != nil {
 		t.Fatal(err)
@@ -84,8 +86,8 @@
 			t.Errorf("a budget of %v: margin %v, want %v", budget, got, want)
 		}
 	}
-	b := NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, Settings, b)
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
+	a := agentFor(t, agenttest.Settings, b)
 	begun := time.Now()
 	ctx, gone := context.WithCancel(t.Context())
 	defer gone()
@@ -95,7 +97,7 @@
 			resp.Body.Close()
 		}
 	}()
-	sent := Receive(t, "request", b.Requests)
+	sent := agenttest.Receive(t, "request", b.Requests)
 	left, err := parseBudget(sent.Header.Get(budgetHeader))
 	if latest := 20*time.Second - mostMargin; err != nil || left > latest || left < latest-time.Since(begun) {
 		t.Errorf("passed on with a budget of %v, want at most %v: %v", left, latest, err)
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -16,6 +16,7 @@
 	"testing"
 	"time"
 
+	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/metrics"
 )
@@ -25,8 +26,8 @@
 	t.Helper()
 	s := httptest.NewServer(handler)
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	l := NewDiscovery(t, List(1, true, Member("s", s.Listener.Addr().String(), "Ready", 0)))
-	return start(t, Config(t, l.Listener.Addr().String(), Settings))
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("s", s.Listener.Addr().String(), "Ready", 0)))
+	return start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
 }
 
 // Bodies of any length and framing go on unchanged, and so do the answers.
@@ -59,7 +60,7 @@
 		}
 	})
 	for _, size := range []int{0, 1, maxBody, maxBody + 1, 700_000} {
-		body := Pattern(size)
+		body := agenttest.Pattern(size)
 		for _, form := range []string{"length", "chunks", "close", "hints", "trailers"} {
 			for _, framing := range []string{"length", "chunks", "expect"} {
 				req := a.request("unsafe", "15000m")
@@ -85,7 +86,7 @@
 func TestFirstBytesGoOnAtOnce(t *testing.T) {
 	for _, length := range []string{"", "200000"} {
 		goOn := make(chan struct{})
-		body := Pattern(200_000)
+		body := agenttest.Pattern(200_000)
 		a := streaming(t, func(w http.ResponseWriter, _ *http.Request) {
 			if length != "" {
 				w.Header().Set("Content-Length", length)
@@ -124,7 +125,7 @@
 		"breaks off chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + strings.Repeat("x", 70000) + "\r\n",
 		"bad chunk":         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + strings.Repeat("x", 70000) + "\r\nzz\r\n",
 	} {
-		b := NewServer(t, func(int, *http.Request) (string, bool) { return play, true })
+		b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return play, true })
 		a, console := withConsole(t, b)
 		resp, err := a.client.Do(a.request("keyed", "15000m"))
 		if err == nil {
@@ -138,7 +139,7 @@
 			t.Errorf("%s: sent %d times", what, n)
 		}
 		for begun := time.Now(); !strings.Contains(operator(t, console, "vars\n"), `{kind="keyed",result="errors"} 1`); {
-			if time.Since(begun) > Timeout {
+			if time.Since(begun) > agenttest.Timeout {
 				t.Fatalf("%s: not counted as failed", what)
 			}
 		}
@@ -148,13 +149,13 @@
 // A long answer that breaks off before any of it was passed on is a failed attempt, and another is made.
 func TestLongAnswerThatBreaksOffEarly(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 200000", "Transfer-Encoding: chunked"} {
-		b := NewServer(t, func(n int, _ *http.Request) (string, bool) {
+		b := agenttest.NewServer(t, func(n int, _ *http.Request) (string, bool) {
 			if n == 0 {
 				return "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n4\r\nha", true
 			}
-			return OKAnswer, false
+			return agenttest.OKAnswer, false
 		})
-		a := agentFor(t, Settings, b)
+		a := agentFor(t, agenttest.Settings, b)
 		if status, body := a.do(t, a.request("keyed", "15000m")); status != 200 || body != "served" || len(b.Requests) != 2 {
 			t.Errorf("%s: answered %d %.20q after %d attempts", framing, status, body, len(b.Requests))
 		}
@@ -174,12 +175,12 @@
 	x, y := httptest.NewServer(http.HandlerFunc(script)), httptest.NewServer(http.HandlerFunc(script))
 	defer x.Close()
 	defer y.Close()
-	l := NewDiscovery(t, List(1, true, Member("x", x.Listener.Addr().String(), "Ready", 0), Member("y", y.Listener.Addr().String(), "Ready", 1)))
-	a := start(t, Config(t, l.Listener.Addr().String(), Settings))
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", x.Listener.Addr().String(), "Ready", 0), agenttest.Member("y", y.Listener.Addr().String(), "Ready", 1)))
+	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
 	for _, size := range []int64{-1, 5_000_000} {
 		got.Store(0)
 		req := a.request("keyed", "15000m")
-		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(Pattern(5_000_000))), size
+		req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(agenttest.Pattern(5_000_000))), size
 		resp, err := a.client.Do(req)
 		if err == nil {
 			resp.Body.Close()
@@ -206,7 +207,7 @@
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { c.Close() })
-		c.SetDeadline(time.Now().Add(Timeout))
+		c.SetDeadline(time.Now().Add(agenttest.Timeout))
 		fmt.Fprintf(c, head, id, framing)
 		return c
 	}
@@ -231,17 +232,17 @@
 	if resp, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || resp.StatusCode != 200 {
 		t.Errorf("a slow body: %v, error %v", resp, err)
 	}
-	if n := Receive(t, "body", whole); n != 100_000 || len(whole) > 0 {
+	if n := agenttest.Receive(t, "body", whole); n != 100_000 || len(whole) > 0 {
 		t.Errorf("a body of %d bytes came to its end, and %d more", n, len(whole))
 	}
 }
 
 // An answer whose time is up as it begins to flow is a time-out, and nothing of it is passed on.
 func TestLongAnswerAtTheLastMoment(t *testing.T) {
-	b := NewServer(t, func(int, *http.Request) (string, bool) {
+	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		return "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nhalf", false
 	})
-	cfg := Config(t, "127.0.0.1:1", Settings)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 	m := newMessage("GET", "/", "x", nil, nil, nil)
 	fired := time.AfterFunc(0, func() {}) // but the context has not heard of it
@@ -249,7 +250,7 @@
 		fired.Reset(0)
 	}
 	r := p.exchange(t.Context(), p.target(b.Addr, 0), &m, &terms{
-		deadline: time.Now().Add(Timeout), timer: fired,
+		deadline: time.Now().Add(agenttest.Timeout), timer: fired,
 		pass: func(answer) error { t.Error("passed on"); return nil },
 	})
 	if r.outcome != balancer.OutcomeTimeout {
@@ -274,19 +275,19 @@
 				}
 				play(c)
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					io.WriteString(c, OKAnswer)
+					io.WriteString(c, agenttest.OKAnswer)
 				}
 			}
 		}()
-		cfg := Config(t, "127.0.0.1:1", Settings)
+		cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 		p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
 		store := newBuffers(2 * streamPart)
-		u := &upload{length: 100_000, budget: Timeout, ended: func() {}, rest: &paced{body: bytes.NewReader(Pattern(100_000)), rc: http.NewResponseController(httptest.NewRecorder())}}
+		u := &upload{length: 100_000, budget: agenttest.Timeout, ended: func() {}, rest: &paced{body: bytes.NewReader(agenttest.Pattern(100_000)), rc: http.NewResponseController(httptest.NewRecorder())}}
 		if !u.admit(store) || len(store) != 1 {
 			t.Fatal("no buffer")
 		}
 		m := newMessage("POST", "/", "x", nil, nil, u)
-		on := &terms{begun: func() {}, timer: time.AfterFunc(Timeout, func() {}), deadline: time.Now().Add(Timeout)}
+		on := &terms{begun: func() {}, timer: time.AfterFunc(agenttest.Timeout, func() {}), deadline: time.Now().Add(agenttest.Timeout)}
 		p.exchange(t.Context(), p.target(l.Addr().String(), 0), &m, on)
 		if len(store) != 2 || u.claim() {
 			t.Errorf("%s: %d buffers are free", what, len(store))
@@ -297,14 +298,14 @@
 // A client that is refused while it is still sending hears so, and is not cut off: its connection is read to the body's
 // end before it closes.
 func TestRefusedWhileSending(t *testing.T) {
-	l := NewDiscovery(t, List(1, true, Member("x", "127.0.0.1:1", "Terminating", 0)))
-	a := start(t, Config(t, l.Listener.Addr().String(), Settings))
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Terminating", 0)))
+	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(Timeout))
+	c.SetDeadline(time.Now().Add(agenttest.Timeout))
 	const parts, part = 20, 50_000
 	fmt.Fprintf(c, "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\n"+
 		"X-Budget: 9000m\r\nContent-Length: %d\r\n\r\n", parts*part)
@@ -322,13 +323,13 @@
 
 // The first bytes of a request count for the request: one that begins as its connection's idle time ends is not cut off.
 func TestSlowHeadOnAKeptConnection(t *testing.T) {
-	a := agentFor(t, Settings, NewServer(t, Serve))
+	a := agentFor(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(Timeout))
+	c.SetDeadline(time.Now().Add(agenttest.Timeout))
 	head := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: %d\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\nContent-Length: 0\r\n\r\n"
 	br := bufio.NewReader(c)
 	for i := range 2 {
@@ -363,13 +364,13 @@
 	if some.get(t.Context()) == nil {
 		t.Error("no buffer though one was put back")
 	}
-	l := NewDiscovery(t, List(1, true, Member("x", "127.0.0.1:1", "Ready", 0)))
-	cfg := Config(t, l.Listener.Addr().String(), Settings)
+	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Ready", 0)))
+	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
 	a := start(t, cfg)
 	none := newBuffers(0)
 	none.try()
 	none.try()
-	lp, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), DiscardLogger)
+	lp, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), agenttest.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -387,7 +388,7 @@
 	defer srv.Close()
 	req := a.request("unsafe", "15000m")
 	req.URL.Host = tcp.Addr().String()
-	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(Pattern(100_000))), 100_000
+	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(agenttest.Pattern(100_000))), 100_000
 	if status, _ := a.do(t, req); status != statusRefused || len(lp.inputs) > 0 {
 		t.Errorf("answered %d with %d inputs for the loop", status, len(lp.inputs))
 	}
@@ -396,8 +397,8 @@
 // An answer that flows to the client is its only one: what another attempt brings is dropped, and ending that attempt's
 // rivals does not cut it off.
 func TestFlowingAnswerIsTheOnlyOne(t *testing.T) {
-	cfg := Config(t, "127.0.0.1:1", Settings)
-	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), DiscardLogger)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
+	l, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), agenttest.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -412,10 +413,10 @@
 		return d
 	}
 	first, second := flows(0), flows(1)
-	if err := Receive(t, "end of the second", second.ended); !errors.Is(err, errNotTaken) || len(first.ended) > 0 {
+	if err := agenttest.Receive(t, "end of the second", second.ended); !errors.Is(err, errNotTaken) || len(first.ended) > 0 {
 		t.Errorf("the second ends with %v", err)
 	}
-	if got := Receive(t, "answer", c.answered); got.rest != first {
+	if got := agenttest.Receive(t, "answer", c.answered); got.rest != first {
 		t.Errorf("answered %+v", got)
 	}
 	for i := range cut {
--- a/internal/agent/agenttest.go
+++ b/internal/agenttest/agenttest.go
@@ -1,6 +1,6 @@
 // Package agenttest holds what the tests of several of the agent's packages share: a configuration, scripted servers, a
 // discovery service, and listeners at which connections do not come up. It is no part of the agent.
-package agent
+package agenttest
 
 import (
 	"bytes"
