--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -47,7 +47,7 @@
 		r.client.CloseIdleConnections()
 	})
 	for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(time.Millisecond) {
-		resp, err := r.client.Get(r.url + readyPath)
+		resp, err := r.client.Get(r.url + PathReady)
 		if err != nil {
 			continue
 		}
@@ -67,12 +67,12 @@
 		method, body = http.MethodGet, ""
 	}
 	req, _ := http.NewRequest(method, r.url+"/"+class+"/7f%2F3a?x=1&y", strings.NewReader(body))
-	req.Header.Set(callIDHeader, fmt.Sprintf("call-%d", r.calls.Add(1)))
-	req.Header.Set(classHeader, class)
-	req.Header.Set(tenantHeader, "acme")
-	req.Header.Set(budgetHeader, budget)
+	req.Header.Set(HeaderRequestID, fmt.Sprintf("call-%d", r.calls.Add(1)))
+	req.Header.Set(HeaderClass, class)
+	req.Header.Set(HeaderTenant, "acme")
+	req.Header.Set(HeaderBudget, budget)
 	if class == "keyed" || class == "celled" {
-		req.Header.Set(keyHeader, "key-1")
+		req.Header.Set(HeaderIdempotencyKey, "key-1")
 	}
 	return req
 }
@@ -119,11 +119,11 @@
 	got := agenttest.Receive(t, "request", b.Requests)
 	sent, _ := io.ReadAll(got.Body)
 	if got.Method != "POST" || got.RequestURI != "/keyed/7f%2F3a?x=1&y" || string(sent) != "body of keyed" ||
-		got.Header.Get(callIDHeader) != "call-1" || got.Header.Get(keyHeader) != "key-1" ||
+		got.Header.Get(HeaderRequestID) != "call-1" || got.Header.Get(HeaderIdempotencyKey) != "key-1" ||
 		got.Header.Get("Traceparent") != "00-1-2-01" {
 		t.Errorf("the backend got %s %s %q %v", got.Method, got.RequestURI, sent, got.Header)
 	}
-	if left, err := parseBudget(got.Header.Get(budgetHeader)); err != nil || left > 1500*time.Millisecond {
+	if left, err := ParseBudget(got.Header.Get(HeaderBudget)); err != nil || left > 1500*time.Millisecond {
 		t.Errorf("budget %v, error %v", left, err)
 	}
 }
--- a/internal/agent/closing_test.go
+++ b/internal/agent/closing_test.go
@@ -144,7 +144,7 @@
 			if c.ends != nil {
 				c.ends(a)
 				for up := http.StatusOK; up == http.StatusOK; { // until the agent knows
-					resp, err := a.client.Get(a.url + readyPath)
+					resp, err := a.client.Get(a.url + PathReady)
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -101,7 +101,7 @@
 	})
 	a, console := withConsole(t, b)
 	up := func() int {
-		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Get(a.url + readyPath)
+		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Get(a.url + PathReady)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/gone_test.go
+++ b/internal/agent/gone_test.go
@@ -80,8 +80,8 @@
 					if status, _ := a.do(t, next); status != http.StatusOK {
 						t.Errorf("a client that stays is answered %d", status)
 					}
-					want := next.Header.Get(callIDHeader)
-					if id := agenttest.Receive(t, "request", got).Header.Get(callIDHeader); id != want || len(got) > 0 {
+					want := next.Header.Get(HeaderRequestID)
+					if id := agenttest.Receive(t, "request", got).Header.Get(HeaderRequestID); id != want || len(got) > 0 {
 						t.Errorf("%s and %d more came, want %s", id, len(got), want)
 					}
 				})
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -69,8 +69,8 @@
 			defer client.CloseIdleConnections()
 			for n := 0; clients.Err() == nil; n++ {
 				req, _ := http.NewRequest("GET", "http://"+cfg.Listen+"/safe/1", nil)
-				req.Header = http.Header{callIDHeader: {fmt.Sprintf("%d-%d", i, n)}, classHeader: {"safe"},
-					tenantHeader: {"acme"}, budgetHeader: {"15000m"}}
+				req.Header = http.Header{HeaderRequestID: {fmt.Sprintf("%d-%d", i, n)}, HeaderClass: {"safe"},
+					HeaderTenant: {"acme"}, HeaderBudget: {"15000m"}}
 				asked.Add(1)
 				resp, err := client.Do(req)
 				if err != nil || resp.StatusCode != 200 {
@@ -243,7 +243,7 @@
 	agenttest.Receive(t, "request", b.Requests)
 	begun := time.Now()
 	a.stop()
-	if status := agenttest.Receive(t, "answer", answered); status != statusFailed || time.Since(begun) > time.Second+killAfter {
+	if status := agenttest.Receive(t, "answer", answered); status != StatusFailed || time.Since(begun) > time.Second+killAfter {
 		t.Errorf("answered %d after %v", status, time.Since(begun))
 	}
 	if err := agenttest.Receive(t, "end", a.ended); err != nil {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -203,13 +203,13 @@
 		}
 	case balancer.EventRequest:
 		if !l.callIDs.take(in.call.callID) {
-			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(callIDHeader + " is in use\n")}
+			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(HeaderRequestID + " is in use\n")}
 			return
 		}
 		l.pool.metrics.RequestDispatched()
 		if !in.call.translate(l.set.Load()) {
 			l.callIDs.release(in.call.callID)
-			in.call.answered <- answer{status: statusRefused}
+			in.call.answered <- answer{status: StatusRejected}
 			return
 		}
 		in.call.id = l.newID()
@@ -380,12 +380,12 @@
 		}
 	case balancer.ActionReject:
 		if r != nil {
-			r.end(answer{status: statusRefused, retryAfter: a.RetryAfter})
+			r.end(answer{status: StatusRejected, retryAfter: a.RetryAfter})
 			l.forget(r)
 		}
 	case balancer.ActionFail:
 		if r != nil {
-			r.end(answer{status: statusFailed})
+			r.end(answer{status: StatusFailed})
 			l.forget(r)
 		}
 	case balancer.ActionCancel:
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -62,7 +62,7 @@
 	}{{"new", "POST", 200}, {"unsafe", "POST", 200}, {"celled", "POST", 400}, {"safe", "GET", 405}, {"safe", "POST", 200}} {
 		req := a.request(c.class, "15000m")
 		req.Method = c.method
-		req.Header.Set(keyHeader, "k")
+		req.Header.Set(HeaderIdempotencyKey, "k")
 		if status, _ := a.do(t, req); status != c.want {
 			t.Errorf("%s %s: answered %d, want %d", c.method, c.class, status, c.want)
 		}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"net/http"
 	"net/textproto"
 	"slices"
@@ -21,23 +20,6 @@
 )
 
 const (
-	callIDHeader   = "X-Call-Id"
-	classHeader    = "X-Call-Class"
-	tenantHeader   = "X-Caller"
-	budgetHeader   = "X-Budget"
-	retryHeader    = "X-Again"
-	keyHeader      = "Idempotency-Key"
-	loadHeader     = "X-Load-Report"
-	rejectedHeader = "X-Rejected"
-
-	readyPath = "/up"
-	alivePath = "/alive"
-	loadPath  = "/metrics/load"
-
-	statusRefused = http.StatusServiceUnavailable
-	statusFailed  = http.StatusBadGateway
-
-	maxBudget    = time.Hour
 	mostMargin   = 25 * time.Millisecond
 	marginShare  = 10              // of a budget that is its margin at most
 	writeTimeout = 5 * time.Second // for a client to take its answer
@@ -89,7 +71,7 @@
 		s.turnDown(w, err)
 		return
 	}
-	if r.URL.Path == readyPath {
+	if r.URL.Path == PathReady {
 		if err := s.takesClients(); err != nil {
 			w.Header().Set("Connection", "close")
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -113,7 +95,7 @@
 		defer s.endUpload(w, u)
 		if !u.admit(s.buffers) {
 			s.metrics.RequestOverLimit()
-			s.answer(w, r, c, answer{status: statusRefused, retryAfter: s.fullAdvice()})
+			s.answer(w, r, c, answer{status: StatusRejected, retryAfter: s.fullAdvice()})
 			return
 		}
 	} else {
@@ -123,7 +105,7 @@
 	defer s.held.Add(-1)
 	if s.held.Add(1) > s.most {
 		s.metrics.RequestOverLimit()
-		s.answer(w, r, c, answer{status: statusRefused, retryAfter: s.fullAdvice()})
+		s.answer(w, r, c, answer{status: StatusRejected, retryAfter: s.fullAdvice()})
 		return
 	}
 	s.loop.send(input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
@@ -140,7 +122,7 @@
 			s.answer(w, r, c, a)
 		case late != nil || c.message.long != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
 			a.rest.end(errNotTaken)
-			s.answer(w, r, c, answer{status: statusFailed})
+			s.answer(w, r, c, answer{status: StatusFailed})
 		default:
 			s.passOn(w, r, c, a)
 		}
@@ -170,7 +152,7 @@
 // giveUp answers a request as failed whose answer can be waited for no longer.
 func (s *server) giveUp(w http.ResponseWriter, r *http.Request, c *call) {
 	s.loop.send(input{event: balancer.Event{Kind: balancer.EventClientClosed}, call: c})
-	s.answer(w, r, c, answer{status: statusFailed})
+	s.answer(w, r, c, answer{status: StatusFailed})
 }
 
 // takesClients says why clients cannot be served, if they can not.
@@ -294,7 +276,7 @@
 }
 
 // onceHeaders say what a request is; two of one would leave open which counts.
-var onceHeaders = []string{callIDHeader, classHeader, tenantHeader, budgetHeader, retryHeader, keyHeader}
+var onceHeaders = []string{HeaderRequestID, HeaderClass, HeaderTenant, HeaderBudget, HeaderRetry, HeaderIdempotencyKey}
 
 // read checks a request's head, and then reads it to its last byte, from which its budget counts.
 func (s *server) read(w http.ResponseWriter, r *http.Request) (*call, error) {
@@ -315,13 +297,13 @@
 	}
 	c := &call{
 		set:      set,
-		class:    slices.Index(set.ClassNames, r.Header.Get(classHeader)),
-		retry:    r.Header.Get(retryHeader) == "1",
+		class:    slices.Index(set.ClassNames, r.Header.Get(HeaderClass)),
+		retry:    r.Header.Get(HeaderRetry) == "1",
 		answered: make(chan answer, 1),
 		gone:     connOf(r).gone,
 	}
 	if c.class < 0 {
-		return nil, bad("%s is unknown", classHeader)
+		return nil, bad("%s is unknown", HeaderClass)
 	}
 	c.kind = set.ClassNames[c.class]
 	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != set.ClassNames[c.class] ||
@@ -332,16 +314,16 @@
 		return nil, err
 	}
 	if len(set.TenantNames) > 0 {
-		if c.tenant = slices.Index(set.TenantNames, r.Header.Get(tenantHeader)); c.tenant < 0 {
-			return nil, bad("%s is unknown", tenantHeader)
+		if c.tenant = slices.Index(set.TenantNames, r.Header.Get(HeaderTenant)); c.tenant < 0 {
+			return nil, bad("%s is unknown", HeaderTenant)
 		}
 	}
-	budget, err := parseBudget(r.Header.Get(budgetHeader))
+	budget, err := ParseBudget(r.Header.Get(HeaderBudget))
 	if err != nil {
-		return nil, err
+		return nil, bad("%s is no time", HeaderBudget)
 	}
-	if c.callID = r.Header.Get(callIDHeader); c.callID == "" || len(c.callID) > maxCallID {
-		return nil, bad("%s is missing or too long", callIDHeader)
+	if c.callID = r.Header.Get(HeaderRequestID); c.callID == "" || len(c.callID) > maxCallID {
+		return nil, bad("%s is missing or too long", HeaderRequestID)
 	}
 	body, long, err := readBody(r, http.NewResponseController(w))
 	if err != nil {
@@ -387,8 +369,8 @@
 	if r.Method != method {
 		return &badRequest{http.StatusMethodNotAllowed, "the class wants " + method}
 	}
-	if keyed && r.Header.Get(keyHeader) == "" {
-		return bad("the class wants %s", keyHeader)
+	if keyed && r.Header.Get(HeaderIdempotencyKey) == "" {
+		return bad("the class wants %s", HeaderIdempotencyKey)
 	}
 	return nil
 }
@@ -396,18 +378,3 @@
 // answerMargin is how long before a client gives up it is owed its answer at the latest: an answer that is only made
 // then, when an attempt's time is up, reaches nobody, and on a busy core it counts as lost.
 func answerMargin(budget time.Duration) time.Duration { return min(mostMargin, budget/marginShare) }
-
-// parseBudget reads a time such as 480m or 350000u: milliseconds or microseconds.
-func parseBudget(text string) (time.Duration, error) {
-	unit := time.Millisecond
-	number, ok := strings.CutSuffix(text, "m")
-	if !ok {
-		unit = time.Microsecond
-		number, ok = strings.CutSuffix(text, "u")
-	}
-	v, err := strconv.ParseFloat(number, 64)
-	if budget := v * float64(unit); ok && err == nil && budget > 0 && budget <= float64(maxBudget) {
-		return time.Duration(math.Round(budget)), nil
-	}
-	return 0, bad("%s is no time", budgetHeader)
-}
