--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -13,6 +13,7 @@
 
 	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/protocol"
 )
 
 // running is an agent under test.
@@ -47,7 +48,7 @@
 		r.client.CloseIdleConnections()
 	})
 	for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(time.Millisecond) {
-		resp, err := r.client.Get(r.url + PathReady)
+		resp, err := r.client.Get(r.url + protocol.PathReady)
 		if err != nil {
 			continue
 		}
@@ -67,12 +68,12 @@
 		method, body = http.MethodGet, ""
 	}
 	req, _ := http.NewRequest(method, r.url+"/"+class+"/7f%2F3a?x=1&y", strings.NewReader(body))
-	req.Header.Set(HeaderRequestID, fmt.Sprintf("call-%d", r.calls.Add(1)))
-	req.Header.Set(HeaderClass, class)
-	req.Header.Set(HeaderTenant, "acme")
-	req.Header.Set(HeaderBudget, budget)
+	req.Header.Set(protocol.HeaderRequestID, fmt.Sprintf("call-%d", r.calls.Add(1)))
+	req.Header.Set(protocol.HeaderClass, class)
+	req.Header.Set(protocol.HeaderTenant, "acme")
+	req.Header.Set(protocol.HeaderBudget, budget)
 	if class == "keyed" || class == "celled" {
-		req.Header.Set(HeaderIdempotencyKey, "key-1")
+		req.Header.Set(protocol.HeaderIdempotencyKey, "key-1")
 	}
 	return req
 }
@@ -119,11 +120,11 @@
 	got := agenttest.Receive(t, "request", b.Requests)
 	sent, _ := io.ReadAll(got.Body)
 	if got.Method != "POST" || got.RequestURI != "/keyed/7f%2F3a?x=1&y" || string(sent) != "body of keyed" ||
-		got.Header.Get(HeaderRequestID) != "call-1" || got.Header.Get(HeaderIdempotencyKey) != "key-1" ||
+		got.Header.Get(protocol.HeaderRequestID) != "call-1" || got.Header.Get(protocol.HeaderIdempotencyKey) != "key-1" ||
 		got.Header.Get("Traceparent") != "00-1-2-01" {
 		t.Errorf("the backend got %s %s %q %v", got.Method, got.RequestURI, sent, got.Header)
 	}
-	if left, err := ParseBudget(got.Header.Get(HeaderBudget)); err != nil || left > 1500*time.Millisecond {
+	if left, err := protocol.ParseBudget(got.Header.Get(protocol.HeaderBudget)); err != nil || left > 1500*time.Millisecond {
 		t.Errorf("budget %v, error %v", left, err)
 	}
 }
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/settings"
 )
 
@@ -54,15 +55,15 @@
 	case len(body) > 0 || method == http.MethodPost:
 		fmt.Fprintf(&head, "Content-Length: %d\r\n", len(body))
 	}
-	header.WriteSubset(&head, map[string]bool{HeaderBudget: true}) // to a buffer, which takes all
+	header.WriteSubset(&head, map[string]bool{protocol.HeaderBudget: true}) // to a buffer, which takes all
 	return message{head: head.Bytes(), body: body, long: long}
 }
 
 // encode writes the message with the time that is left for it.
 func (m *message) encode(left time.Duration) []byte {
-	text := make([]byte, 0, len(m.head)+len(HeaderBudget)+32+len(m.body))
+	text := make([]byte, 0, len(m.head)+len(protocol.HeaderBudget)+32+len(m.body))
 	text = append(text, m.head...)
-	text = fmt.Appendf(text, "%s: %s\r\n\r\n", HeaderBudget, FormatBudget(left))
+	text = fmt.Appendf(text, "%s: %s\r\n\r\n", protocol.HeaderBudget, protocol.FormatBudget(left))
 	return append(text, m.body...)
 }
 
@@ -91,7 +92,7 @@
 	resp, body, sent, err := p.roundTrip(ctx, t, m, on)
 	switch cause := context.Cause(ctx); {
 	case err == nil:
-		r.load = parseLoad(resp.Header.Get(HeaderLoadReport), on.fields)
+		r.load = parseLoad(resp.Header.Get(protocol.HeaderLoadReport), on.fields)
 		r.outcome = outcomeOf(resp)
 		if r.outcome == balancer.OutcomeOK {
 			r.answer = answer{status: http.StatusOK, contentType: resp.Header.Get("Content-Type"), body: body}
@@ -122,7 +123,7 @@
 	case http.StatusOK:
 		return balancer.OutcomeOK
 	case http.StatusServiceUnavailable, http.StatusGatewayTimeout:
-		if resp.Header.Get(HeaderRejected) == "1" {
+		if resp.Header.Get(protocol.HeaderRejected) == "1" {
 			return balancer.OutcomeRejected
 		}
 	}
@@ -313,9 +314,9 @@
 
 // probe asks a backend how it does: for its load where probes bring reports, else whether it is alive.
 func (p *pool) probe(ctx context.Context, t *target, s *settings.Settings) result {
-	path, reports := PathLive, s.Balancer.Reports != balancer.ReportsOff
+	path, reports := protocol.PathLive, s.Balancer.Reports != balancer.ReportsOff
 	if reports {
-		path = PathLoad
+		path = protocol.PathLoad
 	}
 	m := newMessage(http.MethodGet, path, t.addr, nil, nil, nil)
 	m.probe = true
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -13,6 +13,7 @@
 	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
 )
 
 // Each row of the protocol's table of outcomes, first at one backend that then serves: a keyed request may go
@@ -60,7 +61,7 @@
 						<-other.Requests
 					case again && (status != 200 || body != "served"):
 						t.Errorf("%s: answered %d %q", class, status, body)
-					case !again && status != StatusFailed:
+					case !again && status != protocol.StatusFailed:
 						t.Errorf("%s: answered %d", class, status)
 					case again && len(both.Requests)+len(other.Requests) != 2, !again && len(both.Requests)+len(other.Requests) != 1:
 						t.Errorf("%s: sent %d times", class, len(both.Requests)+len(other.Requests))
@@ -113,7 +114,7 @@
 	closed.Close()
 	gone := &agenttest.Server{Addr: closed.Addr().String()}
 	a := agentFor(t, agenttest.Settings, gone)
-	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != StatusRejected {
+	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != protocol.StatusRejected {
 		t.Errorf("answered %d: what never ran can be refused", status)
 	}
 }
@@ -122,7 +123,7 @@
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := agentFor(t, agenttest.Settings, b)
 	status, _ := a.do(t, a.request("unsafe", "150m"))
-	if status != StatusFailed {
+	if status != protocol.StatusFailed {
 		t.Errorf("answered %d: it may have run", status)
 	}
 	agenttest.Receive(t, "close of the connection", b.Closed)
@@ -133,7 +134,7 @@
 
 func TestProbe(t *testing.T) {
 	b := agenttest.NewServer(t, func(_ int, r *http.Request) (string, bool) {
-		if r.URL.Path != PathLoad {
+		if r.URL.Path != protocol.PathLoad {
 			return "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", false
 		}
 		return "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\noutstanding=7,recent_ms=12", false
--- a/internal/agent/closing_test.go
+++ b/internal/agent/closing_test.go
@@ -13,6 +13,7 @@
 
 	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
 )
 
 // whole makes a whole request of the unsafe class as it is sent.
@@ -144,7 +145,7 @@
 			if c.ends != nil {
 				c.ends(a)
 				for up := http.StatusOK; up == http.StatusOK; { // until the agent knows
-					resp, err := a.client.Get(a.url + PathReady)
+					resp, err := a.client.Get(a.url + protocol.PathReady)
 					if err != nil {
 						t.Fatal(err)
 					}
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -13,6 +13,7 @@
 	"example.org/ryeloft/internal/admin"
 	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
 )
 
 // freeAddr is an address that was free just now.
@@ -101,7 +102,7 @@
 	})
 	a, console := withConsole(t, b)
 	up := func() int {
-		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Get(a.url + PathReady)
+		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Get(a.url + protocol.PathReady)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/agent/gone_test.go
+++ b/internal/agent/gone_test.go
@@ -11,6 +11,7 @@
 	"testing"
 
 	"example.org/ryeloft/internal/agenttest"
+	"example.org/ryeloft/internal/protocol"
 )
 
 // accept has a listener that was full take its connections, old and new.
@@ -80,8 +81,8 @@
 					if status, _ := a.do(t, next); status != http.StatusOK {
 						t.Errorf("a client that stays is answered %d", status)
 					}
-					want := next.Header.Get(HeaderRequestID)
-					if id := agenttest.Receive(t, "request", got).Header.Get(HeaderRequestID); id != want || len(got) > 0 {
+					want := next.Header.Get(protocol.HeaderRequestID)
+					if id := agenttest.Receive(t, "request", got).Header.Get(protocol.HeaderRequestID); id != want || len(got) > 0 {
 						t.Errorf("%s and %d more came, want %s", id, len(got), want)
 					}
 				})
--- a/internal/agent/link_test.go
+++ b/internal/agent/link_test.go
@@ -16,6 +16,7 @@
 	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
 )
 
 // process is one of several that run one agent.
@@ -69,8 +70,8 @@
 			defer client.CloseIdleConnections()
 			for n := 0; clients.Err() == nil; n++ {
 				req, _ := http.NewRequest("GET", "http://"+cfg.Listen+"/safe/1", nil)
-				req.Header = http.Header{HeaderRequestID: {fmt.Sprintf("%d-%d", i, n)}, HeaderClass: {"safe"},
-					HeaderTenant: {"acme"}, HeaderBudget: {"15000m"}}
+				req.Header = http.Header{protocol.HeaderRequestID: {fmt.Sprintf("%d-%d", i, n)}, protocol.HeaderClass: {"safe"},
+					protocol.HeaderTenant: {"acme"}, protocol.HeaderBudget: {"15000m"}}
 				asked.Add(1)
 				resp, err := client.Do(req)
 				if err != nil || resp.StatusCode != 200 {
@@ -243,7 +244,7 @@
 	agenttest.Receive(t, "request", b.Requests)
 	begun := time.Now()
 	a.stop()
-	if status := agenttest.Receive(t, "answer", answered); status != StatusFailed || time.Since(begun) > time.Second+killAfter {
+	if status := agenttest.Receive(t, "answer", answered); status != protocol.StatusFailed || time.Since(begun) > time.Second+killAfter {
 		t.Errorf("answered %d after %v", status, time.Since(begun))
 	}
 	if err := agenttest.Receive(t, "end", a.ended); err != nil {
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -12,6 +12,7 @@
 	"example.org/ryeloft/internal/clock"
 	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/membership"
+	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/settings"
 )
 
@@ -203,13 +204,13 @@
 		}
 	case balancer.EventRequest:
 		if !l.callIDs.take(in.call.callID) {
-			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(HeaderRequestID + " is in use\n")}
+			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(protocol.HeaderRequestID + " is in use\n")}
 			return
 		}
 		l.pool.metrics.RequestDispatched()
 		if !in.call.translate(l.set.Load()) {
 			l.callIDs.release(in.call.callID)
-			in.call.answered <- answer{status: StatusRejected}
+			in.call.answered <- answer{status: protocol.StatusRejected}
 			return
 		}
 		in.call.id = l.newID()
@@ -380,12 +381,12 @@
 		}
 	case balancer.ActionReject:
 		if r != nil {
-			r.end(answer{status: StatusRejected, retryAfter: a.RetryAfter})
+			r.end(answer{status: protocol.StatusRejected, retryAfter: a.RetryAfter})
 			l.forget(r)
 		}
 	case balancer.ActionFail:
 		if r != nil {
-			r.end(answer{status: StatusFailed})
+			r.end(answer{status: protocol.StatusFailed})
 			l.forget(r)
 		}
 	case balancer.ActionCancel:
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -14,6 +14,7 @@
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
 )
 
 // The id of a request that is open, or was a moment ago, is no other's: the second is refused and the first served.
@@ -29,10 +30,10 @@
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
 		first <- status
 	}()
-	id := agenttest.Receive(t, "request", b.Requests).Header.Get(HeaderRequestID)
+	id := agenttest.Receive(t, "request", b.Requests).Header.Get(protocol.HeaderRequestID)
 	again := func() int {
 		req := a.request("unsafe", "15000m")
-		req.Header.Set(HeaderRequestID, id)
+		req.Header.Set(protocol.HeaderRequestID, id)
 		status, _ := a.do(t, req)
 		return status
 	}
@@ -162,7 +163,7 @@
 // nothing is shed.
 func TestRejectionsShedNothing(t *testing.T) {
 	const asked, more = 16, 5
-	loads := func(req *http.Request) bool { return req.URL.Path == PathLoad }
+	loads := func(req *http.Request) bool { return req.URL.Path == protocol.PathLoad }
 	report := "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\noutstanding=1,recent_ms=50"
 	reject, serve := make(chan struct{}), make(chan struct{})
 	x := agenttest.NewServer(t, func(_ int, req *http.Request) (string, bool) {
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -9,6 +9,7 @@
 
 	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/protocol"
 )
 
 // Classes appear, vanish and become stricter; what is under way is answered as what it was taken for, and a broken
@@ -62,7 +63,7 @@
 	}{{"new", "POST", 200}, {"unsafe", "POST", 200}, {"celled", "POST", 400}, {"safe", "GET", 405}, {"safe", "POST", 200}} {
 		req := a.request(c.class, "15000m")
 		req.Method = c.method
-		req.Header.Set(HeaderIdempotencyKey, "k")
+		req.Header.Set(protocol.HeaderIdempotencyKey, "k")
 		if status, _ := a.do(t, req); status != c.want {
 			t.Errorf("%s %s: answered %d, want %d", c.method, c.class, status, c.want)
 		}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -17,6 +17,7 @@
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/clock"
 	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
 )
 
 const (
@@ -71,7 +72,7 @@
 		s.turnDown(w, err)
 		return
 	}
-	if r.URL.Path == PathReady {
+	if r.URL.Path == protocol.PathReady {
 		if err := s.takesClients(); err != nil {
 			w.Header().Set("Connection", "close")
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -95,7 +96,7 @@
 		defer s.endUpload(w, u)
 		if !u.admit(s.buffers) {
 			s.metrics.RequestOverLimit()
-			s.answer(w, r, c, answer{status: StatusRejected, retryAfter: s.fullAdvice()})
+			s.answer(w, r, c, answer{status: protocol.StatusRejected, retryAfter: s.fullAdvice()})
 			return
 		}
 	} else {
@@ -105,7 +106,7 @@
 	defer s.held.Add(-1)
 	if s.held.Add(1) > s.most {
 		s.metrics.RequestOverLimit()
-		s.answer(w, r, c, answer{status: StatusRejected, retryAfter: s.fullAdvice()})
+		s.answer(w, r, c, answer{status: protocol.StatusRejected, retryAfter: s.fullAdvice()})
 		return
 	}
 	s.loop.send(input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
@@ -122,7 +123,7 @@
 			s.answer(w, r, c, a)
 		case late != nil || c.message.long != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
 			a.rest.end(errNotTaken)
-			s.answer(w, r, c, answer{status: StatusFailed})
+			s.answer(w, r, c, answer{status: protocol.StatusFailed})
 		default:
 			s.passOn(w, r, c, a)
 		}
@@ -152,7 +153,7 @@
 // giveUp answers a request as failed whose answer can be waited for no longer.
 func (s *server) giveUp(w http.ResponseWriter, r *http.Request, c *call) {
 	s.loop.send(input{event: balancer.Event{Kind: balancer.EventClientClosed}, call: c})
-	s.answer(w, r, c, answer{status: StatusFailed})
+	s.answer(w, r, c, answer{status: protocol.StatusFailed})
 }
 
 // takesClients says why clients cannot be served, if they can not.
@@ -276,7 +277,7 @@
 }
 
 // onceHeaders say what a request is; two of one would leave open which counts.
-var onceHeaders = []string{HeaderRequestID, HeaderClass, HeaderTenant, HeaderBudget, HeaderRetry, HeaderIdempotencyKey}
+var onceHeaders = []string{protocol.HeaderRequestID, protocol.HeaderClass, protocol.HeaderTenant, protocol.HeaderBudget, protocol.HeaderRetry, protocol.HeaderIdempotencyKey}
 
 // read checks a request's head, and then reads it to its last byte, from which its budget counts.
 func (s *server) read(w http.ResponseWriter, r *http.Request) (*call, error) {
@@ -297,13 +298,13 @@
 	}
 	c := &call{
 		set:      set,
-		class:    slices.Index(set.ClassNames, r.Header.Get(HeaderClass)),
-		retry:    r.Header.Get(HeaderRetry) == "1",
+		class:    slices.Index(set.ClassNames, r.Header.Get(protocol.HeaderClass)),
+		retry:    r.Header.Get(protocol.HeaderRetry) == "1",
 		answered: make(chan answer, 1),
 		gone:     connOf(r).gone,
 	}
 	if c.class < 0 {
-		return nil, bad("%s is unknown", HeaderClass)
+		return nil, bad("%s is unknown", protocol.HeaderClass)
 	}
 	c.kind = set.ClassNames[c.class]
 	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != set.ClassNames[c.class] ||
@@ -314,16 +315,16 @@
 		return nil, err
 	}
 	if len(set.TenantNames) > 0 {
-		if c.tenant = slices.Index(set.TenantNames, r.Header.Get(HeaderTenant)); c.tenant < 0 {
-			return nil, bad("%s is unknown", HeaderTenant)
+		if c.tenant = slices.Index(set.TenantNames, r.Header.Get(protocol.HeaderTenant)); c.tenant < 0 {
+			return nil, bad("%s is unknown", protocol.HeaderTenant)
 		}
 	}
-	budget, err := ParseBudget(r.Header.Get(HeaderBudget))
+	budget, err := protocol.ParseBudget(r.Header.Get(protocol.HeaderBudget))
 	if err != nil {
-		return nil, bad("%s is no time", HeaderBudget)
+		return nil, bad("%s is no time", protocol.HeaderBudget)
 	}
-	if c.callID = r.Header.Get(HeaderRequestID); c.callID == "" || len(c.callID) > maxCallID {
-		return nil, bad("%s is missing or too long", HeaderRequestID)
+	if c.callID = r.Header.Get(protocol.HeaderRequestID); c.callID == "" || len(c.callID) > maxCallID {
+		return nil, bad("%s is missing or too long", protocol.HeaderRequestID)
 	}
 	body, long, err := readBody(r, http.NewResponseController(w))
 	if err != nil {
@@ -369,8 +370,8 @@
 	if r.Method != method {
 		return &badRequest{http.StatusMethodNotAllowed, "the class wants " + method}
 	}
-	if keyed && r.Header.Get(HeaderIdempotencyKey) == "" {
-		return bad("the class wants %s", HeaderIdempotencyKey)
+	if keyed && r.Header.Get(protocol.HeaderIdempotencyKey) == "" {
+		return bad("the class wants %s", protocol.HeaderIdempotencyKey)
 	}
 	return nil
 }
--- a/internal/agent/server_test.go
+++ b/internal/agent/server_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/agenttest"
+	"example.org/ryeloft/internal/protocol"
 )
 
 // A client that closes its own side only has gone as well, and must not be told that it was served.
@@ -36,16 +37,16 @@
 	b := agenttest.NewServer(t, agenttest.Serve)
 	a := agentFor(t, agenttest.Settings, b)
 	for what, change := range map[string]func(*http.Request){
-		"class":    func(r *http.Request) { r.Header.Set(HeaderClass, "nobody") },
+		"class":    func(r *http.Request) { r.Header.Set(protocol.HeaderClass, "nobody") },
 		"path":     func(r *http.Request) { r.URL.Path = "/safe/1"; r.URL.RawPath = "" },
-		"tenant":   func(r *http.Request) { r.Header.Set(HeaderTenant, "nobody") },
-		"budget":   func(r *http.Request) { r.Header.Set(HeaderBudget, "480") },
-		"NaN":      func(r *http.Request) { r.Header.Set(HeaderBudget, "NaNm") },
-		"infinite": func(r *http.Request) { r.Header.Set(HeaderBudget, "Infm") },
-		"negative": func(r *http.Request) { r.Header.Set(HeaderBudget, "-3m") },
-		"id":       func(r *http.Request) { r.Header.Del(HeaderRequestID) },
-		"long id":  func(r *http.Request) { r.Header.Set(HeaderRequestID, strings.Repeat("x", maxCallID+1)) },
-		"key":      func(r *http.Request) { r.Header.Del(HeaderIdempotencyKey) },
+		"tenant":   func(r *http.Request) { r.Header.Set(protocol.HeaderTenant, "nobody") },
+		"budget":   func(r *http.Request) { r.Header.Set(protocol.HeaderBudget, "480") },
+		"NaN":      func(r *http.Request) { r.Header.Set(protocol.HeaderBudget, "NaNm") },
+		"infinite": func(r *http.Request) { r.Header.Set(protocol.HeaderBudget, "Infm") },
+		"negative": func(r *http.Request) { r.Header.Set(protocol.HeaderBudget, "-3m") },
+		"id":       func(r *http.Request) { r.Header.Del(protocol.HeaderRequestID) },
+		"long id":  func(r *http.Request) { r.Header.Set(protocol.HeaderRequestID, strings.Repeat("x", maxCallID+1)) },
+		"key":      func(r *http.Request) { r.Header.Del(protocol.HeaderIdempotencyKey) },
 		"method":   func(r *http.Request) { r.Method = http.MethodPut },
 		"body": func(r *http.Request) {
 			r.Body = io.NopCloser(io.LimitReader(zeros{}, maxStream+1))
@@ -72,7 +73,7 @@
 	}
 	resp.Body.Close()
 	after, err := time.ParseDuration(resp.Header.Get("Retry-After") + "s")
-	if resp.StatusCode != StatusRejected || err != nil || after <= 0 {
+	if resp.StatusCode != protocol.StatusRejected || err != nil || after <= 0 {
 		t.Errorf("answered %s with Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
 	}
 }
@@ -98,7 +99,7 @@
 		}
 	}()
 	sent := agenttest.Receive(t, "request", b.Requests)
-	left, err := ParseBudget(sent.Header.Get(HeaderBudget))
+	left, err := protocol.ParseBudget(sent.Header.Get(protocol.HeaderBudget))
 	if latest := 20*time.Second - mostMargin; err != nil || left > latest || left < latest-time.Since(begun) {
 		t.Errorf("passed on with a budget of %v, want at most %v: %v", left, latest, err)
 	}
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -19,6 +19,7 @@
 	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
 )
 
 // streaming starts an agent in front of a server that a handler plays.
@@ -389,7 +390,7 @@
 	req := a.request("unsafe", "15000m")
 	req.URL.Host = tcp.Addr().String()
 	req.Body, req.ContentLength = io.NopCloser(bytes.NewReader(agenttest.Pattern(100_000))), 100_000
-	if status, _ := a.do(t, req); status != StatusRejected || len(lp.inputs) > 0 {
+	if status, _ := a.do(t, req); status != protocol.StatusRejected || len(lp.inputs) > 0 {
 		t.Errorf("answered %d with %d inputs for the loop", status, len(lp.inputs))
 	}
 }
--- a/internal/agent/protocol.go
+++ b/internal/protocol/protocol.go
@@ -1,7 +1,7 @@
 // Package protocol names what the agent reads and writes on the wire between clients, itself and servers: headers, paths,
 // statuses and the form of a time budget. It holds no state. The names on the wire are the protocol's; the names here are
 // those of the field.
-package agent
+package protocol
 
 import (
 	"errors"
