--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -20,13 +20,15 @@
 )
 
 const (
-	maxBody      = 64 << 10 // bytes of a request's or an answer's body that is held whole; longer ones are streams
 	maxHeader    = 32 << 10
 	probeTimeout = 300 * time.Millisecond
 	// headTime is how long a head of an answer may take from its first byte to its last, and answerPause how long a
 	// server may pause within a short one.
 	headTime    = time.Second
 	answerPause = time.Second
+	// CompleteWait is how long the beginning of an answer that is long, or does not state its length, is held back: it may
+	// be short after all, or break off.
+	CompleteWait = 50 * time.Millisecond
 )
 
 var (
@@ -40,18 +42,18 @@
 type message struct {
 	head  []byte // the request line and the headers but for the budget
 	body  []byte
-	long  *upload // in place of a body that is held
+	long  *Upload // in place of a body that is held
 	probe bool    // the agent's own, no attempt
 }
 
-func newMessage(method, uri, host string, header http.Header, body []byte, long *upload) message {
+func newMessage(method, uri, host string, header http.Header, body []byte, long *Upload) message {
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, uri, host)
 	switch {
-	case long != nil && long.length < 0:
+	case long != nil && long.Length() < 0:
 		head.WriteString("Transfer-Encoding: chunked\r\n")
 	case long != nil:
-		fmt.Fprintf(&head, "Content-Length: %d\r\n", long.length)
+		fmt.Fprintf(&head, "Content-Length: %d\r\n", long.Length())
 	case len(body) > 0 || method == http.MethodPost:
 		fmt.Fprintf(&head, "Content-Length: %d\r\n", len(body))
 	}
@@ -101,11 +103,11 @@
 		r.outcome, r.gone = balancer.OutcomeExpired, true
 	case errors.Is(cause, context.Canceled) && sent == nothing:
 		r.outcome = balancer.OutcomeExpired
-	case errors.Is(cause, context.Canceled), errors.Is(err, errNotTaken):
+	case errors.Is(cause, context.Canceled), errors.Is(err, ErrNotRead):
 		r.outcome = balancer.OutcomeCancelled
 	case errors.Is(err, errLeft):
 		r.outcome = balancer.OutcomeServerDraining
-	case errors.Is(err, errTooLate), errors.Is(err, errNotSent), ownShortage(err):
+	case errors.Is(err, errTooLate), errors.Is(err, ErrBodyIncomplete), ownShortage(err):
 		r.outcome = balancer.OutcomeExpired // it never ran, and the backend is not to blame
 	case sent != all: // it cannot have run
 		r.outcome = balancer.OutcomeConnectFailed
@@ -170,7 +172,7 @@
 		body = nil
 	}
 	if err != nil {
-		if ctx.Err() == nil && !errors.Is(err, errNotTaken) {
+		if ctx.Err() == nil && !errors.Is(err, ErrNotRead) {
 			p.metrics.AnswerBroken(c.used, err)
 			p.lost(c, c.limit.N == maxHeader)
 		}
@@ -194,8 +196,8 @@
 		return errTooLate
 	case on.over != nil && on.over():
 		return errOver
-	case m.long != nil && !m.long.claim():
-		return errNotSent
+	case m.long != nil && !m.long.Claim():
+		return ErrBodyIncomplete
 	}
 	return nil
 }
@@ -206,16 +208,16 @@
 		_, err := c.Write(m.encode(time.Until(on.deadline)))
 		return err
 	}
-	defer m.long.release()
+	defer m.long.Release()
 	on.begun()
 	on.timer.Stop() // until the client has sent all of it
-	if _, err := c.Write(m.encode(m.long.budget)); err != nil {
+	if _, err := c.Write(m.encode(m.long.Budget)); err != nil {
 		return err
 	}
-	if err := m.long.send(c); err != nil {
+	if err := m.long.SendTo(c); err != nil {
 		return err
 	}
-	on.timer.Reset(m.long.budget)
+	on.timer.Reset(m.long.Budget)
 	return nil
 }
 
@@ -233,7 +235,7 @@
 	}
 	return on.pass(answer{
 		status: http.StatusOK, contentType: resp.Header.Get("Content-Type"),
-		rest: &download{first: first, length: resp.ContentLength, rest: rest, conn: c, ended: make(chan error, 1), abort: func() { c.Close() }},
+		rest: NewDownload(resp.ContentLength, first, rest, c, func() { c.Close() }),
 	})
 }
 
@@ -261,7 +263,7 @@
 			return nil, nil, nil, err
 		}
 	}
-	if resp.ContentLength > maxStream { // which no server gives
+	if resp.ContentLength > MaxBytes { // which no server gives
 		return nil, nil, nil, fmt.Errorf("an answer of %d bytes", resp.ContentLength)
 	}
 	c.limit.N = math.MaxInt64
@@ -273,15 +275,15 @@
 }
 
 // readBody reads a body to its end if it is short, and else its beginning: as much as can be held, or has come within
-// wholeTime. Danger: an answer that says that it is longer than it is ends on no connection that stays open; and of one
+// CompleteWait. Danger: an answer that says that it is longer than it is ends on no connection that stays open; and of one
 // that breaks off, what has been passed on cannot be taken back.
 func (c *conn) readBody(resp *http.Response) (body []byte, ended bool, err error) {
-	short := resp.ContentLength >= 0 && resp.ContentLength <= maxBody
+	short := resp.ContentLength >= 0 && resp.ContentLength <= MaxHeldBytes
 	if short {
 		body = make([]byte, 0, resp.ContentLength+1)
 	}
 	for begun := time.Now(); ; {
-		if !short && !c.comes(begun.Add(wholeTime)) {
+		if !short && !c.comes(begun.Add(CompleteWait)) {
 			return body, false, nil
 		}
 		if err := c.SetReadDeadline(time.Now().Add(answerPause)); err != nil {
@@ -297,7 +299,7 @@
 			return body, true, c.SetReadDeadline(time.Time{})
 		case err != nil:
 			return nil, false, err
-		case !short && len(body) > maxBody:
+		case !short && len(body) > MaxHeldBytes:
 			return body, false, nil
 		}
 	}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -61,7 +61,7 @@
 	retryAfter  time.Duration // 0: no advice
 	contentType string
 	body        []byte
-	rest        *download // in place of a body that is held
+	rest        *Download // in place of a body that is held
 }
 
 // request is what the loop knows of a call until it is answered and its attempts are back.
@@ -224,7 +224,7 @@
 			select {
 			case a := <-in.call.answered:
 				if a.rest != nil {
-					a.rest.end(errNotTaken)
+					a.rest.Finish(ErrNotRead)
 				}
 			default:
 			}
@@ -235,7 +235,7 @@
 		r := l.requests[ev.Request]
 		if flows := in.answer.rest; flows != nil {
 			if !r.end(in.answer) { // another attempt's answer was first
-				flows.end(errNotTaken)
+				flows.Finish(ErrNotRead)
 				return
 			}
 			r.passing = 1 + ev.Attempt
@@ -435,10 +435,10 @@
 	on.pass = func(a answer) error {
 		l.send(input{event: begun, answer: a})
 		select {
-		case err := <-a.rest.ended:
+		case err := <-a.rest.Done():
 			return err
 		case <-l.done:
-			return errNotTaken
+			return ErrNotRead
 		}
 	}
 	go func() {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -39,8 +39,8 @@
 	loop    *loop
 	metrics *metrics.Metrics
 	clients *admission
-	buffers buffers // of streams
-	most    int64   // requests held at once
+	buffers *Buffers // of streams
+	most    int64    // requests held at once
 
 	drain *drain        // while clients are sent away, connections are closed after their answers
 	hurry chan struct{} // closed when what is open is to be answered as failed: the process is about to be killed
@@ -67,7 +67,7 @@
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// Danger: a body that nobody reads is read by net/http behind the answer, and would be waited for without an end.
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyGrace))
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(BodyGrace))
 	if err := checkFraming(r); err != nil {
 		s.turnDown(w, err)
 		return
@@ -89,12 +89,12 @@
 		panic(http.ErrAbortHandler)
 	}
 	if u := c.message.long; u != nil {
-		u.ended = func() {
+		u.OnComplete = func() {
 			s.metrics.RequestOpened()
 			s.clients.noteBody(connOf(r))
 		}
 		defer s.endUpload(w, u)
-		if !u.admit(s.buffers) {
+		if !u.Reserve(s.buffers) {
 			s.metrics.RequestOverLimit()
 			s.answer(w, r, c, answer{status: protocol.StatusRejected, retryAfter: s.fullAdvice()})
 			return
@@ -122,7 +122,7 @@
 		case a.rest == nil:
 			s.answer(w, r, c, a)
 		case late != nil || c.message.long != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
-			a.rest.end(errNotTaken)
+			a.rest.Finish(ErrNotRead)
 			s.answer(w, r, c, answer{status: protocol.StatusFailed})
 		default:
 			s.passOn(w, r, c, a)
@@ -140,14 +140,11 @@
 }
 
 // endUpload ends all use of a long body, whose request has ended.
-func (s *server) endUpload(w http.ResponseWriter, u *upload) {
-	u.stop(http.NewResponseController(w))
-	if u.done.Load() {
+func (s *server) endUpload(w http.ResponseWriter, u *Upload) {
+	u.Close(http.NewResponseController(w))
+	if u.Complete() {
 		s.metrics.RequestClosed()
 	}
-	if u.part != nil && u.claim() { // no attempt has
-		u.release()
-	}
 }
 
 // giveUp answers a request as failed whose answer can be waited for no longer.
@@ -194,15 +191,15 @@
 	s.metrics.RequestAnswered(c.kind, metrics.ResultOf(a.status))
 	s.finishBody(w, c)
 	s.respond(w, a)
-	if u := c.message.long; u != nil && !u.done.Load() && http.NewResponseController(w).Flush() == nil {
+	if u := c.message.long; u != nil && !u.Complete() && http.NewResponseController(w).Flush() == nil {
 		s.clients.answered(connOf(r))
-		u.discard()
+		u.Discard()
 	}
 }
 
 // finishBody notes, before its answer, that a long body has not come to its end: the rest is in the way of a next request.
 func (s *server) finishBody(w http.ResponseWriter, c *call) {
-	if u := c.message.long; u != nil && !u.done.Load() {
+	if u := c.message.long; u != nil && !u.Complete() {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -210,8 +207,8 @@
 // passOn gives a request that was taken an answer that flows, and counts it by how it ends.
 func (s *server) passOn(w http.ResponseWriter, r *http.Request, c *call, a answer) {
 	s.finishBody(w, c)
-	s.head(w, a, a.rest.length)
-	err := s.pass(w, r, a.rest)
+	s.head(w, a, a.rest.Length())
+	err := a.rest.CopyTo(r.Context(), w, s.buffers)
 	if err == nil {
 		s.metrics.RequestAnswered(c.kind, metrics.ResultOK)
 		return
@@ -270,8 +267,8 @@
 		// Danger: net/http drops the length that stands beside chunks, and the chunks of a request that cannot have them,
 		// and one of both hides a request in the body from whoever goes by the other.
 		return &badRequest{http.StatusBadRequest, "Transfer-Encoding and Content-Length do not go together"}
-	case r.ContentLength > maxStream:
-		return &badRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", maxStream)}
+	case r.ContentLength > MaxBytes:
+		return &badRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", MaxBytes)}
 	}
 	return nil
 }
@@ -333,7 +330,7 @@
 	budget -= answerMargin(budget)
 	c.deadline = s.loop.clock.Now() + budget
 	if long != nil {
-		long.budget = budget
+		long.Budget = budget
 	} else if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil {
 		// From here on the connection is watched for a client that goes, for as long as the answer takes.
 		return nil, err
@@ -343,19 +340,19 @@
 }
 
 // readBody returns a body that can be held whole, or else what it can be read from.
-func readBody(r *http.Request, rc *http.ResponseController) (body []byte, long *upload, err error) {
-	from := &paced{body: r.Body, rc: rc, began: clock.Instant(connOf(r).began.Load()).Time()}
-	if r.ContentLength > maxBody {
-		return nil, &upload{length: r.ContentLength, rest: from}, nil
+func readBody(r *http.Request, rc *http.ResponseController) (body []byte, long *Upload, err error) {
+	from := NewPacedReader(r.Body, rc, clock.Instant(connOf(r).began.Load()).Time())
+	if r.ContentLength > MaxHeldBytes {
+		return nil, NewUpload(r.ContentLength, nil, from), nil
 	}
 	if r.ContentLength >= 0 {
 		body = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(from, body)
 		return body, nil, err
 	}
-	body, err = io.ReadAll(io.LimitReader(from, maxBody+1))
-	if len(body) > maxBody {
-		return nil, &upload{length: r.ContentLength, first: body, rest: from}, err
+	body, err = io.ReadAll(io.LimitReader(from, MaxHeldBytes+1))
+	if len(body) > MaxHeldBytes {
+		return nil, NewUpload(r.ContentLength, body, from), err
 	}
 	return body, nil, err
 }
