--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,6 +16,7 @@
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/stream"
 )
 
 const (
@@ -96,7 +97,7 @@
 	clients := &admission{metrics: counters, freed: make(chan struct{}, 1)}
 	handler := &server{
 		loop: l, metrics: counters, clients: clients, most: int64(own.busy - own.busy/8),
-		drain: &drain{clients: clients, ended: work.Done(), log: log}, hurry: make(chan struct{}), buffers: NewBuffers(own.streams),
+		drain: &drain{clients: clients, ended: work.Done(), log: log}, hurry: make(chan struct{}), buffers: stream.NewBuffers(own.streams),
 	}
 	shares := newRooms(cfg, clients, pool)
 	var beside *link
--- a/internal/agent/backend.go
+++ b/internal/agent/backend.go
@@ -17,6 +17,7 @@
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/settings"
+	"example.org/ryeloft/internal/stream"
 )
 
 const (
@@ -42,11 +43,11 @@
 type message struct {
 	head  []byte // the request line and the headers but for the budget
 	body  []byte
-	long  *Upload // in place of a body that is held
-	probe bool    // the agent's own, no attempt
+	long  *stream.Upload // in place of a body that is held
+	probe bool           // the agent's own, no attempt
 }
 
-func newMessage(method, uri, host string, header http.Header, body []byte, long *Upload) message {
+func newMessage(method, uri, host string, header http.Header, body []byte, long *stream.Upload) message {
 	var head bytes.Buffer
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, uri, host)
 	switch {
@@ -103,11 +104,11 @@
 		r.outcome, r.gone = balancer.OutcomeExpired, true
 	case errors.Is(cause, context.Canceled) && sent == nothing:
 		r.outcome = balancer.OutcomeExpired
-	case errors.Is(cause, context.Canceled), errors.Is(err, ErrNotRead):
+	case errors.Is(cause, context.Canceled), errors.Is(err, stream.ErrNotRead):
 		r.outcome = balancer.OutcomeCancelled
 	case errors.Is(err, errLeft):
 		r.outcome = balancer.OutcomeServerDraining
-	case errors.Is(err, errTooLate), errors.Is(err, ErrBodyIncomplete), ownShortage(err):
+	case errors.Is(err, errTooLate), errors.Is(err, stream.ErrBodyIncomplete), ownShortage(err):
 		r.outcome = balancer.OutcomeExpired // it never ran, and the backend is not to blame
 	case sent != all: // it cannot have run
 		r.outcome = balancer.OutcomeConnectFailed
@@ -172,7 +173,7 @@
 		body = nil
 	}
 	if err != nil {
-		if ctx.Err() == nil && !errors.Is(err, ErrNotRead) {
+		if ctx.Err() == nil && !errors.Is(err, stream.ErrNotRead) {
 			p.metrics.AnswerBroken(c.used, err)
 			p.lost(c, c.limit.N == maxHeader)
 		}
@@ -197,7 +198,7 @@
 	case on.over != nil && on.over():
 		return errOver
 	case m.long != nil && !m.long.Claim():
-		return ErrBodyIncomplete
+		return stream.ErrBodyIncomplete
 	}
 	return nil
 }
@@ -235,7 +236,7 @@
 	}
 	return on.pass(answer{
 		status: http.StatusOK, contentType: resp.Header.Get("Content-Type"),
-		rest: NewDownload(resp.ContentLength, first, rest, c, func() { c.Close() }),
+		rest: stream.NewDownload(resp.ContentLength, first, rest, c, func() { c.Close() }),
 	})
 }
 
@@ -263,7 +264,7 @@
 			return nil, nil, nil, err
 		}
 	}
-	if resp.ContentLength > MaxBytes { // which no server gives
+	if resp.ContentLength > stream.MaxBytes { // which no server gives
 		return nil, nil, nil, fmt.Errorf("an answer of %d bytes", resp.ContentLength)
 	}
 	c.limit.N = math.MaxInt64
@@ -278,7 +279,7 @@
 // CompleteWait. Danger: an answer that says that it is longer than it is ends on no connection that stays open; and of one
 // that breaks off, what has been passed on cannot be taken back.
 func (c *conn) readBody(resp *http.Response) (body []byte, ended bool, err error) {
-	short := resp.ContentLength >= 0 && resp.ContentLength <= MaxHeldBytes
+	short := resp.ContentLength >= 0 && resp.ContentLength <= stream.MaxHeldBytes
 	if short {
 		body = make([]byte, 0, resp.ContentLength+1)
 	}
@@ -299,7 +300,7 @@
 			return body, true, c.SetReadDeadline(time.Time{})
 		case err != nil:
 			return nil, false, err
-		case !short && len(body) > MaxHeldBytes:
+		case !short && len(body) > stream.MaxHeldBytes:
 			return body, false, nil
 		}
 	}
--- a/internal/agent/backend_test.go
+++ b/internal/agent/backend_test.go
@@ -14,6 +14,7 @@
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/stream"
 )
 
 // Each row of the protocol's table of outcomes, first at one backend that then serves: a keyed request may go
@@ -226,7 +227,7 @@
 // An answer that is cut is never passed on as whole, however it is framed and wherever it breaks: a short one fails, and
 // the client of a long one sees that there was more.
 func TestCutAnswersAreNotWhole(t *testing.T) {
-	long := string(agenttest.Pattern(MaxHeldBytes + 1000))
+	long := string(agenttest.Pattern(stream.MaxHeldBytes + 1000))
 	for name, text := range map[string]string{
 		"no length":             "HTTP/1.1 200 OK\r\n\r\nhalf",
 		"no length and nothing": "HTTP/1.1 200 OK\r\n\r\n",
--- a/internal/agent/gone_test.go
+++ b/internal/agent/gone_test.go
@@ -12,6 +12,7 @@
 
 	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/stream"
 )
 
 // accept has a listener that was full take its connections, old and new.
@@ -56,7 +57,7 @@
 func TestNothingBeginsForAClientThatHasGone(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		for _, how := range leavings {
-			for _, size := range []int{10, MaxHeldBytes + 1000} {
+			for _, size := range []int{10, stream.MaxHeldBytes + 1000} {
 				t.Run(fmt.Sprintf("%s/cancel %v/%d bytes", how, cancel, size), func(t *testing.T) {
 					t.Parallel()
 					addr, fd := agenttest.FullListener(t)
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -14,6 +14,7 @@
 	"example.org/ryeloft/internal/membership"
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/settings"
+	"example.org/ryeloft/internal/stream"
 )
 
 const (
@@ -61,7 +62,7 @@
 	retryAfter  time.Duration // 0: no advice
 	contentType string
 	body        []byte
-	rest        *Download // in place of a body that is held
+	rest        *stream.Download // in place of a body that is held
 }
 
 // request is what the loop knows of a call until it is answered and its attempts are back.
@@ -224,7 +225,7 @@
 			select {
 			case a := <-in.call.answered:
 				if a.rest != nil {
-					a.rest.Finish(ErrNotRead)
+					a.rest.Finish(stream.ErrNotRead)
 				}
 			default:
 			}
@@ -235,7 +236,7 @@
 		r := l.requests[ev.Request]
 		if flows := in.answer.rest; flows != nil {
 			if !r.end(in.answer) { // another attempt's answer was first
-				flows.Finish(ErrNotRead)
+				flows.Finish(stream.ErrNotRead)
 				return
 			}
 			r.passing = 1 + ev.Attempt
@@ -438,7 +439,7 @@
 		case err := <-a.rest.Done():
 			return err
 		case <-l.done:
-			return ErrNotRead
+			return stream.ErrNotRead
 		}
 	}
 	go func() {
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -18,6 +18,7 @@
 	"example.org/ryeloft/internal/clock"
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/stream"
 )
 
 const (
@@ -39,8 +40,8 @@
 	loop    *loop
 	metrics *metrics.Metrics
 	clients *admission
-	buffers *Buffers // of streams
-	most    int64    // requests held at once
+	buffers *stream.Buffers // of streams
+	most    int64           // requests held at once
 
 	drain *drain        // while clients are sent away, connections are closed after their answers
 	hurry chan struct{} // closed when what is open is to be answered as failed: the process is about to be killed
@@ -67,7 +68,7 @@
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// Danger: a body that nobody reads is read by net/http behind the answer, and would be waited for without an end.
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(BodyGrace))
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(stream.BodyGrace))
 	if err := checkFraming(r); err != nil {
 		s.turnDown(w, err)
 		return
@@ -122,7 +123,7 @@
 		case a.rest == nil:
 			s.answer(w, r, c, a)
 		case late != nil || c.message.long != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
-			a.rest.Finish(ErrNotRead)
+			a.rest.Finish(stream.ErrNotRead)
 			s.answer(w, r, c, answer{status: protocol.StatusFailed})
 		default:
 			s.passOn(w, r, c, a)
@@ -140,7 +141,7 @@
 }
 
 // endUpload ends all use of a long body, whose request has ended.
-func (s *server) endUpload(w http.ResponseWriter, u *Upload) {
+func (s *server) endUpload(w http.ResponseWriter, u *stream.Upload) {
 	u.Close(http.NewResponseController(w))
 	if u.Complete() {
 		s.metrics.RequestClosed()
@@ -267,8 +268,8 @@
 		// Danger: net/http drops the length that stands beside chunks, and the chunks of a request that cannot have them,
 		// and one of both hides a request in the body from whoever goes by the other.
 		return &badRequest{http.StatusBadRequest, "Transfer-Encoding and Content-Length do not go together"}
-	case r.ContentLength > MaxBytes:
-		return &badRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", MaxBytes)}
+	case r.ContentLength > stream.MaxBytes:
+		return &badRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", stream.MaxBytes)}
 	}
 	return nil
 }
@@ -340,19 +341,19 @@
 }
 
 // readBody returns a body that can be held whole, or else what it can be read from.
-func readBody(r *http.Request, rc *http.ResponseController) (body []byte, long *Upload, err error) {
-	from := NewPacedReader(r.Body, rc, clock.Instant(connOf(r).began.Load()).Time())
-	if r.ContentLength > MaxHeldBytes {
-		return nil, NewUpload(r.ContentLength, nil, from), nil
+func readBody(r *http.Request, rc *http.ResponseController) (body []byte, long *stream.Upload, err error) {
+	from := stream.NewPacedReader(r.Body, rc, clock.Instant(connOf(r).began.Load()).Time())
+	if r.ContentLength > stream.MaxHeldBytes {
+		return nil, stream.NewUpload(r.ContentLength, nil, from), nil
 	}
 	if r.ContentLength >= 0 {
 		body = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(from, body)
 		return body, nil, err
 	}
-	body, err = io.ReadAll(io.LimitReader(from, MaxHeldBytes+1))
-	if len(body) > MaxHeldBytes {
-		return nil, NewUpload(r.ContentLength, body, from), err
+	body, err = io.ReadAll(io.LimitReader(from, stream.MaxHeldBytes+1))
+	if len(body) > stream.MaxHeldBytes {
+		return nil, stream.NewUpload(r.ContentLength, body, from), err
 	}
 	return body, nil, err
 }
--- a/internal/agent/server_test.go
+++ b/internal/agent/server_test.go
@@ -11,6 +11,7 @@
 
 	"example.org/ryeloft/internal/agenttest"
 	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/stream"
 )
 
 // A client that closes its own side only has gone as well, and must not be told that it was served.
@@ -49,8 +50,8 @@
 		"key":      func(r *http.Request) { r.Header.Del(protocol.HeaderIdempotencyKey) },
 		"method":   func(r *http.Request) { r.Method = http.MethodPut },
 		"body": func(r *http.Request) {
-			r.Body = io.NopCloser(io.LimitReader(zeros{}, MaxBytes+1))
-			r.ContentLength = MaxBytes + 1
+			r.Body = io.NopCloser(io.LimitReader(zeros{}, stream.MaxBytes+1))
+			r.ContentLength = stream.MaxBytes + 1
 		},
 	} {
 		req := a.request("keyed", "15000m")
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -20,6 +20,7 @@
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/stream"
 )
 
 // streaming starts an agent in front of a server that a handler plays.
@@ -60,7 +61,7 @@
 			part = part[n:]
 		}
 	})
-	for _, size := range []int{0, 1, MaxHeldBytes, MaxHeldBytes + 1, 700_000} {
+	for _, size := range []int{0, 1, stream.MaxHeldBytes, stream.MaxHeldBytes + 1, 700_000} {
 		body := agenttest.Pattern(size)
 		for _, form := range []string{"length", "chunks", "close", "hints", "trailers"} {
 			for _, framing := range []string{"length", "chunks", "expect"} {
@@ -282,8 +283,8 @@
 		}()
 		cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 		p := newPool(&cfg.Settings, 4, &metrics.Metrics{})
-		store := NewBuffers(2 * PartBytes)
-		u := NewUpload(100_000, nil, NewPacedReader(bytes.NewReader(agenttest.Pattern(100_000)), http.NewResponseController(httptest.NewRecorder()), time.Time{}))
+		store := stream.NewBuffers(2 * stream.PartBytes)
+		u := stream.NewUpload(100_000, nil, stream.NewPacedReader(bytes.NewReader(agenttest.Pattern(100_000)), http.NewResponseController(httptest.NewRecorder()), time.Time{}))
 		u.Budget = agenttest.Timeout
 		if !u.Reserve(store) || store.Free() != 1 {
 			t.Fatal("no buffer")
@@ -356,7 +357,7 @@
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Ready", 0)))
 	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
 	a := start(t, cfg)
-	none := NewBuffers(0)
+	none := stream.NewBuffers(0)
 	none.TryGet()
 	none.TryGet()
 	lp, err := newLoop(&cfg.Settings, 1, newPool(&cfg.Settings, 4, &metrics.Metrics{}), agenttest.DiscardLogger)
@@ -395,14 +396,14 @@
 	c := &call{set: l.set.Load(), answered: make(chan answer, 1), gone: stays, id: 7}
 	r := &request{call: c, attempts: []context.CancelFunc{func() { cut[0] = true }, func() { cut[1] = true }}, out: 2}
 	l.requests[7] = r
-	flows := func(attempt int) *Download {
-		d := NewDownload(-1, nil, nil, nil, nil)
+	flows := func(attempt int) *stream.Download {
+		d := stream.NewDownload(-1, nil, nil, nil, nil)
 		l.take(t.Context(), input{answer: answer{status: 200, rest: d},
 			event: balancer.Event{Kind: balancer.EventStreaming, Request: 7, Attempt: attempt}})
 		return d
 	}
 	first, second := flows(0), flows(1)
-	if err := agenttest.Receive(t, "end of the second", second.Done()); !errors.Is(err, ErrNotRead) || len(first.Done()) > 0 {
+	if err := agenttest.Receive(t, "end of the second", second.Done()); !errors.Is(err, stream.ErrNotRead) || len(first.Done()) > 0 {
 		t.Errorf("the second ends with %v", err)
 	}
 	if got := agenttest.Receive(t, "answer", c.answered); got.rest != first {
--- a/internal/agent/pacedreader.go
+++ b/internal/stream/pacedreader.go
@@ -1,4 +1,4 @@
-package agent
+package stream
 
 import (
 	"io"
--- a/internal/agent/stream.go
+++ b/internal/stream/stream.go
@@ -1,7 +1,7 @@
 // Package stream passes on request bodies and answers that are too long to be held: a few kilobytes of each are in memory
 // at any time, out of Buffers that all streams of the agent share. An Upload is read from a client and written to a server,
 // a Download the other way round. The package opens no connection and decides nothing.
-package agent
+package stream
 
 import (
 	"errors"
--- a/internal/agent/upload.go
+++ b/internal/stream/upload.go
@@ -1,7 +1,8 @@
-package agent
+package stream
 
 import (
 	"bufio"
+	"errors"
 	"fmt"
 	"io"
 	"net/http/httputil"
@@ -134,7 +135,7 @@
 		if werr := out.write(u.part[:n]); werr != nil {
 			return werr
 		}
-		if err == io.EOF {
+		if errors.Is(err, io.EOF) {
 			return out.close()
 		}
 		if err != nil {
