--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -16,6 +16,7 @@
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/stream"
 )
 
@@ -77,8 +78,8 @@
 func serve(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, listening func() (*net.TCPListener, error), log *slog.Logger) error {
 	own := limitsOf(cfg, 1)
 	counters := &metrics.Metrics{}
-	pool := newPool(&cfg.Settings, own.backends, counters)
-	l, err := newLoop(&cfg.Settings, cfg.Seed, pool, log)
+	pool := NewPool(&cfg.Settings, own.backends, counters)
+	l, err := newLoop(&cfg.Settings, cfg.Seed, pool, counters, log)
 	if err != nil {
 		return err
 	}
@@ -111,7 +112,7 @@
 		l.shown = true
 		beside = joinLink(linkPath(cfg.Name), shares, log)
 		defer beside.close()
-		defer pool.resize(0) // before that: the other process takes the link's end for the end of all that this one holds
+		defer pool.Resize(0) // before that: the other process takes the link's end for the end of all that this one holds
 	}
 	moves := make(chan discovery.Target)
 	go l.run(work)
@@ -126,7 +127,7 @@
 		return err
 	}
 	srv := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headTimeout, IdleTimeout: idleClients, MaxHeaderBytes: maxHeader,
+		Handler: handler, ReadHeaderTimeout: headTimeout, IdleTimeout: idleClients, MaxHeaderBytes: protocol.MaxHeadBytes,
 		ConnContext: withConn, ConnState: clients.noteState,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 	}
--- /dev/null
+++ b/internal/agent/healthcheck.go
@@ -0,0 +1,32 @@
+package agent
+
+import (
+	"context"
+	"net/http"
+	"time"
+
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/settings"
+)
+
+const healthCheckTimeout = 300 * time.Millisecond
+
+// HealthCheck asks an endpoint for its load where health checks bring reports, and otherwise whether it lives.
+func (p *Pool) HealthCheck(ctx context.Context, e *Endpoint, s *settings.Settings) Result {
+	path := protocol.PathLive
+	reports := s.Balancer.Reports != balancer.ReportsOff
+	if reports {
+		path = protocol.PathLoad
+	}
+	request := NewRequest(http.MethodGet, path, e.addr, nil, nil, nil)
+	request.healthCheck = true
+	ctx, cancel := context.WithTimeout(ctx, healthCheckTimeout)
+	defer cancel()
+	deadline, _ := ctx.Deadline()
+	result := p.Exchange(ctx, e, request, &Attempt{Deadline: deadline, LoadFields: s.ReportFields})
+	if result.Outcome == balancer.OutcomeOK && reports {
+		result.Load = parseLoadReport(string(result.Answer.Body), s.ReportFields)
+	}
+	return result
+}
--- a/internal/agent/limits.go
+++ b/internal/agent/limits.go
@@ -90,13 +90,13 @@
 type rooms struct {
 	cfg              *config.Config
 	admission        *admission
-	pool             *pool
+	pool             *Pool
 	processes        int
 	clients, servers room
 }
 
 // newRooms puts the limits of a process that is alone in force.
-func newRooms(cfg *config.Config, a *admission, p *pool) *rooms {
+func newRooms(cfg *config.Config, a *admission, p *Pool) *rooms {
 	one := limitsOf(cfg, 1)
 	r := &rooms{cfg: cfg, admission: a, pool: p, clients: room{whole: one.busy}, servers: room{whole: one.backends}}
 	r.ends(1)
@@ -152,7 +152,7 @@
 // enforce puts bounds that have grown, or of which nothing is used yet, in force.
 func (r *rooms) enforce() {
 	r.admission.resize(r.inForce())
-	r.pool.resize(r.servers.bound)
+	r.pool.Resize(r.servers.bound)
 }
 
 func (r *rooms) inForce() limits { return limitsOf(r.cfg, 1).withBusy(r.clients.bound) }
@@ -171,10 +171,10 @@
 		a.limit(r.inForce())
 		a.mu.Unlock()
 	}
-	r.pool.resize(min(r.servers.bound, r.servers.owed)) // idle ones go
-	r.pool.mu.Lock()
-	defer r.pool.mu.Unlock()
-	servers = r.servers.spare(max(r.servers.owed, r.pool.open))
-	r.pool.most = r.servers.bound
+	r.pool.Resize(min(r.servers.bound, r.servers.owed)) // idle ones go
+	r.pool.UpdateLimit(func(open int) (maxConns int) {
+		servers = r.servers.spare(max(r.servers.owed, open))
+		return r.servers.bound
+	})
 	return clients, servers
 }
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -12,6 +12,7 @@
 	"example.org/ryeloft/internal/clock"
 	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/membership"
+	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/settings"
 	"example.org/ryeloft/internal/stream"
@@ -45,7 +46,7 @@
 	class, tenant int                // positions in them
 	retry         bool
 	deadline      time.Duration // of the clock
-	message       message
+	message       *Request
 	answered      chan answer // holds one, so that the loop never waits for a handler
 	gone          func() bool // says whether the client has gone
 
@@ -65,6 +66,11 @@
 	rest        *stream.Download // in place of a body that is held
 }
 
+// clientAnswer is a server's answer as its client gets it.
+func clientAnswer(a Answer) answer {
+	return answer{status: http.StatusOK, contentType: a.ContentType, body: a.Body, rest: a.Download}
+}
+
 // request is what the loop knows of a call until it is answered and its attempts are back.
 type request struct {
 	*call
@@ -79,7 +85,8 @@
 	set      atomic.Pointer[settings.Settings] // the loop swaps it; handlers read requests by it
 	clock    clock.Anchored
 	balancer *balancer.Balancer
-	pool     *pool
+	pool     *Pool
+	metrics  *metrics.Metrics
 	follow   func() // asks discovery for the list
 	log      *slog.Logger
 	inputs   chan input
@@ -89,7 +96,7 @@
 	shown    bool          // the figures are read: the loop publishes its own
 
 	servers  *membership.Table // as discovery last told
-	targets  map[balancer.ServerID]*target
+	targets  map[balancer.ServerID]*Endpoint
 	requests map[balancer.RequestID]*request
 	callIDs  callIDs
 	lastID   balancer.RequestID
@@ -99,22 +106,22 @@
 	actions  []balancer.Action
 }
 
-func newLoop(set *settings.Settings, seed uint64, pool *pool, log *slog.Logger) (*loop, error) {
+func newLoop(set *settings.Settings, seed uint64, pool *Pool, m *metrics.Metrics, log *slog.Logger) (*loop, error) {
 	decisions, err := balancer.New(set.Balancer, seed)
 	if err != nil {
 		return nil, err
 	}
 	l := &loop{
-		clock: clock.Anchor(), balancer: decisions, pool: pool, log: log,
+		clock: clock.Anchor(), balancer: decisions, pool: pool, metrics: m, log: log,
 		inputs:   make(chan input, inputQueue),
 		done:     make(chan struct{}),
-		targets:  map[balancer.ServerID]*target{},
+		targets:  map[balancer.ServerID]*Endpoint{},
 		requests: map[balancer.RequestID]*request{},
 		callIDs:  callIDs{open: map[string]struct{}{}, recent: map[string]struct{}{}},
 	}
 	l.servers = membership.New(l.clock.Now)
 	l.set.Store(set)
-	pool.metrics.AddClasses(set.ClassNames)
+	m.AddClasses(set.ClassNames)
 	return l, nil
 }
 
@@ -165,15 +172,15 @@
 			begun := time.Now()
 			l.take(ctx, in)
 			took := time.Since(begun)
-			l.pool.metrics.LoopBusy(took)
+			l.metrics.LoopBusy(took)
 		case <-wake.C:
 		case <-sweep.C:
-			l.pool.sweep()
+			l.pool.Sweep()
 			l.callIDs.age()
 		case <-gauges:
-			l.pool.metrics.SetEndpoints(l.servers.Len(), l.balancer.EjectedEndpoints(l.clock.Now()))
+			l.metrics.SetEndpoints(l.servers.Len(), l.balancer.EjectedEndpoints(l.clock.Now()))
 		case <-report.C:
-			l.pool.metrics.Log(l.log, l.servers.Count(balancer.Ready), l.servers.Count(balancer.Draining))
+			l.metrics.Log(l.log, l.servers.Count(balancer.Ready), l.servers.Count(balancer.Draining))
 			if step := l.steps.Observe(clock.Wall(), l.clock.Elapsed()); step != 0 {
 				l.log.Warn("the wall clock was stepped", "by", step)
 			}
@@ -208,7 +215,7 @@
 			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(protocol.HeaderRequestID + " is in use\n")}
 			return
 		}
-		l.pool.metrics.RequestDispatched()
+		l.metrics.RequestDispatched()
 		if !in.call.translate(l.set.Load()) {
 			l.callIDs.release(in.call.callID)
 			in.call.answered <- answer{status: protocol.StatusRejected}
@@ -243,7 +250,7 @@
 		}
 		l.handle(ctx, ev)
 	case balancer.EventOutcome:
-		l.pool.metrics.AttemptEnded(ev.Outcome, ev.Load)
+		l.metrics.AttemptEnded(ev.Outcome, ev.Load)
 		r := l.requests[ev.Request]
 		r.attempts[ev.Attempt]()
 		r.out--
@@ -258,7 +265,7 @@
 		l.forget(r)
 	default:
 		if ev.Kind == balancer.EventHealthCheck {
-			l.pool.metrics.HealthCheckEnded(ev.Outcome, ev.Load)
+			l.metrics.HealthCheckEnded(ev.Outcome, ev.Load)
 		}
 		l.handle(ctx, ev)
 	}
@@ -267,7 +274,7 @@
 // hangUp ends a request whose client has gone, with an answer of nothing if the handler has not heard.
 func (l *loop) hangUp(ctx context.Context, r *request) {
 	r.end(answer{})
-	l.pool.metrics.ClientClosed()
+	l.metrics.ClientClosed()
 	l.handle(ctx, balancer.Event{Kind: balancer.EventClientClosed, Request: r.id})
 	l.forget(r)
 }
@@ -335,16 +342,16 @@
 			continue // forgotten once the module has heard of it
 		}
 		addr, t := members[i].Address, l.targets[e.ID]
-		same := t != nil && t.addr == addr && t.start == e.Start
-		if !same || e.State == balancer.Ready && t.left.Err() != nil { // one that stays after all may be sent to again
+		same := t != nil && t.Is(addr, e.Start)
+		if !same || e.State == balancer.Ready && t.Draining() { // one that stays after all may be sent to again
 			if t != nil {
-				l.pool.retire(t)
+				l.pool.Retire(t)
 			}
-			t = l.pool.target(addr, e.Start)
+			t = l.pool.AddEndpoint(addr, e.Start)
 			l.targets[e.ID] = t
 		}
 		if e.State != balancer.Ready {
-			t.leave()
+			t.Drain()
 		}
 	}
 	return entries
@@ -354,7 +361,7 @@
 func (l *loop) forgetGone(mode balancer.DiscoveryUpdate, entries []balancer.Endpoint) {
 	for _, id := range l.servers.RemoveGone(mode, entries) {
 		if t := l.targets[id]; t != nil {
-			l.pool.retire(t)
+			l.pool.Retire(t)
 			delete(l.targets, id)
 		}
 	}
@@ -422,32 +429,32 @@
 		})
 		return
 	}
-	on := &terms{deadline: time.Now().Add(left), fields: l.set.Load().ReportFields, over: r.over}
+	on := &Attempt{Deadline: time.Now().Add(left), LoadFields: l.set.Load().ReportFields, Abandoned: r.over}
 	if a.DispatchWithin > 0 {
-		on.sendBy = time.Now().Add(a.DispatchWithin)
+		on.SendBefore = time.Now().Add(a.DispatchWithin)
 	}
 	attemptCtx, cancel := context.WithCancelCause(ctx)
-	on.timer = time.AfterFunc(left, func() { cancel(context.DeadlineExceeded) })
+	on.Timer = time.AfterFunc(left, func() { cancel(context.DeadlineExceeded) })
 	r.attempts = append(r.attempts, func() { cancel(context.Canceled) })
 	r.out++
-	id, server, msg := r.id, a.Server, &r.message
+	id, server, msg := r.id, a.Server, r.message
 	begun := balancer.Event{Kind: balancer.EventStreaming, Request: id, Attempt: n, Server: server}
-	on.begun = func() { l.send(input{event: begun}) }
-	on.pass = func(a answer) error {
-		l.send(input{event: begun, answer: a})
+	on.OnStreaming = func() { l.send(input{event: begun}) }
+	on.PassOn = func(a Answer) error {
+		l.send(input{event: begun, answer: clientAnswer(a)})
 		select {
-		case err := <-a.rest.Done():
+		case err := <-a.Download.Done():
 			return err
 		case <-l.done:
 			return stream.ErrNotRead
 		}
 	}
 	go func() {
-		res := l.pool.exchange(attemptCtx, t, msg, on)
-		on.timer.Stop()
-		l.send(input{answer: res.answer, gone: res.gone, event: balancer.Event{
+		res := l.pool.Exchange(attemptCtx, t, msg, on)
+		on.Timer.Stop()
+		l.send(input{answer: clientAnswer(res.Answer), gone: res.Abandoned, event: balancer.Event{
 			Kind: balancer.EventOutcome, Request: id, Attempt: n, Server: server,
-			Outcome: res.outcome, Load: res.load,
+			Outcome: res.Outcome, Load: res.Load,
 		}})
 	}()
 }
@@ -462,10 +469,10 @@
 	}
 	set := l.set.Load()
 	go func() {
-		res := l.pool.probe(ctx, t, set)
+		res := l.pool.HealthCheck(ctx, t, set)
 		l.send(input{event: balancer.Event{
 			Kind: balancer.EventHealthCheck, Server: server,
-			Outcome: res.outcome, Load: res.load,
+			Outcome: res.Outcome, Load: res.Load,
 		}})
 	}()
 }
--- a/internal/agent/pool.go
+++ b/internal/agent/pool.go
@@ -1,12 +1,14 @@
+// Package upstream keeps the connections to servers and exchanges one request for one answer over them.
+//
+// The Pool owns all connections; its mutex guards the idle ones and the endpoints. A connection in use belongs to the one
+// exchange that took it. The package never sends a request twice: whether one may be repeated is the balancer's to decide,
+// by the outcome that an exchange reports.
 package agent
 
 import (
-	"bufio"
 	"context"
 	"errors"
-	"io"
 	"net"
-	"os"
 	"slices"
 	"sync"
 	"syscall"
@@ -16,155 +18,121 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// idleMargin is how long before a backend may close an idle connection it is no longer used: a request that
-// crosses the close ends as a reset, and a reset may have run.
+// idleMargin is how long before a server may close an idle connection it is no longer used, because a request that crosses
+// the close ends as a reset, and may have run.
 const idleMargin = 500 * time.Millisecond
 
-// errSocketLimit says that the agent's own share of sockets is in use.
-var errSocketLimit = errors.New("no socket left for backends")
-
-// errLeft says that a backend has begun to leave before anything was sent.
-var errLeft = errors.New("the backend leaves")
+var (
+	errSocketLimit    = errors.New("no socket left for backends")
+	errServerDraining = errors.New("the backend leaves")
+)
 
-// ownShortage says whether an error is the agent's own want of sockets.
-func ownShortage(err error) bool {
+// isLocalShortage says whether an error is the agent's own want of sockets.
+func isLocalShortage(err error) bool {
 	return errors.Is(err, errSocketLimit) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// conn is a connection to a backend. It carries one request at a time.
-type conn struct {
-	net.Conn
-	to    *target
-	limit io.LimitedReader // bounds what one answer may hold, headers included
-	br    *bufio.Reader
-	since time.Time     // idle since then
-	used  bool          // it has carried an answer
-	idle  time.Duration // how long it was idle when it was taken
-	ended error         // why nothing more can be read
-}
-
-// Read keeps what ended the connection. Danger: the kernel tells of a reset once, and of an orderly end from then on; an
-// answer that ends with its connection would look whole to whoever reads next.
-func (c *conn) Read(b []byte) (int, error) {
-	if c.ended != nil {
-		return 0, c.ended
-	}
-	n, err := c.Conn.Read(b)
-	if !errors.Is(err, os.ErrDeadlineExceeded) {
-		c.ended = err
-	}
-	return n, err
-}
-
-// stale says that the backend has closed the connection, or sent what nobody asked for. A look into the socket
-// is cheaper than a reset: a request written to a closed connection may have run.
-func (c *conn) stale() bool {
-	sys, ok := c.Conn.(syscall.Conn)
-	if !ok {
-		return true
-	}
-	raw, err := sys.SyscallConn()
-	if err != nil {
-		return true
-	}
-	quiet := false
-	err = raw.Read(func(fd uintptr) bool {
-		var b [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = err == syscall.EAGAIN || err == syscall.EINTR
-		return true
-	})
-	return err != nil || !quiet
-}
-
-// pool keeps the connections to all backends. net/http's own transport is no match for it: that sends again by
-// itself on a stale connection and does not tell whether a request's last byte went out, on which it hangs
-// whether the request may have run.
-type pool struct {
+// Pool keeps the connections to all servers. net/http's own transport does not serve, because it sends again by itself on
+// a stale connection and does not tell whether a request's last byte went out, on which it depends whether the request may
+// have run. Any goroutine may call its methods.
+type Pool struct {
 	metrics *metrics.Metrics
 
 	mu             sync.Mutex
 	connectTimeout time.Duration
-	idleClose      time.Duration        // 0: never
-	most           int                  // connections, idle and in use
-	targets        map[*target]struct{} // those not retired
-	open           int
-	limit          idleLimit
+	idleTimeout    time.Duration          // of the servers; 0: they never close
+	maxConns       int                    // idle and in use
+	endpoints      map[*Endpoint]struct{} // those not retired
+	open           int                    // connections
+	idleAge        idleAge
 }
 
-// target is a backend's process at an address, and the idle connections to it. Danger: another process may come up
-// at the address of one that has gone; were the connections kept by address, those of the old would be taken for the
-// new one's, and closed with the old would be the new one's.
-type target struct {
-	addr    string
-	start   time.Duration // of the process
-	idle    []*conn       // the most recently used last
-	retired bool          // no connection is put back
-
-	left  context.Context // ends when the process begins to leave: nothing new is sent from then on
-	leave context.CancelFunc
-}
-
-// newPool returns a pool of so many connections at most.
-func newPool(s *settings.Settings, most int, m *metrics.Metrics) *pool {
-	p := &pool{metrics: m, most: most, targets: map[*target]struct{}{}}
-	p.adopt(s)
+// NewPool returns a pool of so many connections at most.
+func NewPool(s *settings.Settings, maxConns int, m *metrics.Metrics) *Pool {
+	p := &Pool{metrics: m, maxConns: maxConns, endpoints: map[*Endpoint]struct{}{}}
+	p.Configure(s)
 	return p
 }
 
-// adopt takes the settings that concern connections.
-func (p *pool) adopt(s *settings.Settings) {
+// Configure takes the settings that concern connections.
+func (p *Pool) Configure(s *settings.Settings) {
 	p.mu.Lock()
-	p.connectTimeout, p.idleClose = s.ConnectTimeout, s.IdleTimeout
-	p.mu.Unlock()
+	defer p.mu.Unlock()
+	p.connectTimeout = s.ConnectTimeout
+	p.idleTimeout = s.IdleTimeout
 }
 
-// resize changes how many connections there may be; idle ones close if they are too many.
-func (p *pool) resize(most int) {
+// Resize changes how many connections there may be. Idle ones close if they are too many; those in use stay.
+func (p *Pool) Resize(maxConns int) {
 	var dropped []*conn
 	p.mu.Lock()
-	p.most = most
-	for p.open > p.most {
-		of := p.longestIdle()
-		if of == nil {
+	p.maxConns = maxConns
+	for p.open > p.maxConns {
+		c := p.removeLongestIdle()
+		if c == nil {
 			break
 		}
-		dropped = append(dropped, of.idle[0])
-		of.idle = slices.Delete(of.idle, 0, 1)
-		p.open--
+		dropped = append(dropped, c)
 	}
 	p.mu.Unlock()
-	for _, c := range dropped {
-		c.Close()
-	}
+	closeAll(dropped)
 }
 
-// target returns a new target.
-func (p *pool) target(addr string, start time.Duration) *target {
-	t := &target{addr: addr, start: start}
-	t.left, t.leave = context.WithCancel(context.Background())
+// UpdateLimit sets how many connections there may be to what decide returns, in one step with the count of open ones that
+// decide is given.
+func (p *Pool) UpdateLimit(decide func(open int) (maxConns int)) {
 	p.mu.Lock()
-	p.targets[t] = struct{}{}
-	p.mu.Unlock()
-	return t
+	defer p.mu.Unlock()
+	p.maxConns = decide(p.open)
+}
+
+// OpenConns returns how many connections there are, idle and in use.
+func (p *Pool) OpenConns() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return p.open
+}
+
+// IdleConns returns how many idle connections to an endpoint there are.
+func (p *Pool) IdleConns(e *Endpoint) int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(e.idle)
+}
+
+// Endpoints returns how many endpoints there are that are not retired.
+func (p *Pool) Endpoints() int {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	return len(p.endpoints)
+}
+
+// AddEndpoint returns a new endpoint for the process that started then at an address.
+func (p *Pool) AddEndpoint(addr string, start time.Duration) *Endpoint {
+	e := &Endpoint{addr: addr, start: start}
+	e.draining, e.drain = context.WithCancel(context.Background())
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.endpoints[e] = struct{}{}
+	return e
 }
 
-// retire closes the idle connections to a target, and those in use once they are back.
-func (p *pool) retire(t *target) {
-	t.leave()
+// Retire closes the idle connections to an endpoint, and those in use once they are back.
+func (p *Pool) Retire(e *Endpoint) {
+	e.Drain()
 	p.mu.Lock()
-	t.retired = true
-	delete(p.targets, t)
+	e.retired = true
+	delete(p.endpoints, e)
 	p.mu.Unlock()
-	p.closeIdle(t)
+	p.closeIdle(e)
 }
 
-// get returns a connection to a target: the idle one that was used last, or a new one.
-func (p *pool) get(ctx context.Context, t *target) (*conn, error) {
+// get returns a connection to an endpoint: the idle one that was used last, or a new one.
+func (p *Pool) get(ctx context.Context, e *Endpoint) (*conn, error) {
 	for {
-		c := p.takeIdle(t)
+		c := p.takeIdle(e)
 		if c == nil {
-			return p.dial(ctx, t)
+			return p.dial(ctx, e)
 		}
 		if p.fresh(c) && !c.stale() {
 			p.metrics.ConnectionReused()
@@ -174,139 +142,156 @@
 	}
 }
 
-func (p *pool) takeIdle(t *target) *conn {
+func (p *Pool) takeIdle(e *Endpoint) *conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if len(t.idle) == 0 {
+	if len(e.idle) == 0 {
 		return nil
 	}
-	last := len(t.idle) - 1
-	c := t.idle[last]
-	t.idle[last] = nil
-	t.idle = t.idle[:last]
+	last := len(e.idle) - 1
+	c := e.idle[last]
+	e.idle[last] = nil
+	e.idle = e.idle[:last]
 	return c
 }
 
 // expired says that a connection has been idle for too long to be used. The mutex is held.
-func (p *pool) expired(c *conn) bool {
-	idle := time.Since(c.since)
-	return p.idleClose > 0 && idle > p.idleClose-min(idleMargin, p.idleClose/4) || !p.limit.allows(idle)
+func (p *Pool) expired(c *conn) bool {
+	age := time.Since(c.idleSince)
+	if p.idleTimeout > 0 && age > p.idleTimeout-min(idleMargin, p.idleTimeout/4) {
+		return true
+	}
+	return !p.idleAge.allows(age)
 }
 
-// fresh says whether a connection out of the idle list may be used, and notes how long it was in there.
-func (p *pool) fresh(c *conn) bool {
+// fresh says whether a connection out of the idle list may be used, and notes how long it was idle.
+func (p *Pool) fresh(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	c.idle = time.Since(c.since)
+	c.idleAge = time.Since(c.idleSince)
 	return !p.expired(c)
 }
 
-// lost notes whether a request over a reused connection was lost before any answer.
-func (p *pool) lost(c *conn, lost bool) {
-	if c.used {
+// recordLoss notes whether a request over a reused connection was lost before any answer.
+func (p *Pool) recordLoss(c *conn, lost bool) {
+	if !c.used {
+		return
+	}
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	p.idleAge.record(c.idleAge, lost)
+}
+
+// dial opens a connection, for which the one that has been idle longest makes room if need be.
+func (p *Pool) dial(ctx context.Context, e *Endpoint) (*conn, error) {
+	dialer, err := p.reserve()
+	if err != nil {
+		return nil, err
+	}
+	ctx, cancel := context.WithCancel(ctx)
+	defer cancel()
+	defer context.AfterFunc(e.draining, cancel)()
+	raw, err := dialer.DialContext(ctx, "tcp", e.addr)
+	if err != nil {
 		p.mu.Lock()
-		p.limit.note(c.idle, lost)
+		p.open--
 		p.mu.Unlock()
+		if e.Draining() {
+			return nil, errServerDraining
+		}
+		return nil, err
 	}
+	p.metrics.ConnectionDialed()
+	return newConn(raw, e), nil
 }
 
-// dial opens a connection. When the agent's sockets are used up, the one that has been idle longest makes room.
-func (p *pool) dial(ctx context.Context, t *target) (*conn, error) {
+// reserve counts a connection that is about to be opened, and returns what opens it.
+func (p *Pool) reserve() (*net.Dialer, error) {
 	p.mu.Lock()
 	var victim *conn
-	if p.open >= p.most {
-		of := p.longestIdle()
-		if of == nil {
+	if p.open >= p.maxConns {
+		victim = p.removeLongestIdle()
+		if victim == nil {
 			p.mu.Unlock()
 			return nil, errSocketLimit
 		}
-		victim = of.idle[0]
-		of.idle = slices.Delete(of.idle, 0, 1)
-		p.open--
 	}
 	p.open++
-	dialer := net.Dialer{Timeout: p.connectTimeout, KeepAlive: -1}
+	dialer := &net.Dialer{Timeout: p.connectTimeout, KeepAlive: -1}
 	p.mu.Unlock()
 	if victim != nil {
 		victim.Close()
 	}
-	ctx, cancel := context.WithCancel(ctx)
-	defer cancel()
-	defer context.AfterFunc(t.left, cancel)()
-	raw, err := dialer.DialContext(ctx, "tcp", t.addr)
-	if err != nil {
-		p.mu.Lock()
-		p.open--
-		p.mu.Unlock()
-		if t.left.Err() != nil {
-			return nil, errLeft
-		}
-		return nil, err
-	}
-	p.metrics.ConnectionDialed()
-	c := &conn{Conn: raw, to: t}
-	c.limit.R = c
-	c.br = bufio.NewReader(&c.limit)
-	return c, nil
+	return dialer, nil
 }
 
-// longestIdle finds the target whose first connection has been idle longest.
-func (p *pool) longestIdle() (longest *target) {
-	for t := range p.targets {
-		if len(t.idle) > 0 && (longest == nil || t.idle[0].since.Before(longest.idle[0].since)) {
-			longest = t
+// removeLongestIdle takes out the connection that has been idle longest, nil if none is idle. The mutex is held.
+func (p *Pool) removeLongestIdle() *conn {
+	var longest *Endpoint
+	for e := range p.endpoints {
+		if len(e.idle) > 0 && (longest == nil || e.idle[0].idleSince.Before(longest.idle[0].idleSince)) {
+			longest = e
 		}
 	}
-	return longest
+	if longest == nil {
+		return nil
+	}
+	c := longest.idle[0]
+	longest.idle = slices.Delete(longest.idle, 0, 1)
+	p.open--
+	return c
 }
 
 // put gives a connection back for the next request.
-func (p *pool) put(c *conn) {
+func (p *Pool) put(c *conn) {
 	p.mu.Lock()
-	if c.to.retired {
+	if c.endpoint.retired {
 		p.mu.Unlock()
 		p.discard(c)
 		return
 	}
-	c.since, c.used = time.Now(), true
-	c.to.idle = append(c.to.idle, c)
+	c.idleSince = time.Now()
+	c.used = true
+	c.endpoint.idle = append(c.endpoint.idle, c)
 	p.mu.Unlock()
 }
 
 // discard closes a connection that is in nobody's list.
-func (p *pool) discard(c *conn) {
+func (p *Pool) discard(c *conn) {
 	c.Close()
 	p.mu.Lock()
+	defer p.mu.Unlock()
 	p.open--
-	p.mu.Unlock()
 }
 
-// closeIdle closes the idle connections to a target.
-func (p *pool) closeIdle(t *target) {
+// closeIdle closes the idle connections to an endpoint.
+func (p *Pool) closeIdle(e *Endpoint) {
 	p.mu.Lock()
-	dropped := t.idle
-	t.idle = nil
+	dropped := e.idle
+	e.idle = nil
 	p.open -= len(dropped)
 	p.mu.Unlock()
-	for _, c := range dropped {
-		c.Close()
-	}
+	closeAll(dropped)
 }
 
-// sweep closes what has been idle for too long to be used again.
-func (p *pool) sweep() {
+// Sweep closes what has been idle for too long to be used again, and lets what was learnt about idle ages fade.
+func (p *Pool) Sweep() {
 	var dropped []*conn
 	p.mu.Lock()
-	p.limit.age()
-	for t := range p.targets {
-		for len(t.idle) > 0 && p.expired(t.idle[0]) {
-			dropped = append(dropped, t.idle[0])
-			t.idle = slices.Delete(t.idle, 0, 1)
+	p.idleAge.decay()
+	for e := range p.endpoints {
+		for len(e.idle) > 0 && p.expired(e.idle[0]) {
+			dropped = append(dropped, e.idle[0])
+			e.idle = slices.Delete(e.idle, 0, 1)
 		}
 	}
 	p.open -= len(dropped)
 	p.mu.Unlock()
-	for _, c := range dropped {
+	closeAll(dropped)
+}
+
+func closeAll(conns []*conn) {
+	for _, c := range conns {
 		c.Close()
 	}
 }
--- /dev/null
+++ b/internal/agent/pool_upstream_test.go
@@ -0,0 +1,117 @@
+package agent
+
+import (
+	"context"
+	"net/http"
+	"testing"
+	"time"
+
+	"example.org/ryeloft/internal/agenttest"
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/metrics"
+)
+
+// A pool that is given less room closes what is idle at once.
+func TestPoolResize(t *testing.T) {
+	b := agenttest.NewServer(t, agenttest.Serve)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
+	p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
+	to := p.AddEndpoint(b.Addr, 0)
+	var held []*conn
+	for range 4 {
+		c, err := p.get(t.Context(), to)
+		if err != nil {
+			t.Fatal(err)
+		}
+		held = append(held, c)
+	}
+	for _, c := range held {
+		p.put(c)
+	}
+	p.Resize(1)
+	for range 3 {
+		agenttest.Receive(t, "close of an idle connection", b.Closed)
+	}
+	if p.open != 1 || len(to.idle) != 1 || to.idle[0] != held[3] {
+		t.Errorf("%d connections", p.open)
+	}
+}
+
+// The pool keeps to its sockets: an idle connection makes room, one in use does not.
+func TestPoolIsBounded(t *testing.T) {
+	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
+	p := NewPool(&cfg.Settings, 1, &metrics.Metrics{})
+	toX, toY := p.AddEndpoint(x.Addr, 0), p.AddEndpoint(y.Addr, 0)
+	m := NewRequest("GET", "/", "x", nil, nil, nil)
+	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Timeout)
+	defer cancel()
+	if r := exchangeBy(p, ctx, toX, m, time.Time{}); r.Outcome != balancer.OutcomeOK {
+		t.Fatalf("outcome %d", r.Outcome)
+	}
+	silent := make(chan Result, 1)
+	held, giveUp := context.WithCancel(ctx)
+	go func() { silent <- exchangeBy(p, held, toY, m, time.Time{}) }()
+	agenttest.Receive(t, "close of the idle connection", x.Closed)
+	agenttest.Receive(t, "request", y.Requests)
+	if r := exchangeBy(p, ctx, toX, m, time.Time{}); r.Outcome != balancer.OutcomeExpired {
+		t.Errorf("with the only socket in use: outcome %d", r.Outcome)
+	}
+	giveUp()
+	if r := agenttest.Receive(t, "cancelled attempt", silent); r.Outcome != balancer.OutcomeCancelled {
+		t.Errorf("given up: outcome %d", r.Outcome)
+	}
+	if r := exchangeBy(p, ctx, toX, m, time.Time{}); r.Outcome != balancer.OutcomeOK {
+		t.Errorf("with the socket free again: outcome %d", r.Outcome)
+	}
+}
+
+// What may be closed by the backend before a request has crossed is not used, and is swept away; ActClose closes
+// what is idle.
+func TestIdleConnectionsEnd(t *testing.T) {
+	b := agenttest.NewServer(t, agenttest.Serve)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
+	p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
+	to := p.AddEndpoint(b.Addr, 0)
+	m := NewRequest("GET", "/", "x", nil, nil, nil)
+	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Timeout)
+	defer cancel()
+	for i, end := range []func(c *conn){
+		func(c *conn) { // no sweep has come
+			c.idleSince = c.idleSince.Add(-p.idleTimeout + idleMargin/2)
+		},
+		func(c *conn) {
+			c.idleSince = c.idleSince.Add(-p.idleTimeout + idleMargin/2)
+			p.Sweep()
+			agenttest.Receive(t, "close by the sweep", b.Closed)
+		},
+		func(*conn) {
+			p.closeIdle(to)
+			agenttest.Receive(t, "close of the idle connection", b.Closed)
+		},
+		func(*conn) {},
+	} {
+		if r := exchangeBy(p, ctx, to, m, time.Time{}); r.Outcome != balancer.OutcomeOK {
+			t.Fatalf("exchange %d: outcome %d", i, r.Outcome)
+		}
+		if n := len(b.Accepted); n != i+1 {
+			t.Errorf("exchange %d: %d connections", i, n)
+		}
+		end(to.idle[0])
+	}
+	if p.open != 1 {
+		t.Errorf("%d connections are counted as open", p.open)
+	}
+}
+
+// The connection that was used last is the least likely to be closed by the backend.
+func TestNewestConnectionFirst(t *testing.T) {
+	p := NewPool(&agenttest.Config(t, "127.0.0.1:1", agenttest.Settings).Settings, 4, &metrics.Metrics{})
+	x := p.AddEndpoint("x", 0)
+	older, newer := &conn{endpoint: x}, &conn{endpoint: x}
+	p.put(older)
+	p.put(newer)
+	if p.takeIdle(x) != newer || p.takeIdle(x) != older || p.takeIdle(x) != nil {
+		t.Error("not the one used last first")
+	}
+}
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -35,11 +35,11 @@
 		}
 	}
 	if err != nil {
-		l.pool.metrics.ConfigRejected()
+		l.metrics.ConfigRejected()
 		l.log.Error("not reloaded, the old configuration stays", "error", err)
 		return
 	}
-	l.pool.metrics.ConfigApplied()
+	l.metrics.ConfigApplied()
 	l.log.Info("reloaded", "discovery", r.Config.Discovery, "relays", len(r.Config.Relays), "classes", r.Config.Settings.ClassNames,
 		"max_attempts", r.Config.Settings.Balancer.MaxAttempts)
 	select {
@@ -54,8 +54,8 @@
 		return err
 	}
 	old := l.set.Swap(next)
-	l.pool.adopt(next)
-	l.pool.metrics.AddClasses(next.ClassNames)
+	l.pool.Configure(next)
+	l.metrics.AddClasses(next.ClassNames)
 	if slices.Equal(old.ZoneNames, next.ZoneNames) && slices.Equal(old.KindNames, next.KindNames) || l.servers.Len() == 0 {
 		return nil
 	}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -89,7 +89,7 @@
 	case err != nil, !s.clients.take(connOf(r)): // the connection is gone
 		panic(http.ErrAbortHandler)
 	}
-	if u := c.message.long; u != nil {
+	if u := c.message.Upload(); u != nil {
 		u.OnComplete = func() {
 			s.metrics.RequestOpened()
 			s.clients.noteBody(connOf(r))
@@ -122,7 +122,7 @@
 			panic(http.ErrAbortHandler)
 		case a.rest == nil:
 			s.answer(w, r, c, a)
-		case late != nil || c.message.long != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
+		case late != nil || c.message.Upload() != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
 			a.rest.Finish(stream.ErrNotRead)
 			s.answer(w, r, c, answer{status: protocol.StatusFailed})
 		default:
@@ -192,7 +192,7 @@
 	s.metrics.RequestAnswered(c.kind, metrics.ResultOf(a.status))
 	s.finishBody(w, c)
 	s.respond(w, a)
-	if u := c.message.long; u != nil && !u.Complete() && http.NewResponseController(w).Flush() == nil {
+	if u := c.message.Upload(); u != nil && !u.Complete() && http.NewResponseController(w).Flush() == nil {
 		s.clients.answered(connOf(r))
 		u.Discard()
 	}
@@ -200,7 +200,7 @@
 
 // finishBody notes, before its answer, that a long body has not come to its end: the rest is in the way of a next request.
 func (s *server) finishBody(w http.ResponseWriter, c *call) {
-	if u := c.message.long; u != nil && !u.Complete() {
+	if u := c.message.Upload(); u != nil && !u.Complete() {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -336,7 +336,7 @@
 		// From here on the connection is watched for a client that goes, for as long as the answer takes.
 		return nil, err
 	}
-	c.message = newMessage(r.Method, r.RequestURI, r.Host, r.Header, body, long)
+	c.message = NewRequest(r.Method, r.RequestURI, r.Host, r.Header, body, long)
 	return c, nil
 }
 
--- a/internal/protocol/protocol.go
+++ b/internal/protocol/protocol.go
@@ -42,6 +42,9 @@
 	StatusFailed   = http.StatusBadGateway         // the request may have run
 )
 
+// MaxHeadBytes bounds the head of a request and that of an answer.
+const MaxHeadBytes = 32 << 10
+
 // maxBudget is the longest budget that a request may state.
 const maxBudget = time.Hour
 
