--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -11,9 +11,13 @@
 	"syscall"
 	"time"
 
+	"example.org/ryeloft/internal/admin"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/stream"
 )
 
 const (
@@ -73,8 +77,9 @@
 
 func serve(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, listening func() (*net.TCPListener, error), log *slog.Logger) error {
 	own := limitsOf(cfg, 1)
-	pool := newPool(&cfg.Settings, own.backends)
-	l, err := newLoop(&cfg.Settings, cfg.Seed, pool, log)
+	counters := &metrics.Metrics{}
+	pool := NewPool(&cfg.Settings, own.backends, counters)
+	l, err := newLoop(&cfg.Settings, cfg.Seed, pool, counters, log)
 	if err != nil {
 		return err
 	}
@@ -85,29 +90,29 @@
 		l.send(input{event: n.Event(nil), members: n.Members})
 	}
 	d := discovery.New(discovery.Options{
-		Addr: cfg.Discovery, Settings: l.set.Load, Notify: tell, OnPoll: pool.counts.called, Log: log,
+		Addr: cfg.Discovery, Settings: l.set.Load, Notify: tell, OnPoll: counters.PollEnded, Log: log,
 		Name: cfg.Name, Relays: cfg.Relays,
 	})
 	d.StartFrom(cfg.CachedEndpoints)
 	l.follow = d.Poll
-	clients := &admission{figures: &pool.counts, freed: make(chan struct{}, 1)}
+	clients := &admission{metrics: counters, freed: make(chan struct{}, 1)}
 	handler := &server{
-		loop: l, figures: &pool.counts, clients: clients, most: int64(own.busy - own.busy/8),
-		drain: &drain{clients: clients, ended: work.Done(), log: log}, hurry: make(chan struct{}), buffers: newBuffers(own.streams),
+		loop: l, metrics: counters, clients: clients, most: int64(own.busy - own.busy/8),
+		drain: &drain{clients: clients, ended: work.Done(), log: log}, hurry: make(chan struct{}), buffers: stream.NewBuffers(own.streams),
 	}
 	shares := newRooms(cfg, clients, pool)
 	var beside *link
 	if cfg.AdminAddr != "" {
-		c, err := listenConsole(ctx, cfg.AdminAddr, handler.calls())
+		c, err := admin.Listen(ctx, cfg.AdminAddr, handler.calls())
 		if err != nil {
 			return err
 		}
-		defer c.close()
-		go c.serve()
+		defer c.Close()
+		go c.Serve()
 		l.shown = true
 		beside = joinLink(linkPath(cfg.Name), shares, log)
 		defer beside.close()
-		defer pool.resize(0) // before that: the other process takes the link's end for the end of all that this one holds
+		defer pool.Resize(0) // before that: the other process takes the link's end for the end of all that this one holds
 	}
 	moves := make(chan discovery.Target)
 	go l.run(work)
@@ -122,7 +127,7 @@
 		return err
 	}
 	srv := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headTimeout, IdleTimeout: idleClients, MaxHeaderBytes: maxHeader,
+		Handler: handler, ReadHeaderTimeout: headTimeout, IdleTimeout: idleClients, MaxHeaderBytes: protocol.MaxHeadBytes,
 		ConnContext: withConn, ConnState: clients.noteState,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 	}
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -12,13 +12,20 @@
 	"example.org/ryeloft/internal/clock"
 	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/membership"
+	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/settings"
+	"example.org/ryeloft/internal/stream"
 )
 
 const (
 	inputQueue = 256 // inputs that may wait for the loop; whoever has one more waits with it
 	sweepEvery = time.Second
 	mostRecent = 4096 // ids of ended requests that are known, twice
+	// reportEvery is how often the counters are logged: often enough to place a bad spell, too seldom to drown it.
+	reportEvery = 5 * time.Second
+	// gaugeEvery is how often the loop publishes what it knows of the servers.
+	gaugeEvery = 100 * time.Millisecond
 )
 
 // input is what has happened, on its way to the loop: an event for the module and what it has no use for.
@@ -39,7 +46,7 @@
 	class, tenant int                // positions in them
 	retry         bool
 	deadline      time.Duration // of the clock
-	message       message
+	message       *Request
 	answered      chan answer // holds one, so that the loop never waits for a handler
 	gone          func() bool // says whether the client has gone
 
@@ -56,7 +63,12 @@
 	retryAfter  time.Duration // 0: no advice
 	contentType string
 	body        []byte
-	rest        *download // in place of a body that is held
+	rest        *stream.Download // in place of a body that is held
+}
+
+// clientAnswer is a server's answer as its client gets it.
+func clientAnswer(a Answer) answer {
+	return answer{status: http.StatusOK, contentType: a.ContentType, body: a.Body, rest: a.Download}
 }
 
 // request is what the loop knows of a call until it is answered and its attempts are back.
@@ -73,7 +85,8 @@
 	set      atomic.Pointer[settings.Settings] // the loop swaps it; handlers read requests by it
 	clock    clock.Anchored
 	balancer *balancer.Balancer
-	pool     *pool
+	pool     *Pool
+	metrics  *metrics.Metrics
 	follow   func() // asks discovery for the list
 	log      *slog.Logger
 	inputs   chan input
@@ -83,7 +96,7 @@
 	shown    bool          // the figures are read: the loop publishes its own
 
 	servers  *membership.Table // as discovery last told
-	targets  map[balancer.ServerID]*target
+	targets  map[balancer.ServerID]*Endpoint
 	requests map[balancer.RequestID]*request
 	callIDs  callIDs
 	lastID   balancer.RequestID
@@ -93,26 +106,26 @@
 	actions  []balancer.Action
 }
 
-func newLoop(set *settings.Settings, seed uint64, pool *pool, log *slog.Logger) (*loop, error) {
+func newLoop(set *settings.Settings, seed uint64, pool *Pool, m *metrics.Metrics, log *slog.Logger) (*loop, error) {
 	decisions, err := balancer.New(set.Balancer, seed)
 	if err != nil {
 		return nil, err
 	}
 	l := &loop{
-		clock: clock.Anchor(), balancer: decisions, pool: pool, log: log,
+		clock: clock.Anchor(), balancer: decisions, pool: pool, metrics: m, log: log,
 		inputs:   make(chan input, inputQueue),
 		done:     make(chan struct{}),
-		targets:  map[balancer.ServerID]*target{},
+		targets:  map[balancer.ServerID]*Endpoint{},
 		requests: map[balancer.RequestID]*request{},
 		callIDs:  callIDs{open: map[string]struct{}{}, recent: map[string]struct{}{}},
 	}
 	l.servers = membership.New(l.clock.Now)
 	l.set.Store(set)
-	pool.counts.know(set.ClassNames)
+	m.AddClasses(set.ClassNames)
 	return l, nil
 }
 
-// awaitFirstList waits until the list that discovery has now is here, or for so long that an old one has to do.
+// awaitList waits until the list that discovery has now is here, or for so long that an old one has to do.
 func (l *loop) awaitList(ctx context.Context) {
 	look := time.NewTicker(leaveLook)
 	defer look.Stop()
@@ -159,16 +172,15 @@
 			begun := time.Now()
 			l.take(ctx, in)
 			took := time.Since(begun)
-			l.pool.counts.count(func(t *tally) { t.slowestLoop = max(t.slowestLoop, took) })
+			l.metrics.LoopBusy(took)
 		case <-wake.C:
 		case <-sweep.C:
-			l.pool.sweep()
+			l.pool.Sweep()
 			l.callIDs.age()
 		case <-gauges:
-			l.pool.counts.listed.Store(int64(l.servers.Len()))
-			l.pool.counts.avoidedNow.Store(int64(l.balancer.EjectedEndpoints(l.clock.Now())))
+			l.metrics.SetEndpoints(l.servers.Len(), l.balancer.EjectedEndpoints(l.clock.Now()))
 		case <-report.C:
-			l.pool.counts.report(l.log, l.servers.Count(balancer.Ready), l.servers.Count(balancer.Draining))
+			l.metrics.Log(l.log, l.servers.Count(balancer.Ready), l.servers.Count(balancer.Draining))
 			if step := l.steps.Observe(clock.Wall(), l.clock.Elapsed()); step != 0 {
 				l.log.Warn("the wall clock was stepped", "by", step)
 			}
@@ -200,13 +212,13 @@
 		}
 	case balancer.EventRequest:
 		if !l.callIDs.take(in.call.callID) {
-			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(callIDHeader + " is in use\n")}
+			in.call.answered <- answer{status: http.StatusConflict, contentType: "text/plain", body: []byte(protocol.HeaderRequestID + " is in use\n")}
 			return
 		}
-		l.pool.counts.count(func(t *tally) { t.taken++ })
+		l.metrics.RequestDispatched()
 		if !in.call.translate(l.set.Load()) {
 			l.callIDs.release(in.call.callID)
-			in.call.answered <- answer{status: statusRefused}
+			in.call.answered <- answer{status: protocol.StatusRejected}
 			return
 		}
 		in.call.id = l.newID()
@@ -220,7 +232,7 @@
 			select {
 			case a := <-in.call.answered:
 				if a.rest != nil {
-					a.rest.end(errNotTaken)
+					a.rest.Finish(stream.ErrNotRead)
 				}
 			default:
 			}
@@ -231,14 +243,14 @@
 		r := l.requests[ev.Request]
 		if flows := in.answer.rest; flows != nil {
 			if !r.end(in.answer) { // another attempt's answer was first
-				flows.end(errNotTaken)
+				flows.Finish(stream.ErrNotRead)
 				return
 			}
 			r.passing = 1 + ev.Attempt
 		}
 		l.handle(ctx, ev)
 	case balancer.EventOutcome:
-		l.pool.counts.count(func(t *tally) { t.ended(&ev) })
+		l.metrics.AttemptEnded(ev.Outcome, ev.Load)
 		r := l.requests[ev.Request]
 		r.attempts[ev.Attempt]()
 		r.out--
@@ -253,16 +265,16 @@
 		l.forget(r)
 	default:
 		if ev.Kind == balancer.EventHealthCheck {
-			l.pool.counts.count(func(t *tally) { t.ended(&ev) })
+			l.metrics.HealthCheckEnded(ev.Outcome, ev.Load)
 		}
 		l.handle(ctx, ev)
 	}
 }
 
-// cancelCall ends a request whose client has gone, with an answer of nothing if the handler has not heard.
+// hangUp ends a request whose client has gone, with an answer of nothing if the handler has not heard.
 func (l *loop) hangUp(ctx context.Context, r *request) {
 	r.end(answer{})
-	l.pool.counts.count(func(t *tally) { t.gone++ })
+	l.metrics.ClientClosed()
 	l.handle(ctx, balancer.Event{Kind: balancer.EventClientClosed, Request: r.id})
 	l.forget(r)
 }
@@ -330,16 +342,16 @@
 			continue // forgotten once the module has heard of it
 		}
 		addr, t := members[i].Address, l.targets[e.ID]
-		same := t != nil && t.addr == addr && t.start == e.Start
-		if !same || e.State == balancer.Ready && t.left.Err() != nil { // one that stays after all may be sent to again
+		same := t != nil && t.Is(addr, e.Start)
+		if !same || e.State == balancer.Ready && t.Draining() { // one that stays after all may be sent to again
 			if t != nil {
-				l.pool.retire(t)
+				l.pool.Retire(t)
 			}
-			t = l.pool.target(addr, e.Start)
+			t = l.pool.AddEndpoint(addr, e.Start)
 			l.targets[e.ID] = t
 		}
 		if e.State != balancer.Ready {
-			t.leave()
+			t.Drain()
 		}
 	}
 	return entries
@@ -349,7 +361,7 @@
 func (l *loop) forgetGone(mode balancer.DiscoveryUpdate, entries []balancer.Endpoint) {
 	for _, id := range l.servers.RemoveGone(mode, entries) {
 		if t := l.targets[id]; t != nil {
-			l.pool.retire(t)
+			l.pool.Retire(t)
 			delete(l.targets, id)
 		}
 	}
@@ -377,12 +389,12 @@
 		}
 	case balancer.ActionReject:
 		if r != nil {
-			r.end(answer{status: statusRefused, retryAfter: a.RetryAfter})
+			r.end(answer{status: protocol.StatusRejected, retryAfter: a.RetryAfter})
 			l.forget(r)
 		}
 	case balancer.ActionFail:
 		if r != nil {
-			r.end(answer{status: statusFailed})
+			r.end(answer{status: protocol.StatusFailed})
 			l.forget(r)
 		}
 	case balancer.ActionCancel:
@@ -417,32 +429,32 @@
 		})
 		return
 	}
-	on := &terms{deadline: time.Now().Add(left), fields: l.set.Load().ReportFields, over: r.over}
+	on := &Attempt{Deadline: time.Now().Add(left), LoadFields: l.set.Load().ReportFields, Abandoned: r.over}
 	if a.DispatchWithin > 0 {
-		on.sendBy = time.Now().Add(a.DispatchWithin)
+		on.SendBefore = time.Now().Add(a.DispatchWithin)
 	}
 	attemptCtx, cancel := context.WithCancelCause(ctx)
-	on.timer = time.AfterFunc(left, func() { cancel(context.DeadlineExceeded) })
+	on.Timer = time.AfterFunc(left, func() { cancel(context.DeadlineExceeded) })
 	r.attempts = append(r.attempts, func() { cancel(context.Canceled) })
 	r.out++
-	id, server, msg := r.id, a.Server, &r.message
+	id, server, msg := r.id, a.Server, r.message
 	begun := balancer.Event{Kind: balancer.EventStreaming, Request: id, Attempt: n, Server: server}
-	on.begun = func() { l.send(input{event: begun}) }
-	on.pass = func(a answer) error {
-		l.send(input{event: begun, answer: a})
+	on.OnStreaming = func() { l.send(input{event: begun}) }
+	on.PassOn = func(a Answer) error {
+		l.send(input{event: begun, answer: clientAnswer(a)})
 		select {
-		case err := <-a.rest.ended:
+		case err := <-a.Download.Done():
 			return err
 		case <-l.done:
-			return errNotTaken
+			return stream.ErrNotRead
 		}
 	}
 	go func() {
-		res := l.pool.exchange(attemptCtx, t, msg, on)
-		on.timer.Stop()
-		l.send(input{answer: res.answer, gone: res.gone, event: balancer.Event{
+		res := l.pool.Exchange(attemptCtx, t, msg, on)
+		on.Timer.Stop()
+		l.send(input{answer: clientAnswer(res.Answer), gone: res.Abandoned, event: balancer.Event{
 			Kind: balancer.EventOutcome, Request: id, Attempt: n, Server: server,
-			Outcome: res.outcome, Load: res.load,
+			Outcome: res.Outcome, Load: res.Load,
 		}})
 	}()
 }
@@ -457,10 +469,10 @@
 	}
 	set := l.set.Load()
 	go func() {
-		res := l.pool.probe(ctx, t, set)
+		res := l.pool.HealthCheck(ctx, t, set)
 		l.send(input{event: balancer.Event{
 			Kind: balancer.EventHealthCheck, Server: server,
-			Outcome: res.outcome, Load: res.load,
+			Outcome: res.Outcome, Load: res.Load,
 		}})
 	}()
 }
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -5,7 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-	"math"
 	"net/http"
 	"net/textproto"
 	"slices"
@@ -14,28 +13,15 @@
 	"sync/atomic"
 	"time"
 
+	"example.org/ryeloft/internal/admin"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/clock"
+	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/stream"
 )
 
 const (
-	callIDHeader   = "X-Call-Id"
-	classHeader    = "X-Call-Class"
-	tenantHeader   = "X-Caller"
-	budgetHeader   = "X-Budget"
-	retryHeader    = "X-Again"
-	keyHeader      = "Idempotency-Key"
-	loadHeader     = "X-Load-Report"
-	rejectedHeader = "X-Rejected"
-
-	readyPath = "/up"
-	alivePath = "/alive"
-	loadPath  = "/metrics/load"
-
-	statusRefused = http.StatusServiceUnavailable
-	statusFailed  = http.StatusBadGateway
-
-	maxBudget    = time.Hour
 	mostMargin   = 25 * time.Millisecond
 	marginShare  = 10              // of a budget that is its margin at most
 	writeTimeout = 5 * time.Second // for a client to take its answer
@@ -52,10 +38,10 @@
 // server is the client's side: it turns requests into calls for the loop, and its answers into responses.
 type server struct {
 	loop    *loop
-	figures *figures
+	metrics *metrics.Metrics
 	clients *admission
-	buffers buffers // of streams
-	most    int64   // requests held at once
+	buffers *stream.Buffers // of streams
+	most    int64           // requests held at once
 
 	drain *drain        // while clients are sent away, connections are closed after their answers
 	hurry chan struct{} // closed when what is open is to be answered as failed: the process is about to be killed
@@ -82,12 +68,12 @@
 
 func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// Danger: a body that nobody reads is read by net/http behind the answer, and would be waited for without an end.
-	http.NewResponseController(w).SetReadDeadline(time.Now().Add(bodyGrace))
+	http.NewResponseController(w).SetReadDeadline(time.Now().Add(stream.BodyGrace))
 	if err := checkFraming(r); err != nil {
 		s.turnDown(w, err)
 		return
 	}
-	if r.URL.Path == readyPath {
+	if r.URL.Path == protocol.PathReady {
 		if err := s.takesClients(); err != nil {
 			w.Header().Set("Connection", "close")
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
@@ -103,25 +89,25 @@
 	case err != nil, !s.clients.take(connOf(r)): // the connection is gone
 		panic(http.ErrAbortHandler)
 	}
-	if u := c.message.long; u != nil {
-		u.ended = func() {
-			s.figures.active.Add(1)
+	if u := c.message.Upload(); u != nil {
+		u.OnComplete = func() {
+			s.metrics.RequestOpened()
 			s.clients.noteBody(connOf(r))
 		}
 		defer s.endUpload(w, u)
-		if !u.admit(s.buffers) {
-			s.figures.count(func(t *tally) { t.turnedAway++ })
-			s.answer(w, r, c, answer{status: statusRefused, retryAfter: s.fullAdvice()})
+		if !u.Reserve(s.buffers) {
+			s.metrics.RequestOverLimit()
+			s.answer(w, r, c, answer{status: protocol.StatusRejected, retryAfter: s.fullAdvice()})
 			return
 		}
 	} else {
-		s.figures.active.Add(1)
-		defer s.figures.active.Add(-1)
+		s.metrics.RequestOpened()
+		defer s.metrics.RequestClosed()
 	}
 	defer s.held.Add(-1)
 	if s.held.Add(1) > s.most {
-		s.figures.count(func(t *tally) { t.turnedAway++ })
-		s.answer(w, r, c, answer{status: statusRefused, retryAfter: s.fullAdvice()})
+		s.metrics.RequestOverLimit()
+		s.answer(w, r, c, answer{status: protocol.StatusRejected, retryAfter: s.fullAdvice()})
 		return
 	}
 	s.loop.send(input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
@@ -136,9 +122,9 @@
 			panic(http.ErrAbortHandler)
 		case a.rest == nil:
 			s.answer(w, r, c, a)
-		case late != nil || c.message.long != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
-			a.rest.end(errNotTaken)
-			s.answer(w, r, c, answer{status: statusFailed})
+		case late != nil || c.message.Upload() != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
+			a.rest.Finish(stream.ErrNotRead)
+			s.answer(w, r, c, answer{status: protocol.StatusFailed})
 		default:
 			s.passOn(w, r, c, a)
 		}
@@ -155,20 +141,17 @@
 }
 
 // endUpload ends all use of a long body, whose request has ended.
-func (s *server) endUpload(w http.ResponseWriter, u *upload) {
-	u.stop(http.NewResponseController(w))
-	if u.done.Load() {
-		s.figures.active.Add(-1)
-	}
-	if u.part != nil && u.claim() { // no attempt has
-		u.release()
+func (s *server) endUpload(w http.ResponseWriter, u *stream.Upload) {
+	u.Close(http.NewResponseController(w))
+	if u.Complete() {
+		s.metrics.RequestClosed()
 	}
 }
 
-// dropAttempt answers a request as failed whose answer can be waited for no longer.
+// giveUp answers a request as failed whose answer can be waited for no longer.
 func (s *server) giveUp(w http.ResponseWriter, r *http.Request, c *call) {
 	s.loop.send(input{event: balancer.Event{Kind: balancer.EventClientClosed}, call: c})
-	s.answer(w, r, c, answer{status: statusFailed})
+	s.answer(w, r, c, answer{status: protocol.StatusFailed})
 }
 
 // takesClients says why clients cannot be served, if they can not.
@@ -184,21 +167,20 @@
 
 // turnDown answers what was never taken.
 func (s *server) turnDown(w http.ResponseWriter, why *badRequest) {
-	s.figures.count(func(t *tally) {
-		t.badRequests++
-		t.lastBad = why.what
-	})
+	s.metrics.BadRequest(why.what)
 	s.respond(w, why.answer())
 }
 
 // calls are what the operators may ask on the console.
-func (s *server) calls() map[string]func(io.Writer) error {
-	return map[string]func(io.Writer) error{
+func (s *server) calls() map[string]admin.Command {
+	return map[string]admin.Command{
 		"check":     func(io.Writer) error { return s.takesClients() },
 		"drain-on":  func(io.Writer) error { s.drain.on(); return nil },
 		"drain-off": func(io.Writer) error { return s.drain.off() },
 		"vars": func(w io.Writer) error {
-			s.figures.write(w)
+			if err := s.metrics.WriteText(w); err != nil {
+				return err
+			}
 			_, err := fmt.Fprintln(w, "eof")
 			return err
 		},
@@ -207,18 +189,18 @@
 
 // answer gives a request that was taken its answer and counts it.
 func (s *server) answer(w http.ResponseWriter, r *http.Request, c *call, a answer) {
-	s.figures.answered(c.kind, resultOf(a.status))
+	s.metrics.RequestAnswered(c.kind, metrics.ResultOf(a.status))
 	s.finishBody(w, c)
 	s.respond(w, a)
-	if u := c.message.long; u != nil && !u.done.Load() && http.NewResponseController(w).Flush() == nil {
+	if u := c.message.Upload(); u != nil && !u.Complete() && http.NewResponseController(w).Flush() == nil {
 		s.clients.answered(connOf(r))
-		u.discard()
+		u.Discard()
 	}
 }
 
 // finishBody notes, before its answer, that a long body has not come to its end: the rest is in the way of a next request.
 func (s *server) finishBody(w http.ResponseWriter, c *call) {
-	if u := c.message.long; u != nil && !u.done.Load() {
+	if u := c.message.Upload(); u != nil && !u.Complete() {
 		w.Header().Set("Connection", "close")
 	}
 }
@@ -226,14 +208,14 @@
 // passOn gives a request that was taken an answer that flows, and counts it by how it ends.
 func (s *server) passOn(w http.ResponseWriter, r *http.Request, c *call, a answer) {
 	s.finishBody(w, c)
-	s.head(w, a, a.rest.length)
-	err := s.pass(w, r, a.rest)
+	s.head(w, a, a.rest.Length())
+	err := a.rest.CopyTo(r.Context(), w, s.buffers)
 	if err == nil {
-		s.figures.answered(c.kind, resultOK)
+		s.metrics.RequestAnswered(c.kind, metrics.ResultOK)
 		return
 	}
-	s.figures.answered(c.kind, resultErrors)
-	s.figures.count(func(t *tally) { t.lastBreak = err.Error() })
+	s.metrics.RequestAnswered(c.kind, metrics.ResultErrors)
+	s.metrics.AnswerBroken(false, err)
 	// The client has to see that this was not all, also where only the close would end the answer.
 	connOf(r).cut()
 	panic(http.ErrAbortHandler)
@@ -286,14 +268,14 @@
 		// Danger: net/http drops the length that stands beside chunks, and the chunks of a request that cannot have them,
 		// and one of both hides a request in the body from whoever goes by the other.
 		return &badRequest{http.StatusBadRequest, "Transfer-Encoding and Content-Length do not go together"}
-	case r.ContentLength > maxStream:
-		return &badRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", maxStream)}
+	case r.ContentLength > stream.MaxBytes:
+		return &badRequest{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", stream.MaxBytes)}
 	}
 	return nil
 }
 
 // onceHeaders say what a request is; two of one would leave open which counts.
-var onceHeaders = []string{callIDHeader, classHeader, tenantHeader, budgetHeader, retryHeader, keyHeader}
+var onceHeaders = []string{protocol.HeaderRequestID, protocol.HeaderClass, protocol.HeaderTenant, protocol.HeaderBudget, protocol.HeaderRetry, protocol.HeaderIdempotencyKey}
 
 // read checks a request's head, and then reads it to its last byte, from which its budget counts.
 func (s *server) read(w http.ResponseWriter, r *http.Request) (*call, error) {
@@ -314,13 +296,13 @@
 	}
 	c := &call{
 		set:      set,
-		class:    slices.Index(set.ClassNames, r.Header.Get(classHeader)),
-		retry:    r.Header.Get(retryHeader) == "1",
+		class:    slices.Index(set.ClassNames, r.Header.Get(protocol.HeaderClass)),
+		retry:    r.Header.Get(protocol.HeaderRetry) == "1",
 		answered: make(chan answer, 1),
 		gone:     connOf(r).gone,
 	}
 	if c.class < 0 {
-		return nil, bad("%s is unknown", classHeader)
+		return nil, bad("%s is unknown", protocol.HeaderClass)
 	}
 	c.kind = set.ClassNames[c.class]
 	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != set.ClassNames[c.class] ||
@@ -331,16 +313,16 @@
 		return nil, err
 	}
 	if len(set.TenantNames) > 0 {
-		if c.tenant = slices.Index(set.TenantNames, r.Header.Get(tenantHeader)); c.tenant < 0 {
-			return nil, bad("%s is unknown", tenantHeader)
+		if c.tenant = slices.Index(set.TenantNames, r.Header.Get(protocol.HeaderTenant)); c.tenant < 0 {
+			return nil, bad("%s is unknown", protocol.HeaderTenant)
 		}
 	}
-	budget, err := parseBudget(r.Header.Get(budgetHeader))
+	budget, err := protocol.ParseBudget(r.Header.Get(protocol.HeaderBudget))
 	if err != nil {
-		return nil, err
+		return nil, bad("%s is no time", protocol.HeaderBudget)
 	}
-	if c.callID = r.Header.Get(callIDHeader); c.callID == "" || len(c.callID) > maxCallID {
-		return nil, bad("%s is missing or too long", callIDHeader)
+	if c.callID = r.Header.Get(protocol.HeaderRequestID); c.callID == "" || len(c.callID) > maxCallID {
+		return nil, bad("%s is missing or too long", protocol.HeaderRequestID)
 	}
 	body, long, err := readBody(r, http.NewResponseController(w))
 	if err != nil {
@@ -349,29 +331,29 @@
 	budget -= answerMargin(budget)
 	c.deadline = s.loop.clock.Now() + budget
 	if long != nil {
-		long.budget = budget
+		long.Budget = budget
 	} else if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil {
 		// From here on the connection is watched for a client that goes, for as long as the answer takes.
 		return nil, err
 	}
-	c.message = newMessage(r.Method, r.RequestURI, r.Host, r.Header, body, long)
+	c.message = NewRequest(r.Method, r.RequestURI, r.Host, r.Header, body, long)
 	return c, nil
 }
 
 // readBody returns a body that can be held whole, or else what it can be read from.
-func readBody(r *http.Request, rc *http.ResponseController) (body []byte, long *upload, err error) {
-	from := &paced{body: r.Body, rc: rc, began: clock.Instant(connOf(r).began.Load()).Time()}
-	if r.ContentLength > maxBody {
-		return nil, &upload{length: r.ContentLength, rest: from}, nil
+func readBody(r *http.Request, rc *http.ResponseController) (body []byte, long *stream.Upload, err error) {
+	from := stream.NewPacedReader(r.Body, rc, clock.Instant(connOf(r).began.Load()).Time())
+	if r.ContentLength > stream.MaxHeldBytes {
+		return nil, stream.NewUpload(r.ContentLength, nil, from), nil
 	}
 	if r.ContentLength >= 0 {
 		body = make([]byte, r.ContentLength)
 		_, err = io.ReadFull(from, body)
 		return body, nil, err
 	}
-	body, err = io.ReadAll(io.LimitReader(from, maxBody+1))
-	if len(body) > maxBody {
-		return nil, &upload{length: r.ContentLength, first: body, rest: from}, err
+	body, err = io.ReadAll(io.LimitReader(from, stream.MaxHeldBytes+1))
+	if len(body) > stream.MaxHeldBytes {
+		return nil, stream.NewUpload(r.ContentLength, body, from), err
 	}
 	return body, nil, err
 }
@@ -386,8 +368,8 @@
 	if r.Method != method {
 		return &badRequest{http.StatusMethodNotAllowed, "the class wants " + method}
 	}
-	if keyed && r.Header.Get(keyHeader) == "" {
-		return bad("the class wants %s", keyHeader)
+	if keyed && r.Header.Get(protocol.HeaderIdempotencyKey) == "" {
+		return bad("the class wants %s", protocol.HeaderIdempotencyKey)
 	}
 	return nil
 }
@@ -395,18 +377,3 @@
 // answerMargin is how long before a client gives up it is owed its answer at the latest: an answer that is only made
 // then, when an attempt's time is up, reaches nobody, and on a busy core it counts as lost.
 func answerMargin(budget time.Duration) time.Duration { return min(mostMargin, budget/marginShare) }
-
-// parseBudget reads a time such as 480m or 350000u: milliseconds or microseconds.
-func parseBudget(text string) (time.Duration, error) {
-	unit := time.Millisecond
-	number, ok := strings.CutSuffix(text, "m")
-	if !ok {
-		unit = time.Microsecond
-		number, ok = strings.CutSuffix(text, "u")
-	}
-	v, err := strconv.ParseFloat(number, 64)
-	if budget := v * float64(unit); ok && err == nil && budget > 0 && budget <= float64(maxBudget) {
-		return time.Duration(math.Round(budget)), nil
-	}
-	return 0, bad("%s is no time", budgetHeader)
-}
