--- a/cmd/agent/clock_test.go
+++ b/cmd/agent/clock_test.go
@@ -22,7 +22,7 @@
 		io.WriteString(w, "served")
 	}))
 	t.Cleanup(server.Close)
-	addr, asked := newDiscovery(t)
+	addr, polls := newDiscovery(t)
 	known := fmt.Sprintf(`"known":{"revision":1,"complete":true,"members":[{"id":"x","host_port":%q,"phase":"Ready"}]},"seed"`, server.Listener.Addr())
 	listen = ownAddr(t)
 	text := strings.NewReplacer(`"seed"`, known, `"effect":"pure"`, `"effect":"side_effect"`, `"deadline":200`, `"deadline":20000`, `"sockets":1024`, `"sockets":256`).
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	go io.Copy(io.Discard, stderr)
-	follows(t, asked)
+	awaitWatch(t, polls)
 	awaitUp(t, listen)
 	return listen, clock
 }
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -92,10 +92,10 @@
 }
 
 // newDiscovery starts a service with one list; each call's query goes into the channel.
-func newDiscovery(t *testing.T) (addr string, asked chan string) {
-	asked = make(chan string, 100)
+func newDiscovery(t *testing.T) (addr string, polls chan string) {
+	polls = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		asked <- r.URL.RawQuery
+		polls <- r.URL.RawQuery
 		if r.URL.RawQuery != "" {
 			<-r.Context().Done()
 			return
@@ -103,10 +103,10 @@
 		fmt.Fprint(w, `{"revision":1,"complete":true,"members":[{"id":"x","host_port":"127.0.0.1:1","phase":"Ready"}]}`)
 	}))
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
-	return s.Listener.Addr().String(), asked
+	return s.Listener.Addr().String(), polls
 }
 
-// freeAddr is an address that was free just now: the program must be told one.
+// freeAddr is an address that was free just now: the program must be given one.
 func freeAddr(t *testing.T) string {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,12 +118,12 @@
 
 const wait = 20 * time.Second
 
-// follows waits until the list has been asked for and is watched.
-func follows(t *testing.T, asked chan string) {
+// awaitWatch waits until the list has been asked for and is watched.
+func awaitWatch(t *testing.T, polls chan string) {
 	t.Helper()
 	for {
 		select {
-		case q := <-asked:
+		case q := <-polls:
 			if q != "" {
 				return
 			}
@@ -140,8 +140,8 @@
 	}
 }
 
-// ends waits until the program has ended, and well.
-func ends(t *testing.T, cmd *exec.Cmd, stderr io.Reader) {
+// awaitExit waits until the program has ended, and well.
+func awaitExit(t *testing.T, cmd *exec.Cmd, stderr io.Reader) {
 	t.Helper()
 	ended := make(chan error, 1)
 	go func() {
@@ -172,26 +172,26 @@
 
 // SIGTERM ends the program with 0, also while a client holds a connection that it has never used.
 func TestTermination(t *testing.T) {
-	addr, asked := newDiscovery(t)
+	addr, polls := newDiscovery(t)
 	listen := freeAddr(t)
 	cmd, stderr, _ := program(t, fmt.Sprintf(configText, listen, addr, 1))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	follows(t, asked) // so it listens
+	awaitWatch(t, polls) // so it listens
 	unused, err := net.Dial("tcp", listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unused.Close()
 	notify(t, cmd, syscall.SIGTERM)
-	ends(t, cmd, stderr)
+	awaitExit(t, cmd, stderr)
 }
 
 // SIGHUP brings a new configuration; one that cannot be used leaves the old one and says so in one line.
 func TestHangupReloads(t *testing.T) {
-	first, asked := newDiscovery(t)
-	second, askedSecond := newDiscovery(t)
+	first, polls := newDiscovery(t)
+	second, pollsOfSecond := newDiscovery(t)
 	listen := freeAddr(t)
 	cmd, stderr, path := program(t, fmt.Sprintf(configText, listen, first, 1))
 	if err := cmd.Start(); err != nil {
@@ -206,36 +206,36 @@
 		}
 		return false
 	}
-	follows(t, asked)
+	awaitWatch(t, polls)
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	notify(t, cmd, syscall.SIGHUP)
 	if !scan() || !strings.Contains(lines.Text(), "not reloaded") {
-		t.Fatalf("a bad file is told as %q", lines.Text())
+		t.Fatalf("a bad file is logged as %q", lines.Text())
 	}
 	if err := replaceFile(path, fmt.Sprintf(configText, listen, second, 1)); err != nil {
 		t.Fatal(err)
 	}
 	notify(t, cmd, syscall.SIGHUP)
-	follows(t, askedSecond)
+	awaitWatch(t, pollsOfSecond)
 	if !scan() || !strings.Contains(lines.Text(), "reloaded") || !strings.Contains(lines.Text(), second) {
-		t.Errorf("a good file is told as %q", lines.Text())
+		t.Errorf("a good file is logged as %q", lines.Text())
 	}
 	notify(t, cmd, syscall.SIGTERM)
-	ends(t, cmd, stderr)
+	awaitExit(t, cmd, stderr)
 }
 
 // Several signals in a row, with broken files among them, end with the last good file in use.
 func TestManyHangups(t *testing.T) {
-	addr, asked := newDiscovery(t)
-	last, askedLast := newDiscovery(t)
+	addr, polls := newDiscovery(t)
+	last, pollsOfLast := newDiscovery(t)
 	listen := freeAddr(t)
 	cmd, stderr, path := program(t, fmt.Sprintf(configText, listen, addr, 1))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	follows(t, asked)
+	awaitWatch(t, polls)
 	for _, text := range []string{"", fmt.Sprintf(configText, listen, addr, 2), "{", fmt.Sprintf(configText, listen, last, 3)} {
 		if err := replaceFile(path, text); err != nil {
 			t.Fatal(err)
@@ -243,9 +243,9 @@
 		notify(t, cmd, syscall.SIGHUP)
 		notify(t, cmd, syscall.SIGHUP)
 	}
-	follows(t, askedLast)
+	awaitWatch(t, pollsOfLast)
 	notify(t, cmd, syscall.SIGTERM)
-	ends(t, cmd, stderr)
+	awaitExit(t, cmd, stderr)
 }
 
 // A process that was killed leaves nothing behind that keeps the next one from its console, its address and its end.
@@ -272,11 +272,11 @@
 			continue
 		}
 		notify(t, cmd, syscall.SIGTERM)
-		ends(t, cmd, stderr)
+		awaitExit(t, cmd, stderr)
 	}
 }
 
-// call makes one call on a console and returns its answer.
+// call sends one command to a console and returns its answer.
 func call(console, name string) string {
 	c, err := net.Dial("tcp", console)
 	if err != nil {
@@ -296,10 +296,10 @@
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") }))
 	defer server.Close()
 	t.Setenv("TMPDIR", t.TempDir())
-	listen, console, back := freeAddr(t), freeAddr(t), freeAddr(t)
+	listen, console, discoveryAddr := freeAddr(t), freeAddr(t), freeAddr(t)
 	known := `"known":{"revision":1,"complete":true,"members":[{"id":"x","host_port":"127.0.0.1:1","phase":"Ready"}]},`
 	text := strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets), `"deadline":200`, `"deadline":20000`,
-		`"seed"`, fmt.Sprintf(`"console":%q,%s"seed"`, console, known)).Replace(fmt.Sprintf(configText, listen, back, 1))
+		`"seed"`, fmt.Sprintf(`"console":%q,%s"seed"`, console, known)).Replace(fmt.Sprintf(configText, listen, discoveryAddr, 1))
 	cmd, stderr, _ := program(t, text)
 	cmd.Path, cmd.Args = "/bin/sh", []string{"sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, sockets), os.Args[0]}
 	if err := cmd.Start(); err != nil {
@@ -323,7 +323,7 @@
 					}
 					end := make(chan struct{})
 					go func() {
-						io.Copy(io.Discard, c) // until the agent makes room
+						io.Copy(io.Discard, c) // until the agent closes it
 						close(end)
 					}()
 					select {
@@ -344,21 +344,21 @@
 			}
 		})
 	}
-	for range 4 * sockets { // connections have had to make room all the while
+	for range 4 * sockets { // connections have had to make way all the while
 		select {
 		case <-full:
 		case <-time.After(wait):
 			t.Fatal("idle clients are never closed")
 		}
 	}
-	held, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
-	if err != nil || len(held) > sockets*9/10 {
-		t.Errorf("%d descriptors are held: %v", len(held), err)
+	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
+	if err != nil || len(descriptors) > sockets*9/10 {
+		t.Errorf("%d descriptors are held: %v", len(descriptors), err)
 	}
 	if got := call(console, "vars"); !strings.HasPrefix(got, "ok") || !strings.HasSuffix(got, "eof\n") {
 		t.Errorf("vars is answered %.80q", got)
 	}
-	l, err := net.Listen("tcp", back)
+	l, err := net.Listen("tcp", discoveryAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -379,7 +379,7 @@
 		req.Header.Set("X-Budget", "5000m")
 		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: wait}).Do(req)
 		switch {
-		case err != nil: // it made room before its request was read, and is sent once more
+		case err != nil: // it made way before its request was read, and is sent once more
 			continue
 		case resp.StatusCode == http.StatusOK:
 			served++
@@ -394,5 +394,5 @@
 	close(stop)
 	idle.Wait()
 	notify(t, cmd, syscall.SIGTERM)
-	ends(t, cmd, stderr)
+	awaitExit(t, cmd, stderr)
 }
--- a/cmd/agent/reloads_test.go
+++ b/cmd/agent/reloads_test.go
@@ -199,8 +199,8 @@
 	a.addresses[n-1].Close()
 }
 
-// ask sends the agent a request each 10 ms until the context ends, as an application does.
-func (a *fleetAgent) ask(ctx context.Context) {
+// sendRequests sends the agent a request each 10 ms until the context ends, as an application does.
+func (a *fleetAgent) sendRequests(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
 	for n := 0; ctx.Err() == nil; n++ {
 		req, _ := http.NewRequestWithContext(ctx, http.MethodGet, fmt.Sprintf("http://%s/c/n%d", a.listen, a.rank), nil)
@@ -332,7 +332,7 @@
 			defer clients.Wait()
 			defer stop()
 			for _, a := range fleet {
-				clients.Go(func() { a.ask(ctx) })
+				clients.Go(func() { a.sendRequests(ctx) })
 			}
 			time.Sleep(3 * time.Second)
 			var changes sync.WaitGroup
--- a/cmd/agent/replace_test.go
+++ b/cmd/agent/replace_test.go
@@ -22,29 +22,29 @@
 // keep to the descriptors that they have together, the newer serves a client at once, and all that the older took is answered.
 func TestReplacementInOverload(t *testing.T) {
 	const (
-		sockets = 256
-		most    = sockets * 9 / 10 // that may be held, by both together
+		sockets        = 256
+		maxDescriptors = sockets * 9 / 10 // that may be held, by both together
 	)
 	for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(end.String(), func(t *testing.T) {
 			t.Setenv("TMPDIR", t.TempDir())
-			goOn := make(chan struct{})
-			letGo := sync.OnceFunc(func() { close(goOn) })
-			var hanging, began atomic.Int64
+			released := make(chan struct{})
+			release := sync.OnceFunc(func() { close(released) })
+			var inFlight, received atomic.Int64
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if strings.HasPrefix(r.URL.Path, "/c/slow") {
-					began.Add(1)
-					hanging.Add(1)
-					defer hanging.Add(-1)
+					received.Add(1)
+					inFlight.Add(1)
+					defer inFlight.Add(-1)
 					select {
-					case <-goOn:
+					case <-released:
 					case <-r.Context().Done():
 					}
 				}
 				io.WriteString(w, "served")
 			}))
 			defer server.Close()
-			defer letGo()
+			defer release()
 			list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				if r.URL.RawQuery != "" {
 					<-r.Context().Done()
@@ -54,7 +54,7 @@
 			}))
 			defer func() { list.CloseClientConnections(); list.Close() }()
 			listen := freeAddr(t)
-			begin := func() (cmd *exec.Cmd, stderr io.Reader, console string) {
+			startProcess := func() (cmd *exec.Cmd, stderr io.Reader, console string) {
 				console = freeAddr(t)
 				cmd, stderr, _ = program(t, strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets), `"aim":100,"deadline":200`,
 					`"aim":30000,"deadline":30000`, `"seed"`, fmt.Sprintf(`"console":%q,"seed"`, console)).Replace(
@@ -69,14 +69,14 @@
 				}
 				return cmd, stderr, console
 			}
-			held := func(cmd *exec.Cmd) int {
+			descriptors := func(cmd *exec.Cmd) int {
 				fds, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid)) // none once it has ended
 				return len(fds)
 			}
 
-			// ask sends a request on a connection of its own. It is not let in, or waits for its answer.
-			var id, open, away, lost, answered atomic.Int64
-			ask := func(path string) (status int) {
+			// sendRequest sends a request on a connection of its own. It is not admitted, or waits for its answer.
+			var id, open, notAdmitted, truncated, answered atomic.Int64
+			sendRequest := func(path string) (status int) {
 				c, err := net.Dial("tcp", listen)
 				if err != nil {
 					return 0
@@ -92,13 +92,13 @@
 				}
 				defer resp.Body.Close()
 				if body, err := io.ReadAll(resp.Body); resp.StatusCode == http.StatusOK && (err != nil || string(body) != "served") {
-					lost.Add(1)
+					truncated.Add(1)
 				}
 				return resp.StatusCode
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			var clients sync.WaitGroup
-			var pause sync.RWMutex // while it is held none that is not let in comes again
+			var pause sync.RWMutex // while it is locked, clients that were not admitted do not come again
 			waitWhilePaused := func() {
 				pause.RLock()
 				defer pause.RUnlock()
@@ -108,9 +108,9 @@
 					clients.Go(func() {
 						for ctx.Err() == nil {
 							waitWhilePaused()
-							switch ask("/c/slow") {
+							switch sendRequest("/c/slow") {
 							case 0:
-								away.Add(1)
+								notAdmitted.Add(1)
 							case http.StatusOK:
 								answered.Add(1)
 							}
@@ -122,8 +122,8 @@
 					})
 				}
 			}
-			// until waits for what the clients see.
-			until := func(what string, done func() bool) {
+			// await waits for what the clients see.
+			await := func(what string, done func() bool) {
 				t.Helper()
 				for begun := time.Now(); !done(); time.Sleep(time.Millisecond) {
 					if time.Since(begun) > wait {
@@ -131,67 +131,67 @@
 					}
 				}
 			}
-			pressed := func() {
+			awaitOverload := func() {
 				t.Helper()
-				from := away.Load()
-				until("full", func() bool { return away.Load() > from+sockets })
+				from := notAdmitted.Load()
+				await("full", func() bool { return notAdmitted.Load() > from+sockets })
 			}
 
-			old, oldErr, _ := begin()
+			old, oldErr, _ := startProcess()
 			flood(sockets)
-			until("full of requests", func() bool { return hanging.Load() >= sockets/4 })
-			pressed()
+			await("full of requests", func() bool { return inFlight.Load() >= sockets/4 })
+			awaitOverload()
 			pause.Lock()
-			alone := held(old)
-			next, nextErr, console := begin()
-			var looks, peak atomic.Int64
-			looked := make(chan struct{})
-			stopLooks := make(chan struct{})
+			alone := descriptors(old)
+			next, nextErr, console := startProcess()
+			var samples, peak atomic.Int64
+			sampled := make(chan struct{})
+			stopSampling := make(chan struct{})
 			go func() {
-				defer close(looked)
+				defer close(sampled)
 				for {
 					select {
-					case <-stopLooks:
+					case <-stopSampling:
 						return
 					case <-time.After(time.Millisecond):
 					}
-					looks.Add(1)
-					if sum := int64(held(old) + held(next)); sum > peak.Load() {
+					samples.Add(1)
+					if sum := int64(descriptors(old) + descriptors(next)); sum > peak.Load() {
 						peak.Store(sum)
 					}
 				}
 			}()
 			// The newer is found and serves, though the older is full.
 			served := func() bool {
-				return ask("/c/quick") == http.StatusOK && strings.Contains(call(console, "vars"), `gw_responses_total{kind="c",result="ok"}`)
+				return sendRequest("/c/quick") == http.StatusOK && strings.Contains(call(console, "vars"), `gw_responses_total{kind="c",result="ok"}`)
 			}
-			until("served by the new process", served)
+			await("served by the new process", served)
 			pause.Unlock()
-			pressed()
+			awaitOverload()
 			notify(t, old, end)
 			if end == syscall.SIGKILL {
-				until("more at the survivor than the two had room for each", func() bool { return held(next) > alone*9/10 })
+				await("more at the survivor than the two had room for each", func() bool { return descriptors(next) > alone*9/10 })
 				old.Wait()
 			} else {
-				pressed()
-				letGo()
-				ends(t, old, oldErr)
+				awaitOverload()
+				release()
+				awaitExit(t, old, oldErr)
 			}
 			stop()
-			letGo()
+			release()
 			clients.Wait()
-			close(stopLooks)
-			<-looked
-			if peak.Load() > most {
-				t.Errorf("the two held %d descriptors of %d, %d may be held", peak.Load(), sockets, most)
+			close(stopSampling)
+			<-sampled
+			if peak.Load() > maxDescriptors {
+				t.Errorf("the two held %d descriptors of %d, %d may be held", peak.Load(), sockets, maxDescriptors)
 			}
-			if lost.Load() > 0 || answered.Load() == 0 || end == syscall.SIGTERM && answered.Load() != began.Load() {
-				t.Errorf("of %d requests that came to the server %d were answered, %d answers were cut", began.Load(), answered.Load(), lost.Load())
+			if truncated.Load() > 0 || answered.Load() == 0 || end == syscall.SIGTERM && answered.Load() != received.Load() {
+				t.Errorf("of %d requests that came to the server %d were answered, %d answers were cut", received.Load(), answered.Load(), truncated.Load())
 			}
 			t.Logf("%d descriptors of %d at most in %d looks, %d by the first alone; %d answered, %d not let in",
-				peak.Load(), sockets, looks.Load(), alone, answered.Load(), away.Load())
+				peak.Load(), sockets, samples.Load(), alone, answered.Load(), notAdmitted.Load())
 			notify(t, next, syscall.SIGTERM)
-			ends(t, next, nextErr)
+			awaitExit(t, next, nextErr)
 		})
 	}
 }
