--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -70,7 +70,7 @@
 	return "[" + strings.Join(all, ",") + "]"
 }
 
-// Relays may be left out, and be taken away again only in so many words.
+// Relays may be left out; an empty list alone removes those of the present configuration.
 func TestRelays(t *testing.T) {
 	with := func(relays string) string { return strings.Replace(configText, `"seed"`, relays+`"seed"`, 1) }
 	for _, c := range []struct {
@@ -101,7 +101,7 @@
 	}
 }
 
-// A file that lacks what the present one has, or says what cannot be, is turned down with the name of the field.
+// A file that lacks what the present one has, or says what cannot be, is rejected with the name of the field.
 func TestBrokenFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
@@ -145,7 +145,7 @@
 		}
 		write(text)
 		if next, err := ParseReload([]byte(text), present); err == nil || next != nil {
-			t.Errorf("%s for %.40s: the bytes are taken", c.new, c.old)
+			t.Errorf("%s for %.40s: the text is accepted", c.new, c.old)
 		}
 		r := Reload(path, present)
 		if r.Err == nil || !strings.Contains(strings.ToLower(r.Err.Error()), strings.ToLower(c.field)) {
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -1,6 +1,7 @@
 package config
 
 import (
+	"errors"
 	"reflect"
 	"strings"
 	"testing"
@@ -104,8 +105,13 @@
 		if text == fullText {
 			t.Fatalf("%s: nothing replaced", c.old)
 		}
-		if _, err := Parse([]byte(text)); err == nil || err.Error() != c.want {
+		_, err := Parse([]byte(text))
+		if err == nil || err.Error() != c.want {
 			t.Errorf("%s: error %v, want %s", c.new, err, c.want)
 		}
+		var field *settings.FieldError
+		if !errors.As(err, &field) || !strings.HasPrefix(strings.TrimPrefix(c.want, "settings: "), field.Field) {
+			t.Errorf("%s: %v is no *settings.FieldError of its field", c.new, err)
+		}
 	}
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -183,7 +183,19 @@
 	}
 }
 
-// An agent that is not told its zone takes none for its own.
+// What no duration can hold is absent; fractions of a millisecond are kept to the microsecond.
+func TestNumbersThatAreNone(t *testing.T) {
+	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1e300} {
+		if d := Milliseconds(v); d != 0 {
+			t.Errorf("%v became %v", v, d)
+		}
+	}
+	if d := Milliseconds(1.2345); d != 1235*time.Microsecond && d != 1234*time.Microsecond {
+		t.Errorf("1.2345 ms became %v", d)
+	}
+}
+
+// An agent whose settings name no zone takes none for its own.
 func TestZone(t *testing.T) {
 	for text, want := range map[string]int{`{}`: -1, `{"zone":0}`: 0, `{"zone":3}`: 3} {
 		s, err := Parse([]byte(text))
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -6,14 +6,12 @@
 	"encoding/hex"
 	"errors"
 	"io"
-	"math"
 	"reflect"
 	"strings"
 	"testing"
 	"time"
 
 	"example.org/ryeloft/internal/balancer"
-	"example.org/ryeloft/internal/settings"
 )
 
 const clock = "40c06e2000000000"
@@ -169,17 +167,6 @@
 	}
 }
 
-func TestNumbersThatAreNone(t *testing.T) {
-	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1e300} {
-		if d := settings.Milliseconds(v); d != 0 {
-			t.Errorf("%v became %v", v, d)
-		}
-	}
-	if d := settings.Milliseconds(1.2345); d != 1235*time.Microsecond && d != 1234*time.Microsecond {
-		t.Errorf("1.2345 ms became %v", d)
-	}
-}
-
 func FuzzDecode(f *testing.F) {
 	f.Add(frame(1, ask))
 	f.Add(frame(3, manifest+view+createRecord(create)))
