--- a/internal/scale/control/control_test.go
+++ b/internal/scale/control/control_test.go
@@ -162,7 +162,7 @@
 	return ChangeArgs{[]discovery.Member{m}}
 }
 
-// A change reaches every agent, in the time that the stated costs take at least, and is heard of from those who call
+// A change reaches every agent, in the time that the stated costs take at least, and is acknowledged by those who call
 // again; the bytes counted are those that agents see.
 func TestChange(t *testing.T) {
 	const agents, line = 12, 4 * time.Millisecond
@@ -204,13 +204,13 @@
 	if len(r.Changes) != 1 || r.Changes[0].Revision != 42 || r.Changes[0].At != change.At || r.Changes[0].Lines != 1 {
 		t.Fatalf("%+v", r.Changes)
 	}
-	told := r.Changes[0]
+	notification := r.Changes[0]
 	for i := range agents {
-		if heard := told.Heard[i]; (heard != 0) != (i < agents-1) || heard != 0 && heard < change.At {
-			t.Errorf("agent %d is heard at %d of the change of %d", i, heard, change.At)
+		if at := notification.Heard[i]; (at != 0) != (i < agents-1) || at != 0 && at < change.At {
+			t.Errorf("agent %d acknowledged at %d the change of %d", i, at, change.At)
 		}
 	}
-	written := slices.Clone(told.Written)
+	written := slices.Clone(notification.Written)
 	slices.Sort(written)
 	for i, at := range written {
 		if least := change.At + int64(i+1)*int64(line); at < least {
@@ -325,21 +325,21 @@
 	until(func() bool { return len(stats(t, s).Changes) == 2 })
 }
 
-// Agents that are cut off hear nothing at all, not even that control has gone; their connections are reset when the way
+// Partitioned agents hear nothing at all, not even that control has gone; their connections are reset when the way
 // is back. The others do not notice.
 func TestCut(t *testing.T) {
 	s, addrs := start(t, 2, scenario.Control{Parallel: 1, Log: 16})
-	cut := func(cut bool) {
+	partition := func(partitioned bool) {
 		t.Helper()
-		if err := s.Cut(PartitionArgs{[]int{0}, cut}, nil); err != nil {
+		if err := s.Cut(PartitionArgs{[]int{0}, partitioned}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
 	held := func(n int) func() bool {
 		return func() bool {
-			s.ports[0].mu.Lock()
-			defer s.ports[0].mu.Unlock()
-			return len(s.ports[0].conns) == n
+			s.ports.ports[0].mu.Lock()
+			defer s.ports.ports[0].mu.Unlock()
+			return len(s.ports.ports[0].conns) == n
 		}
 	}
 	type ended struct {
@@ -364,7 +364,7 @@
 	if err := errors.Join(watch.send("?after=41&wait_ms=60000"), other.send("?after=41&wait_ms=60000")); err != nil {
 		t.Fatal(err)
 	}
-	cut(true)
+	partition(true)
 	if err := idle.send(""); err != nil {
 		t.Fatal(err)
 	}
@@ -401,10 +401,10 @@
 	}
 	select {
 	case e := <-ends:
-		t.Errorf("while cut off, %s got %d bytes and %v", e.name, e.got, e.err)
+		t.Errorf("while partitioned, %s got %d bytes and %v", e.name, e.got, e.err)
 	default:
 	}
-	cut(false)
+	partition(false)
 	for range 3 {
 		if e := <-ends; e.got != 0 || !isReset(e.err) {
 			t.Errorf("%s got %d bytes and %v", e.name, e.got, e.err)
@@ -414,7 +414,7 @@
 		t.Errorf("back again: %d %+v, %v", status, l, err)
 	}
 	if r := stats(t, s); r.LateTold != 0 {
-		t.Errorf("%d changes told late", r.LateTold)
+		t.Errorf("%d late notifications", r.LateTold)
 	}
 }
 
@@ -517,7 +517,7 @@
 		}
 	}
 	slices.Sort(last)
-	t.Logf("%d changes: the last agent told after %.1f ms, %.1f at worst; %d late; %.0f ms of processor a change (%.0f%% of a core for %v); %.0f bytes in and %.0f out a change and agent; %.0f MB held; queue %+v",
+	t.Logf("%d changes: the last agent notified after %.1f ms, %.1f at worst; %d late; %.0f ms of processor a change (%.0f%% of a core for %v); %.0f bytes in and %.0f out a change and agent; %.0f MB held; queue %+v",
 		changes, last[len(last)/2], last[len(last)-1], r.LateTold, r.Machine.CPUPercent/100*float64(took/time.Millisecond)/float64(changes), r.Machine.CPUPercent, took,
 		float64(r.Machine.BytesIn)/float64(agents*changes), float64(r.Machine.BytesOut)/float64(agents*changes), r.Machine.RSSBytes/1e6, r.Machine.QueueMS)
 	if len(r.Changes) != changes || r.Machine.WholeLists != 0 || r.Machine.Refused != 0 || len(r.In) != agents || len(r.Out) != agents {
--- a/internal/scale/control/cpuload.go
+++ b/internal/scale/control/cpuload.go
@@ -3,34 +3,37 @@
 import (
 	"sync"
 	"time"
+
+	"example.org/ryeloft/internal/scale/result"
 )
 
-// cpuLoad follows the processor time of this process second by second, for as long as it runs.
+// cpuLoad samples the processor time of this process once a second. mu guards its state.
 type cpuLoad struct {
 	mu          sync.Mutex
 	last        usage
-	coreSeconds []float64 // of processor time, the worst spans are made of; the last maxSeconds
+	coreSeconds []float64 // cores used in each second; the last maxSeconds
 }
 
 // reset starts anew.
 func (l *cpuLoad) reset(now usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.last, l.coreSeconds = now, nil
+	l.last = now
+	l.coreSeconds = nil
 }
 
-// run looks once a second.
+// run samples for as long as the process runs.
 func (l *cpuLoad) run() {
-	look := time.NewTicker(time.Second)
-	defer look.Stop()
-	for range look.C {
+	ticker := time.NewTicker(time.Second)
+	defer ticker.Stop()
+	for range ticker.C {
 		if now, err := currentUsage(); err == nil {
 			l.sample(now)
 		}
 	}
 }
 
-// sample takes in what was used since the last look, as of a whole second.
+// sample adds what was used since the last sample as one second.
 func (l *cpuLoad) sample(now usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -45,12 +48,12 @@
 	l.last = now
 }
 
-// worst6s is the highest mean of worstSpan seconds on end, in cores; 0 if there are not so many yet.
+// worst6s is the worst window in cores; 0 if there are not enough seconds for one yet.
 func (l *cpuLoad) worst6s() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if len(l.coreSeconds) < worstSpan {
+	if len(l.coreSeconds) < result.WorstWindowSeconds {
 		return 0
 	}
-	return worst(l.coreSeconds) / worstSpan
+	return result.WorstWindow(l.coreSeconds)
 }
--- a/internal/scale/control/notifications.go
+++ b/internal/scale/control/notifications.go
@@ -15,107 +15,114 @@
 	// writeSlack is by how much a change may be written later than the queue and the stated costs explain: the slack that
 	// the protocol gives every limit on sockets.
 	writeSlack = 50 * time.Millisecond
-	// maxChanges is how many are kept: 54 MB at 830 agents.
+	// maxChanges bounds memory: 54 MB at 830 agents.
 	maxChanges = 4096
 )
 
-// notificationLog notes when changes come to agents, and counts calls.
+// notificationLog records when changes come to agents, and counts calls. mu guards its state.
 type notificationLog struct {
 	agents int
 
 	mu           sync.Mutex
-	changes      []ChangeNotification // by revision, from one to the next
-	late         []bool               // of each change: it was written late to some watch
-	acknowledged []int                // by agent: how many of the changes it has said that it holds
-	written      []int                // by agent: how many have been written to it
+	changes      []ChangeNotification // by revision, without gaps
+	late         []bool               // by change: it was written late to some watch
+	acknowledged []int                // by agent: how many of the changes it has acknowledged
+	written      []int                // by agent: how many of the changes have been written to it
 	calls        int64
 	fullLists    int64
-	rejected     int64 // for a wait too long, or too many calls at a time
+	rejected     int64 // for a long wait, or too many calls at a time
 }
 
 func newNotificationLog(agents int) *notificationLog {
 	return &notificationLog{agents: agents, acknowledged: make([]int, agents), written: make([]int, agents)}
 }
 
-// reset forgets all.
-func (t *notificationLog) reset() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.changes, t.late = nil, nil
-	clear(t.acknowledged)
-	clear(t.written)
-	t.calls, t.fullLists, t.rejected = 0, 0, 0
+// reset forgets everything.
+func (n *notificationLog) reset() {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.changes = nil
+	n.late = nil
+	clear(n.acknowledged)
+	clear(n.written)
+	n.calls = 0
+	n.fullLists = 0
+	n.rejected = 0
 }
 
-// addChange notes a change that is made now. Danger: it must be noted before it is told.
-func (t *notificationLog) addChange(revision uint64, lines int) (time.Time, error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if len(t.changes) >= maxChanges {
-		return time.Time{}, fmt.Errorf("over %d changes", maxChanges)
+// addChange records a change that is made now. It comes before the change is published, or an agent could have it sooner.
+func (n *notificationLog) addChange(revision uint64, lines int) (time.Time, error) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	if len(n.changes) >= maxChanges {
+		return time.Time{}, fmt.Errorf("recording revision %d: there are %d changes already", revision, maxChanges)
 	}
 	now := time.Now()
-	t.changes = append(t.changes, ChangeNotification{
+	n.changes = append(n.changes, ChangeNotification{
 		Revision: revision, At: now.UnixNano(), Lines: lines,
-		Heard: make([]int64, t.agents), Written: make([]int64, t.agents),
+		Heard: make([]int64, n.agents), Written: make([]int64, n.agents),
 	})
-	t.late = append(t.late, false)
+	n.late = append(n.late, false)
 	return now, nil
 }
 
-// changesUpTo is how many changes there are up to a revision.
-func (t *notificationLog) changesUpTo(revision uint64) int {
-	return sort.Search(len(t.changes), func(i int) bool { return t.changes[i].Revision > revision })
+// changesUpTo is how many changes there are up to a revision. mu is held.
+func (n *notificationLog) changesUpTo(revision uint64) int {
+	return sort.Search(len(n.changes), func(i int) bool { return n.changes[i].Revision > revision })
 }
 
-// acknowledge notes that an agent holds a revision.
-func (t *notificationLog) acknowledge(agent int, revision uint64, at time.Time) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for n := t.changesUpTo(revision); t.acknowledged[agent] < n; t.acknowledged[agent]++ {
-		t.changes[t.acknowledged[agent]].Heard[agent] = at.UnixNano()
+// acknowledge records that an agent holds a revision.
+func (n *notificationLog) acknowledge(agent int, revision uint64, at time.Time) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	for upTo := n.changesUpTo(revision); n.acknowledged[agent] < upTo; n.acknowledged[agent]++ {
+		n.changes[n.acknowledged[agent]].Heard[agent] = at.UnixNano()
 	}
 }
 
-// callDone notes how a call ended.
-func (t *notificationLog) callDone(c lists.CallRecord) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.calls++
-	switch {
-	case c.Status == http.StatusServiceUnavailable:
-		t.rejected++
-	case c.Status == http.StatusOK && c.Complete:
-		t.fullLists++
+// callDone records how a call ended.
+func (n *notificationLog) callDone(c lists.CallRecord) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	n.calls++
+	if c.Status == http.StatusServiceUnavailable {
+		n.rejected++
 	}
 	if c.Status != http.StatusOK {
 		return
 	}
-	n := t.changesUpTo(c.Revision)
-	for ; t.written[c.Agent] < n; t.written[c.Agent]++ {
-		t.changes[t.written[c.Agent]].Written[c.Agent] = c.WrittenAt.UnixNano()
+	if c.Complete {
+		n.fullLists++
+	}
+	upTo := n.changesUpTo(c.Revision)
+	for ; n.written[c.Agent] < upTo; n.written[c.Agent]++ {
+		n.changes[n.written[c.Agent]].Written[c.Agent] = c.WrittenAt.UnixNano()
 	}
 	if c.HeldAt.IsZero() {
 		return
 	}
-	for i := t.changesUpTo(c.SinceRevision); i < n; i++ {
-		at := time.Unix(0, t.changes[i].At)
-		if !at.Before(c.HeldAt) && c.WrittenAt.Sub(at) > c.QueueDelay+writeSlack { // it came while the watch waited
-			t.late[i] = true
+	for i := n.changesUpTo(c.SinceRevision); i < upTo; i++ {
+		madeAt := time.Unix(0, n.changes[i].At)
+		madeWhileWaiting := !madeAt.Before(c.HeldAt)
+		if madeWhileWaiting && c.WrittenAt.Sub(madeAt) > c.QueueDelay+writeSlack {
+			n.late[i] = true
 		}
 	}
 }
 
-// fill hands out copies of what was noted.
-func (t *notificationLog) fill(r *StatsReply) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+// fill puts copies of what was recorded into a reply.
+func (n *notificationLog) fill(r *StatsReply) {
+	n.mu.Lock()
+	defer n.mu.Unlock()
 	m := &r.Machine
-	m.Calls, m.WholeLists, m.Refused = t.calls, t.fullLists, t.rejected
-	for i, c := range t.changes {
-		c.Heard, c.Written = slices.Clone(c.Heard), slices.Clone(c.Written)
+	m.Calls = n.calls
+	m.WholeLists = n.fullLists
+	m.Refused = n.rejected
+	for i, c := range n.changes {
+		c.Heard = slices.Clone(c.Heard)
+		c.Written = slices.Clone(c.Written)
 		r.Changes = append(r.Changes, c)
-		if t.late[i] {
+		if n.late[i] {
 			r.LateTold++
 		}
 	}
--- a/internal/scale/control/notifications_test.go
+++ b/internal/scale/control/notifications_test.go
@@ -27,8 +27,8 @@
 		{"never written", time.Second, 0, time.Second, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			told := newNotificationLog(2)
-			at, err := told.addChange(8, 1)
+			log := newNotificationLog(2)
+			at, err := log.addChange(8, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -36,9 +36,9 @@
 			if c.held != 0 {
 				done.HeldAt = at.Add(-c.held)
 			}
-			told.callDone(done)
+			log.callDone(done)
 			var r StatsReply
-			told.fill(&r)
+			log.fill(&r)
 			written := at.Add(c.written).UnixNano()
 			if c.status != 200 {
 				written = 0
@@ -52,19 +52,19 @@
 
 // The first sign of a revision, or of a newer one, counts; changes are bounded.
 func TestFirstSign(t *testing.T) {
-	told := newNotificationLog(1)
+	log := newNotificationLog(1)
 	begin := time.Now()
 	for r := range uint64(3) {
-		if _, err := told.addChange(10+r, 1); err != nil {
+		if _, err := log.addChange(10+r, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
 	for i, revision := range []uint64{9, 11, 10, 11, 12} {
-		told.acknowledge(0, revision, begin.Add(time.Duration(i)))
-		told.callDone(lists.CallRecord{Status: 200, Revision: revision, Complete: i == 0, WrittenAt: begin.Add(time.Duration(10 * i))})
+		log.acknowledge(0, revision, begin.Add(time.Duration(i)))
+		log.callDone(lists.CallRecord{Status: 200, Revision: revision, Complete: i == 0, WrittenAt: begin.Add(time.Duration(10 * i))})
 	}
 	var r StatsReply
-	told.fill(&r)
+	log.fill(&r)
 	for i, want := range []int64{1, 1, 4} {
 		c := r.Changes[i]
 		if c.Heard[0] != begin.UnixNano()+want || c.Written[0] != begin.UnixNano()+10*want || c.Revision != uint64(10+i) {
@@ -75,15 +75,15 @@
 		t.Errorf("%+v", r.Machine)
 	}
 	for r := uint64(13); r < 10+maxChanges; r++ {
-		if _, err := told.addChange(r, 1); err != nil {
+		if _, err := log.addChange(r, 1); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if _, err := told.addChange(10+maxChanges, 1); err == nil {
+	if _, err := log.addChange(10+maxChanges, 1); err == nil {
 		t.Error("more changes than can be kept are taken in")
 	}
-	told.reset()
-	if _, err := told.addChange(10+maxChanges, 1); err != nil {
+	log.reset()
+	if _, err := log.addChange(10+maxChanges, 1); err != nil {
 		t.Errorf("after Begin: %v", err)
 	}
 }
--- a/internal/scale/control/port.go
+++ b/internal/scale/control/port.go
@@ -2,15 +2,16 @@
 
 import (
 	"context"
+	"fmt"
 	"io"
 	"net"
 	"sync"
 	"sync/atomic"
 )
 
-// port is one agent's way to control: an address, and the connections that came in there. It can be closed, and it can
-// fall silent, as the network between two machines does. Silent connections stay open whatever happens to control; they
-// are reset when the way is back.
+// port is one agent's way to a machine: an address, and the connections that came in there. It can be closed, and it can
+// fall silent, as a network partition makes it. Silent connections stay open whatever happens to the machine; they are
+// reset when the partition ends. mu guards its state.
 type port struct {
 	agent int
 	addr  string
@@ -29,7 +30,7 @@
 func (p *port) listen() (net.Listener, error) {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", p.addr)
 	if err != nil {
-		return nil, err
+		return nil, fmt.Errorf("listening for agent %d: %w", p.agent, err)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -37,7 +38,7 @@
 	return &listener{p.tcpListener, p}, nil
 }
 
-// cancelCall closes the port and resets its connections, other than silent ones: no reset reaches their agent.
+// close closes the port and resets its connections, other than silent ones: no reset reaches a partitioned agent.
 func (p *port) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,23 +52,23 @@
 }
 
 // setPartitioned makes the port silent, or resets its silent connections.
-func (p *port) setPartitioned(cut bool) {
+func (p *port) setPartitioned(partitioned bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.partitioned == cut {
+	if p.partitioned == partitioned {
 		return
 	}
-	p.partitioned = cut
-	if !cut {
+	p.partitioned = partitioned
+	if !partitioned {
 		p.resetAll()
 		return
 	}
 	for c := range p.conns {
-		c.partitioned.Store(true)
+		c.silent.Store(true)
 	}
 }
 
-// resetAll needs the lock.
+// resetAll resets all connections. mu is held.
 func (p *port) resetAll() {
 	for c := range p.conns {
 		c.reset()
@@ -80,17 +81,16 @@
 	c := &conn{TCPConn: tcp, port: p, released: make(chan struct{})}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	switch {
-	case p.tcpListener != l: // closed meanwhile
+	if p.tcpListener != l { // closed meanwhile
 		c.reset()
 		return nil
-	case p.partitioned:
-		c.partitioned.Store(true)
-		p.conns[c] = struct{}{}
-		go c.discard()
-		return nil
 	}
 	p.conns[c] = struct{}{}
+	if p.partitioned {
+		c.silent.Store(true)
+		go c.discard() // until the agent leaves or the partition ends
+		return nil
+	}
 	return c
 }
 
@@ -100,11 +100,13 @@
 	delete(p.conns, c)
 }
 
+// listener hands out the connections of a port that are to be served.
 type listener struct {
 	*net.TCPListener
 	port *port
 }
 
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		tcp, err := l.AcceptTCP()
@@ -122,40 +124,41 @@
 type conn struct {
 	*net.TCPConn
 	port        *port
-	partitioned atomic.Bool
-	once        sync.Once
-	released    chan struct{} // closed when the server need not wait for it any more
+	silent      atomic.Bool
+	releaseOnce sync.Once
+	released    chan struct{} // closed when the server need not wait for the connection any more
 }
 
 // reset ends the connection as the death of a process does.
 func (c *conn) reset() {
-	c.SetLinger(0)
-	c.TCPConn.Close()
+	// Both fail only for a connection that has ended.
+	_ = c.SetLinger(0)
+	_ = c.TCPConn.Close()
 	c.release()
 }
 
-func (c *conn) release() { c.once.Do(func() { close(c.released) }) }
+func (c *conn) release() { c.releaseOnce.Do(func() { close(c.released) }) }
 
-// discard drops what comes on a silent connection until it is over or its agent has left it, which nobody is told: the
-// connection's end goes to a socket that no longer has an owner.
+// discard drops what comes on a silent connection until its agent has left it or the port resets it.
 func (c *conn) discard() {
-	io.Copy(io.Discard, c.TCPConn)
+	_, _ = io.Copy(io.Discard, c.TCPConn) // it ends with the connection, however that does
 	c.port.forget(c)
 	c.reset()
 }
 
-// Read may be cut off while it waits; what it got then is lost.
+// Read loses what arrives while the connection is silent, and returns once it is released.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	if !c.partitioned.Load() {
+	if !c.silent.Load() {
 		return n, err
 	}
 	<-c.released
 	return 0, net.ErrClosed
 }
 
+// Write writes nothing while the connection is silent, and returns once it is released.
 func (c *conn) Write(b []byte) (int, error) {
-	if !c.partitioned.Load() {
+	if !c.silent.Load() {
 		return c.TCPConn.Write(b)
 	}
 	<-c.released
@@ -166,7 +169,7 @@
 func (c *conn) Close() error {
 	c.port.mu.Lock()
 	defer c.port.mu.Unlock()
-	if c.partitioned.Load() {
+	if c.silent.Load() {
 		c.release()
 		return nil
 	}
--- a/internal/scale/control/relay.go
+++ b/internal/scale/control/relay.go
@@ -11,58 +11,45 @@
 	"time"
 
 	"example.org/ryeloft/internal/relay"
-	"example.org/ryeloft/internal/scale/meter"
-	"example.org/ryeloft/internal/scale/result"
 	"example.org/ryeloft/internal/scale/role"
 )
 
-// RelayMain is the process of the role "relay": it serves RelayService by the name of Relay until its input ends.
-func RelayMain() error { return role.Serve("Relay", new(RelayService)) }
+// RelayServiceName is the name by which the part's methods are called.
+const RelayServiceName = "Relay"
 
-// RelayArgs say what one relay follows, and where it answers.
-type RelayArgs struct {
-	Name      string
-	Discovery string   // the address of its own at control
-	State     string   // its directory; one that starts again has the list in it
-	Addrs     []string // to listen at, by agent
-	Lists     float64  // whole lists a second that it hands out
-}
-
-// Acknowledgement says that an agent's call held a revision, for the first time at this relay.
-type Acknowledgement struct {
-	Revision uint64
-	At       int64 // Unix time, nanoseconds
-}
+// The methods of RelayService, as role.Child calls them.
+const (
+	RelayMethodStart     = RelayServiceName + ".Start"
+	RelayMethodPartition = RelayServiceName + ".Cut"
+	RelayMethodBegin     = RelayServiceName + ".Begin"
+	RelayMethodStats     = RelayServiceName + ".Stats"
+)
 
-// RelayStats is what a relay measured since Begin, or since Start before it.
-type RelayStats struct {
-	Machine result.ControlMachine
-	In, Out [][]int64           // bytes by agent and second
-	Heard   [][]Acknowledgement // by agent, revisions rising
-}
+// RelayMain is the program of the part "relay": it serves a RelayService until its input ends.
+func RelayMain() error { return role.Serve(RelayServiceName, new(RelayService)) }
 
-// RelayService holds the role's methods. Its zero value is ready for Start; all others fail before it.
+// RelayService holds the methods of the part. Its zero value is ready for Start; all other methods fail before that.
 type RelayService struct {
-	mu            sync.Mutex
+	mu            sync.Mutex // one method at a time
 	name          string
 	relay         *relay.Relay
 	http          *http.Server
-	meter         *meter.Meter
-	ports         []*port
-	usageAtStart  usage // of the process, when the measured part began
+	ports         *agentPorts
+	usageAtStart  usage // when the measured part began
 	countsAtStart relay.Metrics
 	cpuLoad       cpuLoad
 
-	acknowledgedMu sync.Mutex
+	acknowledgedMu sync.Mutex // guards what calls of agents add
 	acknowledged   [][]Acknowledgement
 }
 
-// relayCallsPerAgent are the calls that a relay of a run holds at a time, for each agent that can call it.
+// relayCallsPerAgent bounds the calls that a relay of a run holds at a time, for each agent that can call it.
 const relayCallsPerAgent = 4
 
 var errRelayNotStarted = errors.New("the relay has not been started")
 
-// Start makes the relay, which reads the list that it had, and listens for all agents.
+// Start makes the relay, which reads the list that it had, and listens for all agents. The relay's goroutines end with
+// the process.
 func (s *RelayService) Start(args RelayArgs, reply *StartReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,39 +61,37 @@
 		return err
 	}
 	r, err := relay.New(relay.Options{
-		Name: args.Name, Discovery: args.Discovery, State: args.State, FullListsPerSecond: args.Lists, MaxCallers: relayCallsPerAgent * len(args.Addrs),
-		Log: slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})), OnAcknowledge: s.acknowledge,
+		Name: args.Name, Discovery: args.Discovery, State: args.State, FullListsPerSecond: args.Lists,
+		MaxCallers:    relayCallsPerAgent * len(args.Addrs),
+		Log:           slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})),
+		OnAcknowledge: s.acknowledge,
 	})
 	if err != nil {
 		return err
 	}
 	s.acknowledged = make([][]Acknowledgement, len(args.Addrs))
-	s.meter, s.http = meter.New(len(args.Addrs), now.at), r.HTTP()
-	for agent, addr := range args.Addrs {
-		p := newPort(agent, addr)
-		l, err := p.listen()
-		if err != nil {
-			s.http.Close()
-			return err
-		}
-		s.ports = append(s.ports, p)
-		go s.http.Serve(r.Listener(s.meter.Listener(l, agent), agent)) // until its port closes
+	s.ports = newAgentPorts(args.Addrs, now.at)
+	s.http = r.HTTP()
+	if err := s.ports.serve(s.http, r.Listener); err != nil {
+		return errors.Join(err, s.http.Close())
 	}
-	s.name, s.usageAtStart, s.relay = args.Name, now, r
+	s.name = args.Name
+	s.usageAtStart = now
+	s.relay = r
 	s.cpuLoad.reset(now)
-	go r.Run(context.Background()) // until the process ends
+	go r.Run(context.Background())
 	go s.cpuLoad.run()
-	reply.Ready = len(s.ports)
+	reply.Ready = len(args.Addrs)
 	return nil
 }
 
-// acknowledge notes when an agent first says that it holds a revision.
+// acknowledge records when an agent first acknowledges a revision.
 func (s *RelayService) acknowledge(agent int, revision uint64, at time.Time) {
 	s.acknowledgedMu.Lock()
 	defer s.acknowledgedMu.Unlock()
-	marks := s.acknowledged[agent]
-	if n := len(marks); n == 0 || marks[n-1].Revision < revision {
-		s.acknowledged[agent] = append(marks, Acknowledgement{revision, at.UnixNano()})
+	earlier := s.acknowledged[agent]
+	if n := len(earlier); n == 0 || earlier[n-1].Revision < revision {
+		s.acknowledged[agent] = append(earlier, Acknowledgement{revision, at.UnixNano()})
 	}
 }
 
@@ -120,16 +105,16 @@
 	return nil
 }
 
-// Cut makes agents' connections silent, new ones too, or ends that: silent ones are then reset.
+// Cut partitions agents from the relay: their connections fall silent, new ones too. When that ends, these are reset.
 func (s *RelayService) Cut(args PartitionArgs, _ *struct{}) error {
 	if err := s.lockStarted(); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	return setPartitioned(s.ports, args)
+	return s.ports.setPartitioned(args.Agents, args.Cut)
 }
 
-// Begin starts all counts from 0. What agents hold by then is known.
+// Begin starts all counts from 0. Acknowledgements from before stay.
 func (s *RelayService) Begin(struct{}, *struct{}) error {
 	if err := s.lockStarted(); err != nil {
 		return err
@@ -139,8 +124,9 @@
 	if err != nil {
 		return err
 	}
-	s.usageAtStart, s.countsAtStart = now, s.relay.Metrics()
-	s.meter.Begin()
+	s.usageAtStart = now
+	s.countsAtStart = s.relay.Metrics()
+	s.ports.meter.Begin()
 	s.cpuLoad.reset(now)
 	return nil
 }
@@ -155,16 +141,19 @@
 	if err != nil {
 		return err
 	}
-	reply.In, reply.Out = s.meter.Bins()
 	s.acknowledgedMu.Lock()
-	for _, marks := range s.acknowledged {
-		reply.Heard = append(reply.Heard, slices.Clone(marks))
+	for _, ofAgent := range s.acknowledged {
+		reply.Heard = append(reply.Heard, slices.Clone(ofAgent))
 	}
 	s.acknowledgedMu.Unlock()
-	m, f := &reply.Machine, s.relay.Metrics()
-	m.Role, m.Name = "relay", s.name
-	m.Calls, m.WholeLists, m.Refused = f.Calls-s.countsAtStart.Calls, f.FullLists-s.countsAtStart.FullLists, f.Rejected-s.countsAtStart.Rejected
-	m.BytesIn, m.BytesOut = sumBins(reply.In), sumBins(reply.Out)
+	m := &reply.Machine
+	m.Role = "relay"
+	m.Name = s.name
+	reply.In, reply.Out = s.ports.bytes(m)
+	counts := s.relay.Metrics()
+	m.Calls = counts.Calls - s.countsAtStart.Calls
+	m.WholeLists = counts.FullLists - s.countsAtStart.FullLists
+	m.Refused = counts.Rejected - s.countsAtStart.Rejected
 	now.fill(m, s.usageAtStart)
 	m.Busy = m.CPUPercent / 100
 	m.Worst6s = s.cpuLoad.worst6s()
--- a/internal/scale/control/relay_test.go
+++ b/internal/scale/control/relay_test.go
@@ -1,6 +1,7 @@
 package control
 
 import (
+	"errors"
 	"fmt"
 	"net"
 	"testing"
@@ -20,13 +21,13 @@
 	return s, addrs
 }
 
-// A change comes to agents through a relay, and the relay says when they were heard to hold it and what it cost; agents that
-// are cut off hear nothing, and are reset when they are not any more.
+// A change comes to agents through a relay, and the relay reports when they acknowledged it and what it cost; agents that
+// are partitioned get nothing, and are reset when the partition ends.
 func TestRelayRole(t *testing.T) {
 	const agents = 3
 	c, above := start(t, agents+1, scenario.Control{Log: 16})
 	s, addrs := startRelayAt(t, above[agents], t.TempDir(), agents)
-	if err := s.Start(RelayArgs{}, &StartReply{}); err != errAlreadyStarted {
+	if err := s.Start(RelayArgs{}, &StartReply{}); !errors.Is(err, errAlreadyStarted) {
 		t.Errorf("a second start: %v", err)
 	}
 	if err := s.Begin(struct{}{}, nil); err != nil {
@@ -35,8 +36,11 @@
 	first := int64(0)
 	callAll(t, addrs, func(agent int, a *caller) error {
 		status, l, err := a.call("")
-		if err != nil || status != 200 || !l.Complete || *l.Revision != 41 {
-			return fmt.Errorf("%d, %v, %v", status, l.Revision, err)
+		if err != nil {
+			return err
+		}
+		if status != 200 || !l.Complete || *l.Revision != 41 {
+			return fmt.Errorf("status %d, revision %v", status, l.Revision)
 		}
 		return nil
 	})
@@ -50,10 +54,14 @@
 	made := change()
 	first = made.At
 	callAll(t, addrs, func(agent int, a *caller) error {
-		if status, l, err := a.call("?after=41&wait_ms=20000"); err != nil || status != 200 || *l.Revision != made.Revision {
-			return fmt.Errorf("%d, %+v, %v", status, l, err)
+		status, l, err := a.call("?after=41&wait_ms=20000")
+		if err != nil {
+			return err
+		}
+		if status != 200 || *l.Revision != made.Revision {
+			return fmt.Errorf("status %d, %+v", status, l)
 		}
-		_, _, err := a.call(fmt.Sprintf("?after=%d", made.Revision))
+		_, _, err = a.call(fmt.Sprintf("?after=%d", made.Revision))
 		return err
 	})
 	var stats RelayStats
@@ -71,7 +79,7 @@
 		}
 	}
 	if err := s.Cut(PartitionArgs{Agents: []int{agents}, Cut: true}, nil); err == nil {
-		t.Error("an agent that there is not can be cut off")
+		t.Error("an agent that there is not can be partitioned")
 	}
 	silent := dial(t, addrs[1])
 	if _, _, err := silent.call("?after=42"); err != nil {
@@ -97,7 +105,7 @@
 	for name, err := range map[string]error{
 		"Begin": s.Begin(struct{}{}, nil), "Cut": s.Cut(PartitionArgs{}, nil), "Stats": s.Stats(struct{}{}, &RelayStats{}),
 	} {
-		if err != errRelayNotStarted {
+		if !errors.Is(err, errRelayNotStarted) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/scale/control/workqueue.go
+++ b/internal/scale/control/workqueue.go
@@ -11,28 +11,26 @@
 )
 
 const (
-	maxQueueMillis = 10 * 60 * 1000 // ms; longer ones count as that
-	maxSeconds     = 3600           // kept apart, of busy time
-	worstSpan      = 6              // seconds
+	maxQueueMillis = 10 * 60 * 1000 // longer waits count as this
+	maxSeconds     = 3600           // that are kept apart
 )
 
-// workQueue plays the stated costs of calls: they are worked on in the order in which they come, by a number of workers, and
-// each takes its cost in time. The plan is made when a call comes, from when the workers will be free, so late wake-ups
-// of the machine that plays it do not add up.
+// workQueue plays the stated costs of calls: a number of workers take them in the order in which they come, each for its
+// cost in time. Work is planned when a call comes, from when the workers will be free, so that late wake-ups of this
+// machine do not add up. mu guards its state.
 //
-// Danger: a call that has waited too long is refused only when its turn has come and its work has been done, as the
-// protocol's service does it. Refusals do not shorten the queue: callers that give up and come again keep it full with
-// work that nobody waits for any more. A caller that leaves takes its work back no more than that.
+// A call that has waited too long is rejected only after its work is done, as the platform's service does: rejections and
+// callers that leave do not shorten the queue.
 type workQueue struct {
 	costs scenario.Control
 
 	mu            sync.Mutex
 	workerFreeAt  []time.Time // when each worker has done what is planned
-	plannedStarts []time.Time // of planned work that had not begun by the last look, in order
+	plannedStarts []time.Time // of work that had not begun by the last call, in order
 	maxQueued     int         // of these at a time
 	waits         *result.Histogram
 	startedAt     time.Time
-	busySeconds   []float64 // seconds of planned work in each second since it began; the last holds all after it
+	busySeconds   []float64 // seconds of planned work in each second since startedAt; the last holds all after it
 }
 
 func newWorkQueue(costs scenario.Control, now time.Time) *workQueue {
@@ -45,7 +43,10 @@
 func (q *workQueue) reset(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.waits, q.maxQueued, q.startedAt, q.busySeconds = result.NewHistogram(maxQueueMillis), 0, now, nil
+	q.waits = result.NewHistogram(maxQueueMillis)
+	q.maxQueued = 0
+	q.startedAt = now
+	q.busySeconds = nil
 	for _, free := range q.workerFreeAt {
 		q.addBusy(now, free, 1)
 	}
@@ -74,12 +75,12 @@
 	return time.Duration(us * float64(time.Microsecond))
 }
 
-// Enter waits for the work's turn and its cost.
+// Admit implements lists.Limiter: it waits for the work's turn and its cost.
 func (q *workQueue) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
 	now := time.Now()
 	start, end := q.plan(now, q.cost(w))
-	if rest := time.Until(end); rest > 0 {
-		t := time.NewTimer(rest)
+	if remaining := time.Until(end); remaining > 0 {
+		t := time.NewTimer(remaining)
 		defer t.Stop()
 		select {
 		case <-t.C:
@@ -87,7 +88,8 @@
 			return end.Sub(now), ctx.Err()
 		}
 	}
-	if limit := time.Duration(q.costs.RefuseMS * float64(time.Millisecond)); limit > 0 && start.Sub(now) >= limit {
+	limit := time.Duration(q.costs.RefuseMS * float64(time.Millisecond))
+	if limit > 0 && start.Sub(now) >= limit {
 		return end.Sub(now), lists.RejectedError{Cause: "waited too long for its turn"}
 	}
 	return end.Sub(now), nil
@@ -97,17 +99,18 @@
 func (q *workQueue) plan(now time.Time, cost time.Duration) (start, end time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	first := 0
+	worker := 0
 	for i, free := range q.workerFreeAt {
-		if free.Before(q.workerFreeAt[first]) {
-			first = i
+		if free.Before(q.workerFreeAt[worker]) {
+			worker = i
 		}
 	}
-	if start = q.workerFreeAt[first]; start.Before(now) {
+	start = q.workerFreeAt[worker]
+	if start.Before(now) {
 		start = now
 	}
 	end = start.Add(cost)
-	q.workerFreeAt[first] = end
+	q.workerFreeAt[worker] = end
 	q.addBusy(start, end, 1)
 	q.waits.AddDuration(start.Sub(now))
 	for len(q.plannedStarts) > 0 && !q.plannedStarts[0].After(now) {
@@ -120,7 +123,7 @@
 	return start, end
 }
 
-// addBusy adds a span of time, or takes it away, in each second that it lies in.
+// addBusy adds a span of time, or takes it away, in each second in which it lies. mu is held.
 func (q *workQueue) addBusy(from, to time.Time, sign float64) {
 	if from.Before(q.startedAt) {
 		from = q.startedAt
@@ -129,7 +132,8 @@
 		second := int(from.Sub(q.startedAt) / time.Second)
 		end := q.startedAt.Add(time.Duration(second+1) * time.Second)
 		if second >= maxSeconds-1 || end.After(to) {
-			second, end = min(second, maxSeconds-1), to
+			second = min(second, maxSeconds-1)
+			end = to
 		}
 		for len(q.busySeconds) <= second {
 			q.busySeconds = append(q.busySeconds, 0)
@@ -139,38 +143,29 @@
 	}
 }
 
-// stats sums up what was planned until now. Busy shares are of all workers' time; the worst span counts whole seconds,
-// or all there is if that is less.
+// stats sums up what was planned until now. Shares are of all workers' time; the worst window counts whole seconds, or all
+// there is if that is less.
 func (q *workQueue) stats(now time.Time, m *result.ControlMachine) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	past := now.Sub(q.startedAt).Seconds()
 	workers := float64(len(q.workerFreeAt))
-	var sum float64
+	var done float64
 	for _, s := range q.busySeconds {
-		sum += s
+		done += s
 	}
-	for _, free := range q.workerFreeAt { // what lies ahead has not been done
-		sum -= max(free.Sub(now), 0).Seconds()
+	for _, free := range q.workerFreeAt {
+		done -= max(free.Sub(now), 0).Seconds() // planned, but not done yet
 	}
 	if past > 0 {
-		m.Busy = sum / past / workers
+		m.Busy = done / past / workers
 	}
 	m.Worst6s = m.Busy
-	if whole := min(int(past), len(q.busySeconds)); past >= worstSpan {
-		m.Worst6s = worst(q.busySeconds[:whole]) / worstSpan / workers
-	}
-	m.QueueMS, m.QueueMax = q.waits.Distribution(), q.maxQueued
-}
-
-// worst is the largest sum of worstSpan neighbours.
-func worst(seconds []float64) (most float64) {
-	for i := range seconds {
-		sum := 0.0
-		for _, s := range seconds[max(i+1-worstSpan, 0) : i+1] {
-			sum += s
-		}
-		most = max(most, sum)
+	if past >= result.WorstWindowSeconds {
+		whole := make([]float64, int(past))
+		copy(whole, q.busySeconds)
+		m.Worst6s = result.WorstWindow(whole) / workers
 	}
-	return most
+	m.QueueMS = q.waits.Distribution()
+	m.QueueMax = q.maxQueued
 }
--- a/internal/scale/role/role.go
+++ b/internal/scale/role/role.go
@@ -1,5 +1,6 @@
-// Package role starts the parts of a scale run as processes of their own, so that what each costs can be told apart, and
-// calls them by net/rpc over their standard input and output. They all end with the process that started them.
+// Package role starts the parts of a scale run as processes of their own, so that the cost of each can be told apart, and
+// calls them by net/rpc over their standard input and output. All parts end with the process that started them. The
+// package knows nothing of what a part does.
 package role
 
 import (
@@ -18,10 +19,17 @@
 // Env names the part that a process is to be; a program that finds it set calls Serve before anything else.
 const Env = "SCALE_ROLE"
 
-// stopTimeout is how long a part may take to end when its input does, before it is killed.
+// The parts, by the names that Env, printed results and errors have for them.
+const (
+	Control         = "control"
+	Relay           = "relay"
+	SimulatedAgents = "hollow"
+)
+
+// stopTimeout is how long a part may take to end after its input, before it is killed.
 const stopTimeout = 2 * time.Second
 
-// Child is a part that runs.
+// Child is a part that runs. A goroutine waits for the process; mu guards how it ended.
 type Child struct {
 	Role  string
 	cmd   *exec.Cmd
@@ -42,20 +50,20 @@
 	cmd.Env = append(os.Environ(), Env+"="+role)
 	cmd.Stderr = stderr
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
-	in, err := cmd.StdinPipe()
+	stdin, err := cmd.StdinPipe()
 	if err != nil {
 		return nil, fmt.Errorf("starting %s: %w", role, err)
 	}
-	out, err := cmd.StdoutPipe()
+	stdout, err := cmd.StdoutPipe()
 	if err != nil {
 		return nil, fmt.Errorf("starting %s: %w", role, err)
 	}
 	if err := cmd.Start(); err != nil {
 		return nil, fmt.Errorf("starting %s: %w", role, err)
 	}
-	c := &Child{Role: role, cmd: cmd, stdin: in, done: make(chan struct{})}
-	c.rpc = rpc.NewClient(stdio{out, in})
-	go func() {
+	c := &Child{Role: role, cmd: cmd, stdin: stdin, done: make(chan struct{})}
+	c.rpc = rpc.NewClient(stdio{stdout, stdin})
+	go func() { // ends with the process
 		err := cmd.Wait()
 		c.mu.Lock()
 		c.err = err
@@ -87,13 +95,13 @@
 
 // Kill ends the part at once, as a crash of its machine would.
 func (c *Child) Kill() {
-	c.cmd.Process.Kill()
+	_ = c.cmd.Process.Kill() // it fails only for a process that has ended
 	<-c.done
 }
 
 // Close ends the part's input, by which it ends, and waits for that; one that does not is killed.
 func (c *Child) Close() error {
-	c.stdin.Close()
+	_ = c.stdin.Close() // closed already where the process has ended
 	select {
 	case <-c.done:
 	case <-time.After(stopTimeout):
@@ -109,24 +117,22 @@
 	return nil
 }
 
-// Serve is the other side: it offers a receiver's methods under a name until the standard input ends. What the part
+// Serve is the part's side: it offers a receiver's methods under a name until the standard input ends. What the part
 // prints for people goes to standard error.
 func Serve(name string, receiver any) error {
 	s := rpc.NewServer()
 	if err := s.RegisterName(name, receiver); err != nil {
-		return fmt.Errorf("role %s: %w", name, err)
+		return fmt.Errorf("serving %s: %w", name, err)
 	}
 	s.ServeConn(stdio{os.Stdin, os.Stdout})
 	return nil
 }
 
-// stdio are two one-way streams as one.
+// stdio joins two one-way streams.
 type stdio struct {
 	io.ReadCloser
 	io.WriteCloser
 }
 
-func (p stdio) Close() error {
-	p.WriteCloser.Close()
-	return p.ReadCloser.Close()
-}
+// Close closes both streams.
+func (p stdio) Close() error { return errors.Join(p.WriteCloser.Close(), p.ReadCloser.Close()) }
--- /dev/null
+++ b/internal/scale/run/check_test.go
@@ -0,0 +1,27 @@
+package run
+
+import (
+	"strings"
+	"testing"
+
+	"example.org/ryeloft/internal/scale/scenario"
+)
+
+func TestCheck(t *testing.T) {
+	for _, c := range []struct {
+		name         string
+		real, relays int
+		want         string
+	}{
+		{"as many as may be", 200, 47, ""},
+		{"too many processes", 200, 48, "fleet.real"},
+		{"more than there are", 301, 0, "fleet.real"},
+	} {
+		s := &scenario.Scenario{}
+		s.Fleet.Servers, s.Fleet.Real, s.Relays.Count = 300, c.real, c.relays
+		err := Check(s)
+		if (err == nil) != (c.want == "") || err != nil && !strings.HasPrefix(err.Error(), c.want+":") {
+			t.Errorf("%s: %v, want %q", c.name, err, c.want)
+		}
+	}
+}
--- a/internal/scale/run/collect.go
+++ b/internal/scale/run/collect.go
@@ -4,11 +4,12 @@
 	"context"
 	"errors"
 	"math"
+	"os"
 	"slices"
-	"syscall"
 	"time"
 
 	"example.org/ryeloft/internal/scale/control"
+	"example.org/ryeloft/internal/scale/procstat"
 	"example.org/ryeloft/internal/scale/realagent"
 	"example.org/ryeloft/internal/scale/result"
 	"example.org/ryeloft/internal/scale/simagent"
@@ -17,170 +18,194 @@
 // defaultDeliveryTimeout is how long a change may take where the budgets do not say.
 const defaultDeliveryTimeout = 6 * time.Second
 
-// secondsAfterEvent is how many seconds behind an event bytes, lists and refusals still count as its own, secondsBeforeEvent how many seconds before it say
-// what was served before.
-const (
-	secondsAfterEvent  = 6
-	secondsBeforeEvent = 5
-)
+// secondsBeforeEvent is how many seconds before an event say what was served without it.
+const secondsBeforeEvent = 5
 
-// measurements is what the parts said at the end.
+// measurements are what the parts reported at the end.
 type measurements struct {
-	control       control.StatsReply // with what agents sent and heard at relays
+	control       control.StatsReply // with what agents sent and acknowledged at relays
 	machines      []result.ControlMachine
 	simulated     simagent.StatsReply
 	realAgents    realagent.Stats
-	lengthSeconds float64 // since Begin
+	lengthSeconds float64 // of the measured part
+	sourceCPU     time.Duration
 }
 
-// collect asks every part for its figures and makes the result of them. A part that no longer answers leaves its own out.
-func (p *runner) collect(ctx context.Context) error {
-	p.options.Progress("gathers the figures")
-	m := &measurements{lengthSeconds: p.endedAt.Sub(p.startedAt).Seconds()}
-	spent := processCPU() - p.cpuAtStart
-	var errs []error
-	if p.realAgents != nil {
-		m.realAgents = p.realAgents.Stats()
-	}
-	all, machines, err := p.collectControlSide(ctx)
-	m.control, m.machines = *all, machines
-	errs = append(errs, err)
-	errs = append(errs, p.simulatedPart.Call(ctx, "Hollow.Stats", simagent.StatsArgs{}, &m.simulated))
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.summarizeAgents(m)
-	p.summarizeControl(m, spent)
-	p.result.Depths, p.result.Windows = m.simulated.Depths, m.simulated.Windows
-	// Calls that began after the end have had no time to be served.
-	p.result.Windows = slices.DeleteFunc(p.result.Windows, func(w result.Window) bool { return float64(w.Second) >= math.Ceil(m.lengthSeconds)-1 })
-	for i := range p.scenario.Events {
-		p.result.Events = append(p.result.Events, p.summarizeEvent(i, m))
-	}
-	p.result.ModelLagMS, p.result.ModelKeptTime = m.simulated.LagMS, m.simulated.KeptUp
-	p.result.LateNotifications = m.control.LateTold
-	return errors.Join(errs...)
+// collect asks every part for its measurements and makes the result of them. A part that does not answer is left out.
+func (r *runner) collect(ctx context.Context) error {
+	r.options.Progress("gathers the figures")
+	m := &measurements{lengthSeconds: r.endedAt.Sub(r.startedAt).Seconds(), sourceCPU: ownCPU() - r.cpuAtStart}
+	if r.realAgents != nil {
+		m.realAgents = r.realAgents.Stats()
+	}
+	controlStats, machines, controlErr := r.collectControlSide(ctx)
+	m.control = *controlStats
+	m.machines = machines
+	simulatedErr := r.simulatedPart.Call(ctx, simagent.MethodStats, simagent.StatsArgs{}, &m.simulated)
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.summarizeAgents(m)
+	r.summarizeControl(m)
+	r.result.Depths = m.simulated.Depths
+	// Calls that began in the last second have had no time to be served.
+	r.result.Windows = slices.DeleteFunc(m.simulated.Windows, func(w result.Window) bool {
+		return float64(w.Second) >= math.Ceil(m.lengthSeconds)-1
+	})
+	for i := range r.scenario.Events {
+		r.result.Events = append(r.result.Events, r.summarizeEvent(i, m))
+	}
+	r.result.ModelLagMS = m.simulated.LagMS
+	r.result.ModelKeptTime = m.simulated.KeptUp
+	r.result.LateNotifications = m.control.LateTold
+	return errors.Join(controlErr, simulatedErr)
 }
 
 // deliveryTimeout is how long after a change an agent that has not had it counts as one that should have.
-func (p *runner) deliveryTimeout() time.Duration {
-	if p.scenario.Budgets.InForceS > 0 {
-		return seconds(p.scenario.Budgets.InForceS)
+func (r *runner) deliveryTimeout() time.Duration {
+	if r.scenario.Budgets.InForceS > 0 {
+		return seconds(r.scenario.Budgets.InForceS)
 	}
 	return defaultDeliveryTimeout
 }
 
 // summarizeAgents sums up what control cost the agents of both sorts.
-func (p *runner) summarizeAgents(m *measurements) {
-	heard, exact := p.listDeliveries(m, -1)
-	confs := p.configDeliveries(m, -1)
-	whole := max(1, int(m.lengthSeconds))
-	for _, sort := range []struct {
-		to     *result.AgentControl
-		agents []int
-		lists  []delivery
-	}{{&p.result.Simulated, p.simulatedPositions, exact}, {&p.result.Real, p.realPositions, heard}} {
-		a := sort.to
-		a.Agents = len(sort.agents)
-		a.BytesIn, a.BytesOut, a.Worst6s = rates(m.control.Out, m.control.In, sort.agents, whole) // its out is their in
-		var lists, configs int
-		a.ListHeard, _ = summarizeDeliveries(heard, sort.agents, p.reachability, p.endedAt.UnixNano(), p.deliveryTimeout())
-		a.ListInForce, lists = summarizeDeliveries(sort.lists, sort.agents, p.reachability, p.endedAt.UnixNano(), p.deliveryTimeout())
-		a.ConfInForce, configs = summarizeDeliveries(confs, sort.agents, p.reachability, p.endedAt.UnixNano(), p.deliveryTimeout())
-		a.Unheard = lists + configs
-	}
-	p.result.Simulated.CPUPercent = m.simulated.Control.CPUPercent
-	p.result.Simulated.HeapBytes = m.simulated.Control.HeapBytes
-	p.result.Real.CPUPercent = m.realAgents.CPUPercent
-	p.result.Real.RSSBytes = m.realAgents.RSSBytes
+func (r *runner) summarizeAgents(m *measurements) {
+	acknowledged, inForce := r.listDeliveries(m, anyEvent)
+	r.summarizeSort(&r.result.Simulated, r.simulatedPositions, m, acknowledged, inForce)
+	r.summarizeSort(&r.result.Real, r.realPositions, m, acknowledged, acknowledged)
+	r.result.Simulated.CPUPercent = m.simulated.Control.CPUPercent
+	r.result.Simulated.HeapBytes = m.simulated.Control.HeapBytes
+	r.result.Real.CPUPercent = m.realAgents.CPUPercent
+	r.result.Real.RSSBytes = m.realAgents.RSSBytes
 }
 
-// listDeliveries are the changes of the list that an event made (below 0: all), as control heard of them and as the hollow
-// agents had them by themselves.
-func (p *runner) listDeliveries(m *measurements, event int) (heard, exact []delivery) {
-	for _, c := range p.listChanges {
-		if event >= 0 && c.event != event {
+// summarizeSort sums up bytes and deliveries of the agents of one sort.
+func (r *runner) summarizeSort(cost *result.AgentControl, agents []int, m *measurements, acknowledged, inForce []delivery) {
+	summarize := func(changes []delivery) (result.Distribution, int) {
+		return summarizeDeliveries(changes, agents, r.reachability, r.endedAt.UnixNano(), r.deliveryTimeout())
+	}
+	cost.Agents = len(agents)
+	wholeSeconds := max(1, int(m.lengthSeconds))
+	// What control sends is what agents receive.
+	cost.BytesIn, cost.BytesOut, cost.Worst6s = rates(m.control.Out, m.control.In, agents, wholeSeconds)
+	var undeliveredLists, undeliveredConfigs int
+	cost.ListHeard, _ = summarize(acknowledged)
+	cost.ListInForce, undeliveredLists = summarize(inForce)
+	cost.ConfInForce, undeliveredConfigs = summarize(r.configDeliveries(m, anyEvent))
+	cost.Unheard = undeliveredLists + undeliveredConfigs
+}
+
+// anyEvent selects the changes of all events, and of none.
+const anyEvent = -1
+
+// listDeliveries are the changes of the list that an event made: as agents acknowledged them to control, and as they came
+// in force at the simulated agents by these themselves.
+func (r *runner) listDeliveries(m *measurements, event int) (acknowledged, inForce []delivery) {
+	for _, c := range r.listChanges {
+		if event != anyEvent && c.event != event {
 			continue
 		}
-		i := slices.IndexFunc(m.control.Changes, func(t control.ChangeNotification) bool { return t.Revision == c.revision })
+		i := slices.IndexFunc(m.control.Changes, func(n control.ChangeNotification) bool { return n.Revision == c.revision })
 		if i < 0 {
 			continue
 		}
-		made := m.control.Changes[i].At
-		heard = append(heard, delivery{madeAt: made, receivedAt: m.control.Changes[i].Heard})
-		own := delivery{madeAt: made}
-		if j := slices.IndexFunc(m.simulated.Lists, func(l simagent.ListChange) bool { return l.Revision == c.revision }); j >= 0 {
+		notification := m.control.Changes[i]
+		acknowledged = append(acknowledged, delivery{madeAt: notification.At, receivedAt: notification.Heard})
+		own := delivery{madeAt: notification.At}
+		j := slices.IndexFunc(m.simulated.Lists, func(l simagent.ListChange) bool { return l.Revision == c.revision })
+		if j >= 0 {
 			own.receivedAt = m.simulated.Lists[j].At
 		}
-		exact = append(exact, own)
+		inForce = append(inForce, own)
 	}
-	return heard, exact
+	return acknowledged, inForce
 }
 
-// configDeliveries are the revisions of the configuration that an event made (below 0: all). Their time counts from when the
-// source should have begun to hand them out: that it was not done with the one before is its fault.
-func (p *runner) configDeliveries(m *measurements, event int) (all []delivery) {
-	for _, u := range p.configRollouts {
-		if event >= 0 && u.event != event {
+// configDeliveries are the revisions of the configuration that an event made. Their time counts from when the source
+// should have begun to hand them out, as waiting for the rollout before is the source's fault.
+func (r *runner) configDeliveries(m *measurements, event int) (all []delivery) {
+	for _, rollout := range r.configRollouts {
+		if event != anyEvent && rollout.event != event {
 			continue
 		}
-		t := delivery{madeAt: u.due.UnixNano(), receivedAt: make([]int64, len(p.world.Agents))}
+		d := delivery{madeAt: rollout.due.UnixNano(), receivedAt: make([]int64, len(r.world.Agents))}
 		for _, c := range m.simulated.Configs {
-			if c.Revision == u.revision {
-				copy(t.receivedAt, c.At)
+			if c.Revision == rollout.revision {
+				copy(d.receivedAt, c.At)
 			}
 		}
 		for _, c := range m.realAgents.Configs {
-			if c.Revision != u.revision {
+			if c.Revision != rollout.revision {
 				continue
 			}
-			for i, agent := range p.realPositions {
-				t.receivedAt[agent] = timeAt(c.InForce, i)
+			for i, agent := range r.realPositions {
+				d.receivedAt[agent] = timeAt(c.InForce, i)
+			}
+		}
+		all = append(all, d)
+	}
+	return all
+}
+
+// mergeDeliveries takes the simulated agents' own times in the place of control's.
+func mergeDeliveries(acknowledged, inForce []delivery, simulated []int) []delivery {
+	all := make([]delivery, len(acknowledged))
+	for i, d := range acknowledged {
+		all[i] = delivery{madeAt: d.madeAt, receivedAt: slices.Clone(d.receivedAt)}
+		for _, a := range simulated {
+			if a < len(all[i].receivedAt) {
+				all[i].receivedAt[a] = timeAt(inForce[i].receivedAt, a)
 			}
 		}
-		all = append(all, t)
 	}
 	return all
 }
 
 // summarizeControl lists control, its relays and the source of configuration.
-func (p *runner) summarizeControl(m *measurements, spent time.Duration) {
-	if len(m.machines) == 0 { // control no longer answers
+func (r *runner) summarizeControl(m *measurements) {
+	if len(m.machines) == 0 { // control did not answer
 		m.machines = []result.ControlMachine{{Role: "control", Name: "control"}}
 	}
-	p.result.Control = append(append(p.result.Control, m.machines...), p.sourceMachine(m.lengthSeconds, spent))
+	r.result.Control = append(r.result.Control, m.machines...)
+	r.result.Control = append(r.result.Control, r.sourceMachine(m))
 }
 
-// sourceMachine is what handing out configurations took: the stated time of each, in bins of a second. Its processor time and
-// memory are this process's, which does that for the real agents, and calls them, and plays the steps: more than the
-// source's own.
-func (p *runner) sourceMachine(length float64, spent time.Duration) result.ControlMachine {
-	c := result.ControlMachine{Role: "source", Name: "source", RSSBytes: float64(residentBytes(syscall.Getpid()))}
-	if length <= 0 {
-		return c
-	}
-	c.CPUPercent = 100 * spent.Seconds() / length
-	bins, queue := make([]float64, max(1, int(length))), result.NewHistogram(maxMillis)
-	each := p.scenario.Control.PushMS / 1000
-	for _, u := range p.configRollouts {
-		queue.AddDuration(u.startedAt.Sub(u.due))
-		for i := range p.world.Agents {
-			begun := u.startedAt.Sub(p.startedAt).Seconds() + float64(i)*each
-			if begun >= length {
+// sourceMachine is what handing out configurations took, by its stated cost. Processor time and memory are this process's,
+// which also calls the parts and plays the steps: more than the source's own.
+func (r *runner) sourceMachine(m *measurements) result.ControlMachine {
+	machine := result.ControlMachine{Role: "source", Name: "source"}
+	if held, err := procstat.ResidentBytes(os.Getpid()); err == nil {
+		machine.RSSBytes = float64(held)
+	}
+	if m.lengthSeconds <= 0 {
+		return machine
+	}
+	machine.CPUPercent = 100 * m.sourceCPU.Seconds() / m.lengthSeconds
+	bins := make([]float64, max(1, int(m.lengthSeconds)))
+	queue := result.NewHistogram(maxMillis)
+	perAgent := r.scenario.Control.PushMS / 1000
+	for _, rollout := range r.configRollouts {
+		queue.AddDuration(rollout.startedAt.Sub(rollout.due))
+		for i := range r.world.Agents {
+			begun := rollout.startedAt.Sub(r.startedAt).Seconds() + float64(i)*perAgent
+			if begun >= m.lengthSeconds {
 				break
 			}
-			c.Calls++
-			c.BytesOut += p.configBytes(i, u.revision)
-			addSpan(bins, begun, each)
+			machine.Calls++
+			machine.BytesOut += int64(len(r.world.Settings(i, rollout.revision)))
+			addSpan(bins, begun, perAgent)
 		}
 	}
-	for _, v := range bins {
-		c.Busy += v / length
+	for _, busy := range bins {
+		machine.Busy += busy / m.lengthSeconds
 	}
-	c.Worst6s, c.QueueMS, c.QueueMax = worstWindowMean(bins), queue.Distribution(), p.maxQueuedRollouts()
-	return c
+	machine.Worst6s = result.WorstWindow(bins)
+	machine.QueueMS = queue.Distribution()
+	machine.QueueMax = r.maxQueuedRollouts()
+	return machine
 }
 
-// addSpan puts a time from a moment on into bins of a second; what is behind the last one is left out.
+// addSpan adds a span of time to bins of a second; what is behind the last one is left out.
 func addSpan(bins []float64, from, length float64) {
 	for i := int(from); i < len(bins) && float64(i) < from+length; i++ {
 		bins[i] += min(from+length, float64(i+1)) - max(from, float64(i))
@@ -188,68 +213,52 @@
 }
 
 // maxQueuedRollouts is the most configurations that were due and not begun at once.
-func (p *runner) maxQueuedRollouts() int {
+func (r *runner) maxQueuedRollouts() int {
 	most := 0
-	for _, u := range p.configRollouts {
-		n := 0
-		for _, v := range p.configRollouts {
-			if !v.due.After(u.due) && v.startedAt.After(u.due) {
-				n++
+	for _, at := range r.configRollouts {
+		queued := 0
+		for _, other := range r.configRollouts {
+			if !other.due.After(at.due) && other.startedAt.After(at.due) {
+				queued++
 			}
 		}
-		most = max(most, n)
+		most = max(most, queued)
 	}
 	return most
 }
 
-// configBytes is the length of the settings that an agent is handed with a revision, in bytes.
-func (p *runner) configBytes(agent, revision int) int64 {
-	return int64(len(p.world.Settings(agent, revision)))
-}
-
 // summarizeEvent sums up one event as it was played.
-func (p *runner) summarizeEvent(i int, m *measurements) result.EventResult {
-	e := p.scenario.Events[i]
-	from, to := int(e.AtS), int(math.Ceil(e.AtS+e.ForS))
-	r := result.EventResult{Kind: e.Kind, AtSeconds: e.AtS, LengthSeconds: e.ForS, Affects: p.affectedByEvent[i]}
-	r.Bytes = bytesBetween(from, to+secondsAfterEvent, m.control.In, m.control.Out)
-	heard, exact := p.listDeliveries(m, i)
-	changes, agents := slices.Concat(mergeDeliveries(heard, exact, p.simulatedPositions), p.configDeliveries(m, i)), slices.Concat(p.simulatedPositions, p.realPositions)
-	r.InForceMS, r.Undelivered = summarizeDeliveries(changes, agents, p.reachability, p.endedAt.UnixNano(), p.deliveryTimeout())
-	r.ServedPercent = servedPercent(p.result.Windows, from, max(to, from+1))
-	r.ServedBeforePercent = servedPercent(p.result.Windows, from-secondsBeforeEvent, from)
-	r.RecoveredAfterSeconds = recoveredAfter(p.result.Windows, to, r.ServedBeforePercent)
-	for _, c := range p.snapshots {
+func (r *runner) summarizeEvent(i int, m *measurements) result.EventResult {
+	e := r.scenario.Events[i]
+	from := int(e.AtS)
+	to := int(math.Ceil(e.AtS + e.ForS))
+	out := result.EventResult{Kind: e.Kind, AtSeconds: e.AtS, LengthSeconds: e.ForS, Affects: r.affectedByEvent[i]}
+	out.Bytes = bytesBetween(from, to+secondsAfterEvent, m.control.In, m.control.Out)
+	acknowledged, inForce := r.listDeliveries(m, i)
+	changes := slices.Concat(mergeDeliveries(acknowledged, inForce, r.simulatedPositions), r.configDeliveries(m, i))
+	out.InForceMS, out.Undelivered = summarizeDeliveries(changes, r.allAgents(), r.reachability, r.endedAt.UnixNano(), r.deliveryTimeout())
+	out.ServedPercent = servedPercent(r.result.Windows, from, max(to, from+1))
+	out.ServedBeforePercent = servedPercent(r.result.Windows, from-secondsBeforeEvent, from)
+	out.RecoveredAfterSeconds = recoveredAfter(r.result.Windows, to, out.ServedBeforePercent)
+	for _, snapshot := range r.snapshots {
 		switch {
-		case c.event != i:
-		case c.atEnd:
-			r.FullLists, r.Refused = r.FullLists+c.fullLists, r.Refused+c.rejected
+		case snapshot.event != i:
+		case snapshot.atEnd:
+			out.FullLists += snapshot.fullLists
+			out.Refused += snapshot.rejected
 		default:
-			r.FullLists, r.Refused = r.FullLists-c.fullLists, r.Refused-c.rejected
-		}
-	}
-	return r
-}
-
-// mergeDeliveries takes the hollow agents' own times in the place of control's.
-func mergeDeliveries(heard, exact []delivery, hollows []int) []delivery {
-	all := make([]delivery, len(heard))
-	for i, h := range heard {
-		all[i] = delivery{madeAt: h.madeAt, receivedAt: slices.Clone(h.receivedAt)}
-		for _, a := range hollows {
-			if a < len(all[i].receivedAt) {
-				all[i].receivedAt[a] = timeAt(exact[i].receivedAt, a)
-			}
+			out.FullLists -= snapshot.fullLists
+			out.Refused -= snapshot.rejected
 		}
 	}
-	return all
+	return out
 }
 
-// processCPU is what this process has used so far.
-func processCPU() time.Duration {
-	var u syscall.Rusage
-	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
+// ownCPU is the processor time that this process has used so far, or 0 where that cannot be read.
+func ownCPU() time.Duration {
+	cpu, err := procstat.OwnCPU()
+	if err != nil {
 		return 0
 	}
-	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
+	return cpu
 }
--- a/internal/scale/run/ratios.go
+++ b/internal/scale/run/ratios.go
@@ -1,20 +1,21 @@
 package run
 
 import (
+	"slices"
+
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// ratioRule is one figure by which the hollow agents are held against the real ones of the same run.
+// ratioRule compares one measurement of the simulated agents with that of the real ones of the same run.
 type ratioRule struct {
 	name    string
-	factor  float64                 // hollow over real may lie between 1/factor and factor
-	floor   float64                 // figures below it count as it: below, the clock and the scheduler speak, not the agent
-	applies func(result.Sizes) bool // nil: each run has it
-	of      func(result.AgentControl) float64
-	why     string
+	factor  float64                 // simulated over real may lie between 1/factor and factor
+	floor   float64                 // smaller values count as this: they show the clock and the scheduler, not the agent
+	applies func(result.Sizes) bool // nil: to each run
+	measure func(result.AgentControl) float64
+	reason  string // for the factor, as printed
 }
 
-// ratioRules is the one table of them.
 var ratioRules = []ratioRule{
 	{"bytes", 1.5, 0, nil, func(a result.AgentControl) float64 { return a.BytesIn.Mean + a.BytesOut.Mean },
 		"one client sends and reads both; only the reports' figures have other lengths, and real agents serve no modelled calls"},
@@ -26,23 +27,31 @@
 		"a real one's wake-ups, system calls and collector are its own, hollow ones share theirs and the fixed cost of their process; % of a core, below 0.2 as 0.2"},
 }
 
-// compareRatios holds each figure of the hollow agents against the real ones'. There is nothing to hold where a run has only one
-// sort, or nothing that a figure could be measured by; a figure that one sort lacks altogether is off.
+// compareRatios applies the rules to a run that has agents of both sorts. A measurement that one sort lacks is not ok.
 func compareRatios(r *result.Run) []result.Ratio {
 	if r.Simulated.Agents == 0 || r.Real.Agents == 0 {
 		return nil
 	}
 	var all []result.Ratio
-	for _, h := range ratioRules {
-		if h.applies != nil && !h.applies(r.Sizes) {
+	for _, rule := range ratioRules {
+		if rule.applies != nil && !rule.applies(r.Sizes) {
 			continue
 		}
-		x := result.Ratio{Name: h.name, Simulated: h.of(r.Simulated), Real: h.of(r.Real), Factor: h.factor}
-		if x.Simulated > 0 && x.Real > 0 {
-			x.Ratio = max(x.Simulated, h.floor) / max(x.Real, h.floor)
-			x.OK = x.Ratio <= h.factor && x.Ratio >= 1/h.factor
+		ratio := result.Ratio{Name: rule.name, Simulated: rule.measure(r.Simulated), Real: rule.measure(r.Real), Factor: rule.factor}
+		if ratio.Simulated > 0 && ratio.Real > 0 {
+			ratio.Ratio = max(ratio.Simulated, rule.floor) / max(ratio.Real, rule.floor)
+			ratio.OK = ratio.Ratio <= rule.factor && ratio.Ratio >= 1/rule.factor
 		}
-		all = append(all, x)
+		all = append(all, ratio)
 	}
 	return all
 }
+
+// ratioReason says why a ratio has its factor.
+func ratioReason(name string) string {
+	i := slices.IndexFunc(ratioRules, func(r ratioRule) bool { return r.name == name })
+	if i < 0 {
+		return ""
+	}
+	return ratioRules[i].reason
+}
--- a/internal/scale/run/reachability.go
+++ b/internal/scale/run/reachability.go
@@ -1,94 +1,96 @@
 package run
 
 import (
+	"math"
 	"time"
 
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// outage is a time in which an agent could not hear of anything: it was down or cut off, or control was.
-type outage struct{ from, to int64 } // unix ns
+// outage is a time, in Unix ns, in which an agent could not be notified: it was down or partitioned, or control was.
+type outage struct{ from, to int64 }
 
-// never ends a span that the run has not ended.
-const never = int64(1<<63 - 1)
+// never is the end of an outage that the run did not end.
+const never = int64(math.MaxInt64)
 
-// reachability keeps, by agent, when it could not be told of anything. A change counts for an agent from when it could be told: what
-// a cut hides is the cut's length, which is the scenario's, not a role's.
+// reachability keeps, by agent, when it could not be notified of anything. The time of a delivery counts from when the
+// agent could be notified: how long a partition lasts is the scenario's choice and no cost of a role.
 type reachability struct {
 	outages [][]outage
-	ongoing [][]int64 // by agent, the beginnings of what lasts; spans may lie over each other
+	ongoing [][]int64 // by agent, the beginnings of outages that last; outages may overlap
 }
 
 func newReachability(agents int) *reachability {
 	return &reachability{outages: make([][]outage, agents), ongoing: make([][]int64, agents)}
 }
 
-// lose begins a span for some agents.
+// lose begins an outage for some agents.
 func (r *reachability) lose(agents []int, at time.Time) {
 	for _, a := range agents {
 		r.ongoing[a] = append(r.ongoing[a], at.UnixNano())
 	}
 }
 
-// regain ends the latest span of each of some agents.
+// regain ends the latest outage of each of some agents.
 func (r *reachability) regain(agents []int, at time.Time) {
 	for _, a := range agents {
-		n := len(r.ongoing[a])
-		if n == 0 {
+		last := len(r.ongoing[a]) - 1
+		if last < 0 {
 			continue
 		}
-		r.outages[a] = append(r.outages[a], outage{r.ongoing[a][n-1], at.UnixNano()})
-		r.ongoing[a] = r.ongoing[a][:n-1]
+		r.outages[a] = append(r.outages[a], outage{r.ongoing[a][last], at.UnixNano()})
+		r.ongoing[a] = r.ongoing[a][:last]
 	}
 }
 
-// reachableFrom is when an agent could first be told of what was made at a time; never, where it could not until the end.
+// reachableFrom is when an agent could first be notified of what was made at a time; never, where it could not be.
 func (r *reachability) reachableFrom(agent int, at int64) int64 {
 	for moved := true; moved; {
 		moved = false
-		for _, s := range r.outages[agent] {
-			if s.from <= at && at < s.to {
-				at, moved = s.to, true
+		for _, o := range r.outages[agent] {
+			if o.from <= at && at < o.to {
+				at = o.to
+				moved = true
 			}
 		}
 	}
-	for _, open := range r.ongoing[agent] {
-		if open <= at {
+	for _, began := range r.ongoing[agent] {
+		if began <= at {
 			return never
 		}
 	}
 	return at
 }
 
-// delivery is a change and when each agent had it; 0: it had not.
+// delivery is when a change was made and when each agent had it, in Unix ns; 0: it had not.
 type delivery struct {
 	madeAt     int64
 	receivedAt []int64
-	sort       string // for people
 }
 
-// summarizeDeliveries sums up when some agents had some changes, in ms. Unheard are pairs that had not come when the run ended, of those
-// whose time, due after the agent could be told, was over then.
-func summarizeDeliveries(changes []delivery, agents []int, r *reachability, end int64, due time.Duration) (d result.Distribution, unheard int) {
-	h := result.NewHistogram(maxMillis)
+// maxMillis bounds the times that are distinguished.
+const maxMillis = 1e6
+
+// summarizeDeliveries sums up when some agents had some changes, in ms. Undelivered are the pairs of an agent and a change
+// that had not come within the timeout, counted from when the agent could be notified, by the end of the run.
+func summarizeDeliveries(changes []delivery, agents []int, r *reachability, end int64, timeout time.Duration) (d result.Distribution, undelivered int) {
+	took := result.NewHistogram(maxMillis)
 	for _, c := range changes {
 		for _, a := range agents {
 			from := r.reachableFrom(a, c.madeAt)
-			switch had := timeAt(c.receivedAt, a); {
-			case had != 0:
-				h.AddDuration(time.Duration(max(0, had-min(from, had))))
-			case from != never && end-from > int64(due):
-				unheard++
+			received := timeAt(c.receivedAt, a)
+			switch {
+			case received != 0:
+				took.AddDuration(time.Duration(max(0, received-min(from, received))))
+			case from != never && end-from > int64(timeout):
+				undelivered++
 			}
 		}
 	}
-	return h.Distribution(), unheard
+	return took.Distribution(), undelivered
 }
 
-// maxMillis is the longest time that is told apart.
-const maxMillis = 1e6
-
-// timeAt is the figure of an agent, 0 where there is none.
+// timeAt is the time of an agent, 0 where there is none.
 func timeAt(all []int64, agent int) int64 {
 	if agent >= len(all) {
 		return 0
--- a/internal/scale/run/relays.go
+++ b/internal/scale/run/relays.go
@@ -15,212 +15,244 @@
 	"example.org/ryeloft/internal/scale/role"
 )
 
-// relayProcess is one relay of the run, with the life that it has now.
+// relayProcess is one relay of the run, with its present incarnation.
 type relayProcess struct {
 	args      control.RelayArgs
 	region    int
-	process   *role.Child // nil while it is killed
-	startedAt time.Time   // of what it counts now
-	earlier   []relayCounts
+	process   *role.Child   // nil while it is killed
+	startedAt time.Time     // of what it counts now
+	earlier   []relayCounts // of incarnations that were killed
 }
 
-// relayCounts is what an earlier life of a relay had counted when it was killed.
+// relayCounts is what one incarnation of a relay has counted since a time.
 type relayCounts struct {
 	startedAt time.Time
 	stats     control.RelayStats
 }
 
-// startRelays starts the relays, each at a machine and in a region of its own as far as there are regions. Each keeps its
-// list in a directory that a later life of it finds again.
-func (p *runner) startRelays(ctx context.Context) error {
-	if p.scenario.Relays.Count == 0 {
+func relayName(k int) string { return fmt.Sprintf("relay%d", k+1) }
+
+// startRelays starts the relays, each at a machine and, as far as there are so many, in a region of its own. Each keeps
+// its list in a directory that a later incarnation finds again.
+func (r *runner) startRelays(ctx context.Context) error {
+	if r.scenario.Relays.Count == 0 {
 		return nil
 	}
 	dir, err := os.MkdirTemp("", "scale-relays-")
 	if err != nil {
-		return fmt.Errorf("the relays' directory: %w", err)
+		return fmt.Errorf("making the relays' directory: %w", err)
 	}
-	p.relayDir = dir
-	agents := len(p.world.Agents)
-	for k := range p.scenario.Relays.Count {
-		r := &relayProcess{region: k % p.scenario.Fleet.Regions, args: control.RelayArgs{
-			Name: fmt.Sprintf("relay%d", k+1), Discovery: p.discoveryAddrs[agents+k], State: filepath.Join(dir, fmt.Sprint(k)), Lists: p.scenario.Relays.AdmitPerS,
+	r.relayDir = dir
+	agents := len(r.world.Agents)
+	for k := range r.scenario.Relays.Count {
+		relay := &relayProcess{region: k % r.scenario.Fleet.Regions, args: control.RelayArgs{
+			Name: relayName(k), Discovery: r.discoveryAddrs[agents+k], State: filepath.Join(dir, fmt.Sprint(k)),
+			Lists: r.scenario.Relays.AdmitPerS,
 		}}
-		p.relays = append(p.relays, r)
-		for try := range portAttempts {
-			if r.args.Addrs, err = controlAddrs(1+k, agents); err != nil {
-				return err
-			}
-			if err = p.startRelay(ctx, r); err == nil {
-				break
-			}
-			p.options.Log.Warn("a relay did not start", "relay", r.args.Name, "try", try, "error", err)
+		r.relays = append(r.relays, relay)
+		if err := r.startRelayAtFreePort(ctx, relay, 1+k); err != nil {
+			return err
 		}
+	}
+	return nil
+}
+
+// startRelayAtFreePort starts a relay for the first time, at the first of portAttempts ports that is free for all agents.
+func (r *runner) startRelayAtFreePort(ctx context.Context, relay *relayProcess, machine int) (err error) {
+	for attempt := range portAttempts {
+		relay.args.Addrs, err = controlAddrs(machine, len(r.world.Agents))
 		if err != nil {
 			return err
 		}
+		err = r.startRelay(ctx, relay)
+		if err == nil {
+			return nil
+		}
+		r.options.Log.Warn("relay start failed", "relay", relay.args.Name, "attempt", attempt, "error", err)
 	}
-	return nil
+	return err
 }
 
-// startRelay starts one relay, or starts it again.
-func (p *runner) startRelay(ctx context.Context, r *relayProcess) error {
-	child, err := p.startPart(ctx, "relay")
+// startRelay starts or restarts one relay.
+func (r *runner) startRelay(ctx context.Context, relay *relayProcess) error {
+	process, err := r.startPart(ctx, role.Relay)
 	if err != nil {
 		return err
 	}
-	if err := child.Call(ctx, "Relay.Start", r.args, &control.StartReply{}); err != nil {
-		return errors.Join(err, child.Close())
+	if err := process.Call(ctx, control.RelayMethodStart, relay.args, &control.StartReply{}); err != nil {
+		return errors.Join(err, process.Close())
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r.process, r.startedAt = child, time.Now()
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	relay.process = process
+	relay.startedAt = time.Now()
 	return nil
 }
 
 // killRelay ends a relay as the crash of its machine would, and keeps what it had counted.
-func (p *runner) killRelay(ctx context.Context, r *relayProcess) error {
+func (r *runner) killRelay(ctx context.Context, relay *relayProcess) error {
 	var stats control.RelayStats
-	if err := r.process.Call(ctx, "Relay.Stats", struct{}{}, &stats); err != nil {
+	if err := relay.process.Call(ctx, control.RelayMethodStats, struct{}{}, &stats); err != nil {
 		return err
 	}
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	r.earlier = append(r.earlier, relayCounts{r.startedAt, stats})
-	r.process.Kill()
-	r.process = nil
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	relay.earlier = append(relay.earlier, relayCounts{relay.startedAt, stats})
+	relay.process.Kill()
+	relay.process = nil
 	return nil
 }
 
 // relayAddrs are the addresses of all relays, by agent; nil if there are none.
-func (p *runner) relayAddrs() [][]string {
-	if len(p.relays) == 0 {
+func (r *runner) relayAddrs() [][]string {
+	if len(r.relays) == 0 {
 		return nil
 	}
-	all := make([][]string, len(p.world.Agents))
+	all := make([][]string, len(r.world.Agents))
 	for agent := range all {
-		for _, r := range p.relays {
-			all[agent] = append(all[agent], r.args.Addrs[agent])
+		for _, relay := range r.relays {
+			all[agent] = append(all[agent], relay.args.Addrs[agent])
 		}
 	}
 	return all
 }
 
 // beginRelayMeasurement begins the measured part at the relays.
-func (p *runner) beginRelayMeasurement(ctx context.Context) error {
-	for _, r := range p.relays {
-		if err := r.process.Call(ctx, "Relay.Begin", struct{}{}, &struct{}{}); err != nil {
+func (r *runner) beginRelayMeasurement(ctx context.Context) error {
+	for _, relay := range r.relays {
+		if err := relay.process.Call(ctx, control.RelayMethodBegin, struct{}{}, &struct{}{}); err != nil {
 			return err
 		}
-		r.startedAt = time.Now()
+		relay.startedAt = time.Now()
 	}
 	return nil
 }
 
-// partitionRelays has regions lose or find each other, as far as relays are concerned: agents and relays of one region reach each
-// other, and control is in region 0.
-func (p *runner) partitionRelays(ctx context.Context, cut bool) error {
-	above := control.PartitionArgs{Cut: cut}
-	for k, r := range p.relays {
-		if r.region != 0 {
-			above.Agents = append(above.Agents, len(p.world.Agents)+k)
+// partitionRelays partitions regions, or ends that, as far as relays are concerned: agents and relays of one region reach
+// each other, and control is in region 0.
+func (r *runner) partitionRelays(ctx context.Context, partitioned bool) error {
+	fromControl := control.PartitionArgs{Cut: partitioned}
+	for k, relay := range r.relays {
+		if relay.region != 0 {
+			fromControl.Agents = append(fromControl.Agents, len(r.world.Agents)+k)
 		}
-		if r.process == nil {
+		if relay.process == nil {
 			continue
 		}
-		below := control.PartitionArgs{Cut: cut}
-		for i, a := range p.world.Agents {
-			if p.world.Servers[a.Server].Region != r.region {
-				below.Agents = append(below.Agents, i)
+		fromRelay := control.PartitionArgs{Cut: partitioned}
+		for i, a := range r.world.Agents {
+			if r.world.Servers[a.Server].Region != relay.region {
+				fromRelay.Agents = append(fromRelay.Agents, i)
 			}
 		}
-		if err := r.process.Call(ctx, "Relay.Cut", below, &struct{}{}); err != nil {
+		if err := relay.process.Call(ctx, control.RelayMethodPartition, fromRelay, &struct{}{}); err != nil {
 			return err
 		}
 	}
-	return p.controlPart.Call(ctx, "Control.Cut", above, &struct{}{})
+	return r.controlPart.Call(ctx, control.MethodPartition, fromControl, &struct{}{})
 }
 
-// collectControlSide asks control and the relays, and puts together what agents sent, were sent and heard at any of them. The
-// machines come control first.
-func (p *runner) collectControlSide(ctx context.Context) (*control.StatsReply, []result.ControlMachine, error) {
+// collectControlSide asks control and the relays, and adds up what agents sent, received and acknowledged at any of them.
+// The machines come control first.
+func (r *runner) collectControlSide(ctx context.Context) (*control.StatsReply, []result.ControlMachine, error) {
 	var all control.StatsReply
-	if err := p.controlPart.Call(ctx, "Control.Stats", struct{}{}, &all); err != nil {
+	if err := r.controlPart.Call(ctx, control.MethodStats, struct{}{}, &all); err != nil {
 		return &all, nil, err
 	}
 	machines := []result.ControlMachine{all.Machine}
-	agents := len(p.world.Agents)
+	agents := len(r.world.Agents)
 	if len(all.In) > agents { // those behind are the relays
-		all.In, all.Out = all.In[:agents], all.Out[:agents]
-	}
-	for _, r := range p.relays {
-		lives := slices.Clone(r.earlier)
-		if r.process != nil {
-			now := relayCounts{startedAt: r.startedAt}
-			if err := r.process.Call(ctx, "Relay.Stats", struct{}{}, &now.stats); err != nil {
-				return &all, machines, err
-			}
-			lives = append(lives, now)
+		all.In = all.In[:agents]
+		all.Out = all.Out[:agents]
+	}
+	for _, relay := range r.relays {
+		incarnations, err := relay.counts(ctx)
+		if err != nil {
+			return &all, machines, err
 		}
-		machines = append(machines, sumRelayCounts(lives))
-		for _, l := range lives {
-			from := max(0, int(l.startedAt.Sub(p.startedAt).Seconds()))
-			if p.startedAt.IsZero() {
-				from = 0
+		machines = append(machines, sumRelayCounts(incarnations))
+		for _, counts := range incarnations {
+			firstSecond := 0
+			if !r.startedAt.IsZero() {
+				firstSecond = max(0, int(counts.startedAt.Sub(r.startedAt).Seconds()))
 			}
-			all.In, all.Out = addShifted(all.In, l.stats.In, from), addShifted(all.Out, l.stats.Out, from)
-			addAcknowledgements(all.Changes, l.stats.Heard)
+			all.In = addShifted(all.In, counts.stats.In, firstSecond)
+			all.Out = addShifted(all.Out, counts.stats.Out, firstSecond)
+			addAcknowledgements(all.Changes, counts.stats.Heard)
 		}
 	}
 	return &all, machines, nil
 }
 
-// sumRelayCounts sums up the lives of a relay.
-func sumRelayCounts(lives []relayCounts) (m result.ControlMachine) {
-	for i, l := range lives {
-		s := l.stats.Machine
+// counts are those of all incarnations of a relay.
+func (p *relayProcess) counts(ctx context.Context) ([]relayCounts, error) {
+	incarnations := slices.Clone(p.earlier)
+	if p.process == nil {
+		return incarnations, nil
+	}
+	present := relayCounts{startedAt: p.startedAt}
+	if err := p.process.Call(ctx, control.RelayMethodStats, struct{}{}, &present.stats); err != nil {
+		return nil, err
+	}
+	return append(incarnations, present), nil
+}
+
+// sumRelayCounts sums up the incarnations of a relay: counts add, rates are the largest.
+func sumRelayCounts(incarnations []relayCounts) (sum result.ControlMachine) {
+	for i, counts := range incarnations {
+		m := counts.stats.Machine
 		if i == 0 {
-			m = s
+			sum = m
 			continue
 		}
-		m.Calls, m.WholeLists, m.Refused = m.Calls+s.Calls, m.WholeLists+s.WholeLists, m.Refused+s.Refused
-		m.BytesIn, m.BytesOut = m.BytesIn+s.BytesIn, m.BytesOut+s.BytesOut
-		m.CPUPercent, m.Busy, m.Worst6s = max(m.CPUPercent, s.CPUPercent), max(m.Busy, s.Busy), max(m.Worst6s, s.Worst6s)
-		m.RSSBytes = max(m.RSSBytes, s.RSSBytes)
+		sum.Calls += m.Calls
+		sum.WholeLists += m.WholeLists
+		sum.Refused += m.Refused
+		sum.BytesIn += m.BytesIn
+		sum.BytesOut += m.BytesOut
+		sum.CPUPercent = max(sum.CPUPercent, m.CPUPercent)
+		sum.Busy = max(sum.Busy, m.Busy)
+		sum.Worst6s = max(sum.Worst6s, m.Worst6s)
+		sum.RSSBytes = max(sum.RSSBytes, m.RSSBytes)
 	}
-	return m
+	return sum
 }
 
-// addShifted adds bins by agent and second to others, so many seconds later. Agents that one of them lacks have none there.
-func addShifted(to, more [][]int64, from int) [][]int64 {
+// addShifted adds bins by agent and second to others, so many seconds later. Agents that one of them lacks are left out.
+func addShifted(to, more [][]int64, seconds int) [][]int64 {
 	for agent := range to {
 		if agent >= len(more) {
 			break
 		}
 		for second, n := range more[agent] {
-			if at := from + second; at < len(to[agent]) {
-				to[agent][at] += n
-			} else if n != 0 {
+			at := seconds + second
+			if at >= len(to[agent]) {
+				if n == 0 {
+					continue
+				}
 				to[agent] = append(to[agent], make([]int64, at-len(to[agent])+1)...)
-				to[agent][at] += n
 			}
+			to[agent][at] += n
 		}
 	}
 	return to
 }
 
-// addAcknowledgements notes in changes what agents were heard to hold elsewhere, where that was sooner.
-func addAcknowledgements(changes []control.ChangeNotification, heard [][]control.Acknowledgement) {
+// addAcknowledgements notes in changes what agents acknowledged elsewhere, where that was sooner.
+func addAcknowledgements(changes []control.ChangeNotification, byAgent [][]control.Acknowledgement) {
 	for _, c := range changes {
-		for agent, marks := range heard {
+		for agent, acknowledged := range byAgent {
 			if agent >= len(c.Heard) {
 				break
 			}
-			i, _ := slices.BinarySearchFunc(marks, c.Revision, func(m control.Acknowledgement, revision uint64) int {
-				return cmp.Compare(m.Revision, revision)
+			i, _ := slices.BinarySearchFunc(acknowledged, c.Revision, func(a control.Acknowledgement, revision uint64) int {
+				return cmp.Compare(a.Revision, revision)
 			})
-			if i < len(marks) && (c.Heard[agent] == 0 || marks[i].At < c.Heard[agent]) {
-				c.Heard[agent] = marks[i].At
+			if i == len(acknowledged) {
+				continue
+			}
+			if c.Heard[agent] == 0 || acknowledged[i].At < c.Heard[agent] {
+				c.Heard[agent] = acknowledged[i].At
 			}
 		}
 	}
--- a/internal/scale/run/relays_test.go
+++ b/internal/scale/run/relays_test.go
@@ -8,7 +8,7 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-func TestShifted(t *testing.T) {
+func TestAddShifted(t *testing.T) {
 	for _, c := range []struct {
 		name     string
 		to, more [][]int64
@@ -16,7 +16,7 @@
 		want     [][]int64
 	}{
 		{"from the begin", [][]int64{{1, 2}, {3}}, [][]int64{{10, 20}, {30, 40}}, 0, [][]int64{{11, 22}, {33, 40}}},
-		{"a later life", [][]int64{{1, 2}, {3}}, [][]int64{{10, 20}, {0, 0, 5}}, 1, [][]int64{{1, 12, 20}, {3, 0, 0, 5}}},
+		{"a later incarnation", [][]int64{{1, 2}, {3}}, [][]int64{{10, 20}, {0, 0, 5}}, 1, [][]int64{{1, 12, 20}, {3, 0, 0, 5}}},
 		{"fewer agents", [][]int64{{1}, {2}}, [][]int64{{10}}, 0, [][]int64{{11}, {2}}},
 		{"none to be added to", nil, [][]int64{{1}}, 0, nil},
 	} {
@@ -26,14 +26,14 @@
 	}
 }
 
-// What is heard of an agent anywhere counts from when it was heard first.
-func TestAddHeard(t *testing.T) {
+// What an agent acknowledged anywhere counts from when it did first.
+func TestAddAcknowledgements(t *testing.T) {
 	changes := []control.ChangeNotification{{Revision: 5, Heard: []int64{100, 0, 0, 7}}, {Revision: 6, Heard: []int64{0, 0, 0, 7}}}
 	mark := func(revision uint64, at int64) control.Acknowledgement {
 		return control.Acknowledgement{Revision: revision, At: at}
 	}
 	addAcknowledgements(changes, [][]control.Acknowledgement{
-		{mark(4, 10), mark(6, 50)}, // both at once, before control heard of it
+		{mark(4, 10), mark(6, 50)}, // both at once, before control
 		{mark(5, 20)},
 		nil,
 		{mark(6, 9)},
@@ -45,16 +45,16 @@
 	}
 }
 
-// The lives of a relay count together; rates are the worst of them.
-func TestMachineOf(t *testing.T) {
-	life := func(calls int64, worst float64) relayCounts {
+// The incarnations of a relay count together; rates are the worst of them.
+func TestSumRelayCounts(t *testing.T) {
+	incarnation := func(calls int64, worst float64) relayCounts {
 		return relayCounts{stats: control.RelayStats{Machine: result.ControlMachine{Role: "relay", Name: "r", Calls: calls, WholeLists: 1, Worst6s: worst}}}
 	}
-	got := sumRelayCounts([]relayCounts{life(10, 0.5), life(5, 0.2)})
+	got := sumRelayCounts([]relayCounts{incarnation(10, 0.5), incarnation(5, 0.2)})
 	if got.Name != "r" || got.Calls != 15 || got.WholeLists != 2 || got.Worst6s != 0.5 {
 		t.Errorf("%+v", got)
 	}
 	if got := sumRelayCounts(nil); got != (result.ControlMachine{}) {
-		t.Errorf("no life: %+v", got)
+		t.Errorf("no incarnation: %+v", got)
 	}
 }
--- a/internal/scale/run/run.go
+++ b/internal/scale/run/run.go
@@ -1,5 +1,9 @@
-// Package run plays a scenario whole: it starts the parts, plays the world's steps at their times, gathers what each part
-// measured and holds it against the budgets.
+// Package run plays a scenario whole: it starts the parts, plays the world's steps at their times, collects what each part
+// measured and checks it against the budgets.
+//
+// A runner owns the state of one run. Its steps are handed to one task queue for each part, whose goroutines share the
+// state that the runner's mutex guards; drainQueues waits for them. The package never measures by itself what a part costs
+// but for the source of configuration, whose work it does.
 package run
 
 import (
@@ -19,33 +23,50 @@
 type Options struct {
 	AgentProgram string // the real agents' program; not needed without real agents
 	Log          *slog.Logger
-	Progress     func(string) // told what goes on, for a person
+	Progress     func(string) // is called with what goes on, for a person
 	Stderr       io.Writer    // of the parts
 }
 
+// withDefaults replaces what is not given by what discards.
+func (o Options) withDefaults() Options {
+	if o.Log == nil {
+		o.Log = slog.New(slog.DiscardHandler)
+	}
+	if o.Progress == nil {
+		o.Progress = func(string) {}
+	}
+	if o.Stderr == nil {
+		o.Stderr = io.Discard
+	}
+	return o
+}
+
 const (
 	// maxProcesses counts this program, the parts and the real agents.
 	maxProcesses = 250
-	// maxMemoryBytes of all of them together, in bytes.
+	// maxMemoryBytes of all of them together.
 	maxMemoryBytes = 10 << 30
-	// startTimeout is how long the fleet may take until every agent has heard the first revision.
+	// startTimeout is how long it may take until every agent has acknowledged the first revision.
 	startTimeout = 3 * time.Minute
-	// addedLatencyTimeout is how long the calls that measure the time added may take.
+	// addedLatencyTimeout is how long the calls that measure the added latency may take.
 	addedLatencyTimeout = 2 * time.Minute
-	// endTimeout is how long figures may take to come and the parts to end.
+	// endTimeout is how long the parts may take to report and to end.
 	endTimeout = 30 * time.Second
-	// addedCallGap is between the calls by which the time added is measured: each is alone on its way.
+	// addedCallGap keeps the calls that measure the added latency apart: each is alone on its way.
 	addedCallGap = 10 * time.Millisecond
 	// echoServers answer the real agents' calls.
 	echoServers = 4
 )
 
-// Build builds the real agents' program out of the repository at root into the folder dir.
+// errRunTimeout ends a run that takes longer than the sum of what its phases may take.
+var errRunTimeout = errors.New("the run took longer than it may")
+
+// Build builds the real agents' program out of the repository at root into the directory dir.
 func Build(ctx context.Context, root, dir string) (bin string, err error) {
 	return realagent.Build(ctx, root, dir)
 }
 
-// Check says what of a scenario cannot be played on one machine, beyond what its own checks do, and names the field.
+// Check reports what of a scenario cannot be played on one machine, beyond what its own checks do, and names the field.
 func Check(s *scenario.Scenario) error {
 	if n := s.Fleet.Real + s.Relays.Count + fixedProcesses; n > maxProcesses {
 		return fmt.Errorf("fleet.real: %d real agents make %d processes with the parts, there may be %d", s.Fleet.Real, n, maxProcesses)
@@ -62,47 +83,39 @@
 	if err := Check(s); err != nil {
 		return nil, err
 	}
-	if o.Log == nil {
-		o.Log = slog.New(slog.DiscardHandler)
-	}
-	if o.Progress == nil {
-		o.Progress = func(string) {}
-	}
-	if o.Stderr == nil {
-		o.Stderr = io.Discard
-	}
 	begun := time.Now()
-	ctx, stop := context.WithTimeoutCause(ctx, runTimeout(s), errors.New("the run took longer than it may"))
+	ctx, stop := context.WithTimeoutCause(ctx, runTimeout(s), errRunTimeout)
 	defer stop()
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
-	p := &runner{scenario: s, options: o, fail: fail, result: &result.Run{Scenario: s.Name, Sizes: sizesOf(s)}}
-	err := p.play(ctx)
+	r := &runner{scenario: s, options: o.withDefaults(), fail: fail, result: &result.Run{Scenario: s.Name, Sizes: sizesOf(s)}}
+	err := r.play(ctx)
 	if err != nil {
 		if cause := context.Cause(ctx); cause != nil {
-			err = cause // what came of it in the middle of a call says less
+			err = cause // the call that it interrupted says less
 		}
-		o.Log.Error("the run failed", "error", err)
-		p.result.Incomplete = truncated(err)
+		r.options.Log.Error("scale run failed", "error", err)
+		r.result.Incomplete = truncated(err)
 	}
-	if ended := p.close(); ended != nil && err == nil {
-		err = ended
-		p.result.Incomplete = truncated(ended)
+	if closeErr := r.close(); closeErr != nil && err == nil {
+		err = closeErr
+		r.result.Incomplete = truncated(closeErr)
 	}
-	p.result.Budgets, p.result.Ratios = checkBudgets(s.Budgets, p.result), compareRatios(p.result)
-	p.result.WallSeconds = time.Since(begun).Seconds()
+	r.result.Budgets = checkBudgets(s.Budgets, r.result)
+	r.result.Ratios = compareRatios(r.result)
+	r.result.WallSeconds = time.Since(begun).Seconds()
 	if err != nil {
-		err = fmt.Errorf("the run failed: %s", p.result.Incomplete)
+		err = fmt.Errorf("the run failed: %s", r.result.Incomplete)
 	}
-	return p.result, err
+	return r.result, err
 }
 
-// truncated is an error without the most of what agents' logs add to it; the log has it whole.
+// truncated is an error's text without most of what agents' logs add to it; the log has all of it.
 func truncated(err error) string {
-	const most = 1000
+	const maxBytes = 1000
 	text := err.Error()
-	if len(text) > most {
-		text = text[:most] + "..."
+	if len(text) > maxBytes {
+		text = text[:maxBytes] + "..."
 	}
 	return text
 }
@@ -121,23 +134,23 @@
 	}
 }
 
-// play plays all of it. What it has gathered before an error stays in the result.
-func (p *runner) play(ctx context.Context) error {
-	p.options.Progress("starts the parts")
-	if err := p.startParts(ctx); err != nil {
+// play plays all of the run. What it has collected before an error stays in the result.
+func (r *runner) play(ctx context.Context) error {
+	r.options.Progress("starts the parts")
+	if err := r.startParts(ctx); err != nil {
 		return err
 	}
-	go p.watchProcesses(ctx)
-	p.options.Progress("waits until every agent has the list")
-	if err := p.awaitFirstList(ctx); err != nil {
+	go r.watchProcesses(ctx) // ends with the context, which Run cancels
+	r.options.Progress("waits until every agent has the list")
+	if err := r.awaitFirstList(ctx); err != nil {
 		return err
 	}
-	if err := p.beginMeasurement(ctx); err != nil {
+	if err := r.beginMeasurement(ctx); err != nil {
 		return err
 	}
-	played := p.playSteps(ctx)
-	// What there is is gathered even after an interrupt, within a time of its own.
-	late, stop := context.WithTimeout(context.WithoutCancel(ctx), endTimeout)
+	played := r.playSteps(ctx)
+	// An interrupted run reports as well, within a time of its own.
+	reportCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), endTimeout)
 	defer stop()
-	return errors.Join(played, p.collect(late))
+	return errors.Join(played, r.collect(reportCtx))
 }
--- /dev/null
+++ b/internal/scale/run/schedule.go
@@ -0,0 +1,163 @@
+package run
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"example.org/ryeloft/internal/scale/role"
+	"example.org/ryeloft/internal/scale/world"
+)
+
+// secondsAfterEvent is how long behind an event bytes, lists and rejections still count as its own.
+const secondsAfterEvent = 6
+
+// partQueues are what the steps ask of the parts. A step is never waited for when the next is due.
+type partQueues struct{ control, simulated, real, source *taskQueue }
+
+// newPartQueues starts a queue for each part. Names are printed in errors.
+func newPartQueues(ctx context.Context, steps int, length time.Duration) *partQueues {
+	const tasksPerStep = 4
+	capacity := steps*tasksPerStep + 1
+	return &partQueues{
+		control:   newTaskQueue(ctx, role.Control, capacity, taskTimeout),
+		simulated: newTaskQueue(ctx, role.SimulatedAgents, capacity, taskTimeout),
+		real:      newTaskQueue(ctx, "real agents", capacity, restartTimeout),
+		// A rollout takes as long as it takes; what is left at the end counts as undelivered.
+		source: newTaskQueue(ctx, "source", capacity, length),
+	}
+}
+
+// playSteps plays the world's steps at their times until the measured part is over.
+func (r *runner) playSteps(ctx context.Context) error {
+	steps := r.world.Steps(r.startedAt)
+	length := seconds(r.scenario.Seconds)
+	end := r.startedAt.Add(length)
+	r.affectedByEvent = r.countAffected(steps)
+	r.countSteps(steps)
+	r.options.Progress(fmt.Sprintf("plays %d steps in %g s", len(steps), r.scenario.Seconds))
+	queueCtx, stop := context.WithCancel(ctx)
+	defer stop()
+	queues := newPartQueues(queueCtx, len(steps), length)
+	for _, action := range r.schedule(queues, steps) {
+		due := r.startedAt.Add(action.at)
+		if due.After(end) {
+			break
+		}
+		if err := waitUntil(ctx, due); err != nil {
+			break
+		}
+		action.do(due)
+	}
+	err := waitUntil(ctx, end)
+	r.endedAt = time.Now()
+	return errors.Join(err, r.drainQueues(ctx, queues))
+}
+
+// countSteps counts, in the result, what is played.
+func (r *runner) countSteps(steps []world.Step) {
+	sizes := &r.result.Sizes
+	for _, step := range steps {
+		if len(step.Changes) > 0 || len(step.Restart) > 0 || isSet(step.ControlDown) || isSet(step.CutRegions) {
+			sizes.ListChanges++
+		}
+		if step.Config > 0 {
+			sizes.Configs++
+		}
+		if isSet(step.Fail) {
+			sizes.Failures++
+		}
+	}
+}
+
+// timedAction is something to do at a time of the measured part.
+type timedAction struct {
+	at time.Duration
+	do func(due time.Time)
+}
+
+// schedule lists the steps and, a while behind the last one of each event or at the run's end, the snapshots of counters.
+func (r *runner) schedule(queues *partQueues, steps []world.Step) (all []timedAction) {
+	for _, step := range steps {
+		all = append(all, timedAction{step.At, func(due time.Time) { r.applyStep(queues, step, due) }})
+		if !step.Ends || step.Event < 0 {
+			continue
+		}
+		after := max(step.At, min(step.At+secondsAfterEvent*time.Second, seconds(r.scenario.Seconds)))
+		all = append(all, timedAction{after, func(time.Time) {
+			queues.control.add(func(ctx context.Context) error { return r.takeSnapshot(ctx, step.Event, true) })
+		}})
+	}
+	slices.SortStableFunc(all, func(a, b timedAction) int { return cmp.Compare(a.at, b.at) })
+	return all
+}
+
+// waitUntil waits until a time or the end of the context.
+func waitUntil(ctx context.Context, t time.Time) error {
+	timer := time.NewTimer(time.Until(t))
+	defer timer.Stop()
+	select {
+	case <-timer.C:
+		return nil
+	case <-ctx.Done():
+		return context.Cause(ctx)
+	}
+}
+
+// drainQueues waits a little for what was begun. A rollout that is still on is no failure: its agents count as not having
+// the revision.
+func (r *runner) drainQueues(ctx context.Context, queues *partQueues) error {
+	ctx, stop := context.WithTimeout(ctx, taskTimeout)
+	defer stop()
+	err := errors.Join(queues.control.close(ctx), queues.simulated.close(ctx), queues.real.close(ctx))
+	sourceCtx, stopSource := context.WithTimeout(ctx, time.Second)
+	defer stopSource()
+	sourceErr := queues.source.close(sourceCtx)
+	if errors.Is(sourceErr, errUnfinished) || errors.Is(sourceErr, context.DeadlineExceeded) {
+		r.options.Log.Warn("configuration rollout unfinished", "error", sourceErr)
+		sourceErr = nil
+	}
+	return errors.Join(err, sourceErr)
+}
+
+// countAffected counts, by event, what it affects: servers where their processes end, agents otherwise.
+func (r *runner) countAffected(steps []world.Step) map[int]int {
+	servers := map[int]map[int]bool{}
+	agents := map[int]map[int]bool{}
+	add := func(to map[int]map[int]bool, event int, all []int) {
+		if to[event] == nil {
+			to[event] = map[int]bool{}
+		}
+		for _, i := range all {
+			to[event][i] = true
+		}
+	}
+	for _, step := range steps {
+		add(servers, step.Event, step.Down)
+		add(agents, step.Event, step.Restart)
+		if step.ControlDown != nil || step.Config > 0 {
+			add(agents, step.Event, r.allAgents())
+		}
+		if step.CutRegions != nil {
+			add(agents, step.Event, r.agentsOutsideControlRegion())
+		}
+		if step.Fail != nil {
+			add(servers, step.Event, r.world.Services[r.world.Deepest].Servers)
+		}
+	}
+	affected := map[int]int{}
+	for event := range agents {
+		affected[event] = len(agents[event])
+	}
+	for event := range servers {
+		if n := len(servers[event]); n > 0 {
+			affected[event] = n
+		}
+	}
+	return affected
+}
+
+func isSet(b *bool) bool { return b != nil && *b }
--- a/internal/scale/run/steps_test.go
+++ b/internal/scale/run/steps_test.go
@@ -17,30 +17,30 @@
 		t.Fatal(err)
 	}
 	s.Events, s.Control.PerMinute, s.Control.ChangesDay = events, 0, 0
-	p := &runner{scenario: s, result: nil}
-	if err := p.drawWorld(); err != nil {
+	r := &runner{scenario: s, result: nil}
+	if err := r.drawWorld(); err != nil {
 		t.Fatal(err)
 	}
-	p.startedAt = time.Now()
-	return p
+	r.startedAt = time.Now()
+	return r
 }
 
-func TestAffects(t *testing.T) {
-	p := newDrawnRunner(t,
+func TestCountAffected(t *testing.T) {
+	r := newDrawnRunner(t,
 		scenario.Event{Kind: "config", AtS: 1}, scenario.Event{Kind: "replace", AtS: 1, Count: 2}, scenario.Event{Kind: "restart", AtS: 1, Count: 7},
 		scenario.Event{Kind: "regions", AtS: 1, ForS: 1}, scenario.Event{Kind: "control-loss", AtS: 1, ForS: 1}, scenario.Event{Kind: "agents-back", AtS: 2},
 		scenario.Event{Kind: "machine", AtS: 1, ForS: 1, Count: 1}, scenario.Event{Kind: "fail", AtS: 1, ForS: 1},
 	)
-	want := map[int]int{0: 60, 1: 2, 2: 7, 3: len(p.agentsOutsideControlRegion()), 4: 60, 5: 60, 6: 1, 7: len(p.world.Services[p.world.Deepest].Servers)}
-	if got := p.countAffected(p.world.Steps(p.startedAt)); !maps.Equal(got, want) || len(p.agentsOutsideControlRegion()) == 0 || len(p.agentsOutsideControlRegion()) == 60 {
+	want := map[int]int{0: 60, 1: 2, 2: 7, 3: len(r.agentsOutsideControlRegion()), 4: 60, 5: 60, 6: 1, 7: len(r.world.Services[r.world.Deepest].Servers)}
+	if got := r.countAffected(r.world.Steps(r.startedAt)); !maps.Equal(got, want) || len(r.agentsOutsideControlRegion()) == 0 || len(r.agentsOutsideControlRegion()) == 60 {
 		t.Errorf("affected by event: %v, want %v", got, want)
 	}
 }
 
-// TestMoments holds what is counted behind an event to its time, and to the run's.
-func TestMoments(t *testing.T) {
-	p := newDrawnRunner(t, scenario.Event{Kind: "control-loss", AtS: 1, ForS: 2}, scenario.Event{Kind: "control-loss", AtS: 12, ForS: 1})
-	all := p.schedule(&partQueues{}, p.world.Steps(p.startedAt))
+// TestSchedule holds what is counted behind an event to its time, and to the run's.
+func TestSchedule(t *testing.T) {
+	r := newDrawnRunner(t, scenario.Event{Kind: "control-loss", AtS: 1, ForS: 2}, scenario.Event{Kind: "control-loss", AtS: 12, ForS: 1})
+	all := r.schedule(&partQueues{}, r.world.Steps(r.startedAt))
 	var at []time.Duration
 	for _, m := range all {
 		at = append(at, m.at/time.Second)
@@ -56,37 +56,37 @@
 	}
 }
 
-// TestNote holds from when agents can be told of what was made while their machines were away, through a loss of control
+// TestRecordReachability checks from when agents can be notified of what was made while their machines were away, through a loss of control
 // that is over before they are back.
-func TestNote(t *testing.T) {
-	p := newDrawnRunner(t)
-	down, up, away := true, false, p.simulatedPositions[0]
-	server := p.world.Agents[away].Server
-	other := p.simulatedPositions[1]
+func TestRecordReachability(t *testing.T) {
+	r := newDrawnRunner(t)
+	down, up, away := true, false, r.simulatedPositions[0]
+	server := r.world.Agents[away].Server
+	other := r.simulatedPositions[1]
 	now := func() int64 { return time.Now().UnixNano() }
 
-	p.recordReachability(world.Step{Event: -1, Down: []int{server}, Silent: true})
+	r.recordReachability(world.Step{Event: -1, Down: []int{server}, Silent: true})
 	made := now()
-	p.recordReachability(world.Step{Event: -1, ControlDown: &down})
+	r.recordReachability(world.Step{Event: -1, ControlDown: &down})
 	lost := now()
-	p.recordReachability(world.Step{Event: -1, ControlDown: &up})
+	r.recordReachability(world.Step{Event: -1, ControlDown: &up})
 	back := now()
-	if got := p.reachability.reachableFrom(away, made); got != never {
-		t.Errorf("an agent whose machine is away can be told from %d", got)
+	if got := r.reachability.reachableFrom(away, made); got != never {
+		t.Errorf("an agent whose machine is away can be notified from %d", got)
 	}
-	if got := p.reachability.reachableFrom(other, made); got != made {
-		t.Error("another agent cannot be told at once")
+	if got := r.reachability.reachableFrom(other, made); got != made {
+		t.Error("another agent cannot be notified at once")
 	}
-	if got := p.reachability.reachableFrom(other, lost); got <= lost || got > back {
-		t.Error("another agent cannot be told when control is back")
+	if got := r.reachability.reachableFrom(other, lost); got <= lost || got > back {
+		t.Error("another agent cannot be notified when control is back")
 	}
-	p.recordReachability(world.Step{Event: -1, Up: []int{server}})
-	if got := p.reachability.reachableFrom(away, made); got < back || got > now() {
-		t.Errorf("an agent whose machine is back can be told from %d, made at %d", got, made)
+	r.recordReachability(world.Step{Event: -1, Up: []int{server}})
+	if got := r.reachability.reachableFrom(away, made); got < back || got > now() {
+		t.Errorf("an agent whose machine is back can be notified from %d, made at %d", got, made)
 	}
-	p.recordReachability(world.Step{Event: -1, ControlDown: &down})
-	p.recordReachability(world.Step{Event: -1, Up: []int{server}}) // a planned start, of a machine that was not away
-	if got := p.reachability.reachableFrom(away, now()); got != never {
+	r.recordReachability(world.Step{Event: -1, ControlDown: &down})
+	r.recordReachability(world.Step{Event: -1, Up: []int{server}}) // a planned start, of a machine that was not away
+	if got := r.reachability.reachableFrom(away, now()); got != never {
 		t.Error("a planned start brings control back")
 	}
 }
--- a/internal/scale/run/taskqueue.go
+++ b/internal/scale/run/taskqueue.go
@@ -8,15 +8,14 @@
 	"time"
 )
 
-// taskTimeout is how long one thing that a step asks of a part may take.
+// taskTimeout bounds one thing that a step asks of a part.
 const taskTimeout = 20 * time.Second
 
-// restartTimeout is how long a restart of real agents may take: the end of the old processes, and the time in which the new
-// ones have to be up.
+// restartTimeout bounds a restart of real agents: the end of the old processes and the start of the new ones.
 const restartTimeout = 60 * time.Second
 
-// taskQueue does what the steps ask of one part: in their order, each within its time, and without holding up the others. How
-// long things waited in it is kept, as a part that falls behind plays another scenario than the file's.
+// taskQueue does what the steps ask of one part on a goroutine of its own: in order, each task within a time limit, and
+// without holding up the other parts. mu guards the errors and timings.
 type taskQueue struct {
 	name  string
 	limit time.Duration
@@ -28,9 +27,10 @@
 	timings []taskTiming
 }
 
-// errUnfinished is what a lane had not done in its time.
+// errUnfinished is what a queue returns that had not done all tasks in time.
 var errUnfinished = errors.New("things were not done when the run ended")
 
+// task is one thing to do, and when it was added.
 type task struct {
 	due time.Time
 	do  func(context.Context) error
@@ -39,57 +39,49 @@
 // taskTiming is how long a task waited for those before it, and how long it took.
 type taskTiming struct{ waited, took time.Duration }
 
-// newTaskQueue starts a lane with room for so many tasks, which ends when it is closed or the context is done.
-func newTaskQueue(ctx context.Context, name string, room int, limit time.Duration) *taskQueue {
-	l := &taskQueue{name: name, limit: limit, tasks: make(chan task, room), done: make(chan struct{})}
+// newTaskQueue starts a queue for at most so many tasks. Its goroutine ends when the queue is closed or ctx is done.
+func newTaskQueue(ctx context.Context, name string, capacity int, limit time.Duration) *taskQueue {
+	q := &taskQueue{name: name, limit: limit, tasks: make(chan task, capacity), done: make(chan struct{})}
 	go func() {
-		defer close(l.done)
-		for t := range l.tasks {
+		defer close(q.done)
+		for t := range q.tasks {
 			if ctx.Err() != nil {
 				return
 			}
-			l.runTask(ctx, t)
+			q.runTask(ctx, t)
 		}
 	}()
-	return l
+	return q
 }
 
-func (l *taskQueue) runTask(ctx context.Context, t task) {
+func (q *taskQueue) runTask(ctx context.Context, t task) {
 	begun := time.Now()
-	ctx, stop := context.WithTimeout(ctx, l.limit)
+	ctx, stop := context.WithTimeout(ctx, q.limit)
 	defer stop()
 	err := t.do(ctx)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.timings = append(l.timings, taskTiming{max(0, begun.Sub(t.due)), time.Since(begun)})
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.timings = append(q.timings, taskTiming{waited: max(0, begun.Sub(t.due)), took: time.Since(begun)})
 	if err != nil {
-		l.errs = append(l.errs, fmt.Errorf("%s: %w", l.name, err))
+		q.errs = append(q.errs, fmt.Errorf("%s: %w", q.name, err))
 	}
 }
 
-// add gives the lane a task. It never waits: there is room for all.
-func (l *taskQueue) add(do func(context.Context) error) { l.tasks <- task{time.Now(), do} }
+// add appends a task. It never blocks: the capacity is for all tasks.
+func (q *taskQueue) add(do func(context.Context) error) { q.tasks <- task{time.Now(), do} }
 
-// close lets the lane finish what it has until the context is done, and returns what failed. What is left over then is
-// an error too.
-func (l *taskQueue) close(ctx context.Context) error {
-	close(l.tasks)
+// close lets the queue do what it has until ctx is done, and returns the first error. Tasks that are left are an error.
+func (q *taskQueue) close(ctx context.Context) error {
+	close(q.tasks)
 	select {
-	case <-l.done:
+	case <-q.done:
 	case <-ctx.Done():
-		return fmt.Errorf("%s: %d %w", l.name, len(l.tasks)+1, errUnfinished)
+		return fmt.Errorf("%s: %d %w", q.name, len(q.tasks)+1, errUnfinished)
 	}
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if len(l.errs) > 0 {
-		return l.errs[0]
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if len(q.errs) > 0 {
+		return q.errs[0]
 	}
 	return nil
 }
-
-// taskTimings are the waits so far.
-func (l *taskQueue) taskTimings() []taskTiming {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return append([]taskTiming(nil), l.timings...)
-}
--- a/internal/scale/run/verdict_test.go
+++ b/internal/scale/run/verdict_test.go
@@ -14,7 +14,7 @@
 // limits are budgets that fine, the run below, keeps.
 var limits = scenario.Budgets{AddedP99MS: 0.58, AgentCPU: 1.6, AgentMemMB: 32, AgentKBps: 23, InForceS: 6, ControlBusy: 5, Attempts: 2}
 
-// passingRun is a run whose every figure is within its budget and whose hollow figures are those of the real ones.
+// passingRun is a run whose every figure is within its budget and whose simulated measurements are those of the real ones.
 func passingRun() *result.Run {
 	d := func(v float64) result.Distribution {
 		return result.Distribution{N: 10, Mean: v, P50: v, P99: v, Max: v}
@@ -40,7 +40,7 @@
 	return r
 }
 
-func TestOver(t *testing.T) {
+func TestViolations(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		change func(*result.Run)
@@ -51,10 +51,10 @@
 		{"added, a call failed", func(r *result.Run) { r.Added.Failed = 1 }, nil},
 		{"added, more than one in a hundred failed", func(r *result.Run) { r.Added.Failed = 2 }, []string{"added_p99"}},
 		{"added, not measured", func(r *result.Run) { r.Added = result.Added{} }, []string{"added_p99"}},
-		{"hollow cpu", func(r *result.Run) { r.Simulated.CPUPercent = 1.7 }, []string{"agent_cpu"}},
+		{"simulated cpu", func(r *result.Run) { r.Simulated.CPUPercent = 1.7 }, []string{"agent_cpu"}},
 		{"cpu, not measured", func(r *result.Run) { r.Simulated.CPUPercent, r.Real.CPUPercent = 0, 0 }, []string{"agent_cpu", "ratio:cpu"}},
 		{"real memory", func(r *result.Run) { r.Real.RSSBytes.Max = 33 * bytesPerMB }, []string{"agent_memory"}},
-		{"hollow memory", func(r *result.Run) { r.Simulated.HeapBytes = 33 * bytesPerMB }, []string{"agent_memory"}},
+		{"simulated memory", func(r *result.Run) { r.Simulated.HeapBytes = 33 * bytesPerMB }, []string{"agent_memory"}},
 		{"bytes of one agent's worst 6 s", func(r *result.Run) { r.Real.Worst6s.Max = 23_001 }, []string{"agent_bytes"}},
 		{"last agent's list", func(r *result.Run) { r.Simulated.ListInForce.Max = 6001 }, []string{"in_force_list"}},
 		{"last agent's configuration", func(r *result.Run) { r.Real.ConfInForce.Max = 6001 }, []string{"in_force_config"}},
@@ -64,13 +64,13 @@
 		{"real work of one", func(r *result.Run) { r.Control[0].CPUPercent = 510 }, []string{"control_machines"}},
 		{"attempts at the deepest", func(r *result.Run) { r.Depths[1].Amplification = 2.1 }, []string{"attempts_per_call"}},
 		{"attempts above it", func(r *result.Run) { r.Depths[0].Amplification = 2.1 }, nil},
-		{"hollow bytes too many", func(r *result.Run) { r.Simulated.BytesIn.Mean = 2000 }, []string{"ratio:bytes"}},
-		{"hollow bytes too few", func(r *result.Run) { r.Simulated.BytesIn.Mean = 400 }, []string{"ratio:bytes"}},
-		{"hollow lists late", func(r *result.Run) { r.Simulated.ListHeard.Mean = 1300 }, []string{"ratio:list_in_force"}},
+		{"simulated bytes too many", func(r *result.Run) { r.Simulated.BytesIn.Mean = 2000 }, []string{"ratio:bytes"}},
+		{"simulated bytes too few", func(r *result.Run) { r.Simulated.BytesIn.Mean = 400 }, []string{"ratio:bytes"}},
+		{"simulated lists late", func(r *result.Run) { r.Simulated.ListHeard.Mean = 1300 }, []string{"ratio:list_in_force"}},
 		{"both below the floor", func(r *result.Run) { r.Simulated.ListHeard.Mean, r.Real.ListHeard.Mean = 49, 0.4 }, nil},
-		{"hollow configurations late", func(r *result.Run) { r.Simulated.ConfInForce.P50 = 3700 }, []string{"ratio:config_in_force"}},
-		{"hollow cpu off", func(r *result.Run) { r.Real.CPUPercent, r.Simulated.CPUPercent = 1.1, 0.2 }, []string{"ratio:cpu"}},
-		{"told late", func(r *result.Run) { r.LateNotifications = 1 }, []string{"late_told"}},
+		{"simulated configurations late", func(r *result.Run) { r.Simulated.ConfInForce.P50 = 3700 }, []string{"ratio:config_in_force"}},
+		{"simulated cpu off", func(r *result.Run) { r.Real.CPUPercent, r.Simulated.CPUPercent = 1.1, 0.2 }, []string{"ratio:cpu"}},
+		{"notified late", func(r *result.Run) { r.LateNotifications = 1 }, []string{"late_told"}},
 		{"nothing was started", func(r *result.Run) { r.Simulated, r.Real = result.AgentControl{}, result.AgentControl{} },
 			[]string{"agent_cpu", "agent_memory", "agent_bytes", "in_force_list", "in_force_config"}},
 		{"not up", func(r *result.Run) { r.RestartsNotUp = 1 }, []string{"not_up"}},
@@ -83,7 +83,7 @@
 			}
 			r.Depths[1].Amplification = 0
 		}, nil},
-		{"no hollow agents", func(r *result.Run) { r.Sizes.Real, r.Simulated, r.Depths = 20, result.AgentControl{}, nil }, nil},
+		{"no simulated agents", func(r *result.Run) { r.Sizes.Real, r.Simulated, r.Depths = 20, result.AgentControl{}, nil }, nil},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			r := passingRun()
@@ -127,7 +127,7 @@
 				}
 			}
 			for _, h := range ratioRules {
-				if !strings.Contains(text, h.why) {
+				if !strings.Contains(text, h.reason) {
 					t.Errorf("the factor of %s is not explained", h.name)
 				}
 			}
--- a/internal/scale/simagent/service.go
+++ b/internal/scale/simagent/service.go
@@ -12,9 +12,18 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// ServiceName is the name by which the part's methods are called, as in "Hollow.Start".
+// ServiceName is the name by which the part's methods are called.
 const ServiceName = "Hollow"
 
+// The part's methods, as role.Child calls them.
+const (
+	MethodStart     = ServiceName + ".Start"
+	MethodStep      = ServiceName + ".Step"
+	MethodConfigure = ServiceName + ".Config"
+	MethodBegin     = ServiceName + ".Begin"
+	MethodStats     = ServiceName + ".Stats"
+)
+
 // The messages of the part follow. gob sends them by the names of their fields.
 
 // StartArgs say what the part runs. The world is drawn from the scenario, as in every other part.
