--- a/internal/scale/sweep/metrics.go
+++ b/internal/scale/sweep/metrics.go
@@ -10,14 +10,14 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// Metric is one number of the figures file, with its unit and the play that gave it.
+// Metric is one number of a metrics file (figures.json), with its unit and the runs that gave it.
 type Metric struct {
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
 	Run   string  `json:"run"`
 }
 
-// ReadMetrics reads a figures file: a flat map by keys such as `agents.control_bytes.slope`.
+// ReadMetrics reads a metrics file: a flat map by keys such as `agents.control_bytes.slope`.
 func ReadMetrics(file string) (map[string]Metric, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return all, nil
 }
 
-// WriteMetrics writes a figures file, its keys in order.
+// WriteMetrics writes a metrics file, its keys in order.
 func WriteMetrics(file string, all map[string]Metric) error {
 	text, err := json.MarshalIndent(all, "", "  ")
 	if err != nil {
@@ -39,13 +39,54 @@
 	return os.WriteFile(file, append(text, '\n'), 0o644)
 }
 
-// measurement is one figure of a run before it has a place among others.
+// Metrics are the sweep's numbers by their stable keys: DIMENSION.METRIC.{slope,intercept,residual,quadratic,exponent,
+// target,twice,at_SIZE} and joint.METRIC.{base,target,twice}.
+func (w *Sweep) Metrics() map[string]Metric {
+	all := map[string]Metric{}
+	for _, g := range w.Growth {
+		prefix := g.Dimension + "." + g.Metric + "."
+		put := func(name string, v float64, unit string) { all[prefix+name] = Metric{v, unit, g.source} }
+		put("slope", g.Fit.Slope, g.Unit+" each")
+		put("intercept", g.Fit.Intercept, g.Unit)
+		put("residual", g.Fit.Residual, g.Unit)
+		put("quadratic", g.Fit.Quadratic, g.Unit+" each, squared")
+		put("exponent", g.Fit.Exponent, "")
+		put("target", g.Target, g.Unit)
+		put("twice", g.Twice, g.Unit)
+		for size, v := range g.meansBySize() {
+			put(fmt.Sprintf("at_%g", size), v, g.Unit)
+		}
+	}
+	maps.Copy(all, w.Joint)
+	return all
+}
+
+// AddRun adds the metrics of one run under a name of its own, as `run.NAME.METRIC`, beside those of the sweeps.
+func AddRun(all map[string]Metric, name string, r *result.Run) {
+	source := describeRun(r)
+	prefix := "run." + name + "."
+	for key, m := range extractMetrics(r) {
+		all[prefix+key] = Metric{m.value, m.unit, source}
+	}
+	for _, b := range r.Budgets {
+		all[prefix+"budget."+b.Name] = Metric{b.Measured, b.Unit, source}
+	}
+}
+
+// describeRun says which run gave a metric.
+func describeRun(r *result.Run) string {
+	s := r.Sizes
+	return fmt.Sprintf("run %s: servers %d, services %d, agents %d (real %d), depth %d, changes/min %.4g, %.0f s, seed %d",
+		r.Scenario, s.Servers, s.Services, s.Agents, s.Real, s.Depth, s.ChangesPerMinute, s.Seconds, s.Seed)
+}
+
+// measurement is one value of a run with its unit.
 type measurement struct {
 	value float64
 	unit  string
 }
 
-// extractMetrics reads from a run every figure whose growth is of interest. A figure that the run did not measure is left out.
+// extractMetrics reads from a run every metric whose growth is of interest and that the run measured.
 func extractMetrics(r *result.Run) map[string]measurement {
 	all := map[string]measurement{}
 	addAgentMetrics(all, "agent", r.Simulated)
@@ -59,38 +100,39 @@
 		all["amplification"] = measurement{r.Depths[n-1].Amplification, "times"}
 	}
 	for i, e := range r.Events {
-		key := fmt.Sprintf("event%d_%s_", i+1, e.Kind)
-		all[key+"bytes"] = measurement{float64(e.Bytes), "B"}
+		prefix := fmt.Sprintf("event%d_%s_", i+1, e.Kind)
+		all[prefix+"bytes"] = measurement{float64(e.Bytes), "B"}
 		if e.InForceMS.N > 0 {
-			all[key+"in_force_max"] = measurement{e.InForceMS.Max, "ms"}
+			all[prefix+"in_force_max"] = measurement{e.InForceMS.Max, "ms"}
 		}
-		all[key+"served"] = measurement{e.ServedPercent, "%"}
-		all[key+"whole_lists"] = measurement{float64(e.FullLists), "lists"}
+		all[prefix+"served"] = measurement{e.ServedPercent, "%"}
+		all[prefix+"whole_lists"] = measurement{float64(e.FullLists), "lists"}
 	}
 	return all
 }
 
-func addAgentMetrics(all map[string]measurement, name string, a result.AgentControl) {
+// addAgentMetrics adds what control cost the agents of one sort.
+func addAgentMetrics(all map[string]measurement, sort string, a result.AgentControl) {
 	if a.Agents == 0 {
 		return
 	}
-	all[name+"_bytes_in"] = measurement{a.BytesIn.Mean, "B/s"}
-	all[name+"_bytes_out"] = measurement{a.BytesOut.Mean, "B/s"}
-	all[name+"_worst6s"] = measurement{a.Worst6s.Max, "B/s"}
-	all[name+"_cpu"] = measurement{a.CPUPercent, "% of a core"}
+	all[sort+"_bytes_in"] = measurement{a.BytesIn.Mean, "B/s"}
+	all[sort+"_bytes_out"] = measurement{a.BytesOut.Mean, "B/s"}
+	all[sort+"_worst6s"] = measurement{a.Worst6s.Max, "B/s"}
+	all[sort+"_cpu"] = measurement{a.CPUPercent, "% of a core"}
 	if a.HeapBytes > 0 {
-		all[name+"_heap"] = measurement{a.HeapBytes, "B"}
+		all[sort+"_heap"] = measurement{a.HeapBytes, "B"}
 	}
 	if a.RSSBytes.N > 0 {
-		all[name+"_rss"] = measurement{a.RSSBytes.Max, "B"}
+		all[sort+"_rss"] = measurement{a.RSSBytes.Max, "B"}
 	}
 	for key, d := range map[string]result.Distribution{"_list_in_force": a.ListInForce, "_config_in_force": a.ConfInForce} {
 		if d.N == 0 {
 			continue
 		}
-		all[name+key+"_p50"] = measurement{d.P50, "ms"}
-		all[name+key+"_p99"] = measurement{d.P99, "ms"}
-		all[name+key+"_max"] = measurement{d.Max, "ms"}
+		all[sort+key+"_p50"] = measurement{d.P50, "ms"}
+		all[sort+key+"_p99"] = measurement{d.P99, "ms"}
+		all[sort+key+"_max"] = measurement{d.Max, "ms"}
 	}
 }
 
@@ -100,10 +142,7 @@
 	if seconds <= 0 {
 		return
 	}
-	add := func(key string, v float64, unit string) {
-		x := all[key]
-		all[key] = measurement{x.value + v, unit}
-	}
+	add := func(key string, v float64, unit string) { all[key] = measurement{all[key].value + v, unit} }
 	for _, m := range r.Control {
 		add(m.Role+"_calls", float64(m.Calls)/seconds, "calls/s")
 		add(m.Role+"_bytes", float64(m.BytesIn+m.BytesOut)/seconds, "B/s")
@@ -112,28 +151,9 @@
 		add(m.Role+"_busy", m.Busy, "machines")
 		add(m.Role+"_worst6s", m.Worst6s, "machines")
 		add(m.Role+"_rss", m.RSSBytes, "B")
-		queue := all[m.Role+"_queue_p99"]
-		all[m.Role+"_queue_p99"] = measurement{max(queue.value, m.QueueMS.P99), "ms"}
-	}
-}
-
-// AddRun adds the figures of one run under a name of its own, as `run.NAME.FIGURE`, beside those of the sweeps.
-func AddRun(all map[string]Metric, name string, r *result.Run) {
-	about := describeRun(r)
-	for key, v := range extractMetrics(r) {
-		all["run."+name+"."+key] = Metric{v.value, v.unit, about}
+		queueKey := m.Role + "_queue_p99"
+		all[queueKey] = measurement{max(all[queueKey].value, m.QueueMS.P99), "ms"}
 	}
-	for _, b := range r.Budgets {
-		all["run."+name+".budget."+b.Name] = Metric{b.Measured, b.Unit, about}
-	}
-}
-
-// describeRun says which run gave a figure.
-func describeRun(r *result.Run) string {
-	s := r.Sizes
-	return fmt.Sprintf("run %s: servers %d, services %d, agents %d (real %d), depth %d, changes/min %.4g, %.0f s, seed %d",
-		r.Scenario, s.Servers, s.Services, s.Agents, s.Real, s.Depth, s.ChangesPerMinute, s.Seconds, s.Seed)
 }
 
-// sortedKeys are a map's keys in order.
 func sortedKeys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -208,7 +208,7 @@
 	for name, want := range map[string][]float64{
 		"servers": {20, 40, 80, 160}, "agents": {20, 40, 80, 160}, "changes": {0, 10, 20, 40}, "services": {5, 8, 16, 28, 40}, "depth": {1, 3, 4, 5, 7},
 	} {
-		if got := dimensionNamed(name).sizes(base()); !slices.Equal(got, want) {
+		if got := Dimensions[dimensionIndex(name)].defaultSizes(base()); !slices.Equal(got, want) {
 			t.Errorf("%s: %v, want %v", name, got, want)
 		}
 	}
--- a/internal/scale/sweep/text.go
+++ b/internal/scale/sweep/text.go
@@ -1,48 +1,72 @@
 package sweep
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"strings"
-	"text/tabwriter"
+
+	"example.org/ryeloft/internal/scale/textwriter"
 )
 
-// WriteText writes a sweep for a person: each figure's growth along each dimension, what the target needs, and whatever
-// bends, is refused or was not played.
+// WriteText writes a sweep for a person: each metric's growth along each dimension, what the target needs, kinks, and what
+// was skipped.
 func (w *Sweep) WriteText(to io.Writer) error {
-	out := bufio.NewWriter(to)
-	last := ""
-	t := tabwriter.NewWriter(out, 0, 8, 2, ' ', 0)
+	out := textwriter.New(to)
+	out.Table(func(t *textwriter.Writer) {
+		w.writeGrowth(t)
+		w.writeJoint(t)
+	})
+	w.writeKinks(out)
+	return out.Flush()
+}
+
+func (w *Sweep) writeGrowth(t *textwriter.Writer) {
+	dimension := ""
 	for _, g := range w.Growth {
-		if g.Dimension != last {
-			last = g.Dimension
-			fmt.Fprintf(t, "\n%s at %s\tunit\tvalues\tslope\tresidual\tnoise\texponent\ttarget\ttwice\n", g.Dimension, formatSizes(sortedUnique(g.Sizes)))
+		if g.Dimension != dimension {
+			dimension = g.Dimension
+			t.Printf("\n%s at %s\tunit\tvalues\tslope\tresidual\tnoise\texponent\ttarget\ttwice\n", dimension, formatSizes(sortedUnique(g.Sizes)))
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%s\t%.3g\t%.3g\t%.2f\t%.4g\t%.4g\n", g.Metric, g.Unit, g.formatValues(), g.formatSlope(), g.Fit.Residual, g.Noise,
+		t.Printf("%s\t%s\t%s\t%s\t%.3g\t%.3g\t%.2f\t%.4g\t%.4g\n", g.Metric, g.Unit, g.formatValues(), g.formatSlope(), g.Fit.Residual, g.Noise,
 			g.Fit.Exponent, g.Target, g.Twice)
 	}
-	fmt.Fprintln(t, "\nall sizes together, taken to multiply\tunit\tbase\ttarget\ttwice")
+}
+
+func (w *Sweep) writeJoint(t *textwriter.Writer) {
+	t.Println("\nall sizes together, taken to multiply\tunit\tbase\ttarget\ttwice")
 	for _, key := range sortedKeys(w.Joint) {
-		if name, is := jointMetricName(key); is {
-			fmt.Fprintf(t, "%s\t%s\t%.4g\t%.4g\t%.4g\n", name, w.Joint[key].Unit, w.Joint[key].Value, w.Joint["joint."+name+".target"].Value, w.Joint["joint."+name+".twice"].Value)
+		name, isBase := jointMetricName(key)
+		if !isBase {
+			continue
 		}
+		atBase := w.Joint[key]
+		target := w.Joint[jointPrefix+name+suffixTarget]
+		twice := w.Joint[jointPrefix+name+suffixTwice]
+		t.Printf("%s\t%s\t%.4g\t%.4g\t%.4g\n", name, atBase.Unit, atBase.Value, target.Value, twice.Value)
 	}
-	t.Flush()
-	w.writeKinks(out)
-	return out.Flush()
 }
 
-// jointMetricName is the figure's name of a key joint.NAME.base.
-func jointMetricName(key string) (string, bool) {
-	const before, after = "joint.", ".base"
-	if len(key) < len(before)+len(after) || key[len(key)-len(after):] != after {
-		return "", false
+func (w *Sweep) writeKinks(out *textwriter.Writer) {
+	out.Println()
+	var kinks []string
+	for _, g := range w.Growth {
+		if g.Kink != "" {
+			kinks = append(kinks, g.Kink)
+		}
+	}
+	kinks = append(kinks, w.Kinks...)
+	for _, k := range kinks {
+		out.Println("kink:", k)
+	}
+	if len(kinks) == 0 {
+		out.Println("no kinks")
+	}
+	for _, s := range w.Skipped {
+		out.Println("not played:", s)
 	}
-	return key[len(before) : len(key)-len(after)], true
 }
 
-// formatValues are a figure's means by size, in the sizes' order.
+// formatValues are the means by size, in the sizes' order.
 func (g *Growth) formatValues() string {
 	var all []string
 	means := g.meansBySize()
@@ -52,7 +76,7 @@
 	return strings.Join(all, " ")
 }
 
-// formatSlope is a figure's slope, or that there is none to tell.
+// formatSlope is the slope, or that there is none to tell.
 func (g *Growth) formatSlope() string {
 	if g.Flat {
 		return "level"
@@ -60,23 +84,10 @@
 	return fmt.Sprintf("%.4g", g.Fit.Slope)
 }
 
-func (w *Sweep) writeKinks(out io.Writer) {
-	fmt.Fprintln(out)
-	none := true
-	for _, g := range w.Growth {
-		if g.Kink != "" {
-			fmt.Fprintln(out, "kink:", g.Kink)
-			none = false
-		}
-	}
-	for _, k := range w.Kinks {
-		fmt.Fprintln(out, "kink:", k)
-		none = false
-	}
-	if none {
-		fmt.Fprintln(out, "no kinks")
-	}
-	for _, l := range w.Skipped {
-		fmt.Fprintln(out, "not played:", l)
+func formatSizes(sizes []float64) string {
+	var all []string
+	for _, s := range sizes {
+		all = append(all, fmt.Sprintf("%g", s))
 	}
+	return strings.Join(all, ", ")
 }
