--- a/internal/scale/procstat/procstat.go
+++ b/internal/scale/procstat/procstat.go
@@ -3,7 +3,9 @@
 
 import (
 	"bytes"
+	"errors"
 	"fmt"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strconv"
@@ -72,3 +74,45 @@
 	}
 	return pids
 }
+
+// bytesPerKB is what the kernel calls a kB.
+const bytesPerKB = 1 << 10
+
+// ThreadsCPU is the time that a process's threads have run on a core, to the nanosecond, where /proc/PID/stat would give
+// hundredths of a second. Go's threads stay; for a process that has ended it is 0.
+func ThreadsCPU(pid int) (sum time.Duration) {
+	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // it fails only for a malformed pattern
+	for _, path := range paths {
+		text, err := os.ReadFile(path)
+		if err != nil {
+			continue // a thread that has just ended
+		}
+		ran, _, _ := bytes.Cut(text, []byte(" "))
+		ns, _ := strconv.ParseInt(string(ran), 10, 64) // the kernel writes a number
+		sum += time.Duration(ns)
+	}
+	return sum
+}
+
+// HeldAndPeakBytes are what a process holds in memory and the most that it has held, in bytes; 0 once it has ended.
+func HeldAndPeakBytes(pid int) (held, peak float64) {
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
+	if errors.Is(err, fs.ErrNotExist) {
+		return 0, 0
+	}
+	for line := range bytes.SplitSeq(text, []byte("\n")) {
+		name, rest, _ := bytes.Cut(line, []byte(":"))
+		fields := bytes.Fields(rest)
+		if len(fields) == 0 {
+			continue
+		}
+		kb, _ := strconv.ParseFloat(string(fields[0]), 64) // of the lines below, the kernel writes a number of kB
+		switch string(name) {
+		case "VmRSS":
+			held = kb * bytesPerKB
+		case "VmHWM":
+			peak = kb * bytesPerKB
+		}
+	}
+	return held, peak
+}
--- a/internal/scale/realagent/addedlatency.go
+++ b/internal/scale/realagent/addedlatency.go
@@ -17,22 +17,20 @@
 )
 
 const (
-	// warmUpPairs are how many pairs of calls go first on each client, and on each new connection, and are left out: they
-	// open connections, and a process's first calls find nothing in place.
+	// warmUpPairs are the first pairs of calls of each client and on each new connection, which are left out.
 	warmUpPairs      = 20
-	callTimeout      = 3 * time.Second // for a call; the budget that it states is less
+	callTimeout      = 3 * time.Second // more than the budget that a call states
 	callBudget       = "2000m"
-	maxLatencyMillis = 10_000 // ms that the histograms can tell
+	maxLatencyMillis = 10_000 // longer times count as this
 )
 
-// MeasureAdded measures what an agent adds to a call: on one connection to each busy agent and one to an echo server, both kept,
-// a client makes the same call through the agent and directly, in turn, with about gap between two calls (half of it to
-// one and a half times, drawn). calls are the measured pairs of all clients together. Pairs with a failed call, or one that
-// had to be sent again because the agent closed its connection, are left out of the times, as are each client's first
-// warmUpPairs and as many behind each new connection. Clients stop while their agent is restarted, as the platform's do.
+// MeasureAdded measures what an agent adds to a call: a client makes the same call through each busy agent and directly to
+// an echo server in turn, on connections that it keeps, with about gap between two calls (half of it to one and a half
+// times, drawn). calls are the measured pairs of all clients together. Pairs with a failed call or a retry are left out of
+// the times, as are the first warmUpPairs on each connection. Clients stop while their agent is restarted.
 func (f *Fleet) MeasureAdded(ctx context.Context, calls int, gap time.Duration) (result.Added, error) {
 	if len(f.options.Echo) == 0 {
-		return result.Added{}, errors.New("the time that agents add: there is no echo server to call directly")
+		return result.Added{}, errors.New("measuring the added latency: there is no echo server to call directly")
 	}
 	var clients []*client
 	for i, a := range f.agents {
@@ -55,17 +53,17 @@
 	agent  *agent
 	routes [2]*route // through the agent, and directly
 	random *rand.Rand
-	prefix string // of ids
-	calls  int    // calls
+	prefix string // of call ids
+	calls  int
 	failed int
-	pairs  [2][]time.Duration
+	pairs  [2][]time.Duration // measured, by route
 }
 
-// route is one of the two ways.
+// route is one of the two ways of a call.
 type route struct {
 	addr       string
 	conn       *httpConn
-	warmUpLeft int // pairs still to be left out
+	warmUpLeft int // pairs that are still to be left out
 }
 
 func newClient(a *agent, direct string, n int) *client {
@@ -76,7 +74,7 @@
 	}
 }
 
-// run makes so many pairs that count, or at most twice that and the warm ones, where many fail.
+// run makes so many measured pairs, in at most twice as many tries and the warm-up where calls fail.
 func (c *client) run(ctx context.Context, pairs int, gap time.Duration) error {
 	defer c.close()
 	for tries := 0; len(c.pairs[0]) < pairs; tries++ {
@@ -119,7 +117,7 @@
 	return nil
 }
 
-// call makes a call one way and returns how long it took, and whether it was sent once only, on a connection that was there.
+// call makes a call by one route and returns how long it took, and whether it was sent once, on an open connection.
 func (c *client) call(ctx context.Context, way int) (took time.Duration, clean bool, err error) {
 	if way == 0 {
 		c.agent.processMu.RLock()
@@ -134,14 +132,14 @@
 	clean = e.conn != nil
 	for sent := 1; ; sent++ {
 		took, err = e.call(ctx, request, id)
-		// Who reads no answer at all on a kept connection has crossed its close, and sends once more.
+		// A kept connection that ends without any response has crossed its close: the call is retried once.
 		if !errors.Is(err, errNoResponse) || !clean || sent == 2 {
 			return took, clean && sent == 1, err
 		}
 	}
 }
 
-// call sends a request, on the connection that there is or a new one, and checks that the answer is its own.
+// call sends a request, on the open connection or a new one, and checks that the response is its own.
 func (e *route) call(ctx context.Context, request []byte, id string) (time.Duration, error) {
 	if e.conn == nil {
 		d := net.Dialer{Timeout: callTimeout}
--- a/internal/scale/realagent/echo.go
+++ b/internal/scale/realagent/echo.go
@@ -18,19 +18,19 @@
 	loadPath     = "/metrics/load"
 )
 
-// EchoServers are counter servers on loopback sockets that do no work: they answer at once, with the request's id as the
-// body, so that whoever calls can tell that an answer is its own. Their load reports hold all fields that the settings can
-// name; agents leave out what theirs do not.
+// EchoServers are counter servers on loopback sockets that do no work: they respond at once, with the request's id as the
+// body, so that callers can tell that a response is their own. Their load reports hold all fields that settings can name.
+// Goroutines serve the connections; Close waits for them.
 type EchoServers struct {
 	servers []*echoServer
 	conns   sync.WaitGroup
 }
 
-// echoServer is one of them.
+// echoServer is one of EchoServers. mu guards its connections.
 type echoServer struct {
-	listener   net.Listener
-	inProgress atomic.Int64 // requests
-	recent     atomic.Int64 // how long the last one took, ns
+	listener    net.Listener
+	inProgress  atomic.Int64 // requests
+	recentNanos atomic.Int64 // how long the last request took
 
 	mu     sync.Mutex
 	closed bool
@@ -52,7 +52,7 @@
 	return e, nil
 }
 
-// Addrs are where they listen, host and port.
+// Addrs are where the servers listen, host and port.
 func (e *EchoServers) Addrs() []string {
 	addrs := make([]string, len(e.servers))
 	for i, s := range e.servers {
@@ -114,8 +114,8 @@
 	return s.listener.Close()
 }
 
-// serve answers a connection's requests in turn until either side ends it. It is written on the connection itself: what
-// net/http does beside it would be in both sides of the comparison, and its spread would hide the agent's.
+// serve answers a connection's requests in turn until either side ends it. It does without net/http's server, whose spread
+// in both sides of the comparison would hide the agent's.
 func (s *echoServer) serve(c net.Conn) {
 	br := bufio.NewReader(c)
 	var text []byte
@@ -129,20 +129,20 @@
 		}
 		begun := time.Now()
 		s.inProgress.Add(1)
-		text = s.answer(text[:0], r)
+		text = s.appendResponse(text[:0], r)
 		_, err = c.Write(text)
 		s.inProgress.Add(-1)
-		s.recent.Store(int64(time.Since(begun)))
+		s.recentNanos.Store(int64(time.Since(begun)))
 		if err != nil || r.Close {
 			return
 		}
 	}
 }
 
-// answer appends the whole answer to a request.
-func (s *echoServer) answer(to []byte, r *http.Request) []byte {
+// appendResponse appends the whole response to a request.
+func (s *echoServer) appendResponse(to []byte, r *http.Request) []byte {
 	status, body := http.StatusOK, r.Header.Get(callIDHeader)
-	report := fmt.Sprintf("outstanding=%d,backlog=0,recent_ms=%.3f", s.inProgress.Load(), float64(s.recent.Load())/1e6)
+	report := fmt.Sprintf("outstanding=%d,backlog=0,recent_ms=%.3f", s.inProgress.Load(), float64(s.recentNanos.Load())/1e6)
 	switch {
 	case r.URL.Path == alivePath:
 		body = "alive\n"
--- a/internal/scale/realagent/httpconn.go
+++ b/internal/scale/realagent/httpconn.go
@@ -10,19 +10,19 @@
 	"time"
 )
 
-// maxResponseBytes is how many bytes an answer may have; those that are awaited here are short.
+// maxResponseBytes bounds a response; those that are expected here are short.
 const maxResponseBytes = 16 << 10
 
-var errNoResponse = errors.New("the connection ended without an answer")
+var errNoResponse = errors.New("the connection ended without a response")
 
-// httpConn is one connection for requests in turn. It does as little as it can around a request, unlike net/http's client, so
-// that what it measures is the other side's time.
+// httpConn is a connection for requests in turn. It does less around a request than net/http's client, so that what it
+// measures is the other side's time. It belongs to one goroutine.
 type httpConn struct {
 	net.Conn
 	buf []byte
 }
 
-// response is an answer; its body holds until the next request.
+// response is valid until the next request.
 type response struct {
 	status     int
 	close      bool // no request may follow on the connection
@@ -34,7 +34,7 @@
 	return &httpConn{Conn: c, buf: make([]byte, maxResponseBytes)}
 }
 
-// roundTrip writes a request and reads its answer. It is errNoResponse if not a byte of one came before the connection's end.
+// roundTrip writes a request and reads its response. The error is errNoResponse if the connection ended before any byte.
 func (t *httpConn) roundTrip(request []byte) (response, error) {
 	if _, err := t.Write(request); err != nil {
 		return response{}, noResponse(err)
@@ -55,12 +55,12 @@
 			return r, err
 		}
 		if n == len(t.buf) {
-			return response{}, fmt.Errorf("an answer of over %d bytes", n)
+			return response{}, fmt.Errorf("a response of over %d bytes", n)
 		}
 	}
 }
 
-// noResponse is the error of a connection that ended before an answer; one that is only silent has not ended.
+// noResponse is the error of a connection that ended before a response; one that timed out has not ended.
 func noResponse(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
@@ -68,8 +68,8 @@
 	return fmt.Errorf("%w: %w", errNoResponse, err)
 }
 
-// parseResponse reads an answer with a length, as far as it has come. It knows no other framing: neither an agent nor an echo
-// server has a reason to use one for a short body.
+// parseResponse reads a response with a Content-Length, as far as it has come; agents and echo servers use no other framing
+// for short bodies.
 func parseResponse(text []byte) (r response, whole bool, err error) {
 	head, body, ended := bytes.Cut(text, []byte("\r\n\r\n"))
 	if !ended {
@@ -81,7 +81,7 @@
 		r.status, err = strconv.Atoi(string(code[:3]))
 	}
 	if r.status == 0 || err != nil {
-		return r, false, fmt.Errorf("an answer that begins with %q", status)
+		return r, false, fmt.Errorf("a response that begins with %q", status)
 	}
 	for field := range bytes.SplitSeq(fields, []byte("\r\n")) {
 		name, value, _ := bytes.Cut(field, []byte(":"))
@@ -89,17 +89,17 @@
 		switch {
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			if length, err = strconv.Atoi(string(value)); err != nil || length < 0 {
-				return r, false, fmt.Errorf("an answer with a length of %q", value)
+				return r, false, fmt.Errorf("a response with a length of %q", value)
 			}
 		case bytes.EqualFold(name, []byte("Connection")):
 			r.close = bytes.EqualFold(value, []byte("close"))
 		}
 	}
 	if length < 0 {
-		return r, false, fmt.Errorf("an answer without a length, %q", status)
+		return r, false, fmt.Errorf("a response without a length, %q", status)
 	}
 	if len(body) > length {
-		return r, false, fmt.Errorf("%d bytes behind an answer", len(body)-length)
+		return r, false, fmt.Errorf("%d bytes behind a response", len(body)-length)
 	}
 	r.body = body
 	return r, len(body) == length, nil
--- /dev/null
+++ b/internal/scale/realagent/logtail.go
@@ -0,0 +1,85 @@
+package realagent
+
+import (
+	"bytes"
+	"fmt"
+	"strconv"
+	"strings"
+	"time"
+)
+
+const (
+	tailLines    = 12       // kept of each agent's log
+	maxLineBytes = 64 << 10 // kept of a line
+)
+
+// logTail keeps the last lines of a log.
+type logTail struct {
+	lines [tailLines]string
+	n     int // lines so far
+}
+
+func (t *logTail) add(line string) {
+	t.lines[t.n%tailLines] = line
+	t.n++
+}
+
+func (t *logTail) text() string {
+	var b strings.Builder
+	for i := max(0, t.n-tailLines); i < t.n; i++ {
+		fmt.Fprintf(&b, "  %s\n", t.lines[i%tailLines])
+	}
+	return strings.TrimSuffix(b.String(), "\n")
+}
+
+// lineWriter hands on what is written to it line by line, with the time at which it came. An unfinished line waits for
+// the next write.
+type lineWriter struct {
+	each       func(at time.Time, line string)
+	unfinished []byte
+}
+
+// Write implements io.Writer.
+func (w *lineWriter) Write(p []byte) (int, error) {
+	at := time.Now()
+	for rest := p; len(rest) > 0; {
+		line, after, ended := bytes.Cut(rest, []byte("\n"))
+		w.unfinished = append(w.unfinished, line[:min(len(line), maxLineBytes-len(w.unfinished))]...)
+		if ended {
+			w.each(at, string(w.unfinished))
+			w.unfinished = w.unfinished[:0]
+		}
+		rest = after
+	}
+	return len(p), nil
+}
+
+// logFields reads a line of slog's text form: key=value, values quoted where they need it. A line of another form, such as
+// a panic's, has no fields.
+func logFields(line string) map[string]string {
+	fields := map[string]string{}
+	for line != "" {
+		key, rest, ok := strings.Cut(line, "=")
+		if !ok {
+			break
+		}
+		value, after := cutValue(rest)
+		fields[key] = value
+		line = strings.TrimPrefix(after, " ")
+	}
+	return fields
+}
+
+// cutValue cuts the value off the beginning of what follows a key.
+func cutValue(text string) (value, rest string) {
+	quoted, err := strconv.QuotedPrefix(text)
+	if err != nil {
+		value, rest, _ = strings.Cut(text, " ")
+		return value, rest
+	}
+	value, err = strconv.Unquote(quoted)
+	if err != nil {
+		value = quoted
+	}
+	return value, text[len(quoted):]
+}
--- a/internal/scale/realagent/realagent.go
+++ b/internal/scale/realagent/realagent.go
@@ -1,6 +1,9 @@
-// Package realagent runs real agents, processes of bin/agent, beside the hollow ones of a scale run: some dozens, each
-// with its own files and its own loopback address, against which the hollow ones are checked. It measures what they cost
-// for control and what they add to a call.
+// Package realagent runs real agents as processes beside the simulated ones of a scale run: some dozens, each with its own
+// files and loopback address, with which the simulated ones are compared. It measures what they cost for control and what
+// they add to a call.
+//
+// A Fleet owns the agents; its mutex guards the measurements, each agent's mutexes its process and configuration. A
+// goroutine waits for each process. The package changes nothing in an agent but by its configuration file and signals.
 package realagent
 
 import (
@@ -22,9 +25,8 @@
 
 const (
 	maxAgents        = 200
-	startConcurrency = 16 // processes that come up at the same time
-	// maxInForceMillis is the largest time that the histograms can tell, in ms.
-	maxInForceMillis = 120_000
+	startConcurrency = 16
+	maxInForceMillis = 120_000 // longer times count as this
 )
 
 // Options say which agents are real and where they find the others.
@@ -32,19 +34,19 @@
 	// Config is the configuration of an agent of the world, such as (*world.World).Config.
 	Config func(agent int, o world.ConfigOptions) []byte
 	Agents []int // positions in the world
-	// Busy of the agents, the first ones, get the calls of Added; 0: half of them, rounded up. The others are quiet: what
-	// they cost is control's alone.
+	// Busy of the agents, the first ones, get the calls of MeasureAdded; 0: half of them, rounded up. The others are idle:
+	// what they cost is control's alone.
 	Busy            int
 	Echo            []string   // addresses of the echo servers, for direct calls
 	Program         string     // the agent's program
-	Dir             string     // a temporary folder is made in it; empty: the system's
+	Dir             string     // a temporary directory is made in it; empty: the system's
 	Discovery       []string   // address by position in the world
 	Relays          [][]string // addresses by position in the world; nil: none
 	CachedEndpoints []byte     // the list that the agents start with, in discovery's form; nil: none
 	Log             *slog.Logger
 }
 
-// validate says what of the options cannot be.
+// validate reports options that cannot be used.
 func (o *Options) validate() error {
 	if n := len(o.Agents); n == 0 || n > maxAgents {
 		return fmt.Errorf("%d real agents: there may be 1 to %d", n, maxAgents)
@@ -57,7 +59,7 @@
 			return fmt.Errorf("real agent %d has no address of discovery or relays", a)
 		}
 		if slices.Contains(o.Agents[:i], a) {
-			return fmt.Errorf("real agent %d stands there twice", a)
+			return fmt.Errorf("real agent %d is given twice", a)
 		}
 	}
 	return nil
@@ -85,7 +87,7 @@
 }
 
 // Start starts the agents and waits until all are up. An agent that does not come up is an error with its name and its last
-// lines, and then none is left. All processes end with the context, and with this process, however that comes.
+// log lines, and then none is left. All processes end with the context, and with this process, however that comes.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -98,14 +100,13 @@
 	}
 	dir, err := os.MkdirTemp(o.Dir, "realagent-")
 	if err != nil {
-		return nil, fmt.Errorf("real agents: %w", err)
+		return nil, fmt.Errorf("making the real agents' directory: %w", err)
 	}
 	f := &Fleet{options: o, dir: dir, failed: make(chan struct{})}
 	f.ctx, f.cancel = context.WithCancel(ctx)
 	f.closeOnce = sync.OnceValue(f.close)
 	if err := f.start(ctx); err != nil {
-		f.Close()
-		return nil, err
+		return nil, errors.Join(err, f.Close())
 	}
 	f.Begin()
 	return f, nil
@@ -123,13 +124,13 @@
 	return f.forEachAgent(f.agents, startConcurrency, func(a *agent) error {
 		took, err := f.run(ctx, a)
 		if err == nil {
-			f.options.Log.Debug("a real agent is up", "agent", a.name, "listen", a.listen, "took", took)
+			f.options.Log.Debug("real agent up", "agent", a.name, "listen", a.listen, "took", took)
 		}
 		return err
 	})
 }
 
-// prepare makes an agent's folder, finds its address and writes its configuration.
+// prepare makes an agent's directory, finds its address and writes its configuration.
 func (f *Fleet) prepare(i, position int) (*agent, error) {
 	a := &agent{
 		position: position, busy: i < f.options.Busy, cachedEndpoints: f.options.CachedEndpoints, discovery: f.options.Discovery[position],
@@ -139,20 +140,22 @@
 		a.relays = f.options.Relays[position]
 	}
 	if err := os.MkdirAll(filepath.Join(a.dir, "tmp"), 0o700); err != nil {
-		return nil, fmt.Errorf("real agent %d: %w", position, err)
+		return nil, fmt.Errorf("preparing real agent %d: %w", position, err)
 	}
 	var err error
-	if a.listen, err = freeAddr(position); err != nil {
-		return nil, fmt.Errorf("real agent %d: %w", position, err)
+	a.listen, err = freeAddr(position)
+	if err != nil {
+		return nil, fmt.Errorf("preparing real agent %d: %w", position, err)
 	}
-	text := a.config(f.options.Config)
-	if a.name, err = agentName(text); err != nil {
-		return nil, fmt.Errorf("real agent %d: %w", position, err)
+	text := a.configText(f.options.Config)
+	a.name, err = agentName(text)
+	if err != nil {
+		return nil, fmt.Errorf("preparing real agent %d: %w", position, err)
 	}
 	return a, a.writeConfig(text)
 }
 
-// freeAddr is an address of an agent's own, with a port that was free just now: the program must be told one.
+// freeAddr is an address of an agent's own with a port that was free just now, as its configuration has to name one.
 func freeAddr(position int) (string, error) {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.48.%d.%d:0", position/250, position%250+1))
 	if err != nil {
@@ -171,10 +174,10 @@
 	return a.awaitUp(ctx, p)
 }
 
-// forEachAgent does something for some agents at once and returns all errors.
-func (f *Fleet) forEachAgent(agents []*agent, atOnce int, do func(*agent) error) error {
+// forEachAgent calls do for agents, some at a time, and returns all errors when all calls have returned.
+func (f *Fleet) forEachAgent(agents []*agent, concurrency int, do func(*agent) error) error {
 	errs := make([]error, len(agents))
-	turns := make(chan struct{}, atOnce)
+	turns := make(chan struct{}, concurrency)
 	var all sync.WaitGroup
 	for i, a := range agents {
 		turns <- struct{}{}
@@ -187,7 +190,7 @@
 	return errors.Join(errs...)
 }
 
-// onExit notes the end of a process. One that nobody asked to end makes the run fail.
+// onExit handles the end of a process. One whose end nobody requested makes the run fail.
 func (f *Fleet) onExit(a *agent, p *process) {
 	if p.stopRequested.Load() || f.ctx.Err() != nil {
 		return
@@ -200,10 +203,10 @@
 	}
 	f.err = err
 	close(f.failed)
-	f.options.Log.Error("a real agent died", "agent", a.name, "error", err)
+	f.options.Log.Error("real agent died", "agent", a.name, "error", err)
 }
 
-// Err is the first end of a process that nobody asked for, with the agent's name and its last lines, or nil.
+// Err is the first end of a process that nobody requested, with the agent's name and its last lines, or nil.
 func (f *Fleet) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -235,8 +238,8 @@
 		return a.stop(p)
 	})
 	f.cancel()
-	if rm := os.RemoveAll(f.dir); rm != nil {
-		err = errors.Join(err, fmt.Errorf("real agents: %w", rm))
+	if removeErr := os.RemoveAll(f.dir); removeErr != nil {
+		err = errors.Join(err, fmt.Errorf("removing the real agents' directory: %w", removeErr))
 	}
 	return err
 }
--- a/internal/scale/realagent/stats.go
+++ b/internal/scale/realagent/stats.go
@@ -1,29 +1,25 @@
 package realagent
 
 import (
-	"bytes"
-	"errors"
-	"fmt"
-	"io/fs"
-	"os"
-	"path/filepath"
 	"slices"
-	"strconv"
 	"time"
 
+	"example.org/ryeloft/internal/scale/procstat"
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// maxMegabytes is the most memory that the histograms can tell.
+const bytesPerMB = 1 << 20
+
+// maxMegabytes bounds the memory that histograms distinguish.
 const maxMegabytes = 64 << 10
 
-// Stats are the figures of the real agents since Begin.
+// Stats are the measurements of the real agents since Begin.
 type Stats struct {
 	Agents     int
-	IdleAgents int     // agents without a call, of which CPUPercent is
-	CPUPercent float64 // of one core, a quiet agent: mean
-	// CallCPUMS is what one call costs a busy agent in processor time, ms: all that it used, less what a quiet one did.
-	// It is 0 without calls, and too large by control's part where no agent is quiet.
+	IdleAgents int     // agents without calls, of which CPUPercent is
+	CPUPercent float64 // of one core, an idle agent: mean
+	// CallCPUMS is what one call costs a busy agent in processor time, ms: all that it used, less what an idle one did.
+	// It is 0 without calls, and too large by control's part where no agent is idle.
 	CallCPUMS   float64
 	RSSBytes    result.Distribution // now
 	PeakBytes   result.Distribution // the largest each present process has had
@@ -33,7 +29,7 @@
 	Each        []AgentStats
 }
 
-// AgentStats are the figures of one agent; memory is 0 where none runs.
+// AgentStats are the measurements of one agent; memory is 0 where none runs.
 type AgentStats struct {
 	Position   int // in the world
 	Name       string
@@ -46,12 +42,14 @@
 	Restarts   int64
 }
 
-// Begin begins the measured part: all figures start from here.
+// Begin begins the measured part: all measurements start from here.
 func (f *Fleet) Begin() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.startedAt = time.Now()
-	f.configInForce, f.changes, f.startupTimes = result.NewHistogram(maxInForceMillis), nil, result.NewHistogram(maxInForceMillis)
+	f.configInForce = result.NewHistogram(maxInForceMillis)
+	f.changes = nil
+	f.startupTimes = result.NewHistogram(maxInForceMillis)
 	for _, a := range f.agents {
 		a.calls.Store(0)
 		a.restarts.Store(0)
@@ -61,12 +59,15 @@
 	}
 }
 
-// Stats gathers the figures.
+// Stats returns the measurements.
 func (f *Fleet) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	wall := time.Since(f.startedAt)
-	s := Stats{Agents: len(f.agents), ConfInForce: result.NewHistogram(maxInForceMillis), Configs: slices.Clone(f.changes), StartupMS: f.startupTimes.Distribution()}
+	s := Stats{
+		Agents: len(f.agents), ConfInForce: result.NewHistogram(maxInForceMillis), Configs: slices.Clone(f.changes),
+		StartupMS: f.startupTimes.Distribution(),
+	}
 	s.ConfInForce.Merge(f.configInForce)
 	for _, a := range f.agents {
 		s.Each = append(s.Each, a.stats(wall))
@@ -75,26 +76,29 @@
 	return s
 }
 
-// summarize computes the fleet's figures from the agents'.
+// summarize computes the fleet's measurements from the agents'.
 func (s *Stats) summarize(wall time.Duration) {
-	rss, peak := result.NewHistogram(maxMegabytes), result.NewHistogram(maxMegabytes)
-	quiet, busy, calls := 0.0, 0.0, int64(0)
+	rss := result.NewHistogram(maxMegabytes)
+	peak := result.NewHistogram(maxMegabytes)
+	var idle, busy float64
+	var calls int64
 	for _, a := range s.Each {
 		if a.PID != 0 {
-			rss.Add(a.RSSBytes / (1 << 20))
-			peak.Add(a.PeakBytes / (1 << 20))
+			rss.Add(a.RSSBytes / bytesPerMB)
+			peak.Add(a.PeakBytes / bytesPerMB)
 		}
 		calls += a.Calls
 		if a.Busy {
 			busy += a.CPUPercent
 		} else {
-			quiet += a.CPUPercent
+			idle += a.CPUPercent
 			s.IdleAgents++
 		}
 	}
-	s.RSSBytes, s.PeakBytes = inBytes(rss.Distribution()), inBytes(peak.Distribution())
+	s.RSSBytes = inBytes(rss.Distribution())
+	s.PeakBytes = inBytes(peak.Distribution())
 	if s.IdleAgents > 0 {
-		s.CPUPercent = quiet / float64(s.IdleAgents)
+		s.CPUPercent = idle / float64(s.IdleAgents)
 	}
 	if calls > 0 {
 		percent := busy - s.CPUPercent*float64(s.Agents-s.IdleAgents)
@@ -105,12 +109,12 @@
 // inBytes turns a distribution of megabytes into one of bytes.
 func inBytes(d result.Distribution) result.Distribution {
 	for _, v := range []*float64{&d.Mean, &d.P50, &d.P99, &d.Max} {
-		*v *= 1 << 20
+		*v *= bytesPerMB
 	}
 	return d
 }
 
-// stats are one agent's figures.
+// stats are one agent's measurements.
 func (a *agent) stats(wall time.Duration) AgentStats {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -118,54 +122,15 @@
 	s.CPUPercent = 100 * float64(a.cpuTime()-a.cpuAtStart) / float64(wall)
 	if a.process != nil {
 		s.PID = a.process.cmd.Process.Pid
-		s.RSSBytes, s.PeakBytes = memory(s.PID)
+		s.RSSBytes, s.PeakBytes = procstat.HeldAndPeakBytes(s.PID)
 	}
 	return s
 }
 
-// processCPU is what all processes of an agent have used so far. The mutex is held.
+// cpuTime is the processor time that all processes of an agent have used so far. mu is held.
 func (a *agent) cpuTime() time.Duration {
 	if a.process == nil {
 		return a.exitedCPU
 	}
-	return a.exitedCPU + threadsCPU(a.process.cmd.Process.Pid)
-}
-
-// threadsCPU is the time that a process's threads have run on a core, to the nanosecond, where /proc/PID/stat would give
-// hundredths of a second. Go's threads stay; of a process that has just ended it is 0.
-func threadsCPU(pid int) (sum time.Duration) {
-	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // the pattern is right
-	for _, path := range paths {
-		text, err := os.ReadFile(path)
-		if err != nil {
-			continue // a thread that has just ended
-		}
-		ran, _, _ := bytes.Cut(text, []byte(" "))
-		ns, _ := strconv.ParseInt(string(ran), 10, 64) // the kernel writes a number
-		sum += time.Duration(ns)
-	}
-	return sum
-}
-
-// memory is what a process holds in memory and the most that it has held, in bytes; 0 once it has ended.
-func memory(pid int) (now, peak float64) {
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
-	if errors.Is(err, fs.ErrNotExist) {
-		return 0, 0
-	}
-	for line := range bytes.SplitSeq(text, []byte("\n")) {
-		name, rest, _ := bytes.Cut(line, []byte(":"))
-		fields := bytes.Fields(rest)
-		if len(fields) == 0 {
-			continue
-		}
-		kb, _ := strconv.ParseFloat(string(fields[0]), 64) // of the lines below, the kernel writes a number of kB
-		switch string(name) {
-		case "VmRSS":
-			now = kb * 1024
-		case "VmHWM":
-			peak = kb * 1024
-		}
-	}
-	return now, peak
+	return a.exitedCPU + procstat.ThreadsCPU(a.process.cmd.Process.Pid)
 }
