--- a/internal/scale/run/messages_test.go
+++ b/internal/scale/run/messages_test.go
@@ -1,13 +1,18 @@
 package run
 
 import (
+	"encoding/json"
+	"maps"
 	"reflect"
 	"slices"
 	"strings"
 	"testing"
+	"time"
 
+	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/scale/control"
 	"example.org/ryeloft/internal/scale/simagent"
+	"example.org/ryeloft/internal/scale/world"
 )
 
 // Parts are called by these methods, and gob sends messages by the names of their fields.
@@ -52,6 +57,33 @@
 	}
 }
 
+// Steps are sent as JSON, by the same keys as ever.
+func TestStepMessageStays(t *testing.T) {
+	yes, no := true, false
+	step := world.Step{
+		At: time.Second, Event: 2, Changes: []discovery.Member{{ID: "x", State: "Gone"}}, Down: []int{1}, Silent: true, Up: []int{2}, Cold: true,
+		Restart: []int{3}, Forget: true, PartitionRegions: &yes, Fail: &no, Config: 4, KillRelay: true, Begins: true,
+	}
+	text, err := simagent.StepArgs{Step: step}.GobEncode()
+	if err != nil {
+		t.Fatal(err)
+	}
+	var keys map[string]json.RawMessage
+	if err := json.Unmarshal(text, &keys); err != nil {
+		t.Fatal(err)
+	}
+	want := []string{
+		"At", "Begins", "Changes", "Cold", "Config", "ControlDown", "CutRegions", "Down", "Ends", "Event", "Fail", "Forget", "KillRelay", "Restart",
+		"Silent", "StartRelay", "Up",
+	}
+	if got := slices.Sorted(maps.Keys(keys)); !slices.Equal(got, want) {
+		t.Errorf("keys %q, want %q", got, want)
+	}
+	if string(keys["CutRegions"]) != "true" || string(keys["Fail"]) != "false" || string(keys["ControlDown"]) != "null" {
+		t.Errorf("%s", text)
+	}
+}
+
 func fieldNames(message reflect.Type) string {
 	var names []string
 	for i := range message.NumField() {
--- a/internal/scale/run/schedule.go
+++ b/internal/scale/run/schedule.go
@@ -61,7 +61,7 @@
 func (r *runner) countSteps(steps []world.Step) {
 	sizes := &r.result.Sizes
 	for _, step := range steps {
-		if len(step.Changes) > 0 || len(step.Restart) > 0 || isSet(step.ControlDown) || isSet(step.CutRegions) {
+		if len(step.Changes) > 0 || len(step.Restart) > 0 || isSet(step.ControlDown) || isSet(step.PartitionRegions) {
 			sizes.ListChanges++
 		}
 		if step.Config > 0 {
@@ -141,7 +141,7 @@
 		if step.ControlDown != nil || step.Config > 0 {
 			add(agents, step.Event, r.allAgents())
 		}
-		if step.CutRegions != nil {
+		if step.PartitionRegions != nil {
 			add(agents, step.Event, r.agentsOutsideControlRegion())
 		}
 		if step.Fail != nil {
--- a/internal/scale/run/steps.go
+++ b/internal/scale/run/steps.go
@@ -32,7 +32,7 @@
 }
 
 func concernsControl(step world.Step) bool {
-	return step.ControlDown != nil || step.CutRegions != nil || step.KillRelay || step.StartRelay || len(step.Changes) > 0
+	return step.ControlDown != nil || step.PartitionRegions != nil || step.KillRelay || step.StartRelay || len(step.Changes) > 0
 }
 
 // recordReachability records which agents cannot be notified from a step on. Real agents stay up when a machine fails.
@@ -40,8 +40,8 @@
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if step.CutRegions != nil {
-		r.setReachable(!*step.CutRegions, r.agentsOutsideControlRegion(), now)
+	if step.PartitionRegions != nil {
+		r.setReachable(!*step.PartitionRegions, r.agentsOutsideControlRegion(), now)
 	}
 	if step.ControlDown != nil {
 		r.setReachable(!*step.ControlDown, r.allAgents(), now)
@@ -76,15 +76,15 @@
 			return err
 		}
 	}
-	if step.CutRegions != nil {
-		if err := r.partitionRegions(ctx, *step.CutRegions); err != nil {
+	if step.PartitionRegions != nil {
+		if err := r.partitionRegions(ctx, *step.PartitionRegions); err != nil {
 			return err
 		}
 	}
 	if err := r.applyToFirstRelay(ctx, step); err != nil {
 		return err
 	}
-	if isSet(step.ControlDown) || isSet(step.CutRegions) {
+	if isSet(step.ControlDown) || isSet(step.PartitionRegions) {
 		return r.publishMarker(ctx, step.Event)
 	}
 	if len(step.Changes) == 0 {
--- a/internal/scale/simagent/model_test.go
+++ b/internal/scale/simagent/model_test.go
@@ -150,8 +150,8 @@
 		{"vanished before", world.Step{Down: []int{-1}, Silent: true}, world.Step{}, false, 0},
 		{"vanished meanwhile", world.Step{}, world.Step{Down: []int{-1}, Silent: true}, false, 0},
 		{"fails", world.Step{Fail: &yes}, world.Step{}, true, balancer.OutcomeError},
-		{"cut off", world.Step{CutRegions: &yes}, world.Step{}, false, 0},
-		{"cut off meanwhile", world.Step{}, world.Step{CutRegions: &yes}, false, 0},
+		{"cut off", world.Step{PartitionRegions: &yes}, world.Step{}, false, 0},
+		{"cut off meanwhile", world.Step{}, world.Step{PartitionRegions: &yes}, false, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			m := newModel(t, nil)
--- a/internal/scale/simagent/service_test.go
+++ b/internal/scale/simagent/service_test.go
@@ -49,7 +49,7 @@
 		t.Error(err)
 	}
 	for _, on := range []bool{true, false} {
-		step := StepArgs{world.Step{Event: -1, Fail: &on, CutRegions: &on, Down: []int{0}, Silent: on}}
+		step := StepArgs{world.Step{Event: -1, Fail: &on, PartitionRegions: &on, Down: []int{0}, Silent: on}}
 		if err := call("Step", step, none); err != nil || s.fleet.deepestFailing.Load() != on || s.fleet.regionsPartitioned.Load() != on {
 			t.Errorf("fails %v, cut %v, want %v; error %v", s.fleet.deepestFailing.Load(), s.fleet.regionsPartitioned.Load(), on, err)
 		}
--- a/internal/scale/simagent/steps.go
+++ b/internal/scale/simagent/steps.go
@@ -36,8 +36,8 @@
 	if step.Fail != nil {
 		f.deepestFailing.Store(*step.Fail)
 	}
-	if step.CutRegions != nil {
-		f.regionsPartitioned.Store(*step.CutRegions)
+	if step.PartitionRegions != nil {
+		f.regionsPartitioned.Store(*step.PartitionRegions)
 	}
 }
 
--- a/internal/scale/world/agentconfig.go
+++ b/internal/scale/world/agentconfig.go
@@ -18,8 +18,8 @@
 	echoDeadlineMS         = 2000
 )
 
-// AddEcho adds one more service, pure and of layer 0, whose servers are real sockets: one at each address, in the zones
-// in turn. Every process of a run has to add the same ones, or they hold other worlds.
+// AddEcho adds an idempotent service of layer 0 whose servers are real sockets: one at each address, in the zones in turn.
+// Every process of a run has to add the same ones, or their worlds differ.
 func (w *World) AddEcho(addrs []string) {
 	class := max(0, slices.IndexFunc(w.Scenario.Classes, func(c scenario.Class) bool { return c.Effect == "pure" }))
 	w.Services = append(w.Services, Service{Name: EchoService, Class: class})
@@ -37,9 +37,8 @@
 	return -1
 }
 
-// settingsText is what of the settings text the agents have a use for. Danger: it is handed to each agent at each change,
-// so what stands here is paid for as often as there are agents. At the target's sizes it has 1,901 bytes in the mean and
-// 2,413 at most, half of them the names of services; a test holds it below 3,000.
+// settingsText is the part of the settings that the agents use. It has nothing more, as each agent is handed it at each
+// change; a test holds its length below 3,000 bytes.
 type settingsText struct {
 	Classes    []classText `json:"categories"`
 	Localities []string    `json:"localities"`
@@ -54,7 +53,7 @@
 	Rules      rulesText   `json:"rules"`
 }
 
-// classText is a class: the calls of one service. Times are in ms.
+// classText is the class of the calls to one service. Times are in ms.
 type classText struct {
 	Name             string  `json:"name"`
 	LatencyObjective float64 `json:"aim"`
@@ -90,8 +89,8 @@
 	RetryBudgetWindow  float64 `json:"extraWindow"`
 }
 
-// Settings returns the settings text of an agent in the wording of a revision, which is another one for each revision
-// from 0 on. Once AddEcho was called, a real agent may call the echo service.
+// Settings returns the settings of an agent as a revision words them; each revision from 0 on words them differently. Once
+// AddEcho was called, a real agent may call the echo service.
 func (w *World) Settings(agent int, revision int) []byte {
 	return mustMarshal(w.settings(agent, revision, w.Agents[agent].Real))
 }
@@ -121,8 +120,8 @@
 	return t
 }
 
-// Classes returns the services that an agent's classes stand for, in the order of its settings: those that its own one
-// calls, and the echo service if it may call that. Settings need a class, so one that calls nothing has its own.
+// Classes returns the services that an agent's classes stand for, in the order of its settings: those that its own service
+// calls, and the echo service if it may call that. As settings need a class, an agent that calls nothing has its own.
 func (w *World) Classes(agent int, echo bool) (out []int) {
 	own := w.Servers[w.Agents[agent].Server].Service
 	for _, c := range w.Services[own].Calls {
@@ -137,8 +136,8 @@
 	return out
 }
 
-// classText words the class of a service. Each revision has deadlines that are a microsecond longer: another text, and
-// nothing that an agent would decide otherwise by.
+// classText is the class of a service. Each revision has deadlines that are a microsecond longer: another text by which no
+// agent decides otherwise.
 func (w *World) classText(service, revision int) classText {
 	s := &w.Services[service]
 	class := &w.Scenario.Classes[s.Class]
@@ -183,8 +182,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Config returns an agent's configuration as JSON. What of the options is no JSON or address is the caller's mistake: the
-// first panics, the second the agent refuses.
+// Config returns an agent's configuration as JSON. It panics where CachedEndpoints is no JSON.
 func (w *World) Config(agent int, o ConfigOptions) []byte {
 	return mustMarshal(configText{
 		Name: w.Agents[agent].Name, Listen: o.Listen, Discovery: o.Discovery, Console: o.Console, Relays: o.Relays,
@@ -194,7 +192,7 @@
 	})
 }
 
-// mustMarshal words what is made of plain types here, which cannot fail but by a list of the caller's that is no JSON.
+// mustMarshal marshals plain types, which can fail only by a RawMessage that is no JSON.
 func mustMarshal(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/scale/world/drawn_test.go
+++ b/internal/scale/world/drawn_test.go
@@ -52,7 +52,7 @@
 	fmt.Fprintln(h, w.Members(begin))
 	for _, s := range w.Steps(begin) {
 		fmt.Fprintln(h, s.At, s.Event, s.Changes, s.Down, s.Silent, s.Up, s.Cold, s.Restart, s.Forget)
-		for _, b := range []*bool{s.CutRegions, s.Fail, s.ControlDown} {
+		for _, b := range []*bool{s.PartitionRegions, s.Fail, s.ControlDown} {
 			if b != nil {
 				fmt.Fprintln(h, *b)
 			} else {
--- a/internal/scale/world/members.go
+++ b/internal/scale/world/members.go
@@ -6,7 +6,7 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// The phases of lists.
+// The states of members that lists name.
 const (
 	stateReady       = "Ready"
 	stateTerminating = "Terminating"
@@ -24,7 +24,7 @@
 	return out
 }
 
-// member is a server's line in the list as it was drawn.
+// member is a server's entry in the list as it was drawn.
 func (w *World) member(server int, phase string) discovery.Member {
 	s := &w.Servers[server]
 	return discovery.Member{
--- /dev/null
+++ b/internal/scale/world/servers.go
@@ -0,0 +1,85 @@
+package world
+
+import (
+	"fmt"
+)
+
+// machineSpeeds are those of the kinds of machine; each server is on a random one.
+var machineSpeeds = []float64{0.6, 0.8, 1, 1.2, 1.5}
+
+// drawServers places each service's servers in the zones in turn, from a random one on, and on random machines.
+func (w *World) drawServers() {
+	f := &w.Scenario.Fleet
+	rng := w.rng(streamServers)
+	var first, others []int // the services of the first server of each, and of the others
+	for i := range w.Services {
+		first = append(first, i)
+		for range cap(w.Services[i].Servers) - 1 {
+			others = append(others, i)
+		}
+	}
+	rng.Shuffle(len(others), func(i, j int) { others[i], others[j] = others[j], others[i] })
+	firstZone := make([]int, len(w.Services))
+	for i := range firstZone {
+		firstZone[i] = rng.IntN(f.Zones)
+	}
+	for _, service := range append(first, others...) {
+		s := &w.Services[service]
+		w.addServer(service, (firstZone[service]+len(s.Servers))%f.Zones, rng.IntN(f.Racks), machineSpeeds[rng.IntN(len(machineSpeeds))])
+	}
+}
+
+// addServer appends a server.
+func (w *World) addServer(service, zone, rack int, speed float64) {
+	i := len(w.Servers)
+	w.Services[service].Servers = append(w.Services[service].Servers, i)
+	w.Servers = append(w.Servers, Server{
+		ID: w.serverID(i, 0), Addr: serverAddr(i, 0),
+		Service: service, Zone: zone, Region: zone / (w.Scenario.Fleet.Zones / w.Scenario.Fleet.Regions), Rack: rack,
+		Speed: speed, Slots: w.Scenario.Fleet.Slots,
+	})
+}
+
+// IDs and addresses are made from a server's position and its generation, which counts how often it was replaced.
+const (
+	positionBits  = 13
+	addrsPerOctet = 250
+	serverPort    = 9000
+)
+
+// serverAddr is unique to a server and generation, within 127.16 to 127.63; control and relays have the networks above.
+func serverAddr(position, generation int) string {
+	n := generation<<positionBits | position
+	return fmt.Sprintf("127.%d.%d.%d:%d", 16+n/(addrsPerOctet*addrsPerOctet)%48, n/addrsPerOctet%addrsPerOctet, n%addrsPerOctet+1, serverPort)
+}
+
+// serverID is unique to a server and generation: a Feistel permutation of both, which looks random.
+func (w *World) serverID(position, generation int) string {
+	n := uint32(generation<<positionBits | position)
+	left, right := uint16(n>>16), uint16(n)
+	for round := range uint64(4) {
+		left, right = right, left^w.mixRound(right, round)
+	}
+	return fmt.Sprintf("s-%04x%04x", left, right)
+}
+
+// ServerPosition returns the server that has an id in any generation; false if it is none of the world's.
+func (w *World) ServerPosition(id string) (int, bool) {
+	var left, right uint16
+	if n, err := fmt.Sscanf(id, "s-%04x%04x", &left, &right); n != 2 || err != nil || len(id) != len("s-01234567") {
+		return 0, false
+	}
+	for round := uint64(4); round > 0; round-- {
+		left, right = right^w.mixRound(left, round-1), left
+	}
+	n := uint32(left)<<16 | uint32(right)
+	position := int(n & (1<<positionBits - 1))
+	return position, position < len(w.Servers)
+}
+
+// mixRound is the round function of the permutation.
+func (w *World) mixRound(v uint16, round uint64) uint16 {
+	x := (uint64(v) + round<<16 + 1) * (w.Scenario.Seed | 1) * 0x9e3779b97f4a7c15
+	x ^= x >> 29
+	return uint16(x * 0xbf58476d1ce4e5b9 >> 32)
+}
--- a/internal/scale/world/steps.go
+++ b/internal/scale/world/steps.go
@@ -11,30 +11,33 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// Step is what the run does at one time: to the world, to control, to agents. What a field leaves at its zero stays as it is.
+// Step is what the run does at one time to the world, to control and to agents. A field at its zero value changes nothing.
+// Steps are sent to the parts as JSON, by the fields' names or tags.
 //
-// A change of the world (Down, Up) and the list's line about it (Changes) are steps of their own, control's notice apart.
-// A planned leave is known beforehand: its line, Terminating, comes first.
+// A change of the world (Down, Up) and of the list (Changes) are steps of their own, with control's delay between them. A
+// planned leave changes the list first.
 type Step struct {
-	At      time.Duration      // from the begin of the measured part
+	At      time.Duration      // from the beginning of the measured part
 	Event   int                // position among the scenario's; -1: the run's own
 	Changes []discovery.Member // control makes these one revision
 	Down    []int              // servers whose processes end
-	Silent  bool               // those of Down vanish without a word, and the agents beside them; else connections are reset
+	Silent  bool               // those of Down vanish, with the agents beside them; else their connections are reset
 	Up      []int              // servers whose processes start; after a replacement under another id, at the same position
 	Cold    bool               // those of Up start cold
-	Restart []int              // agents that start again from nothing but their configuration
-	Forget  bool               // those of Restart have no known list in it
-	// The regions are cut apart or joined; the deepest service fails or serves; control is down or up.
-	CutRegions, Fail, ControlDown *bool
-	Config                        int // the revision of the configuration that is handed out from now on; 0: no new one
-	KillRelay, StartRelay         bool
-	Begins, Ends                  bool // the first or last step of the event
+	Restart []int              // agents that restart with nothing but their configuration
+	Forget  bool               // those of Restart have no cached list in it
+
+	PartitionRegions *bool `json:"CutRegions"` // whether the regions are partitioned from each other
+	Fail             *bool // whether the deepest service answers errors
+	ControlDown      *bool
+
+	Config                int // revision of the configuration that is handed out from now on; 0: no new one
+	KillRelay, StartRelay bool
+	Begins, Ends          bool // the first or last step of the event
 }
 
-// stepper expands events. A server with which one event is not done yet is left alone by those that begin later, or the
-// list would tell two stories of it: an event that finds too few takes those there are. Agents that are away when a
-// restart begins are not in it.
+// stepper expands events. An event picks only servers that no earlier event is still busy with, or the list would
+// contradict itself; where there are too few it takes those. A restart leaves out agents that are away.
 type stepper struct {
 	*World
 	now        time.Time
@@ -43,11 +46,11 @@
 	generation []int           // by server: how often it was replaced
 	startedAt  []time.Duration // by server: Unix time of its process
 	freeAt     []time.Duration // by server: when the last event with it is over
-	awayUntil  []time.Duration // by server: when it is back, if it vanished
+	awayUntil  []time.Duration // by server: when it is back after it vanished
 }
 
-// Steps expands the scenario's events, the changes of configuration that come by themselves, and what happens to a
-// relay, in the order of time, for a measured part that begins at a time. The same call has the same answer.
+// Steps expands the scenario's events, its regular changes of configuration and the failure of a relay, in the order of
+// time, for a measured part that begins at a time. The result depends on the scenario and the time only.
 func (w *World) Steps(now time.Time) []Step {
 	n := w.Scenario.Fleet.Servers // echo servers are real sockets, to which nothing happens
 	s := &stepper{
@@ -103,7 +106,7 @@
 			return server.Zone == e.Zone && (e.Kind == "zone" || server.Rack == e.Count)
 		}))
 	case "regions":
-		s.toggle(at, length, func(step *Step, on *bool) { step.CutRegions = on })
+		s.toggle(at, length, func(step *Step, on *bool) { step.PartitionRegions = on })
 	case "control-loss":
 		s.toggle(at, length, func(step *Step, on *bool) { step.ControlDown = on })
 	case "fail":
@@ -120,7 +123,7 @@
 
 func (s *stepper) add(step Step) { s.steps = append(s.steps, step) }
 
-// mergeFirst lets the mark of an event's begin stand at its first step where both are at one time.
+// mergeFirst merges the step that marks an event's beginning with the next, if that is at the same time.
 func mergeFirst(own []Step) []Step {
 	if len(own) > 1 && own[0].At == own[1].At {
 		own = own[1:]
@@ -129,7 +132,7 @@
 	return own
 }
 
-// toggle turns something on and, after a while, off.
+// toggle sets something on and, after a while, off.
 func (s *stepper) toggle(at, length time.Duration, set func(*Step, *bool)) {
 	for _, on := range []bool{true, false} {
 		step := Step{At: at}
@@ -139,8 +142,8 @@
 	}
 }
 
-// drain drains servers in waves. Each one's line says so at once; the process ends when the drain does, and another
-// starts in its place: the same one again, or another id at another address.
+// drain drains servers in waves. The list says so at once; the process ends when the drain does, and another starts in its
+// place: the same server or, as a replacement, another id at another address.
 func (s *stepper) drain(at, length time.Duration, servers []int, replace bool) {
 	drain, boot, notice := seconds(s.Scenario.Fleet.DrainS), seconds(s.Scenario.Fleet.BootS), s.noticeDelay()
 	for _, w := range waves(servers, length) {
@@ -153,7 +156,7 @@
 	}
 }
 
-// failMachines takes servers and the agents beside them away without a word. The agents come back with them.
+// failMachines makes servers and the agents beside them vanish. They come back together.
 func (s *stepper) failMachines(at, length time.Duration, servers []int) {
 	if len(servers) == 0 {
 		return
@@ -166,7 +169,7 @@
 	s.bringBack(at+length, servers, false, s.agentsBeside(servers))
 }
 
-// bringBack starts servers, cold, with the agents that come back with them, and lists them.
+// bringBack starts servers, cold, with the agents that come back with them, and adds them to the list.
 func (s *stepper) bringBack(at time.Duration, servers []int, replace bool, agents []int) {
 	for _, i := range servers {
 		s.startedAt[i] = time.Duration(s.now.Add(at).UnixNano())
@@ -179,7 +182,7 @@
 	s.add(Step{At: at + s.noticeDelay(), Changes: s.memberLines(servers, stateReady)})
 }
 
-// memberLines are the servers' lines as they are now.
+// memberLines are the servers' entries in the list as they are now.
 func (s *stepper) memberLines(servers []int, phase string) []discovery.Member {
 	out := make([]discovery.Member, 0, len(servers))
 	for _, i := range servers {
@@ -191,24 +194,24 @@
 	return out
 }
 
-// freeServers returns the servers that are free at a time and of which something holds.
-func (s *stepper) freeServers(at time.Duration, holds func(*Server) bool) (out []int) {
+// freeServers returns the servers that no event is busy with at a time and that match.
+func (s *stepper) freeServers(at time.Duration, match func(*Server) bool) (out []int) {
 	for i, free := range s.freeAt {
-		if free <= at && holds(&s.Servers[i]) {
+		if free <= at && match(&s.Servers[i]) {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// pickServers draws as many of the free servers, or all of them.
+// pickServers draws n of the free servers, or all where there are fewer.
 func (s *stepper) pickServers(at time.Duration, n int) []int {
 	all := s.freeServers(at, func(*Server) bool { return true })
 	s.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(n, len(all))]
 }
 
-// pickAgents draws as many of the agents that are there at a time, or all of them.
+// pickAgents draws n of the agents that are not away at a time, or all where there are fewer.
 func (s *stepper) pickAgents(at time.Duration, n int) []int {
 	all := s.rng.Perm(len(s.Agents))
 	all = slices.DeleteFunc(all, func(i int) bool { return s.awayUntil[s.Agents[i].Server] > at })
@@ -229,7 +232,7 @@
 	return out
 }
 
-// addConfigChanges adds the configurations that come by themselves, in the middle of equal spans.
+// addConfigChanges adds the regular changes of configuration, in the middle of equal spans.
 func (s *stepper) addConfigChanges() {
 	perMinute := s.Scenario.ChangesPerMinute()
 	for k := range int(math.Round(perMinute * s.Scenario.Seconds / 60)) {
@@ -237,7 +240,7 @@
 	}
 }
 
-// addRelayEvents adds what happens to the relay that is killed.
+// addRelayEvents adds the failure and the restart of a relay.
 func (s *stepper) addRelayEvents() {
 	r := &s.Scenario.Relays
 	if r.Count == 0 || r.KillAt == 0 {
@@ -251,14 +254,13 @@
 
 func (s *stepper) noticeDelay() time.Duration { return seconds(s.Scenario.Control.NoticeMS / 1000) }
 
-// wave is some of those that an event works through, and when after its begin.
+// wave is a part of the servers or agents of an event, and when after its beginning it comes.
 type wave struct {
 	after     time.Duration
 	positions []int
 }
 
-// waves spreads what an event works through evenly over a time: one by one, but no more than one wave a second, as those
-// who roll something out do; all at once where there is no time.
+// waves spreads servers or agents evenly over a time, in at most one wave a second.
 func waves(all []int, over time.Duration) (out []wave) {
 	n := min(len(all), 1+int(over/time.Second))
 	for k := range n {
--- a/internal/scale/world/steps_test.go
+++ b/internal/scale/world/steps_test.go
@@ -184,7 +184,7 @@
 	t.Helper()
 	var cut, fail, loss bool
 	for _, step := range steps {
-		for is, to := range map[*bool]*bool{&cut: step.CutRegions, &fail: step.Fail, &loss: step.ControlDown} {
+		for is, to := range map[*bool]*bool{&cut: step.PartitionRegions, &fail: step.Fail, &loss: step.ControlDown} {
 			if to != nil {
 				if *is == *to {
 					t.Errorf("turned %v twice, at %v", *to, step.At)
@@ -222,7 +222,7 @@
 		"control-loss": {scenario.Event{Kind: "control-loss", AtS: 1, ForS: 2}, []world.Step{
 			{At: time.Second, ControlDown: new(bool)}, {At: 3 * time.Second, ControlDown: new(bool)}}},
 		"regions": {scenario.Event{Kind: "regions", AtS: 1, ForS: 2}, []world.Step{
-			{At: time.Second, CutRegions: new(bool)}, {At: 3 * time.Second, CutRegions: new(bool)}}},
+			{At: time.Second, PartitionRegions: new(bool)}, {At: 3 * time.Second, PartitionRegions: new(bool)}}},
 		"fail": {scenario.Event{Kind: "fail", AtS: 1, ForS: 2}, []world.Step{
 			{At: time.Second, Fail: new(bool)}, {At: 3 * time.Second, Fail: new(bool)}}},
 	} {
@@ -247,7 +247,7 @@
 // outline is what TestKinds compares of a step.
 func outline(s world.Step) []any {
 	return []any{s.At, s.Config, len(s.Changes), len(s.Down), s.Silent, len(s.Up), s.Cold, len(s.Restart), s.Forget,
-		s.CutRegions != nil, s.Fail != nil, s.ControlDown != nil}
+		s.PartitionRegions != nil, s.Fail != nil, s.ControlDown != nil}
 }
 
 // A whole rack or zone vanishes, and nothing beside it.
--- a/internal/scale/world/world.go
+++ b/internal/scale/world/world.go
@@ -1,5 +1,6 @@
-// Package world draws the fleet of a scenario from its seed: services, servers, zones, the call graph, and what each
-// agent is told. The same scenario draws the same world in every process.
+// Package world draws the fleet of a scenario from its seed: services, servers, zones, the call graph, the configurations
+// of the agents and the steps of the events. The same scenario draws the same world in every process. A World is immutable
+// after Draw and AddEcho, and may be read by several goroutines; the package runs nothing.
 package world
 
 import (
@@ -10,15 +11,15 @@
 
 // Service is one of the fleet's services. Its name is its servers' kind in lists and settings.
 //
-// Those of layer 0 are the front, where calls begin and which nobody calls: a root is one call of an agent beside a
-// front server, to one of the service's Calls, whose chances make 1. Services of layer d call those of layer d+1 only,
-// so that a call to layer d is d deep.
+// Services of layer 0 are the front, where calls begin and which nobody calls: a root call is one of an agent beside a
+// front server, to one of the service's Calls, whose chances add up to 1. Services of layer d call those of layer d+1
+// only, so that a call to layer d is d deep.
 type Service struct {
 	Name    string
 	Class   int           // position among the scenario's classes
 	Layer   int           // how deep below the root it stands, from 1; 0: the front, and the echo service
 	Servers []int         // positions among the world's servers
-	Calls   []Call        // what one request of it calls, in turn; of the front: what a root may call
+	Calls   []Call        // what one request of it calls, in turn; for the front: what a root call may call
 	Work    time.Duration // mean, at speed 1
 }
 
@@ -38,18 +39,18 @@
 	Rack    int     // in its zone
 	Speed   float64 // as its size in lists
 	Slots   int
-	Start   time.Duration // Unix time of its process; 0 means long ago. Steps tell of later ones
+	Start   time.Duration // Unix time of its process; 0: long ago. Steps start later ones
 }
 
 // Agent is one agent, beside a server.
 type Agent struct {
 	Name               string
 	Server             int     // its position
-	RootCallsPerSecond float64 // calls a second that begin here; above 0 for the front's agents that are modelled
+	RootCallsPerSecond float64 // above 0 for the simulated agents of the front
 	Real               bool
 }
 
-// World is what a scenario draws. It is not changed but by AddEcho.
+// World is what a scenario draws.
 type World struct {
 	Scenario *scenario.Scenario
 	Zones    []string
@@ -58,5 +59,5 @@
 	Agents   []Agent
 	Deepest  int // the service that the event fail hits: the largest one of the deepest layer
 
-	callingAgent []int // by server: the agent by which its requests call on; below 0: none
+	callingAgent []int // by server; below 0: none
 }
