--- a/internal/scale/meter/meter.go
+++ b/internal/scale/meter/meter.go
@@ -1,4 +1,5 @@
-// Package meter counts the bytes that agents' connections carry, for each agent and second.
+// Package meter counts the bytes that agents' connections carry, by agent and second. A Meter is safe for use by several
+// goroutines; it changes nothing in what the connections carry.
 package meter
 
 import (
@@ -7,24 +8,23 @@
 	"time"
 )
 
-// maxBins is how many seconds are kept apart; what comes later counts in the last one.
+// maxBins is how many seconds have bins of their own; later bytes count in the last one.
 const maxBins = 3600
 
-// Meter counts for a number of agents. What counts is what the sockets' owners read and write: neither the headers of
-// TCP and IP nor what is sent again.
+// Meter counts what the owners of sockets read and write: neither the headers of TCP and IP nor retransmissions.
 type Meter struct {
-	mu        sync.RWMutex // for writing: to begin anew
+	mu        sync.RWMutex // held for writing to start anew or to read all bins
 	startedAt time.Time
 	agents    []agentBins
 }
 
-// agentBins is one agent's. Each has a lock of its own, so that agents do not wait for each other.
+// agentBins are one agent's. Each has a mutex of its own, so that agents do not wait for each other.
 type agentBins struct {
 	mu      sync.Mutex
-	in, out []int64 // by second; as long as the last one that had bytes
+	in, out []int64 // by second, up to the last one that had bytes
 }
 
-// New returns a meter whose first second starts at begin. What comes before counts in that second.
+// New returns a meter whose first second starts at begin. Earlier bytes count in that second.
 func New(agents int, begin time.Time) *Meter {
 	return &Meter{startedAt: begin, agents: make([]agentBins, agents)}
 }
@@ -36,21 +36,22 @@
 	m.startedAt = time.Now()
 	for i := range m.agents {
 		c := &m.agents[i]
-		c.in, c.out = nil, nil
+		c.in = nil
+		c.out = nil
 	}
 }
 
-// Bins are the bytes that came in and went out, by agent and second; all agents have as many seconds: those that have
-// begun.
+// Bins are the bytes that came in and went out, by agent and second, with a bin for each second that has begun.
 func (m *Meter) Bins() (in, out [][]int64) {
-	m.mu.Lock() // and so no count is being added to
+	m.mu.Lock()
 	defer m.mu.Unlock()
 	n := m.bin(time.Now()) + 1
 	for i := range m.agents {
 		n = max(n, len(m.agents[i].in), len(m.agents[i].out))
 	}
 	for i := range m.agents {
-		in, out = append(in, padded(m.agents[i].in, n)), append(out, padded(m.agents[i].out, n))
+		in = append(in, padded(m.agents[i].in, n))
+		out = append(out, padded(m.agents[i].out, n))
 	}
 	return in, out
 }
@@ -70,7 +71,8 @@
 	now := time.Now()
 	m.mu.RLock()
 	defer m.mu.RUnlock()
-	bin, c := m.bin(now), &m.agents[agent]
+	bin := m.bin(now)
+	c := &m.agents[agent]
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if in > 0 {
@@ -89,7 +91,7 @@
 	return bins
 }
 
-// Listener returns a listener whose connections' bytes count as an agent's, by its number from 0.
+// Listener returns a listener whose connections' bytes count as an agent's, by its index.
 func (m *Meter) Listener(l net.Listener, agent int) net.Listener { return &listener{l, m, agent} }
 
 type listener struct {
@@ -98,6 +100,7 @@
 	agent int
 }
 
+// Accept implements net.Listener.
 func (l *listener) Accept() (net.Conn, error) {
 	c, err := l.Listener.Accept()
 	if err != nil {
@@ -112,12 +115,14 @@
 	agent int
 }
 
+// Read implements net.Conn.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.meter.add(c.agent, n, 0)
 	return n, err
 }
 
+// Write implements net.Conn.
 func (c *conn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.meter.add(c.agent, 0, n)
--- a/internal/scale/scenario/load.go
+++ b/internal/scale/scenario/load.go
@@ -10,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// defaults is what holds where a file says nothing. A file has to give its name, its sizes, its calls and its length.
+// defaults are the values of keys that a file leaves out. A file has to give its name, its sizes, its calls and its length.
 func defaults() Scenario {
 	return Scenario{
 		Seed: 1,
@@ -31,7 +31,7 @@
 	}
 }
 
-// defaultClasses holds where a file has no classes of its own.
+// defaultClasses are those of a file that has none.
 var defaultClasses = []Class{
 	{Name: "read", Share: 0.6, Effect: "pure", AimMS: 400, DeadlineMS: 2000, Worth: 1},
 	{Name: "keyed", Share: 0.3, Effect: "token", AimMS: 400, DeadlineMS: 2000, WindowMS: 30000, Worth: 2},
@@ -51,7 +51,7 @@
 	return s, nil
 }
 
-// Parse reads and checks the text of a file. A key that no field has is an error: misspelt, it would leave a default in force.
+// Parse reads and checks the text of a file. An unknown key is an error, as a misspelt one would leave a default in force.
 func Parse(text []byte) (*Scenario, error) {
 	s := defaults()
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&s); err != nil {
@@ -63,7 +63,7 @@
 	return &s, s.Validate()
 }
 
-// explainDecodeError names the keys and lines that the decoder's own errors keep apart from their words.
+// explainDecodeError adds the keys and lines that the decoder's errors leave out of their texts.
 func explainDecodeError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
@@ -97,58 +97,3 @@
 	}
 	return s.Control.ChangesDay / (24 * 60)
 }
-
-// Overrides take the place of what a file says. Nil leaves that as it is; a pointer to 0 is a 0.
-type Overrides struct {
-	Agents, Real, Servers, Services, Depth *int
-	Relays                                 *int // 0: none, whatever else the file says of them
-	Seed                                   *uint64
-	ChangesPerMinute                       *float64 // 0: no changes but those of events
-	Seconds                                *float64
-	CallsPerSecond                         *float64
-}
-
-// Override takes over what is not nil, and checks the whole. After an error the scenario is as it was.
-func (s *Scenario) Override(o Overrides) error {
-	next := *s
-	setIfGiven(&next.Fleet.Agents, o.Agents)
-	setIfGiven(&next.Fleet.Real, o.Real)
-	setIfGiven(&next.Fleet.Servers, o.Servers)
-	setIfGiven(&next.Fleet.Services, o.Services)
-	setIfGiven(&next.Fleet.Depth, o.Depth)
-	setIfGiven(&next.Fleet.CallsPerSecond, o.CallsPerSecond)
-	setIfGiven(&next.Seed, o.Seed)
-	setIfGiven(&next.Seconds, o.Seconds)
-	setIfGiven(&next.Control.PerMinute, o.ChangesPerMinute)
-	if o.Relays != nil {
-		next.Relays.setCount(*o.Relays)
-	}
-	if o.ChangesPerMinute != nil && *o.ChangesPerMinute == 0 {
-		next.Control.ChangesDay = 0 // or its mean would be played
-	}
-	if err := next.Validate(); err != nil {
-		return err
-	}
-	*s = next
-	return nil
-}
-
-// setCount makes it so many relays. Those that the file says nothing of hand out as many whole lists as defaultFullListsPerSecond says.
-func (r *Relays) setCount(count int) {
-	r.Count = count
-	if count == 0 {
-		*r = Relays{}
-	} else if r.AdmitPerS == 0 {
-		r.AdmitPerS = defaultFullListsPerSecond
-	}
-}
-
-// defaultFullListsPerSecond is how many whole lists a second a relay hands out where nothing is said: five of them then have 830 agents
-// served within a second.
-const defaultFullListsPerSecond = 200
-
-func setIfGiven[T any](field, value *T) {
-	if value != nil {
-		*field = *value
-	}
-}
--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -1,7 +1,9 @@
-// Package scenario reads what a scale run plays: sizes, costs, budgets and events, from a strict TOML file.
+// Package scenario reads what a scale run plays: sizes, costs, budgets and events, from a strict TOML file. A Scenario has
+// no owner but its holder; the package starts nothing and keeps nothing.
 package scenario
 
-// Scenario is one file. Times are in the unit that a field's name ends with.
+// Scenario is one file. Its fields follow the file's keys, and are sent to the parts of a run by their own names. Times are
+// in the unit with which a field's name ends.
 type Scenario struct {
 	Name    string  `toml:"name"`
 	Seed    uint64  `toml:"seed"`
@@ -20,14 +22,14 @@
 type Fleet struct {
 	Servers        int     `toml:"servers"`
 	Services       int     `toml:"services"`
-	Agents         int     `toml:"agents"` // 0: one beside each server; Scenario.Agents tells how many that are
+	Agents         int     `toml:"agents"` // 0: one beside each server, see Scenario.Agents
 	Real           int     `toml:"real"`   // of the agents are processes of bin/agent
 	Depth          int     `toml:"depth"`
-	CallsPerSecond float64 `toml:"calls_per_second"` // of all agents, at all depths; calls of the modelled agents
+	CallsPerSecond float64 `toml:"calls_per_second"` // of all simulated agents, at all depths
 	Regions        int     `toml:"regions"`
 	Zones          int     `toml:"zones"`       // in all
 	Racks          int     `toml:"racks"`       // in each zone
-	Uneven         float64 `toml:"uneven"`      // exponent of the services' sizes by rank; 0: all alike
+	Uneven         float64 `toml:"uneven"`      // exponent of the services' sizes by rank; 0: all equal
 	ServiceMS      float64 `toml:"service_ms"`  // mean time of work of one call at speed 1
 	Slots          int     `toml:"slots"`       // requests that a server works on at once
 	QueueSlots     int     `toml:"queue_slots"` // requests that may wait at a server
@@ -36,11 +38,11 @@
 	RegionMS       float64 `toml:"region_ms"`   // one way between regions
 	ColdFrom       float64 `toml:"cold_from"`   // share of its speed that a server starts with
 	WarmS          float64 `toml:"warm_s"`
-	DrainS         float64 `toml:"drain_s"` // from a planned leave's line in the list to the end of the process
+	DrainS         float64 `toml:"drain_s"` // from when the list says that a server drains to the end of its process
 	BootS          float64 `toml:"boot_s"`  // from there to the next process
 }
 
-// Agent is what each agent is granted and told.
+// Agent is what each agent's configuration grants and sets.
 type Agent struct {
 	MemoryMB    int     `toml:"memory_mb"`
 	Sockets     int     `toml:"sockets"`
@@ -51,14 +53,14 @@
 	MustAskInS  float64 `toml:"must_ask_in_s"`
 }
 
-// Control is the stand-in for the platform's discovery and source of configuration.
+// Control describes the stand-in for the platform's discovery and source of configuration.
 type Control struct {
 	Machines   int     `toml:"machines"`       // set aside for control
-	CallMS     float64 `toml:"call_ms"`        // stated cost of a call that is no watch that goes on
+	CallMS     float64 `toml:"call_ms"`        // stated cost of a call that does not continue a watch
 	LineUS     float64 `toml:"line_us"`        // stated cost of each line of an answer
 	Parallel   int     `toml:"parallel"`       // calls that it works on at once
-	RefuseMS   float64 `toml:"refuse_ms"`      // a call that has waited so long is refused
-	Log        int     `toml:"log"`            // revisions whose changes it keeps; older ones get the whole list
+	RefuseMS   float64 `toml:"refuse_ms"`      // a call that has waited so long is rejected
+	Log        int     `toml:"log"`            // revisions whose changes it keeps; agents with older ones get the full list
 	NoticeMS   float64 `toml:"notice_ms"`      // from a change in the world to its revision
 	PushMS     float64 `toml:"push_ms"`        // stated cost of handing a configuration to one agent
 	ChangesDay float64 `toml:"changes_day"`    // changes of configuration a day
@@ -68,19 +70,19 @@
 // Relays stand between control and the agents; none where Count is 0.
 type Relays struct {
 	Count        int     `toml:"count"`
-	AdmitPerS    float64 `toml:"admit_per_s"` // whole lists that each hands out a second at most
+	AdmitPerS    float64 `toml:"admit_per_s"` // full lists that each hands out a second at most
 	KillAt       float64 `toml:"kill_at_s"`   // one relay is killed then; 0: none
 	RestartAfter float64 `toml:"restart_after_s"`
 }
 
-// Class is a sort of call. Each service belongs to one, by its share.
+// Class is a class of calls. Each service belongs to one, by its share.
 type Class struct {
 	Name       string  `toml:"name"`
 	Share      float64 `toml:"share"`  // of the services
 	Effect     string  `toml:"effect"` // pure, token or side_effect
 	AimMS      float64 `toml:"aim_ms"`
 	DeadlineMS float64 `toml:"deadline_ms"`
-	WindowMS   float64 `toml:"window_ms"` // token: how long repeats are dropped
+	WindowMS   float64 `toml:"window_ms"` // token: how long repeated calls are deduplicated
 	Worth      float64 `toml:"worth"`
 }
 
@@ -92,22 +94,22 @@
 	AgentKBps    float64 `toml:"agent_kb_per_s"`    // for control: the worst 6 s of the worst agent
 	InForceS     float64 `toml:"in_force_s"`        // the last agent
 	ControlBusy  float64 `toml:"control_machines"`  // machines' worth of stated and real work in the worst 6 s
-	Attempts     float64 `toml:"attempts_per_call"` // at the deepest layer while it fails, over those in peace
+	Attempts     float64 `toml:"attempts_per_call"` // at the deepest layer while it fails, over those while nothing fails
 	AddedSamples int     `toml:"added_samples"`
 }
 
-// Event is something that happens in the run. Count, Zone and ForS have meanings by kind:
+// Event is something that happens in the run. What Count, Zone and ForS mean depends on Kind:
 //
 //	config        a new configuration for every agent
-//	restart       Count agents start again, spread over ForS
-//	replace       Count servers drain and are replaced by new ids; their leaving is spread over ForS
-//	release       Share of the servers drain and come back as new processes; their leaving is spread over ForS
+//	restart       Count agents restart, spread over ForS
+//	replace       Count servers drain and are replaced by new ids, spread over ForS
+//	release       Share of the servers drain and come back as new processes, spread over ForS
 //	machine       Count servers vanish at once, and their agents with them, for ForS
 //	rack          the servers of rack Count of zone Zone vanish for ForS, and their agents with them
 //	zone          the servers of zone Zone vanish for ForS and come back cold, and their agents with them
-//	regions       the regions cannot reach each other for ForS; control is in region 0
+//	regions       the regions are partitioned for ForS; control is in region 0
 //	control-loss  control is down for ForS, and all agents come back to it
-//	agents-back   all agents start again at once, with no list
+//	agents-back   all agents restart at once, with no list
 //	fail          the deepest service answers errors for ForS
 type Event struct {
 	Kind  string  `toml:"kind"`
