--- a/cmd/agent/reloads_test.go
+++ b/cmd/agent/reloads_test.go
@@ -21,6 +21,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/discovery/discoverytest"
 	"example.org/ryeloft/internal/lists"
 )
 
@@ -38,42 +39,33 @@
   "replicasOfMe":6,"rank":%d,"discovery":"subscribe","limits":{"maxAttempts":3,"connectTimeout":100},
   "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"mustAskIn":10000,"drainGrace":300}}}`
 
-// turns is a discovery service that works through calls one after the other, those included whose caller has given up, and
-// refuses at once what would wait for longer than longestTurn, as the operators' was measured to do (trials bd242cab and d7999206).
-type turns struct {
-	cost time.Duration // of a call that does not go on with a watch
-
-	mu   sync.Mutex
-	free time.Time // when the work in hand is done
+// queuedCalls is a discovery service that works through calls one after the other, those included whose caller has given up, and
+// rejects at once what would take longer than maxServiceWait, as the operators' was measured to do (trials bd242cab and d7999206).
+type queuedCalls struct {
+	queue discoverytest.Queue
+	cost  time.Duration // of a call that does not continue a watch
 }
 
-// longestTurn is how long a call may wait for its turn and its work.
-const longestTurn = time.Second
+// maxServiceWait is how long a call may take at the service, its wait and its work.
+const maxServiceWait = time.Second
 
-func (g *turns) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
+func (q *queuedCalls) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
 	if w.Continues {
 		return 0, nil
 	}
-	g.mu.Lock()
-	now := time.Now()
-	if g.free.Before(now) {
-		g.free = now
-	}
-	due := g.free.Add(g.cost).Sub(now)
-	if due > longestTurn {
-		g.mu.Unlock()
+	ends, ok := q.queue.ReserveWithin(q.cost, maxServiceWait)
+	if !ok {
 		return 0, lists.RejectedError{Cause: "too many callers"}
 	}
-	g.free = now.Add(due)
-	g.mu.Unlock()
-	done := time.NewTimer(due)
+	delay := time.Until(ends)
+	done := time.NewTimer(delay)
 	defer done.Stop()
 	select {
 	case <-done.C:
+		return delay, nil
 	case <-ctx.Done():
-		return due, ctx.Err()
+		return delay, ctx.Err()
 	}
-	return due, nil
 }
 
 // counterServer notes when it last got a request.
@@ -313,8 +305,8 @@
 				members = append(members, s.member(fmt.Sprint("s", i), "Ready"))
 			}
 			drained := servers[:2]
-			gate := &turns{cost: c.cost}
-			service := &lists.Server{Store: lists.NewStore(100), Limiter: gate}
+			limiter := &queuedCalls{cost: c.cost}
+			service := &lists.Server{Store: lists.NewStore(100), Limiter: limiter}
 			service.Store.Reset(1, members)
 			known := string(lists.Encode(1, true, members))
 			web := service.HTTP()
