--- a/cmd/relay/main_test.go
+++ b/cmd/relay/main_test.go
@@ -269,7 +269,7 @@
 	}
 	s.http.Close()
 	relays[0].start(t)
-	relays[0].says(t, "stored list")
+	relays[0].says(t, "stored endpoint list loaded")
 	if status, text := get(relays[0].addr, "/discovery/hosts?after=7&wait_ms=0"); status != 200 || !strings.Contains(text, `"revision":7,"complete":false,"members":[]`) {
 		t.Errorf("who holds its list is answered %d %s", status, text)
 	}
--- a/internal/relay/disk.go
+++ b/internal/relay/disk.go
@@ -2,6 +2,7 @@
 
 import (
 	"bytes"
+	"context"
 	"crypto/sha256"
 	"encoding/binary"
 	"errors"
@@ -9,89 +10,92 @@
 	"io/fs"
 	"os"
 	"path/filepath"
+	"time"
 
 	"example.org/ryeloft/internal/discovery"
 )
 
 const (
-	listFile = "list"     // in the state directory
-	nextFile = "list.new" // becomes the list once it is whole
+	listFileName = "list"     // in the state directory
+	tempFileName = "list.new" // renamed to listFileName once it is on the disk
 
-	// A list on disk is the magic, the text's length in 8 bytes, big end first, its SHA-256, and the text: a whole list as
+	// A stored list is the magic, the text's length in 8 bytes, big-endian, its SHA-256, and the text: a whole list as
 	// discovery answers it.
-	magic      = "relayls1"
-	headerSize = len(magic) + 8 + sha256.Size
-	maxText    = 4 << 20 // bytes, as much as a client of discovery reads
+	magic        = "relayls1"
+	headerBytes  = len(magic) + 8 + sha256.Size
+	maxTextBytes = 4 << 20 // as much as a client of discovery reads
 )
 
-// errDamaged is a list on disk that is not as it was written.
-var errDamaged = errors.New("the stored list is damaged")
+// errCorrupt is a stored list that is not as it was written.
+var errCorrupt = errors.New("the stored list is damaged")
 
-// disk is the directory where a relay keeps its last list. One goroutine uses it.
-type disk struct{ dir string }
+// listFile is where a relay keeps its last list. One goroutine at a time uses it.
+type listFile struct{ dir string }
 
-// load reads the list that was saved last. Without one the error is fs.ErrNotExist; anything that is not a whole list as
-// it was written is errDamaged.
-func (d disk) load() (discovery.EndpointList, error) {
-	path := filepath.Join(d.dir, listFile)
+// load reads the list that was saved last. Without one the error wraps fs.ErrNotExist; for anything that is not a whole list as it
+// was written it wraps errCorrupt.
+func (f listFile) load() (discovery.EndpointList, error) {
+	path := filepath.Join(f.dir, listFileName)
 	info, err := os.Stat(path)
 	switch {
 	case err != nil:
 		return discovery.EndpointList{}, fmt.Errorf("reading the stored list: %w", err)
-	case !info.Mode().IsRegular() || info.Size() > int64(headerSize+maxText):
-		return discovery.EndpointList{}, fmt.Errorf("%w: %s is no file of up to %d bytes", errDamaged, path, headerSize+maxText)
+	case !info.Mode().IsRegular() || info.Size() > int64(headerBytes+maxTextBytes):
+		return discovery.EndpointList{}, fmt.Errorf("%w: %s is no file of up to %d bytes", errCorrupt, path, headerBytes+maxTextBytes)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
 		return discovery.EndpointList{}, fmt.Errorf("reading the stored list: %w", err)
 	}
-	return unseal(data)
+	return decodeFile(data)
 }
 
 // save makes the text of a whole list the one that load finds, also after a crash at any moment: the old one stays until
 // the new one is on the disk.
-func (d disk) save(text []byte) error {
-	next := filepath.Join(d.dir, nextFile)
-	if err := writeSynced(next, seal(text)); err != nil {
+func (f listFile) save(text []byte) error {
+	next := filepath.Join(f.dir, tempFileName)
+	if err := writeSynced(next, encodeFile(text)); err != nil {
 		return fmt.Errorf("storing the list: %w", err)
 	}
-	if err := os.Rename(next, filepath.Join(d.dir, listFile)); err != nil {
+	if err := os.Rename(next, filepath.Join(f.dir, listFileName)); err != nil {
 		return fmt.Errorf("storing the list: %w", err)
 	}
-	if err := syncDir(d.dir); err != nil {
+	if err := syncDir(f.dir); err != nil {
 		return fmt.Errorf("storing the list: %w", err)
 	}
 	return nil
 }
 
-func seal(text []byte) []byte {
+// encodeFile puts the header before a text.
+func encodeFile(text []byte) []byte {
 	sum := sha256.Sum256(text)
-	data := make([]byte, 0, headerSize+len(text))
+	data := make([]byte, 0, headerBytes+len(text))
 	data = append(data, magic...)
 	data = binary.BigEndian.AppendUint64(data, uint64(len(text)))
 	data = append(data, sum[:]...)
 	return append(data, text...)
 }
 
-func unseal(data []byte) (discovery.EndpointList, error) {
-	if len(data) < headerSize || !bytes.HasPrefix(data, []byte(magic)) {
-		return discovery.EndpointList{}, fmt.Errorf("%w: no header", errDamaged)
+// decodeFile checks the header and parses the text.
+func decodeFile(data []byte) (discovery.EndpointList, error) {
+	if len(data) < headerBytes || !bytes.HasPrefix(data, []byte(magic)) {
+		return discovery.EndpointList{}, fmt.Errorf("%w: no header", errCorrupt)
 	}
-	text := data[headerSize:]
+	text := data[headerBytes:]
 	if n := binary.BigEndian.Uint64(data[len(magic):]); n != uint64(len(text)) {
-		return discovery.EndpointList{}, fmt.Errorf("%w: %d bytes of %d", errDamaged, len(text), n)
+		return discovery.EndpointList{}, fmt.Errorf("%w: %d bytes of %d", errCorrupt, len(text), n)
 	}
-	if sum := sha256.Sum256(text); !bytes.Equal(sum[:], data[headerSize-sha256.Size:headerSize]) {
-		return discovery.EndpointList{}, fmt.Errorf("%w: its checksum does not fit", errDamaged)
+	if sum := sha256.Sum256(text); !bytes.Equal(sum[:], data[headerBytes-sha256.Size:headerBytes]) {
+		return discovery.EndpointList{}, fmt.Errorf("%w: its checksum does not fit", errCorrupt)
 	}
-	l, err := discovery.Parse(text)
+	list, err := discovery.Parse(text)
 	switch {
 	case err != nil:
-		return discovery.EndpointList{}, fmt.Errorf("%w: %w", errDamaged, err)
-	case !l.Complete:
-		return discovery.EndpointList{}, fmt.Errorf("%w: not a whole list", errDamaged)
+		return discovery.EndpointList{}, fmt.Errorf("%w: %w", errCorrupt, err)
+	case !list.Complete:
+		return discovery.EndpointList{}, fmt.Errorf("%w: not a whole list", errCorrupt)
 	}
-	return l, nil
+	return list, nil
 }
 
 // writeSynced writes a file anew and returns when it is on the disk.
@@ -117,15 +121,51 @@
 	return f.Sync()
 }
 
-// stored is the list that a relay starts with: the one on disk, or none. What cannot be used is told and passed over.
-func (r *Relay) stored() discovery.EndpointList {
-	l, err := r.disk.load()
+// loadStored is the list that a relay starts with: the stored one, or none if that cannot be used.
+func (r *Relay) loadStored() discovery.EndpointList {
+	list, err := r.file.load()
 	switch {
 	case err == nil:
-		r.log.Info("stored list", "revision", *l.Revision, "members", len(l.Members))
-		return l
+		r.log.Info("stored endpoint list loaded", "revision", *list.Revision, "members", len(list.Members))
+		return list
 	case !errors.Is(err, fs.ErrNotExist):
-		r.log.Error("starting without the stored list", "error", err)
+		r.log.Error("stored endpoint list unusable", "error", err)
 	}
 	return discovery.EndpointList{}
 }
+
+// storeChanges stores the list when it has changed, no more often than saveInterval, until the context ends.
+func (r *Relay) storeChanges(ctx context.Context) {
+	for {
+		changed := r.store.Changed()
+		r.storeList()
+		select {
+		case <-changed:
+		case <-ctx.Done():
+			return
+		}
+		select {
+		case <-time.After(saveInterval):
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// storeList stores the list unless it is on the disk already. One that cannot be stored is tried again with the next change. Only
+// Run's goroutine calls it.
+func (r *Relay) storeList() {
+	list := r.store.Since(0, false)
+	if list.Body == nil {
+		return
+	}
+	// The store encodes a revision once, so the same bytes are the same list.
+	if r.savedBody != nil && &r.savedBody[0] == &list.Body[0] {
+		return
+	}
+	if err := r.file.save(list.Body); err != nil {
+		r.log.Error("storing the endpoint list failed", "error", err)
+		return
+	}
+	r.savedBody = list.Body
+}
--- a/internal/relay/disk_test.go
+++ b/internal/relay/disk_test.go
@@ -20,8 +20,8 @@
 // A list on disk is read as it was written or not at all: cut anywhere, with any byte changed, with more behind it, or
 // replaced by something else, it is damaged, and a relay starts without it.
 func TestDamagedListIsPassedOver(t *testing.T) {
-	d := disk{t.TempDir()}
-	path := filepath.Join(d.dir, listFile)
+	d := listFile{dir: t.TempDir()}
+	path := filepath.Join(d.dir, listFileName)
 	if _, err := d.load(); !errors.Is(err, fs.ErrNotExist) {
 		t.Fatalf("none: error %v", err)
 	}
@@ -39,7 +39,7 @@
 		if err := os.WriteFile(path, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if l, err := d.load(); !errors.Is(err, errDamaged) || l.Members != nil {
+		if l, err := d.load(); !errors.Is(err, errCorrupt) || l.Members != nil {
 			t.Fatalf("%s %d: %+v, error %v", what, n, l, err)
 		}
 	}
@@ -51,8 +51,8 @@
 	}
 	damaged("longer", 1, append(bytes.Clone(good), 0))
 	damaged("twice", 2, append(bytes.Clone(good), good...))
-	damaged("not whole", 0, seal(lists.Encode(41, false, members)))
-	damaged("no list", 0, seal([]byte("[]")))
+	damaged("not whole", 0, encodeFile(lists.Encode(41, false, members)))
+	damaged("no list", 0, encodeFile([]byte("[]")))
 
 	if err := os.WriteFile(path, good, 0o600); err != nil {
 		t.Fatal(err)
@@ -63,15 +63,32 @@
 	}
 }
 
+// A stored list is read by another release, so its bytes stay as they are.
+func TestStoredListBytes(t *testing.T) {
+	const want = "relayls1\x00\x00\x00\x00\x00\x00\x01\x19" +
+		"\xc9D\xd7(qsX@.\xa0\xc2\xdbS\xe5\xf7\x1f\x05~5\xdbP\x1c\x8di\xf7\xa0\x013\xb9\xbbP\xe4" +
+		`{"revision":41,"complete":true,"members":[` +
+		`{"id":"x","host_port":"10.0.0.1:80","locality":"a","flavor":"m1","cell":3,"phase":"Ready","size":1,"up_since_ms":0},` +
+		`{"id":"y","host_port":"10.0.0.1:80","locality":"a","flavor":"m1","cell":0,"phase":"Terminating","size":1,"up_since_ms":0}]}`
+	f := listFile{dir: t.TempDir()}
+	if err := f.save(lists.Encode(41, true, []discovery.Member{member("x", "Ready", 3), member("y", "Terminating", 0)})); err != nil {
+		t.Fatal(err)
+	}
+	got, err := os.ReadFile(filepath.Join(f.dir, "list"))
+	if err != nil || string(got) != want {
+		t.Errorf("%q, error %v, want %q", got, err, want)
+	}
+}
+
 // A crash while a list is stored leaves the old one, whatever of the new one is there already.
 func TestHalfStoredListIsPassedOver(t *testing.T) {
-	d := disk{t.TempDir()}
+	d := listFile{dir: t.TempDir()}
 	if err := d.save(lists.Encode(1, true, []discovery.Member{member("x", "Ready", 0)})); err != nil {
 		t.Fatal(err)
 	}
-	next := seal(lists.Encode(2, true, nil))
+	next := encodeFile(lists.Encode(2, true, nil))
 	for n := range next {
-		if err := os.WriteFile(filepath.Join(d.dir, nextFile), next[:n], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(d.dir, tempFileName), next[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if l, err := d.load(); err != nil || *l.Revision != 1 {
@@ -89,17 +106,17 @@
 // What a directory cannot hold is an error, not an end.
 func TestListThatCannotBeStored(t *testing.T) {
 	dir := t.TempDir()
-	if err := os.Mkdir(filepath.Join(dir, listFile), 0o700); err != nil {
+	if err := os.Mkdir(filepath.Join(dir, listFileName), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	d := disk{dir}
-	if _, err := d.load(); !errors.Is(err, errDamaged) {
+	d := listFile{dir: dir}
+	if _, err := d.load(); !errors.Is(err, errCorrupt) {
 		t.Errorf("a directory: error %v", err)
 	}
 	if err := d.save(lists.Encode(1, true, nil)); err == nil {
 		t.Error("a list replaces a directory")
 	}
-	if err := (disk{filepath.Join(dir, "none")}).save(lists.Encode(1, true, nil)); !errors.Is(err, fs.ErrNotExist) {
+	if err := (listFile{dir: filepath.Join(dir, "none")}).save(lists.Encode(1, true, nil)); !errors.Is(err, fs.ErrNotExist) {
 		t.Errorf("no directory: error %v", err)
 	}
 }
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -13,222 +13,217 @@
 	"example.org/ryeloft/internal/lists"
 )
 
-// endGrace is how long calls have to be refused in at the end, before their connections are cut.
-const endGrace = time.Second
+const (
+	// shutdownGrace is how long calls have to be rejected in at the end, before their connections are cut.
+	shutdownGrace = time.Second
+	// maxWaitMillis is the longest wait of a watch; longer ones are cut to it.
+	maxWaitMillis = 60_000
+)
+
+// The texts of rejections, which are part of the answers.
+const (
+	tooManyCallers = "too many callers"
+	notSynced      = "no news from above"
+)
 
-// longestWaitMS is the longest wait of a watch; longer ones are cut to it.
-const longestWaitMS = 60_000
+// errNotSynced is the end of a wait for an answer from upstream.
+var errNotSynced = errors.New("no answer from upstream in time")
 
 // HTTP returns a server for listeners that come from Listener.
 func (r *Relay) HTTP() *http.Server {
-	h := r.server.HTTP()
-	h.Handler = r.front(h.Handler)
-	return h
+	server := r.server.HTTP()
+	server.Handler = r.countCalls(server.Handler)
+	return server
 }
 
-// Listener tells a listener's callers apart from others', as one agent; those behind one that many share are agent 0.
+// Listener has a listener's callers known as one agent's; those behind one that many share are agent 0.
 func (r *Relay) Listener(l net.Listener, agent int) net.Listener { return r.server.Listener(l, agent) }
 
-// Serve answers at a listener until the context ends or the listener breaks. The caller runs Run beside it and ends both
-// together: whoever waits is then refused at once.
+// Serve answers at a listener until the context ends or the listener breaks. The caller runs Run beside it and ends both together,
+// so that calls that wait are then rejected at once.
 func (r *Relay) Serve(ctx context.Context, l net.Listener) error {
-	h := r.HTTP()
+	server := r.HTTP()
 	failed := make(chan error, 1)
-	go func() { failed <- h.Serve(r.Listener(l, 0)) }()
+	go func() { failed <- server.Serve(r.Listener(l, 0)) }() // ends with Shutdown
 	select {
 	case err := <-failed:
 		return err
 	case <-ctx.Done():
 	}
-	end, cancel := context.WithTimeout(context.WithoutCancel(ctx), endGrace)
+	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownGrace)
 	defer cancel()
-	if err := h.Shutdown(end); err != nil {
-		h.Close()
+	if server.Shutdown(shutdownCtx) != nil {
+		_ = server.Close() // calls have had their time; nobody is left to tell
 	}
 	return nil
 }
 
 // Handler answers one agent, or all who share a listener, without HTTP or Listener.
-func (r *Relay) Handler(agent int) http.Handler { return r.front(r.server.Handler(agent)) }
+func (r *Relay) Handler(agent int) http.Handler { return r.countCalls(r.server.Handler(agent)) }
 
-// front lets a call through to the server of lists when this relay may answer it.
-func (r *Relay) front(next http.Handler) http.Handler {
+// countCalls counts calls and what becomes of them on their way to the server of lists.
+func (r *Relay) countCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		c := &counted{ResponseWriter: w, bytes: &r.counts.bytes}
-		r.counts.calls.Add(1)
-		r.bounded(c, req, next)
-		if c.status == http.StatusServiceUnavailable && req.Context().Err() == nil {
-			r.counts.refused.Add(1)
+		counted := &countingWriter{ResponseWriter: w, bodyBytes: &r.counters.bodyBytes}
+		r.counters.calls.Add(1)
+		r.admit(counted, req, next)
+		if counted.status == http.StatusServiceUnavailable && req.Context().Err() == nil {
+			r.counters.rejected.Add(1)
 		}
 	})
 }
 
-// bounded answers a call if it is not one too many.
-func (r *Relay) bounded(w http.ResponseWriter, req *http.Request, next http.Handler) {
-	defer r.counts.open.Add(-1)
-	if r.counts.open.Add(1) > int64(r.o.MaxCallers) {
-		refuse(w, "too many callers")
+// admit answers a call if that is not one too many and the relay is not stale.
+func (r *Relay) admit(w http.ResponseWriter, req *http.Request, next http.Handler) {
+	defer r.counters.open.Add(-1)
+	if r.counters.open.Add(1) > int64(r.options.MaxCallers) {
+		reject(w, tooManyCallers)
 		return
 	}
-	ctx, cancel := r.serving(req.Context())
+	ctx, cancel := r.callContext(req.Context())
 	defer cancel()
 	if ctx.Err() != nil {
-		refuse(w, "no news from above")
+		reject(w, notSynced)
 		return
 	}
 	r.answer(w, req.WithContext(ctx), next)
 }
 
-// serving is the context of a call, which ends when this relay may no longer answer.
-func (r *Relay) serving(call context.Context) (context.Context, context.CancelFunc) {
+// callContext is the context of a call, which ends when this relay may no longer answer.
+func (r *Relay) callContext(call context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(call)
 	r.mu.Lock()
 	live := r.live
-	fresh := r.freshLocked(time.Now())
+	fresh := r.isFreshLocked(time.Now())
 	r.mu.Unlock()
 	if !fresh || live.Err() != nil {
 		cancel()
 	}
 	stop := context.AfterFunc(live, cancel)
-	return ctx, func() { stop(); cancel() }
+	return ctx, func() {
+		stop()
+		cancel()
+	}
 }
 
-// answer lets a call through once what it holds can be told from what this relay holds.
+// answer answers a call once the caller's revision and the relay's are known to be of the same service and in order.
 //
-// Who holds the very list that is here goes on by it, be it one from the disk. Danger: a whole list from the disk, or
-// changes that lead to it, would name servers that have gone, and whoever has no list would send to them; a restarted
-// relay tells those nothing until the service above has answered.
+// A caller that holds the very list of this relay goes on with it, also if that was loaded from the disk. A whole list from the
+// disk, or changes that lead to it, could name endpoints that have been removed since; a restarted relay answers other callers only
+// once upstream has answered.
 //
-// Who is ahead of this relay has heard more elsewhere, or the service above counts anew. Which of the two it is shows in
-// an answer from above that was asked for after the call came. Until then nothing is told.
+// A caller that is ahead of this relay has got more elsewhere, or upstream counts anew. Which of the two it is shows in an answer
+// from upstream to a call that began after the caller's; until then the relay does not answer.
 func (r *Relay) answer(w http.ResponseWriter, req *http.Request, next http.Handler) {
-	q, ok := peek(req.URL.RawQuery)
-	if !ok { // the server says what is wrong
+	q, err := parseQuery(req.URL.RawQuery)
+	if err != nil { // the server of lists says what is wrong
 		next.ServeHTTP(w, req)
 		return
 	}
-	arrived := time.Now()
-	may := func() bool { // with r.mu held
-		revision := r.store.Revision()
-		switch {
-		case q.known && q.after > revision:
-			return r.heard.After(arrived)
-		case q.known && q.after == revision && r.listed:
-			return true
-		}
-		return !r.heard.IsZero()
-	}
-	kept, err := r.await(req.Context(), max(q.wait, aheadHold), may)
+	held, err := r.awaitSync(req.Context(), max(q.wait, aheadHold), r.answersLocked(q, time.Now()))
 	switch {
-	case err == nil && kept == 0:
+	case err == nil && held == 0:
 		next.ServeHTTP(w, req)
 	case err == nil:
-		next.ServeHTTP(w, q.less(req, kept))
-	case errors.Is(err, errNoNews) && q.known:
-		// Its caller goes on by the list that it holds.
-		write(w, lists.Encode(q.after, false, nil))
+		next.ServeHTTP(w, q.shorten(req, held))
+	case errors.Is(err, errNotSynced) && q.hasRevision:
+		writeList(w, lists.Encode(q.revision, false, nil)) // the caller goes on with the list that it holds
 	default:
-		refuse(w, "no news from above")
+		reject(w, notSynced)
 	}
 }
 
-// errNoNews is the end of a wait for an answer from above.
-var errNoNews = errors.New("no news from above")
-
-// await returns when a condition that is looked at after each answer from above holds, and how long that took: 0 if it
-// held at once.
-func (r *Relay) await(ctx context.Context, longest time.Duration, holds func() bool) (time.Duration, error) {
-	began := time.Now()
-	timer := time.NewTimer(longest)
-	defer timer.Stop()
-	for first := true; ; first = false {
-		r.mu.Lock()
-		ok, news := holds(), r.news
-		r.mu.Unlock()
+// answersLocked returns the condition on which a call that came at a time can be answered. Its caller holds the mutex.
+func (r *Relay) answersLocked(q query, arrived time.Time) func() bool {
+	return func() bool {
+		revision := r.store.Revision()
 		switch {
-		case ok && first:
-			return 0, nil
-		case ok:
-			return time.Since(began), nil
-		}
-		select {
-		case <-news:
-		case <-timer.C:
-			return time.Since(began), errNoNews
-		case <-ctx.Done():
-			return time.Since(began), ctx.Err()
+		case q.hasRevision && q.revision > revision:
+			return r.syncedAt.After(arrived)
+		case q.hasRevision && q.revision == revision && r.hasList:
+			return true
 		}
+		return !r.syncedAt.IsZero()
 	}
 }
 
-// query is what this relay has to know of a call that the server of lists reads whole.
+// query is what this relay has to know of a call that the server of lists parses completely.
 type query struct {
-	after uint64
-	known bool // after was given
-	wait  time.Duration
+	revision    uint64 // that the caller holds
+	hasRevision bool
+	wait        time.Duration
 }
 
-// peek reads a query as far as it can be read.
-func peek(raw string) (query, bool) {
+// parseQuery parses what it knows of a query.
+func parseQuery(raw string) (query, error) {
 	values, err := url.ParseQuery(raw)
 	if err != nil {
-		return query{}, false
+		return query{}, err
 	}
-	number := func(name string) (n uint64) {
-		if err == nil && values.Has(name) {
-			n, err = strconv.ParseUint(values.Get(name), 10, 64)
-		}
-		return n
+	q := query{hasRevision: values.Has("after")}
+	if q.revision, err = parseNumber(values, "after"); err != nil {
+		return query{}, err
+	}
+	millis, err := parseNumber(values, "wait_ms")
+	if err != nil {
+		return query{}, err
+	}
+	q.wait = time.Duration(min(millis, maxWaitMillis)) * time.Millisecond
+	return q, nil
+}
+
+// parseNumber is 0 for a parameter that is not there.
+func parseNumber(values url.Values, name string) (uint64, error) {
+	if !values.Has(name) {
+		return 0, nil
 	}
-	q := query{after: number("after"), known: values.Has("after")}
-	q.wait = time.Duration(min(number("wait_ms"), longestWaitMS)) * time.Millisecond
-	return q, err == nil
+	return strconv.ParseUint(values.Get(name), 10, 64)
 }
 
-// less is the same call with less of its wait left: together they are not to last longer than its caller wants.
-func (q query) less(req *http.Request, kept time.Duration) *http.Request {
+// shorten is a call with less of its wait: together with how long it was held it is not to last longer than its caller wants.
+func (q query) shorten(req *http.Request, held time.Duration) *http.Request {
 	values := req.URL.Query()
 	if values.Has("wait_ms") {
-		values.Set("wait_ms", strconv.FormatInt(max(0, q.wait-kept).Milliseconds(), 10))
+		values.Set("wait_ms", strconv.FormatInt(max(0, q.wait-held).Milliseconds(), 10))
 	}
 	next := req.Clone(req.Context())
 	next.URL.RawQuery = values.Encode()
 	return next
 }
 
-func write(w http.ResponseWriter, text []byte) {
+func writeList(w http.ResponseWriter, text []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = w.Write(text) // a caller that has gone asks again
+	_, _ = w.Write(text) // a caller that has gone calls again
 }
 
-// refuse sends a caller to the next relay.
-func refuse(w http.ResponseWriter, why string) { http.Error(w, why, http.StatusServiceUnavailable) }
+// reject sends a caller to the next relay.
+func reject(w http.ResponseWriter, why string) { http.Error(w, why, http.StatusServiceUnavailable) }
 
-// done counts the whole lists of calls that the server of lists has ended.
-func (r *Relay) done(c lists.CallRecord) {
+// countFullList counts the whole lists among the calls that the server of lists has ended.
+func (r *Relay) countFullList(c lists.CallRecord) {
 	if c.Status == http.StatusOK && c.Complete {
-		r.counts.whole.Add(1)
+		r.counters.fullLists.Add(1)
 	}
 }
 
-// counted counts the bytes of answers' bodies and notes the status.
-type counted struct {
+// countingWriter counts the bytes of answers' bodies and notes the status.
+type countingWriter struct {
 	http.ResponseWriter
-	bytes  *atomic.Int64
-	status int // 0: not written, which is to say 200
+	bodyBytes *atomic.Int64
+	status    int // 0: not written, which means 200
 }
 
-func (c *counted) WriteHeader(status int) {
-	c.status = status
-	c.ResponseWriter.WriteHeader(status)
+func (w *countingWriter) WriteHeader(status int) {
+	w.status = status
+	w.ResponseWriter.WriteHeader(status)
 }
 
-func (c *counted) Write(text []byte) (int, error) {
-	n, err := c.ResponseWriter.Write(text)
-	c.bytes.Add(int64(n))
+func (w *countingWriter) Write(text []byte) (int, error) {
+	n, err := w.ResponseWriter.Write(text)
+	w.bodyBytes.Add(int64(n))
 	return n, err
 }
 
 // Unwrap lets http.ResponseController find the connection.
-func (c *counted) Unwrap() http.ResponseWriter { return c.ResponseWriter }
+func (w *countingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/relay/limiter.go
+++ b/internal/relay/limiter.go
@@ -12,113 +12,121 @@
 )
 
 const (
-	// longestQueue is how long a caller may wait here for its whole list: less than its call may take, by what it may have
-	// waited for news (aheadHold) and what writing and reading the list may need.
-	longestQueue = discovery.RelayFullListTimeout * 5 / 8
-	// lateGrace is how long after its time a promised turn is still kept for whoever it was promised to.
-	lateGrace = balancer.NotifyBoundAfterFailure / 24
+	// maxQueueDelay is how long a caller may wait for its whole list in one call: less than its call may take, by what it may
+	// have waited for an answer from upstream (aheadHold) and what writing and reading the list may need.
+	maxQueueDelay = discovery.RelayFullListTimeout * 5 / 8
+	// reservationGrace is how long after its time a reserved slot is still kept for its caller.
+	reservationGrace = balancer.NotifyBoundAfterFailure / 24
 )
 
-// gate hands whole lists out at a stated rate; changes go through at once, for they are small and have to be in time.
+// fullListLimiter hands whole lists out at a stated rate; changes pass at once, since they are small and have to be in time.
 //
-// Whoever cannot have its turn within longestQueue is told when to come again, and that turn is kept. Promises bear no
-// name: whoever asks takes the first turn that is due within longestQueue, so that a turn whose owner went elsewhere is
-// not lost, and an owner that finds its turn taken gets one that comes no later than those behind it.
-type gate struct {
-	mu       sync.Mutex
-	gap      time.Duration // between two whole lists
-	next     time.Time     // the first turn that nobody has
-	promised []time.Time   // turns that callers were told to come back for, sorted
-	most     int           // promises kept
-	waiting  int           // callers here
+// A caller that cannot have a slot within maxQueueDelay is rejected with Retry-After, and that slot is reserved. Reservations bear
+// no name: any caller takes the first one that is due within maxQueueDelay, so that a slot whose caller went elsewhere is not
+// lost, and a caller that finds its slot taken gets one that comes no later than those behind it.
+//
+// A mutex guards its state; Admit may be called by any goroutine.
+type fullListLimiter struct {
+	mu              sync.Mutex
+	interval        time.Duration // between two whole lists
+	nextSlot        time.Time     // the first that nobody has
+	reserved        []time.Time   // slots that callers were told to come back for, sorted
+	maxReservations int
+	waiting         int // callers in Admit that wait for their slot
 }
 
-func newGate(perSecond float64, most int) *gate {
-	g := &gate{most: most}
-	g.setRate(perSecond)
-	return g
+func newFullListLimiter(perSecond float64, maxReservations int) *fullListLimiter {
+	l := &fullListLimiter{maxReservations: maxReservations}
+	l.setRate(perSecond)
+	return l
 }
 
-// setRate changes how many whole lists a second are handed out; turns that were given stay.
-func (g *gate) setRate(perSecond float64) {
-	g.mu.Lock()
-	g.gap = time.Duration(float64(time.Second) / perSecond)
-	g.mu.Unlock()
+// setRate changes how many whole lists a second are handed out; slots that were given stay.
+func (l *fullListLimiter) setRate(perSecond float64) {
+	l.mu.Lock()
+	l.interval = time.Duration(float64(time.Second) / perSecond)
+	l.mu.Unlock()
 }
 
-// Enter implements lists.Gate.
-func (g *gate) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
+// Admit implements lists.Limiter.
+func (l *fullListLimiter) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
 	if !w.Complete {
 		return 0, nil
 	}
 	now := time.Now()
-	turn, err := g.take(now)
+	slot, err := l.takeSlot(now)
 	if err != nil {
 		return 0, err
 	}
-	defer g.leave()
-	due := max(0, turn.Sub(now))
-	timer := time.NewTimer(due)
+	defer l.doneWaiting()
+	delay := max(0, slot.Sub(now))
+	timer := time.NewTimer(delay)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return due, nil
+		return delay, nil
 	case <-ctx.Done():
-		g.giveBack(turn)
+		l.returnSlot(slot)
 		return 0, ctx.Err()
 	}
 }
 
-// take finds a caller its turn, or refuses it.
-func (g *gate) take(now time.Time) (time.Time, error) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for len(g.promised) > 0 && now.Sub(g.promised[0]) > lateGrace {
-		g.promised = g.promised[1:]
+// takeSlot gives a caller a slot that it can wait for, or rejects it.
+func (l *fullListLimiter) takeSlot(now time.Time) (time.Time, error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if slot, ok := l.takeReserved(now); ok {
+		l.waiting++
+		return slot, nil
 	}
-	if len(g.promised) > 0 && g.promised[0].Sub(now) <= longestQueue {
-		turn := g.promised[0]
-		g.promised = g.promised[1:]
-		g.waiting++
-		return turn, nil
+	if l.nextSlot.Before(now) {
+		l.nextSlot = now
 	}
-	if g.next.Before(now) {
-		g.next = now
+	slot := l.nextSlot
+	delay := slot.Sub(now)
+	if delay <= maxQueueDelay {
+		l.waiting++
+		l.nextSlot = slot.Add(l.interval)
+		return slot, nil
 	}
-	turn := g.next
-	in := turn.Sub(now)
-	switch {
-	case in <= longestQueue:
-		g.waiting++
-	case in > balancer.NotifyBoundAfterFailure || len(g.promised) >= g.most: // nobody would wait for that
+	if delay > balancer.NotifyBoundAfterFailure || len(l.reserved) >= l.maxReservations {
 		return time.Time{}, lists.RejectedError{Cause: "too many callers want the whole list"}
-	default:
-		g.promised = append(g.promised, turn)
 	}
-	g.next = turn.Add(g.gap)
-	if in > longestQueue {
-		return time.Time{}, lists.RejectedError{RetryAfter: in, Cause: "other callers' whole lists come first"}
+	l.reserved = append(l.reserved, slot)
+	l.nextSlot = slot.Add(l.interval)
+	return time.Time{}, lists.RejectedError{RetryAfter: delay, Cause: "other callers' whole lists come first"}
+}
+
+// takeReserved takes the first reserved slot if that is due within maxQueueDelay.
+func (l *fullListLimiter) takeReserved(now time.Time) (time.Time, bool) {
+	for len(l.reserved) > 0 && now.Sub(l.reserved[0]) > reservationGrace {
+		l.reserved = l.reserved[1:]
+	}
+	if len(l.reserved) == 0 || l.reserved[0].Sub(now) > maxQueueDelay {
+		return time.Time{}, false
 	}
-	return turn, nil
+	slot := l.reserved[0]
+	l.reserved = l.reserved[1:]
+	return slot, true
 }
 
-// giveBack lets another caller have a turn that its owner does not wait for.
-func (g *gate) giveBack(turn time.Time) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	i, _ := slices.BinarySearchFunc(g.promised, turn, time.Time.Compare)
-	g.promised = slices.Insert(g.promised, i, turn)
+// returnSlot lets another caller have a slot whose caller does not wait for it.
+func (l *fullListLimiter) returnSlot(slot time.Time) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	i, _ := slices.BinarySearchFunc(l.reserved, slot, time.Time.Compare)
+	l.reserved = slices.Insert(l.reserved, i, slot)
 }
 
-func (g *gate) leave() {
-	g.mu.Lock()
-	g.waiting--
-	g.mu.Unlock()
+func (l *fullListLimiter) doneWaiting() {
+	l.mu.Lock()
+	l.waiting--
+	l.mu.Unlock()
 }
 
-// queued is how many callers wait for their turn.
-func (g *gate) queued() int {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.waiting
+// queued is how many callers wait for their slot.
+func (l *fullListLimiter) queued() int {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.waiting
 }
--- a/internal/relay/limiter_test.go
+++ b/internal/relay/limiter_test.go
@@ -18,7 +18,7 @@
 	refused int
 }
 
-func (a *asker) ask(ctx context.Context, g *gate, begun time.Time) {
+func (a *asker) ask(ctx context.Context, g *fullListLimiter, begun time.Time) {
 	for {
 		_, err := g.Admit(ctx, lists.Work{Complete: true})
 		if err == nil {
@@ -45,7 +45,7 @@
 		{1, 1, 0}, {60, 60, 0}, {166, 60, 0}, {300, 60, 0}, {300, 60, 5 * time.Millisecond}, {50, 10, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			g := newGate(c.rate, c.callers)
+			g := newFullListLimiter(c.rate, c.callers)
 			begun := time.Now()
 			all := make([]asker, c.callers)
 			var done sync.WaitGroup
@@ -64,7 +64,7 @@
 			bySecond := map[time.Duration]int{}
 			for i, a := range all {
 				bySecond[a.at/time.Second]++
-				if a.refused > 1 || a.at > need+lateGrace {
+				if a.refused > 1 || a.at > need+reservationGrace {
 					t.Errorf("%d callers at %v a second: number %d is refused %d times and has its turn after %v", c.callers, c.rate, i, a.refused, a.at)
 				}
 			}
@@ -73,8 +73,8 @@
 					t.Errorf("%d turns in second %d at %v a second", n, second, c.rate)
 				}
 			}
-			if g.queued() != 0 || len(g.promised) > 0 {
-				t.Errorf("%d wait and %d turns are promised in the end", g.queued(), len(g.promised))
+			if g.queued() != 0 || len(g.reserved) > 0 {
+				t.Errorf("%d wait and %d turns are promised in the end", g.queued(), len(g.reserved))
 			}
 		})
 	}
@@ -83,7 +83,7 @@
 // Who could not be served within the bound is not told to wait, and no turn is kept for it.
 func TestNobodyWaitsBeyondTheBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGate(1, 1000)
+		g := newFullListLimiter(1, 1000)
 		ctx, stop := context.WithCancel(t.Context())
 		var waiting sync.WaitGroup
 		last := time.Duration(0)
@@ -101,8 +101,8 @@
 		if last > balancer.NotifyBoundAfterFailure {
 			t.Errorf("a caller is told to come again in %v", last)
 		}
-		if len(g.promised) > 7 {
-			t.Errorf("%d turns are kept", len(g.promised))
+		if len(g.reserved) > 7 {
+			t.Errorf("%d turns are kept", len(g.reserved))
 		}
 		stop()
 		waiting.Wait()
@@ -112,7 +112,7 @@
 // A turn whose owner goes away is another caller's.
 func TestTurnsAreNotLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGate(10, 1000)
+		g := newFullListLimiter(10, 1000)
 		begun := time.Now()
 		ctx, cancel := context.WithCancel(t.Context())
 		var gone sync.WaitGroup
@@ -139,7 +139,7 @@
 // Another rate holds for the turns that are given from then on.
 func TestRateChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := newGate(1, 1000)
+		g := newFullListLimiter(1, 1000)
 		g.setRate(100)
 		begun := time.Now()
 		for range 11 {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -63,7 +63,7 @@
 			t.Errorf("nothing new is told after %v", got.took)
 		}
 		a.apply(11) // a revision of no changes
-		time.Sleep(upstreamWatch)
+		time.Sleep(upstreamWatchWait)
 		synctest.Wait() // the watch above ends in this moment
 		call(t, n, r.addr, "?after=10&wait_ms=0").is(t, "no changes", 11, false, "")
 		for _, query := range []string{"?after=x", "?after=1&wait_ms=-1", "?after=1&later=1", "?after=%zz"} {
@@ -72,7 +72,7 @@
 			}
 		}
 		f := r.Metrics()
-		if f.Calls != 10 || f.FullLists != 2 || f.Rejected != 0 || f.Open != 0 || f.Waiting != 0 || f.Bytes < 500 || f.Staleness > upstreamWatch || f.Revision != 11 {
+		if f.Calls != 10 || f.FullLists != 2 || f.Rejected != 0 || f.Open != 0 || f.Waiting != 0 || f.Bytes < 500 || f.Staleness > upstreamWatchWait || f.Revision != 11 {
 			t.Errorf("%+v", f)
 		}
 	})
@@ -97,7 +97,7 @@
 				a.apply(8, member("z", "Ready", 0))
 				time.Sleep(time.Millisecond)
 				r.stop() // stores the last list
-				damage(filepath.Join(state, listFile))
+				damage(filepath.Join(state, listFileName))
 				a.down()
 				r = startRelay(t, n, "relay:1", state)
 				if got := call(t, n, r.addr, ""); got.status != http.StatusServiceUnavailable || got.took > discovery.RelayFullListTimeout {
@@ -134,7 +134,7 @@
 		r := startRelay(t, n, "relay:1", t.TempDir())
 		time.Sleep(time.Second)
 		a.Reset(20, []discovery.Member{member("y", "Terminating", 0), member("z", "Ready", 0), member("v", "Ready", 0)})
-		time.Sleep(upstreamWatch)
+		time.Sleep(upstreamWatchWait)
 		call(t, n, r.addr, "?after=7&wait_ms=0").is(t, "who follows", 20, false, "vR xG yT")
 		call(t, n, r.addr, "?after=3&wait_ms=0").is(t, "who does not", 20, true, "vR yT zR")
 	})
@@ -162,11 +162,11 @@
 		},
 		"counts anew": {
 			then:  func(a *upstream) {},
-			query: "?after=12&wait_ms=2000", took: [2]time.Duration{upstreamWatch, 2 * upstreamWatch}, revision: 7, complete: true, members: "xR yR",
+			query: "?after=12&wait_ms=2000", took: [2]time.Duration{upstreamWatchWait, 2 * upstreamWatchWait}, revision: 7, complete: true, members: "xR yR",
 		},
 		"counts anew, no wait": {
 			then:  func(a *upstream) {},
-			query: "?after=12&wait_ms=0", took: [2]time.Duration{upstreamWatch, aheadHold}, revision: 7, complete: true, members: "xR yR",
+			query: "?after=12&wait_ms=0", took: [2]time.Duration{upstreamWatchWait, aheadHold}, revision: 7, complete: true, members: "xR yR",
 		},
 		"lost, no wait": {
 			then:  func(a *upstream) { a.down() },
@@ -178,7 +178,7 @@
 		},
 		"lost for long": {
 			then:  func(a *upstream) { a.down() },
-			query: "?after=12&wait_ms=20000", took: [2]time.Duration{staleAfter - 2*upstreamWatch, staleAfter}, status: 503,
+			query: "?after=12&wait_ms=20000", took: [2]time.Duration{staleAfter - 2*upstreamWatchWait, staleAfter}, status: 503,
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -226,10 +226,10 @@
 		if got := call(t, n, r.addr, "?after=7&wait_ms=20000"); got.status != http.StatusServiceUnavailable || got.retryAfter != "" {
 			t.Errorf("a watch: %+v", got)
 		}
-		if after := time.Since(lost); after > staleAfter || after < staleAfter-2*upstreamWatch {
+		if after := time.Since(lost); after > staleAfter || after < staleAfter-2*upstreamWatchWait {
 			t.Errorf("the watch is refused %v after the loss", after)
 		}
-		time.Sleep(upstreamWatch)
+		time.Sleep(upstreamWatchWait)
 		for _, query := range []string{"", "?after=7&wait_ms=1000", "?after=9&wait_ms=1000", "?after=3&wait_ms=0"} {
 			if got := call(t, n, r.addr, query); got.status != http.StatusServiceUnavailable || got.took > 0 || got.retryAfter != "" {
 				t.Errorf("%q: %+v", query, got)
@@ -241,7 +241,7 @@
 		time.Sleep(time.Minute)
 		a.apply(8, member("x", "Terminating", 0))
 		a.up()
-		time.Sleep(2 * upstreamRetry)
+		time.Sleep(2 * maxUpstreamBackoff)
 		call(t, n, r.addr, "?after=7&wait_ms=1000").is(t, "again", 8, false, "xT")
 	})
 }
@@ -290,13 +290,13 @@
 		begun := time.Now()
 		r.stop()
 		waiting.Wait()
-		if took := time.Since(begun); took > endGrace {
+		if took := time.Since(begun); took > shutdownGrace {
 			t.Errorf("the end takes %v", took)
 		}
 		if got := call(t, n, r.addr, ""); got.status != 0 {
 			t.Errorf("after the end: %+v", got)
 		}
-		if l, err := (disk{state}).load(); err != nil || *l.Revision != 8 {
+		if l, err := (listFile{dir: state}).load(); err != nil || *l.Revision != 8 {
 			t.Errorf("stored %+v, error %v", l, err)
 		}
 	})
@@ -312,15 +312,15 @@
 		for revision := uint64(2); revision <= 600; revision++ {
 			a.apply(revision, member("x", "Ready", int(revision)))
 			time.Sleep(100 * time.Millisecond)
-			if l, err := (disk{state}).load(); err == nil {
+			if l, err := (listFile{dir: state}).load(); err == nil {
 				stored[*l.Revision] = true
 			}
 		}
 		if n := len(stored); n < 10 || n > 14 {
 			t.Errorf("%d lists are stored in a minute", n)
 		}
-		time.Sleep(saveEvery)
-		if l, err := (disk{state}).load(); err != nil || *l.Revision != 600 {
+		time.Sleep(saveInterval)
+		if l, err := (listFile{dir: state}).load(); err != nil || *l.Revision != 600 {
 			t.Errorf("stored %+v, error %v", l, err)
 		}
 	})
@@ -332,7 +332,7 @@
 		n := newNetwork()
 		newUpstream(t, n, 7, member("x", "Ready", 0))
 		r := startRelay(t, n, "relay:1", t.TempDir())
-		r.o.MaxCallers = 3 // before the first call
+		r.options.MaxCallers = 3 // before the first call
 		time.Sleep(time.Second)
 		var waiting sync.WaitGroup
 		for range 3 {
@@ -399,10 +399,10 @@
 // stale has missed can still be had elsewhere.
 func TestBounds(t *testing.T) {
 	for what, ok := range map[string]bool{
-		"two watches above fit into the time for who is ahead":           2*upstreamWatch < aheadHold,
+		"two watches above fit into the time for who is ahead":           2*upstreamWatchWait < aheadHold,
 		"that fits into a call":                                          aheadHold < discovery.RelayTimeout,
-		"news and a turn fit into a call for the whole list":             aheadHold+longestQueue < discovery.RelayFullListTimeout,
-		"several watches and their pauses fit into the time to be stale": 3*(upstreamWatch+upstreamRetry) < staleAfter,
+		"news and a turn fit into a call for the whole list":             aheadHold+maxQueueDelay < discovery.RelayFullListTimeout,
+		"several watches and their pauses fit into the time to be stale": 3*(upstreamWatchWait+maxUpstreamBackoff) < staleAfter,
 		"a stale relay leaves time for others":                           staleAfter <= balancer.NotifyBoundAfterFailure/3,
 	} {
 		if !ok {
