--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -1,4 +1,5 @@
-// Command relay hands discovery's list of servers on to agents.
+// Command relay runs a relay of the endpoint list: it loads the configuration that RELAY_CONFIG names, listens, reloads at SIGHUP and
+// ends at SIGTERM or SIGINT, with status 1 if it could not start or serve.
 package main
 
 import (
@@ -18,12 +19,12 @@
 	"example.org/ryeloft/internal/relay"
 )
 
-// figuresGrace is how long a reader of the figures may take.
-const figuresGrace = 2 * time.Second
+// metricsTimeout is how long a reader of the metrics may take.
+const metricsTimeout = 2 * time.Second
 
 func main() {
 	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	// Danger: a signal that nobody waits for ends the program.
+	// Before the configuration is loaded, since a SIGHUP that nobody waits for ends the program.
 	hangups := make(chan os.Signal, 1)
 	signal.Notify(hangups, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
@@ -35,7 +36,7 @@
 	}
 }
 
-// run serves until the context ends. What a hangup brings is taken whole or not at all.
+// run serves until the context ends. A reload is applied as a whole or not at all.
 func run(ctx context.Context, hangups <-chan os.Signal, log *slog.Logger) error {
 	path := os.Getenv("RELAY_CONFIG")
 	if path == "" {
@@ -48,7 +49,12 @@
 	debug.SetMemoryLimit(int64(cfg.Limits.MemoryMB) << 20)
 	log = log.With("relay", cfg.Name)
 	r, err := relay.New(relay.Options{
-		Name: cfg.Name, Discovery: cfg.Discovery, State: cfg.State, FullListsPerSecond: cfg.Limits.FullListsPerSecond, MaxCallers: cfg.Limits.MaxCallers, Log: log,
+		Name:               cfg.Name,
+		Discovery:          cfg.Discovery,
+		State:              cfg.State,
+		FullListsPerSecond: cfg.Limits.FullListsPerSecond,
+		MaxCallers:         cfg.Limits.MaxCallers,
+		Log:                log,
 	})
 	if err != nil {
 		return err
@@ -57,51 +63,63 @@
 	if err != nil {
 		return fmt.Errorf("listening: %w", err)
 	}
-	closeFigures, err := serveFigures(cfg.MetricsAddr, r, log)
+	closeMetrics, err := serveMetrics(cfg.MetricsAddr, r, log)
 	if err != nil {
 		l.Close()
 		return err
 	}
-	defer closeFigures()
+	defer closeMetrics()
+	if err := serve(ctx, l, r, func(ctx context.Context) { reload(ctx, path, cfg, hangups, r, log) }); err != nil {
+		return fmt.Errorf("serving: %w", err)
+	}
+	log.Info("relay ends", "revision", r.Metrics().Revision)
+	return nil
+}
 
-	ctx, stop := context.WithCancel(ctx) // at the end of either
+// serve runs the relay with its reloads and answers at a listener, until the context ends or the listener breaks.
+func serve(ctx context.Context, l net.Listener, r *relay.Relay, reloads func(context.Context)) error {
+	ctx, stop := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	running.Go(func() { r.Run(ctx) })
-	running.Go(func() { reload(ctx, path, cfg, hangups, r, log) })
-	err = r.Serve(ctx, l)
+	running.Go(func() { reloads(ctx) })
+	err := r.Serve(ctx, l)
 	stop()
 	running.Wait()
-	if err != nil {
-		return fmt.Errorf("serving: %w", err)
-	}
-	log.Info("relay ends", "revision", r.Metrics().Revision)
-	return nil
+	return err
 }
 
-// reload takes the configuration anew at each hangup, until the context ends.
-func reload(ctx context.Context, path string, present *relay.Config, hangups <-chan os.Signal, r *relay.Relay, log *slog.Logger) {
+// reload loads the configuration anew at each SIGHUP, until the context ends.
+func reload(
+	ctx context.Context, path string, present *relay.Config, hangups <-chan os.Signal, r *relay.Relay, log *slog.Logger,
+) {
 	for {
 		select {
 		case <-hangups:
 		case <-ctx.Done():
 			return
 		}
-		next, err := relay.LoadConfig(path)
-		if err == nil {
-			err = next.CheckReload(present)
-		}
+		next, err := loadReload(path, present)
 		if err != nil {
-			log.Error("not reloaded, the old configuration stays", "error", err)
+			log.Error("configuration reload rejected", "error", err)
 			continue
 		}
 		r.Migrate(ctx, next.Discovery, next.Limits.FullListsPerSecond)
 		present = next
-		log.Info("reloaded", "discovery", next.Discovery, "lists_per_second", next.Limits.FullListsPerSecond)
+		log.Info("configuration reloaded", "discovery", next.Discovery, "lists_per_second", next.Limits.FullListsPerSecond)
+	}
+}
+
+// loadReload loads a configuration that can take the place of the present one.
+func loadReload(path string, present *relay.Config) (*relay.Config, error) {
+	next, err := relay.LoadConfig(path)
+	if err != nil {
+		return nil, err
 	}
+	return next, next.CheckReload(present)
 }
 
-// serveFigures shows the figures at an address, if there is one, until what it returns is called.
-func serveFigures(addr string, r *relay.Relay, log *slog.Logger) (func(), error) {
+// serveMetrics serves the metrics at an address, if there is one, until the returned function is called.
+func serveMetrics(addr string, r *relay.Relay, log *slog.Logger) (stop func(), err error) {
 	if addr == "" {
 		return func() {}, nil
 	}
@@ -109,10 +127,21 @@
 	if err != nil {
 		return nil, fmt.Errorf("figures: %w", err)
 	}
-	s := &http.Server{
-		Handler: http.HandlerFunc(r.ServeMetrics), ReadTimeout: figuresGrace, WriteTimeout: figuresGrace, IdleTimeout: figuresGrace,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
+	server := &http.Server{
+		Handler:      http.HandlerFunc(r.ServeMetrics),
+		ReadTimeout:  metricsTimeout,
+		WriteTimeout: metricsTimeout,
+		IdleTimeout:  metricsTimeout,
+		ErrorLog:     slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 	}
-	go s.Serve(l)
-	return func() { s.Close() }, nil
+	var serving sync.WaitGroup
+	serving.Go(func() {
+		if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
+			log.Error("serving metrics failed", "error", err)
+		}
+	})
+	return func() {
+		_ = server.Close() // the program ends, and its readers see that
+		serving.Wait()
+	}, nil
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	maxConfig     = 64 << 10 // bytes
-	mostLists     = 100_000
-	mostCallers   = 1 << 20
-	leastMemoryMB = 16
+	maxConfigBytes        = 64 << 10
+	maxFullListsPerSecond = 100_000
+	maxCallers            = 1 << 20
+	minMemoryMB           = 16
 )
 
-// Config is what a relay is started with.
+// Config is what a relay is started with; its json tags map the keys of the file.
 type Config struct {
 	Name        string `json:"name"`
 	Listen      string `json:"listen"`    // IP address and port
-	Discovery   string `json:"discovery"` // likewise, of the service above
+	Discovery   string `json:"discovery"` // likewise, of the upstream service
 	MetricsAddr string `json:"figures"`   // likewise; empty: none
 	State       string `json:"state"`     // a directory of its own
 	Limits      Limits `json:"limits"`
@@ -34,14 +34,20 @@
 	MemoryMB           int     `json:"memory_mb"`
 }
 
+// ConfigError is a field of a configuration that cannot be used.
+type ConfigError struct {
+	Field  string // as the file spells it
+	Reason string // begins with what separates it from the field
+	Err    error  // nil if the reason says all
+}
+
+func (e *ConfigError) Error() string { return e.Field + e.Reason }
+
+func (e *ConfigError) Unwrap() error { return e.Err }
+
 // LoadConfig reads and checks a configuration file. Its errors name the field that cannot be used.
 func LoadConfig(path string) (*Config, error) {
-	f, err := os.Open(path)
-	if err != nil {
-		return nil, fmt.Errorf("reading the configuration: %w", err)
-	}
-	defer f.Close()
-	text, err := io.ReadAll(io.LimitReader(f, maxConfig+1))
+	text, err := readConfig(path)
 	if err != nil {
 		return nil, fmt.Errorf("reading the configuration: %w", err)
 	}
@@ -52,66 +58,92 @@
 	return cfg, nil
 }
 
-// ParseConfig checks a configuration whole: a key that it does not know may be one misspelt.
+// readConfig reads as much of a file as ParseConfig needs to see that it is too long.
+func readConfig(path string) ([]byte, error) {
+	f, err := os.Open(path)
+	if err != nil {
+		return nil, err
+	}
+	defer func() { _ = f.Close() }() // nothing was written that could be lost
+	return io.ReadAll(io.LimitReader(f, maxConfigBytes+1))
+}
+
+// ParseConfig accepts a configuration as a whole or not at all; an unknown key may be one misspelt.
 func ParseConfig(text []byte) (*Config, error) {
-	if len(text) > maxConfig {
-		return nil, fmt.Errorf("over %d bytes", maxConfig)
+	if len(text) > maxConfigBytes {
+		return nil, fmt.Errorf("over %d bytes", maxConfigBytes)
 	}
-	var c Config
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	if err := d.Decode(&c); err != nil {
+	var cfg Config
+	decoder := json.NewDecoder(bytes.NewReader(text))
+	decoder.DisallowUnknownFields()
+	if err := decoder.Decode(&cfg); err != nil {
 		return nil, err
 	}
-	if _, err := d.Token(); !errors.Is(err, io.EOF) {
+	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
 		return nil, errors.New("more than one value")
 	}
-	return &c, c.check()
+	return &cfg, cfg.validate()
 }
 
-func (c *Config) check() error {
-	for _, a := range []struct {
-		field, addr string
-		needed      bool
-	}{{"listen", c.Listen, true}, {"discovery", c.Discovery, true}, {"figures", c.MetricsAddr, false}} {
-		if a.addr == "" && !a.needed {
-			continue
-		}
-		if _, err := netip.ParseAddrPort(a.addr); err != nil {
-			return fmt.Errorf("%s: %w", a.field, err)
+func (c *Config) validate() error {
+	if err := validateAddr("listen", c.Listen); err != nil {
+		return err
+	}
+	if err := validateAddr("discovery", c.Discovery); err != nil {
+		return err
+	}
+	if c.MetricsAddr != "" {
+		if err := validateAddr("figures", c.MetricsAddr); err != nil {
+			return err
 		}
 	}
-	switch l := c.Limits; {
-	case c.Name == "":
-		return errors.New("name: missing")
-	case c.State == "":
-		return errors.New("state: missing")
-	case !(l.FullListsPerSecond > 0 && l.FullListsPerSecond <= mostLists):
-		return fmt.Errorf("limits.lists_per_second cannot be %v", l.FullListsPerSecond)
-	case l.MaxCallers < 1 || l.MaxCallers > mostCallers:
-		return fmt.Errorf("limits.callers cannot be %d", l.MaxCallers)
-	case l.MemoryMB < leastMemoryMB:
-		return fmt.Errorf("limits.memory_mb cannot be %d", l.MemoryMB)
+	if c.Name == "" {
+		return &ConfigError{Field: "name", Reason: ": missing"}
+	}
+	if c.State == "" {
+		return &ConfigError{Field: "state", Reason: ": missing"}
+	}
+	return c.Limits.validate()
+}
+
+func validateAddr(field, addr string) error {
+	if _, err := netip.ParseAddrPort(addr); err != nil {
+		return &ConfigError{Field: field, Reason: ": " + err.Error(), Err: err}
+	}
+	return nil
+}
+
+func (l *Limits) validate() error {
+	switch {
+	case !(l.FullListsPerSecond > 0 && l.FullListsPerSecond <= maxFullListsPerSecond): // NaN neither
+		return outOfRange("limits.lists_per_second", l.FullListsPerSecond)
+	case l.MaxCallers < 1 || l.MaxCallers > maxCallers:
+		return outOfRange("limits.callers", l.MaxCallers)
+	case l.MemoryMB < minMemoryMB:
+		return outOfRange("limits.memory_mb", l.MemoryMB)
 	}
 	return nil
 }
 
-// CheckReload tells whether a running relay can take this configuration in place of the present one: only discovery's address
-// and the rate of whole lists can change. Its error names the field that cannot.
+func outOfRange(field string, value any) error {
+	return &ConfigError{Field: field, Reason: fmt.Sprintf(" cannot be %v", value)}
+}
+
+// CheckReload returns an error unless a running relay can take this configuration in place of the present one: only discovery's
+// address and the rate of whole lists can change.
 func (c *Config) CheckReload(present *Config) error {
-	same := *present
-	same.Discovery, same.Limits.FullListsPerSecond = c.Discovery, c.Limits.FullListsPerSecond
+	const needsRestart = ": needs a new process"
 	switch {
-	case c.Name != same.Name:
-		return errors.New("name: needs a new process")
-	case c.Listen != same.Listen:
-		return errors.New("listen: needs a new process")
-	case c.MetricsAddr != same.MetricsAddr:
-		return errors.New("figures: needs a new process")
-	case c.State != same.State:
-		return errors.New("state: needs a new process")
-	case c.Limits != same.Limits:
-		return errors.New("limits: callers and memory_mb need a new process")
+	case c.Name != present.Name:
+		return &ConfigError{Field: "name", Reason: needsRestart}
+	case c.Listen != present.Listen:
+		return &ConfigError{Field: "listen", Reason: needsRestart}
+	case c.MetricsAddr != present.MetricsAddr:
+		return &ConfigError{Field: "figures", Reason: needsRestart}
+	case c.State != present.State:
+		return &ConfigError{Field: "state", Reason: needsRestart}
+	case c.Limits.MaxCallers != present.Limits.MaxCallers || c.Limits.MemoryMB != present.Limits.MemoryMB:
+		return &ConfigError{Field: "limits", Reason: ": callers and memory_mb need a new process"}
 	}
 	return nil
 }
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -36,7 +36,7 @@
 		{"more than one", configText, configText + configText},
 		{"EOF", configText, configText[:len(configText)/2]},
 		{"EOF", configText, ""},
-		{"over", configText, strings.Repeat(" ", maxConfig) + configText},
+		{"over", configText, strings.Repeat(" ", maxConfigBytes) + configText},
 	} {
 		text := strings.Replace(configText, c.old, c.new, 1)
 		if text == configText {
