--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -12,21 +12,21 @@
 
 const ms = time.Millisecond
 
-// testSettings are those of a small site: pure, keyed by cell, keyed everywhere, and unsafe classes.
+// testSettings returns the settings of a small site with one class for each kind of idempotency, at the indexes below.
 func testSettings() Settings {
 	class := func(e Idempotency, s DedupScope, w time.Duration) Class {
 		return Class{LatencyObjective: 400 * ms, Deadline: 1000 * ms, PriorityWeight: 1, Idempotency: e, DedupScope: s, DedupWindow: w}
 	}
-	set := Settings{
+	settings := Settings{
 		Agents: 1, MaxAttempts: 6, Tick: ms, SlowStartMinWeight: 0.2, SlowStartDuration: 10 * time.Second, OverloadFactor: 2.5,
 		CancelAttempts: true,
 		Classes: []Class{class(Idempotent, 0, 0), class(IdempotentWithKey, DedupScopeCell, 300*ms), class(IdempotentWithKey, DedupScopeFleet, 300*ms),
 			class(NonIdempotent, 0, 0), class(IdempotentWithKey, DedupScopeZone, 300*ms)},
 	}
-	for i := range set.Classes {
-		set.Classes[i].Name = string(rune('a' + i))
+	for i := range settings.Classes {
+		settings.Classes[i].Name = string(rune('a' + i))
 	}
-	return set
+	return settings
 }
 
 const (
@@ -49,7 +49,7 @@
 	return newSeededHarness(t, s, 7, servers...)
 }
 
-// newSeededHarness has the module draw its random numbers by a seed.
+// newSeededHarness seeds the Balancer's random numbers.
 func newSeededHarness(t *testing.T, s Settings, seed uint64, servers ...Endpoint) *harness {
 	t.Helper()
 	b, err := New(s, seed)
@@ -67,11 +67,11 @@
 	return h.handle(Event{Kind: EventRequest, Request: id, Class: class, Remaining: 1000 * ms})
 }
 
-func (h *harness) endAttempt(id RequestID, attempt int, how Outcome) []Action {
-	return h.handle(Event{Kind: EventOutcome, Request: id, Attempt: attempt, Outcome: how, Answered: how == OutcomeOK})
+func (h *harness) endAttempt(request RequestID, attempt int, outcome Outcome) []Action {
+	return h.handle(Event{Kind: EventOutcome, Request: request, Attempt: attempt, Outcome: outcome, Answered: outcome == OutcomeOK})
 }
 
-// pickPair and line are those of the first class.
+// pickPair and candidates are those of the first class.
 func (h *harness) pickPair() (a, c *server)  { return h.b.pickPair(h.b.classes[0]) }
 func (h *harness) candidates() *candidateSet { return &h.b.classes[0].candidates }
 
@@ -87,31 +87,30 @@
 }
 
 // onlyAction returns the only action of a kind.
-func onlyAction(t *testing.T, acts []Action, kind ActionKind) Action {
+func onlyAction(t *testing.T, actions []Action, kind ActionKind) Action {
 	t.Helper()
 	var found []Action
-	for _, a := range acts {
+	for _, a := range actions {
 		if a.Kind == kind {
 			found = append(found, a)
 		}
 	}
 	if len(found) != 1 {
-		t.Fatalf("%d actions of kind %d in %+v, want 1", len(found), kind, acts)
+		t.Fatalf("%d actions of kind %d in %+v, want 1", len(found), kind, actions)
 	}
 	return found[0]
 }
 
-func noAction(t *testing.T, acts []Action, kinds ...ActionKind) {
+func noAction(t *testing.T, actions []Action, kinds ...ActionKind) {
 	t.Helper()
-	for _, a := range acts {
+	for _, a := range actions {
 		if slices.Contains(kinds, a.Kind) {
 			t.Fatalf("unwanted action %+v", a)
 		}
 	}
 }
 
-// Decisions stay in files that a reader can hold in mind, and their lines on one screen: the platform's limit of 1,200 lines
-// for all of them together was lifted, and each file has its own limit instead.
+// Each product file stays short enough to be read in one go, and its lines fit on a screen.
 func TestModuleSize(t *testing.T) {
 	const mostLines, mostLetters = 700, 120
 	for _, name := range policyFiles(t) {
@@ -134,7 +133,7 @@
 	}
 }
 
-// policyFiles are the files of decisions that the deploy file names, which have to be all of this package.
+// policyFiles returns the files that balancer.toml names as policy, which have to be all product files of this package.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -154,22 +153,22 @@
 	all = slices.DeleteFunc(all, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 	slices.Sort(named)
 	if !slices.Equal(named, all) {
-		t.Fatalf("the deploy file names %q, the package has %q", named, all)
+		t.Fatalf("policy in balancer.toml names %q, the package has %q", named, all)
 	}
 	return named
 }
 
-// Events with ids never seen, and figures that are none, do nothing.
+// Events with unknown ids, and weights that are no capacity, change nothing.
 func TestStrayEvents(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(3)...)
 	for kind := EventDiscovery; kind <= EventHealthCheck+1; kind++ {
 		if kind == EventRequest || kind == EventDiscovery {
 			continue
 		}
-		acts := h.handle(Event{Kind: kind, Request: 99, Server: 99, Attempt: 200, TimerID: math.MaxUint64,
+		actions := h.handle(Event{Kind: kind, Request: 99, Server: 99, Attempt: 200, TimerID: math.MaxUint64,
 			Class: -1})
-		if len(acts) != 0 {
-			t.Errorf("event kind %d: %+v", kind, acts)
+		if len(actions) != 0 {
+			t.Errorf("event kind %d: %+v", kind, actions)
 		}
 	}
 	noAction(t, h.handle(Event{Kind: EventRequest, Request: 1, Class: 77, Remaining: ms}), ActionSend)
@@ -180,7 +179,7 @@
 	}
 }
 
-// A long day leaves nothing behind.
+// Neither requests nor servers that have come and gone leave state behind.
 func TestStateIsBounded(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(5)...)
 	for id := range RequestID(5000) {
@@ -213,11 +212,11 @@
 func BenchmarkHandle(b *testing.B) {
 	for name, n := range map[string]int{"small": 12, "large": 500} {
 		b.Run(name, func(b *testing.B) {
-			bal, err := New(testSettings(), 1)
+			balancer, err := New(testSettings(), 1)
 			if err != nil {
 				b.Fatal(err)
 			}
-			h := &harness{b: bal, now: time.Hour}
+			h := &harness{b: balancer, now: time.Hour}
 			h.handle(Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: readyEndpoints(n)})
 			out := make([]Action, 0, 16)
 			b.ReportAllocs()
@@ -230,8 +229,8 @@
 	}
 }
 
-// New settings find classes by their names: what is learnt of them and of servers stays, a request under way keeps its
-// class, and fewer attempts bind at once. Settings that cannot be right change nothing.
+// New settings find classes by their names: what was learnt of them and of servers stays, an open request keeps its class,
+// and a lower MaxAttempts counts at once. Invalid settings change nothing.
 func TestAdopt(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, readyEndpoints(3)...)
@@ -240,9 +239,9 @@
 	h.request(1, idempotent)
 	h.request(2, keyedByFleet)
 
-	broken := testSettings()
-	broken.MaxAttempts = 0
-	if err := h.b.Adopt(broken); err == nil || h.b.settings.MaxAttempts != s.MaxAttempts {
+	invalid := testSettings()
+	invalid.MaxAttempts = 0
+	if err := h.b.Adopt(invalid); err == nil || h.b.settings.MaxAttempts != s.MaxAttempts {
 		t.Fatalf("broken settings: error %v, %d attempts", err, h.b.settings.MaxAttempts)
 	}
 
@@ -250,7 +249,7 @@
 	next.MaxAttempts = 1
 	fresh := next.Classes[idempotent]
 	fresh.Name, fresh.Idempotency = "fresh", NonIdempotent
-	next.Classes = []Class{fresh, next.Classes[nonIdempotent], next.Classes[keyedByFleet]} // "pure" and others have gone
+	next.Classes = []Class{fresh, next.Classes[nonIdempotent], next.Classes[keyedByFleet]} // class "a" and others are dropped
 	if err := h.b.Adopt(next); err != nil {
 		t.Fatal(err)
 	}
@@ -258,12 +257,12 @@
 	if c.latencySeconds.value != 0.123 || h.b.serversByID[1].health[c.index].failures != 0.5 || h.b.serversByID[1].health[h.b.classes[0].index].failures != 0 {
 		t.Errorf("what was learnt has not stayed with its class: %+v", h.b.serversByID[1].health)
 	}
-	noAction(t, h.endAttempt(1, 0, OutcomeConnectFailed), ActionSend) // one attempt is all
-	if acts := h.endAttempt(2, 0, OutcomeOK); len(h.b.requests) > 0 {
-		t.Errorf("requests under way are still open after %+v", acts)
+	noAction(t, h.endAttempt(1, 0, OutcomeConnectFailed), ActionSend) // MaxAttempts is 1
+	if actions := h.endAttempt(2, 0, OutcomeOK); len(h.b.requests) > 0 {
+		t.Errorf("open requests are still known after %+v", actions)
 	}
 	send := onlyAction(t, h.request(3, 0), ActionSend)
-	noAction(t, h.endAttempt(3, 0, OutcomeReset), ActionSend, ActionReject) // it may have run, and never twice
+	noAction(t, h.endAttempt(3, 0, OutcomeReset), ActionSend, ActionReject) // it may have run, and must not run twice
 	if send.Request != 3 || h.b.requests[3] != nil {
 		t.Errorf("a request of the new class: %+v", send)
 	}
--- a/internal/balancer/candidates_test.go
+++ b/internal/balancer/candidates_test.go
@@ -12,7 +12,7 @@
 		speeds, want []float64
 	}{
 		{[]float64{3}, nil},
-		{[]float64{1, 2}, []float64{3}},                     // one pair gets all
+		{[]float64{1, 2}, []float64{3}},                     // the only pair
 		{[]float64{1, 2, 3}, []float64{2, 4}},               // bound min(2/1, 5/1) = 2, eps 1
 		{[]float64{2, 2, 1, 4}, []float64{2.25, 2.25, 4.5}}, // bound min(2/1, 1/2, 5/2) = 0.5, eps 0.25
 		{[]float64{4, 4, 4, 0.1}, []float64{5, 5, 2.1}},     // bound min(4, 2, 4.1/2) = 2, eps 1: the last is negative
@@ -31,19 +31,19 @@
 	}
 }
 
-// Among many agents each keeps to a few servers, which it hears of often; among few each uses all.
+// Among many agents each has a few candidates, which it hears of often; among few each uses all servers.
 func TestCandidateSetSize(t *testing.T) {
 	for _, c := range []struct{ agents, servers, want int }{{80, 60, 9}, {40, 60, 18}, {3, 15, 15}, {80, 15, minCandidates}} {
 		s := testSettings()
 		s.Agents = c.agents
 		h := newHarness(t, s, readyEndpoints(c.servers)...)
 		if h.pickPair(); len(h.candidates().servers) != c.want {
-			t.Errorf("%d agents and %d servers: a line of %d, want %d", c.agents, c.servers, len(h.candidates().servers), c.want)
+			t.Errorf("%d agents and %d servers: %d candidates, want %d", c.agents, c.servers, len(h.candidates().servers), c.want)
 		}
 	}
 }
 
-// Lines are this agent's own: a server that comes or goes changes one place on them.
+// A server that comes or goes changes one place in a candidate set.
 func TestCandidateSetIsStable(t *testing.T) {
 	for rank := range 20 {
 		s := testSettings()
@@ -65,7 +65,7 @@
 	}
 }
 
-// Rule 5: a bound class goes to the servers open to it and to no other, at every attempt, whatever their state.
+// A class with placement is sent to eligible servers and to no other, at every attempt, whatever their state.
 func TestPlacement(t *testing.T) {
 	list := readyEndpoints(40)
 	for i := range list {
@@ -82,13 +82,13 @@
 		"empty":     {nil, []int{}, func(Endpoint) bool { return false }},
 	} {
 		s := testSettings()
-		s.Agents, s.Rank = 50, 7 // a small window
+		s.Agents, s.Rank = 50, 7 // a small candidate set
 		s.Classes[idempotent].Zones, s.Classes[idempotent].Kinds = c.zones, c.kinds
 		h := newHarness(t, s, list...)
 		any := slices.ContainsFunc(list, c.open)
 		sent := 0
-		check := func(acts []Action) {
-			for _, a := range acts {
+		check := func(actions []Action) {
+			for _, a := range actions {
 				if a.Kind == ActionSend {
 					if sent++; !c.open(list[a.Server-1]) {
 						t.Fatalf("%s: sent to %+v", name, list[a.Server-1])
@@ -98,18 +98,18 @@
 		}
 		for id := range RequestID(60) {
 			h.b.overload, h.b.retryTimes = 0, nil
-			acts := h.request(id, idempotent)
-			if check(acts); any && id == 0 {
-				onlyAction(t, acts, ActionSend)
+			actions := h.request(id, idempotent)
+			if check(actions); any && id == 0 {
+				onlyAction(t, actions, ActionSend)
 			} else if !any {
-				onlyAction(t, acts, ActionReject)
+				onlyAction(t, actions, ActionReject)
 			}
-			for n, how := range []Outcome{OutcomeConnectFailed, OutcomeRejected, OutcomeError, OutcomeReset} {
-				check(h.endAttempt(id, n, how))
+			for n, outcome := range []Outcome{OutcomeConnectFailed, OutcomeRejected, OutcomeError, OutcomeReset} {
+				check(h.endAttempt(id, n, outcome))
 			}
-			h.now += time.Minute // whoever was ejected is back
+			h.now += time.Minute // ejections are over
 		}
-		for _, e := range list { // all that are open to it are gone: hold or end
+		for _, e := range list { // without an eligible server nothing is sent
 			if c.open(e) {
 				e.State = Draining
 				h.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{e}})
@@ -123,7 +123,7 @@
 	}
 }
 
-// Whatever else is on the list, a window holds servers for a bound class as long as there are any.
+// A candidate set holds servers for a class with placement as long as there are any, whatever else is listed.
 func TestSmallCandidateSetHoldsPlacedServers(t *testing.T) {
 	for rank := range 50 {
 		list := readyEndpoints(100)
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The order of those who stay does not change when a server joins or leaves.
+// The order of the other servers does not change when a server comes or goes.
 func TestServerOrderIsStable(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(9)...)
 	h.pickPair()
@@ -25,22 +25,22 @@
 	}
 }
 
-// Danger: a drain learnt in any of the list's ways must stop sends at once.
+// Whichever update says that a server drains or is removed, nothing more is sent to it.
 func TestRemovedAndDrainingServersAreNotUsed(t *testing.T) {
 	for name, list := range map[string]Event{
-		"delta":  {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Draining, Weight: 1}}},
-		"gone":   {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Removed}}},
-		"full":   {Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: []Endpoint{{ID: 1, State: Draining}, readyEndpoint(2, 1)}},
-		"absent": {Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: []Endpoint{readyEndpoint(2, 1)}},
-		"cached": {Kind: EventDiscovery, Update: EndpointsCached, Endpoints: []Endpoint{readyEndpoint(2, 1)}},
+		"change":   {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Draining, Weight: 1}}},
+		"removed":  {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Removed}}},
+		"draining": {Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: []Endpoint{{ID: 1, State: Draining}, readyEndpoint(2, 1)}},
+		"absent":   {Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: []Endpoint{readyEndpoint(2, 1)}},
+		"cached":   {Kind: EventDiscovery, Update: EndpointsCached, Endpoints: []Endpoint{readyEndpoint(2, 1)}},
 	} {
 		h := newHarness(t, testSettings(), readyEndpoints(2)...)
-		met := map[ServerID]bool{}
+		used := map[ServerID]bool{}
 		for id := range RequestID(40) {
-			met[onlyAction(t, h.request(id, idempotent), ActionSend).Server] = true
+			used[onlyAction(t, h.request(id, idempotent), ActionSend).Server] = true
 		}
-		if !met[1] || !met[2] {
-			t.Fatalf("%s: before the drain only %v were used", name, met)
+		if !used[1] || !used[2] {
+			t.Fatalf("%s: before the drain only %v were used", name, used)
 		}
 		h.handle(list)
 		for id := range RequestID(40) {
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// trackedRequest is what the checker knows of a request: what was sent for it, and whether it has its final answer.
+// trackedRequest is what the checker knows of a request: its attempts, and whether it has its final answer.
 type trackedRequest struct {
 	class    Class
 	deadline time.Duration
@@ -18,13 +18,14 @@
 	server               Endpoint
 	sentAt               time.Duration
 	inFlight, mayHaveRun bool
-	unsent               bool // it ended as Leaving: no attempt
+	unsent               bool // it ended as OutcomeServerDraining, and counts as no attempt
 }
 
-// ruleChecker holds a Balancer from outside to the rules on answers, effects, drains, placement and the retry budget.
+// ruleChecker checks from outside that a Balancer keeps the rules on final answers, idempotency, draining, placement and
+// the retry budget.
 type ruleChecker struct {
 	requestTimes []time.Duration // when requests came
-	retryTimes   []time.Duration // when attempts beyond a request's first were made
+	retryTimes   []time.Duration // when attempts after a request's first were made
 	t            *testing.T
 	b            *Balancer
 	settings     Settings
@@ -51,7 +52,7 @@
 				harmless := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
 					c.now < s.sentAt+r.class.DedupWindow
 				if a.Kind == ActionReject && (s.mayHaveRun || s.inFlight) && !harmless {
-					c.t.Fatalf("refused a request that may have run")
+					c.t.Fatalf("rejected a request that may have run")
 				}
 			}
 		case ActionSetTimer:
@@ -75,7 +76,7 @@
 	}
 	switch {
 	case r == nil || r.answered:
-		c.t.Fatalf("sent for a request that is over: %+v", a)
+		c.t.Fatalf("sent for a request that is answered: %+v", a)
 	case !known || s.State != Ready:
 		c.t.Fatalf("sent to a server that is not ready: %+v", a)
 	case made >= c.settings.MaxAttempts:
@@ -85,29 +86,29 @@
 	}
 	if r.class.Zones != nil && !slices.Contains(r.class.Zones, s.Zone) ||
 		r.class.Kinds != nil && !slices.Contains(r.class.Kinds, s.Kind) {
-		c.t.Fatalf("a bound class sent to %+v", s)
+		c.t.Fatalf("a class with placement sent to %+v", s)
 	}
 	if made > 0 {
 		c.retryTimes = append(c.retryTimes, c.now)
 		most := c.settings.RetryBudgetMin + c.settings.RetryBudgetRatio*c.countInWindow(c.requestTimes, false)
 		if n := c.countInWindow(c.retryTimes, true); c.settings.RetryBudgetWindow > 0 && n > most {
-			c.t.Fatalf("%v further attempts in the window, %v allowed", n, most)
+			c.t.Fatalf("%v retries in the window, %v allowed", n, most)
 		}
 	}
 	for _, p := range r.attempts {
 		if p.inFlight && !c.settings.Hedging {
-			c.t.Fatal("two attempts out at once")
+			c.t.Fatal("two attempts in flight at once")
 		}
 		if !p.mayHaveRun && !p.inFlight {
 			continue
 		}
 		if r.class.Idempotency == NonIdempotent {
-			c.t.Fatal("an unsafe request sent again")
+			c.t.Fatal("a request that is not idempotent sent again")
 		}
 		if r.class.Idempotency == IdempotentWithKey && (c.now >= p.sentAt+r.class.DedupWindow ||
 			r.class.DedupScope == DedupScopeCell && p.server.Cell != s.Cell ||
 			r.class.DedupScope == DedupScopeZone && p.server.Zone != s.Zone) {
-			c.t.Fatal("a keyed request sent where its key is not known")
+			c.t.Fatal("a request sent again where its idempotency key is not known")
 		}
 	}
 	a.Attempt = len(r.attempts)
@@ -115,7 +116,7 @@
 	c.pending = append(c.pending, a)
 }
 
-// countInWindow counts what lies in the retry budget's window; edge says whether its far edge belongs to it.
+// countInWindow counts the times within the retry budget's window; edge says whether its far edge belongs to it.
 func (c *ruleChecker) countInWindow(times []time.Duration, edge bool) (n float64) {
 	for _, at := range times {
 		if from := c.now - c.settings.RetryBudgetWindow; at > from || edge && at == from {
@@ -125,21 +126,24 @@
 	return n
 }
 
-// endAttempt ends the attempt at place i of the pending ones.
-func (c *ruleChecker) endAttempt(i int, how Outcome) {
+// endAttempt ends the attempt at position i of the pending ones.
+func (c *ruleChecker) endAttempt(i int, outcome Outcome) {
 	a := c.pending[i]
 	c.pending = append(c.pending[:i:i], c.pending[i+1:]...)
 	r := c.requests[a.Request]
 	s := &r.attempts[a.Attempt]
-	s.inFlight, s.mayHaveRun, s.unsent = false, how != OutcomeRejected && how != OutcomeConnectFailed && how != OutcomeExpired && how != OutcomeServerDraining, how == OutcomeServerDraining
-	if how == OutcomeOK {
+	s.inFlight = false
+	neverRan := []Outcome{OutcomeRejected, OutcomeConnectFailed, OutcomeExpired, OutcomeServerDraining}
+	s.mayHaveRun = !slices.Contains(neverRan, outcome)
+	s.unsent = outcome == OutcomeServerDraining
+	if outcome == OutcomeOK {
 		r.answered = true
 	}
-	c.handle(Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Outcome: how,
+	c.handle(Event{Kind: EventOutcome, Request: a.Request, Attempt: a.Attempt, Server: a.Server, Outcome: outcome,
 		Answered: r.answered, Load: LoadReport{Known: true, InFlight: float64(i % 9), Queue: float64(i % 5)}})
 }
 
-// advance lets time go by; what is due happens on the way.
+// advance passes time; timers and timeouts that are due happen on the way.
 func (c *ruleChecker) advance(by time.Duration) {
 	for end := c.now + by; c.now < end; {
 		c.now = min(end, c.now+5*time.Millisecond)
@@ -182,13 +186,18 @@
 			s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 100*ms, 1, 0.25
 		}
 		if data[0]&32 != 0 {
-			s.Classes[nonIdempotent].Zones, s.Classes[idempotent].Kinds, s.Classes[keyedByFleet].Zones = []int{1}, []int{0}, []int{}
+			s.Classes[nonIdempotent].Zones = []int{1}
+			s.Classes[idempotent].Kinds = []int{0}
+			s.Classes[keyedByFleet].Zones = []int{}
 		}
 		b, err := New(s, uint64(data[0]))
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := &ruleChecker{t: t, b: b, settings: s, now: time.Hour, requests: map[RequestID]*trackedRequest{}, endpoints: map[ServerID]Endpoint{}}
+		c := &ruleChecker{
+			t: t, b: b, settings: s, now: time.Hour,
+			requests: map[RequestID]*trackedRequest{}, endpoints: map[ServerID]Endpoint{},
+		}
 		for id := range RequestID(len(data)) {
 			c.step(id, data[id]>>4, int(data[id]&15))
 		}
@@ -204,15 +213,15 @@
 	})
 }
 
-// step does one legal thing: what is the kind, arg a detail of it.
+// step lets one legal thing happen; kind chooses it and detail is a parameter of it.
 func (c *ruleChecker) step(id RequestID, what byte, arg int) {
 	switch {
 	case what < 5:
 		class := c.settings.Classes[arg%len(c.settings.Classes)]
-		left := time.Duration(1+arg) * 60 * time.Millisecond
-		c.requests[id] = &trackedRequest{class: class, deadline: c.now + left}
+		remaining := time.Duration(1+arg) * 60 * time.Millisecond
+		c.requests[id] = &trackedRequest{class: class, deadline: c.now + remaining}
 		c.requestTimes = append(c.requestTimes, c.now)
-		c.handle(Event{Kind: EventRequest, Request: id, Class: arg % len(c.settings.Classes), Remaining: left, Retry: arg == 15})
+		c.handle(Event{Kind: EventRequest, Request: id, Class: arg % len(c.settings.Classes), Remaining: remaining, Retry: arg == 15})
 	case what < 9 && len(c.pending) > 0:
 		c.endAttempt(arg%len(c.pending), Outcome(what*5+byte(arg))%(OutcomeServerDraining+1))
 	case what < 11:
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -5,51 +5,51 @@
 	"time"
 )
 
-// No request waits for a probe, and a server whose probe is out is neither probed again nor passed by for it.
+// No request waits for a health check, and a server whose health check is pending is neither checked again nor skipped.
 func TestHealthChecksDelayNothing(t *testing.T) {
 	s := testSettings()
 	s.HealthChecks, s.Reports = true, ReportsOnHealthCheck
 	h := newHarness(t, s, readyEndpoints(2)...)
-	asked := map[ServerID]int{}
+	checked := map[ServerID]int{}
 	id := RequestID(0)
 	ask := func() Action {
 		id++
-		acts := h.request(id, idempotent)
-		for _, a := range acts {
+		actions := h.request(id, idempotent)
+		for _, a := range actions {
 			if a.Kind == ActionHealthCheck {
-				asked[a.Server]++
+				checked[a.Server]++
 			}
 		}
-		return onlyAction(t, acts, ActionSend)
+		return onlyAction(t, actions, ActionSend)
 	}
-	for range 40 { // no probe is answered
+	for range 40 { // no health check is answered
 		ask()
 		h.endAttempt(id, 0, OutcomeOK)
 	}
-	if asked[1] != 1 || asked[2] != 1 {
-		t.Errorf("probes out: %v, want one to each", asked)
+	if checked[1] != 1 || checked[2] != 1 {
+		t.Errorf("pending health checks: %v, want one of each server", checked)
 	}
-	for server, held := range map[ServerID]float64{1: 60, 2: 0} {
+	for server, inFlight := range map[ServerID]float64{1: 60, 2: 0} {
 		h.handle(Event{Kind: EventHealthCheck, Server: server, Outcome: OutcomeOK,
-			Load: LoadReport{Known: true, InFlight: held, Queue: -1, ServiceTime: 50 * ms}})
+			Load: LoadReport{Known: true, InFlight: inFlight, Queue: -1, ServiceTime: 50 * ms}})
 	}
-	joined := map[ServerID]int{}
+	sentTo := map[ServerID]int{}
 	for range 2 {
-		joined[ask().Server]++
+		sentTo[ask().Server]++
 	}
-	if joined[2] != 2 || asked[1] != 1 || asked[2] != 1 {
-		t.Errorf("joined %v, 1 holding 60 and 2 nothing; probed %v though the reports are fresh", joined, asked)
+	if sentTo[2] != 2 || checked[1] != 1 || checked[2] != 1 {
+		t.Errorf("sent to %v, 1 holding 60 and 2 nothing; checked %v though the reports are fresh", sentTo, checked)
 	}
-	if h.now += time.Minute; len(joined) > 0 {
+	if h.now += time.Minute; len(sentTo) > 0 {
 		ask()
 	}
-	if asked[1]+asked[2] < 3 {
-		t.Error("old reports are not asked for again")
+	if checked[1]+checked[2] < 3 {
+		t.Error("old reports lead to no health check")
 	}
 }
 
-// Where answers carry reports nothing is probed, however old the last report is: among many agents that see few
-// requests each every report is old, and all of them together would probe more than they send.
+// Where answers carry reports there are no health checks, however old the last report is: among many agents that see few
+// requests each every report is old, and all of them together would check more often than they send.
 func TestInlineReportsNeedNoHealthChecks(t *testing.T) {
 	s := testSettings()
 	s.HealthChecks, s.Reports, s.Agents = true, ReportsInline, 80
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -11,13 +11,13 @@
 	h := newHarness(t, s)
 	first := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: EndpointsCached, Endpoints: readyEndpoints(2)}), ActionSetTimer)
 	if first.Delay < 600*ms || first.Delay > 900*ms {
-		t.Errorf("rank 2 of 4 asks after %v, want its slot of 0.3 s", first.Delay)
+		t.Errorf("rank 2 of 4 polls after %v, want its turn of 0.3 s", first.Delay)
 	}
 	onlyAction(t, h.handle(Event{Kind: EventTimer, TimerID: first.TimerID}), ActionPollEndpoints)
 	last := time.Duration(0)
-	for n := range 4 {
+	for failures := range 4 {
 		a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: PollFailed}), ActionSetTimer)
-		if n == 0 && a.Delay > 1500*ms {
+		if failures == 0 && a.Delay > 1500*ms {
 			t.Errorf("waits %v after one failure", a.Delay)
 		}
 		if a.Delay > NotifyBoundAfterFailure-1500*ms {
@@ -31,16 +31,16 @@
 	onlyAction(t, h.request(1, idempotent), ActionSend)
 }
 
-// The next call for the list leaves time for its answer, and for another, before what was missed counts as told; without
-// such a bound calls are made in turn, and then ever more seldom, but within MaxPollInterval.
+// The next poll leaves time for its answer, and for another poll, before the agent counts as notified of what it missed.
+// Without such a bound agents poll in turn, and then less and less often, but within MaxPollInterval.
 func TestPollsWithinRemainingTime(t *testing.T) {
-	for _, mustAskIn := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
+	for _, maxPollInterval := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
 		for _, agents := range []int{1, 6, 350} {
 			s := testSettings()
-			s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, mustAskIn, agents, agents-1
+			s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, maxPollInterval, agents, agents-1
 			for _, c := range []struct {
 				before      int // failures in a row
-				left        time.Duration
+				remaining   time.Duration
 				least, most time.Duration
 			}{
 				{0, 1400 * ms, 0, 0},
@@ -48,38 +48,38 @@
 				{5, 700 * ms, 50 * ms, 300 * ms},
 				{0, 4 * time.Second, 0, 2500 * ms},
 				{0, 1, 0, 0},
-				{0, 0, 0, min(mustAskIn*6/10, 4500*ms)},
-				{1, 0, 50 * ms, min(mustAskIn, 4500*ms)},
-				{9, 0, min(mustAskIn/4, 2250*ms), min(mustAskIn, 4500*ms)},
-				{9, 6 * time.Second, min(mustAskIn/4, 2250*ms), min(mustAskIn, 4500*ms)},
+				{0, 0, 0, min(maxPollInterval*6/10, 4500*ms)},
+				{1, 0, 50 * ms, min(maxPollInterval, 4500*ms)},
+				{9, 0, min(maxPollInterval/4, 2250*ms), min(maxPollInterval, 4500*ms)},
+				{9, 6 * time.Second, min(maxPollInterval/4, 2250*ms), min(maxPollInterval, 4500*ms)},
 			} {
 				h := newHarness(t, s, readyEndpoints(2)...)
 				for range c.before {
 					h.handle(Event{Kind: EventDiscovery, Update: PollFailed})
 				}
-				a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: PollFailed, Remaining: c.left}), ActionSetTimer)
+				a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: PollFailed, Remaining: c.remaining}), ActionSetTimer)
 				if a.Delay < c.least || a.Delay > c.most {
-					t.Errorf("%d agents, %v: %d failures and %v left: waits %v, want %v to %v", agents, mustAskIn, c.before+1,
-						c.left, a.Delay, c.least, c.most)
+					t.Errorf("%d agents, %v: %d failures and %v left: waits %v, want %v to %v", agents, maxPollInterval, c.before+1,
+						c.remaining, a.Delay, c.least, c.most)
 				}
 			}
 		}
 	}
 }
 
-// Where it is known how long the list service takes for a call, further calls come at a rate that it can answer: each agent one
-// in half of a round to one and a half, sooner while there is time for one more, and within the bound at the latest. After
-// a move they begin anew, in turn.
+// Where the latency of discovery is known, further polls come at a rate that it can answer: each agent one in half of a
+// round to one and a half, sooner while there is time for one more, and within the bound at the latest. After a migration
+// the agents poll in turn again.
 func TestPollsArePacedByLatency(t *testing.T) {
 	for name, c := range map[string]struct {
 		agents      int
 		answer      time.Duration
 		mode        DiscoveryUpdate
 		before      int // failures in a row
-		left        time.Duration
+		remaining   time.Duration
 		least, most time.Duration
 	}{
-		"the first failure":              {6, 450 * ms, PollFailed, 0, 6 * time.Second, 2250 * ms, 2700 * ms}, // the last of 6 in turn
+		"the first failure":              {6, 450 * ms, PollFailed, 0, 6 * time.Second, 2250 * ms, 2700 * ms}, // the last of 6 turns
 		"a further one":                  {6, 450 * ms, PollFailed, 1, 6 * time.Second, 1350 * ms, 2550 * ms},
 		"little time left":               {6, 450 * ms, PollFailed, 1, 1500 * ms, 1350 * ms, 1350 * ms},
 		"no time left":                   {6, 450 * ms, PollFailed, 1, 1, 1350 * ms, 4050 * ms},
@@ -88,8 +88,8 @@
 		"a large fleet":                  {350, 5700 * time.Microsecond, PollFailed, 1, 6 * time.Second, 997 * ms, 2995 * ms},
 		"a slow service, no time left":   {6, 500 * ms, PollFailed, 1, 1, 1500 * ms, 4500 * ms},
 		"a slower one is given the time": {6, time.Second, PollFailed, 1, 1, 3 * time.Second, 4500 * ms},
-		"a move after failures":          {6, 450 * ms, DiscoveryMigrated, 9, 4 * time.Second, 2083 * ms, 2500 * ms},
-		"a failure after a move":         {6, 450 * ms, PollFailed, 1, 2 * time.Second, 1350 * ms, 1350 * ms},
+		"a migration after failures":     {6, 450 * ms, DiscoveryMigrated, 9, 4 * time.Second, 2083 * ms, 2500 * ms},
+		"a failure after a migration":    {6, 450 * ms, PollFailed, 1, 2 * time.Second, 1350 * ms, 1350 * ms},
 	} {
 		for seed := range uint64(20) {
 			s := testSettings()
@@ -98,7 +98,7 @@
 			for range c.before {
 				h.handle(Event{Kind: EventDiscovery, Update: PollFailed, PollLatency: c.answer})
 			}
-			a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: c.mode, Remaining: c.left, PollLatency: c.answer}), ActionSetTimer)
+			a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: c.mode, Remaining: c.remaining, PollLatency: c.answer}), ActionSetTimer)
 			if a.Delay < c.least || a.Delay > c.most {
 				t.Errorf("%s, seed %d: waits %v, want %v to %v", name, seed, a.Delay, c.least, c.most)
 			}
@@ -106,7 +106,7 @@
 	}
 }
 
-// Only the last timer for the list counts: one set before a move or a failure would have the agent ask too soon.
+// Only the latest poll timer counts: one set before a migration or a failure would have the agent poll too soon.
 func TestLatestPollTimerCounts(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints, s.MaxPollInterval = true, 10*time.Second
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -7,7 +7,7 @@
 )
 
 func TestNewNamesTheInvalidSetting(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"Agents":                      func(s *Settings) { s.Agents = 0 },
 		"Rank":                        func(s *Settings) { s.Rank = 1 },
 		"MaxAttempts":                 func(s *Settings) { s.MaxAttempts = 0 },
@@ -30,7 +30,7 @@
 		"Tenants[0].Quota":            func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
 	} {
 		s := testSettings()
-		spoil(&s)
+		invalidate(&s)
 		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v", field, err)
 		}
--- a/internal/balancer/slowstart_fleet_test.go
+++ b/internal/balancer/slowstart_fleet_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// fleetEvent is what is to come to one process of a fleet.
+// fleetEvent is an event that will reach one agent of a simulated fleet, if it has not restarted by then.
 type fleetEvent struct {
 	at          time.Duration
 	agent       int
@@ -28,18 +28,17 @@
 	return last
 }
 
-// steadyTime is how long a fleet plays before its cold servers start.
+// steadyTime is how long a fleet runs before some of its servers restart and warm up.
 const steadyTime = 5 * time.Second
 
-// warmingFleet plays processes that share warm servers and some that start cold, with traffic of so much of what all can do
-// when warm, and returns when each cold server was sent something.
+// warmingFleet describes a simulated fleet of agents that share servers, some of which restart and warm up.
 type warmingFleet struct {
 	agents, servers, warming int
-	requestsPerSecond        float64 // requests a second that a warm server can do
-	load                     float64 // of what all warm ones can do, that is asked for
-	trafficDeviation         float64 // deviation of the processes' traffic over its mean
-	failureShare             float64 // attempts that fail at once
-	restartedAgents          int     // processes that start again halfway, with the list that they had first
+	requestsPerSecond        float64 // capacity of a warm server
+	load                     float64 // requests, as a part of the capacity of all servers when warm
+	trafficDeviation         float64 // standard deviation of the agents' traffic over its mean
+	failureShare             float64 // part of the attempts that fail at once
+	restartedAgents          int     // agents that restart while servers warm up
 	reports                  ReportMode
 }
 
@@ -139,20 +138,20 @@
 	return sent
 }
 
-// Together the processes of a fleet send a cold server no more than its budget and what is chance, in any span of the length
-// that the settings name: N + 2 sqrt(N) + 2 requests, N being what the settings allow for the least that it can do then. So with
-// few processes and many, uneven traffic, several servers that start at once, processes that start again and know nothing
-// but the list, failed attempts that are made again, and more traffic than the servers can carry.
+// Together the agents of a fleet send a server that warms up no more than its budget and what is chance, in any span of a
+// given length: N + 2 sqrt(N) + 2 requests, N being what the settings allow for the least capacity that it has by then.
+// This holds with few agents and many, uneven traffic, several servers that start at once, agents that restart and know
+// nothing but the list, failed attempts that are retried, and more traffic than the servers can carry.
 func TestSlowStartBudgetOfFleet(t *testing.T) {
-	set := testSettings()
-	for i := range set.Classes {
-		set.Classes[i].LatencyObjective, set.Classes[i].Deadline = 2500*ms, 6*time.Second
+	settings := testSettings()
+	for i := range settings.Classes {
+		settings.Classes[i].LatencyObjective, settings.Classes[i].Deadline = 2500*ms, 6*time.Second
 	}
 	for _, site := range []struct {
 		from, factor float64
 		over, warm   time.Duration
 	}{{0.31, 3, 2 * time.Second, 8800 * ms}, {0.15, 2.5, 3 * time.Second, 10 * time.Second}, {0.05, 1.5, 5 * time.Second, time.Minute}} {
-		set.SlowStartMinWeight, set.OverloadFactor, set.SlowStartDuration = site.from, site.factor, site.warm
+		settings.SlowStartMinWeight, settings.OverloadFactor, settings.SlowStartDuration = site.from, site.factor, site.warm
 		for i, c := range []warmingFleet{
 			{agents: 3, servers: 15, warming: 3, requestsPerSecond: 8, load: 0.8, trafficDeviation: 0.8},
 			{agents: 20, servers: 40, warming: 8, requestsPerSecond: 8, load: 0.8, trafficDeviation: 1.4},
@@ -164,9 +163,9 @@
 			{agents: 300, servers: 200, warming: 120, requestsPerSecond: 8, load: 0.8, trafficDeviation: 1.4, restartedAgents: 210},
 		} {
 			c.reports = []ReportMode{ReportsInline, ReportsOff}[i%2]
-			sent := c.run(t, set, uint64(i))
+			sent := c.run(t, settings, uint64(i))
 			if len(sent) < c.warming/2 {
-				t.Errorf("%+v: only %d of the cold servers are used", c, len(sent))
+				t.Errorf("%+v: only %d of the servers that warm up are used", c, len(sent))
 			}
 			for s, times := range sent {
 				first := 0
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// A server that is cold gets no more than its present share even if it wins every pair.
+// A server that warms up gets no more than its present share even if it wins every pair.
 func TestSlowStartBudget(t *testing.T) {
 	list := readyEndpoints(4)
 	list[3].Start = time.Hour
 	h := newHarness(t, testSettings(), list...)
-	count := func(n int) (cold float64) {
+	count := func(n int) (warming float64) {
 		for id := range RequestID(n) {
 			h.b.overload = 0
 			for _, a := range h.request(id, idempotent) {
 				if a.Kind == ActionSend {
 					if a.Server == 4 {
-						cold++
+						warming++
 					}
 					h.endAttempt(id, 0, OutcomeOK)
 				}
 			}
 		}
-		return cold / float64(n)
+		return warming / float64(n)
 	}
 	if got := count(4000); got < 0.01 || got > slowStartMargin*2.5*0.2/4*1.2 {
 		t.Errorf("a server at a fifth of its capacity got %v of the traffic of 4", got)
@@ -46,12 +46,12 @@
 		}
 	}
 	if share := float64(sent) / 4000; share > slowStartMargin*2.5*0.2 || share < 0.1 {
-		t.Errorf("a fleet that is all cold got %v of the traffic", share)
+		t.Errorf("a fleet that all warms up got %v of the traffic", share)
 	}
 }
 
-// Where most of a fleet is cold its servers are drawn by what they can likely do, and what is let through at once is
-// not held back as if it were drawn again: the few that are warm cannot carry the rest.
+// Where most of a fleet warms up, its servers are picked by their expected warmth, and a send is not withheld as if each
+// request picked anew: the few servers that are warm cannot carry the rest.
 func TestWarmingFleetIsUsed(t *testing.T) {
 	list := readyEndpoints(10)
 	for i := range 6 {
@@ -59,33 +59,33 @@
 	}
 	h := newHarness(t, testSettings(), list...)
 	h.now += testSettings().SlowStartDuration / 2
-	cold := 0.0
+	warming := 0.0
 	for id := range RequestID(4000) {
 		for _, a := range h.request(id, idempotent) {
 			if a.Kind == ActionSend {
 				if a.Server <= 6 {
-					cold += 1.0 / 4000
+					warming += 1.0 / 4000
 				}
 				h.endAttempt(id, 0, OutcomeOK)
 			}
 		}
 	}
-	if cold < 0.32 || cold > 0.6 {
-		t.Errorf("six servers half warm of ten got %v of the traffic, want 0.32 to 0.6", cold)
+	if warming < 0.32 || warming > 0.6 {
+		t.Errorf("six servers half warm of ten got %v of the traffic, want 0.32 to 0.6", warming)
 	}
 }
 
-// Two processes of one agent that divide its traffic send a cold server no more than one with all of it: the budget is a
-// share of what is sent.
+// Two processes of one agent that divide its traffic send a server that warms up no more than one process with all of it:
+// the budget is a share of the traffic.
 func TestSlowStartBudgetOfTwoProcesses(t *testing.T) {
 	sent := func(processes int) (n int) {
-		set := testSettings()
-		set.Agents = 4
+		settings := testSettings()
+		settings.Agents = 4
 		var all []*harness
 		for range processes {
 			list := readyEndpoints(10)
 			list[0].Start = time.Hour - ms // it has just started
-			all = append(all, newHarness(t, set, list...))
+			all = append(all, newHarness(t, settings, list...))
 		}
 		for id := range RequestID(8000) {
 			h := all[int(id)%processes]
@@ -99,6 +99,6 @@
 		return n
 	}
 	if one, two := sent(1), sent(2); two > one+one/4 {
-		t.Errorf("one process sends %d to the cold server, two send %d", one, two)
+		t.Errorf("one process sends %d to the server that warms up, two send %d", one, two)
 	}
 }
--- a/internal/balancer/speed_test.go
+++ b/internal/balancer/speed_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Danger: weights that leave out how fast a kind's cores are overload the slow kind.
+// Listed weights may leave out how fast the cores of a kind are, and would overload the slow kind.
 func TestKindSpeedIsLearnt(t *testing.T) {
 	list := readyEndpoints(8)
 	for i := range list {
@@ -17,9 +17,9 @@
 			h.b.recordLatency(h.b.classes[idempotent], &attempt{server: s, queueDepth: 1}, []float64{0.1, 0.2}[s.Kind])
 		},
 		"answers behind queues": func(h *harness, s *server) {
-			took := []float64{0.1, 0.2}[s.Kind]
+			latency := []float64{0.1, 0.2}[s.Kind]
 			h.b.recordReport(s, LoadReport{Known: true, InFlight: -1, Queue: 3, ServiceTime: 20 * ms})
-			h.b.recordLatency(h.b.classes[idempotent], &attempt{server: s, queueDepth: 4}, 4*took)
+			h.b.recordLatency(h.b.classes[idempotent], &attempt{server: s, queueDepth: 4}, 4*latency)
 		},
 	} {
 		h := newHarness(t, testSettings(), list...)
@@ -39,7 +39,7 @@
 	}
 }
 
-// Where reports tell queues and no requests in flight, a server that is new is no faster than the others.
+// Where reports tell queues and no requests in flight, a new server is no faster than the others.
 func TestNewServerIsNoFaster(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(4)...)
 	var id RequestID
@@ -62,7 +62,7 @@
 	}
 }
 
-// A kind that is sent less and so has less in work is neither slower nor narrower for it.
+// A kind that is sent less and has fewer requests in flight is neither slower nor faster for it.
 func TestTrafficDoesNotChangeSpeed(t *testing.T) {
 	list := readyEndpoints(4)
 	for i := range list {
@@ -84,7 +84,7 @@
 	}
 }
 
-// A class that takes ten times as long is no slow server, even where one server happens to get all of it.
+// A class that takes ten times as long does not make a server slow, even one that happens to get all of it.
 func TestSlowClassDoesNotSlowServer(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(2)...)
 	long, short := h.b.servers[0], h.b.servers[1]
@@ -94,7 +94,7 @@
 		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: short, queueDepth: 1}, 0.05)
 	}
 	if long.slowdown > 1.2 || short.slowdown < 0.8 {
-		t.Errorf("slowness %v and %v", long.slowdown, short.slowdown)
+		t.Errorf("slowdowns %v and %v", long.slowdown, short.slowdown)
 	}
 	for range 200 {
 		h.b.now += 50 * ms
@@ -102,27 +102,27 @@
 		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: short, queueDepth: 1}, 0.05)
 	}
 	if long.slowdown < 1.4*short.slowdown {
-		t.Errorf("a server three times slower: slowness %v and %v", long.slowdown, short.slowdown)
+		t.Errorf("a server three times slower: slowdowns %v and %v", long.slowdown, short.slowdown)
 	}
 }
 
-// A cold server's answers take as long as it is cold: that is known, and were it learnt as slowness too it would be
-// sent a part of a part, and less for long after it is warm.
+// The latency of a server that warms up is expected. Were it learnt as slowdown too, the server would be sent too little,
+// even for long after it is warm.
 func TestSlowStartIsNotSlowdown(t *testing.T) {
 	list := readyEndpoints(2)
 	list[1].Start = time.Hour
 	h := newHarness(t, testSettings(), list...)
-	warm, cold := h.b.serversByID[1], h.b.serversByID[2]
+	warm, warming := h.b.serversByID[1], h.b.serversByID[2]
 	for range 200 {
 		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: warm, queueDepth: 1}, 0.05)
-		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: cold, queueDepth: 1}, 0.05/h.b.expectedWarmth(cold))
+		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: warming, queueDepth: 1}, 0.05/h.b.expectedWarmth(warming))
 	}
-	if r := cold.slowdown / warm.slowdown; r < 0.8 || r > 1.25 {
-		t.Errorf("a cold server passes for %v times slower than a warm one of its kind", r)
+	if r := warming.slowdown / warm.slowdown; r < 0.8 || r > 1.25 {
+		t.Errorf("a server that warms up counts as %v times slower than a warm one of its kind", r)
 	}
 }
 
-// Our own queue at a server is not its slowness.
+// Waiting behind this agent's own requests does not make a server slow.
 func TestOwnQueueIsNotSlowdown(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(2)...)
 	busy, idle := h.b.servers[0], h.b.servers[1]
@@ -132,24 +132,23 @@
 		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: idle, queueDepth: 1}, 0.1)
 	}
 	if busy.slowdown > 1.2*idle.slowdown {
-		t.Errorf("slowness %v with four times the wait for three of our own, %v with none", busy.slowdown, idle.slowdown)
+		t.Errorf("slowdown %v with four times the wait for three of our own, %v with none", busy.slowdown, idle.slowdown)
 	}
 }
 
-// What was learnt of a kind of machine stays with it when the settings change, and is forgotten when its place may be
-// another kind's.
+// What was learnt of the kinds of machine stays when the settings change, and is forgotten when their positions change.
 func TestAdoptKinds(t *testing.T) {
 	list := readyEndpoints(8)
 	for i := range list {
 		list[i].Kind = i % 2
 	}
-	set := testSettings()
-	set.Kinds = []string{"large", "small"}
+	settings := testSettings()
+	settings.Kinds = []string{"large", "small"}
 	for _, c := range []struct {
 		kinds []string
 		stays bool
 	}{{[]string{"large", "small"}, true}, {[]string{"small", "large"}, false}, {nil, false}} {
-		h := newHarness(t, set, list...)
+		h := newHarness(t, settings, list...)
 		for i := range 80 {
 			s := h.b.servers[i%8]
 			h.b.recordLatency(h.b.classes[idempotent], &attempt{server: s, queueDepth: 1}, []float64{0.1, 0.2}[s.Kind])
@@ -157,7 +156,7 @@
 		for _, s := range h.b.servers {
 			s.slowdown = 1
 		}
-		next := set
+		next := settings
 		next.Kinds = c.kinds
 		if err := h.b.Adopt(next); err != nil {
 			t.Fatal(err)
