--- a/internal/balancer/admission_test.go
+++ b/internal/balancer/admission_test.go
@@ -65,7 +65,8 @@
 	for _, s := range h.b.servers {
 		s.skippedUntil = h.now + time.Second
 	}
-	if onlyAction(t, h.request(1, idempotent), ActionReject); h.b.overload > 0 {
+	onlyAction(t, h.request(1, idempotent), ActionReject)
+	if h.b.overload > 0 {
 		t.Errorf("overload %v for a pair that is skipped", h.b.overload)
 	}
 	for _, s := range h.b.servers {
@@ -73,7 +74,8 @@
 	}
 	report(40)
 	h.b.overload = 0
-	if onlyAction(t, h.request(2, idempotent), ActionReject); h.b.overload == 0 {
+	onlyAction(t, h.request(2, idempotent), ActionReject)
+	if h.b.overload == 0 {
 		t.Error("no overload for a pair that is overloaded")
 	}
 }
--- a/internal/balancer/attempts_test.go
+++ b/internal/balancer/attempts_test.go
@@ -82,7 +82,8 @@
 		for n := range 5 { // as one server after the other drains
 			drained := a.Server
 			h.handle(Event{Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: drained, State: Draining}}})
-			if a = onlyAction(t, h.endAttempt(1, n, OutcomeServerDraining), ActionSend); a.Server == drained {
+			a = onlyAction(t, h.endAttempt(1, n, OutcomeServerDraining), ActionSend)
+			if a.Server == drained {
 				t.Fatalf("class %d: sent to the draining server", class)
 			}
 			if health := h.b.serversByID[drained].health[class]; health.failures > 0 || h.b.serversByID[drained].skippedUntil > 0 {
@@ -245,7 +246,8 @@
 		h := newHarness(t, s, readyEndpoints(3)...)
 		actions := h.request(1, c.class)
 		first, timer := onlyAction(t, actions, ActionSend).Server, onlyAction(t, actions, ActionSetTimer)
-		if h.now += ms; c.report >= 0 {
+		h.now += ms
+		if c.report >= 0 {
 			h.handle(Event{Kind: EventHealthCheck, Server: first, Load: LoadReport{Known: true, InFlight: c.report, Queue: -1, ServiceTime: -1}})
 		}
 		h.now += c.after
@@ -282,7 +284,8 @@
 		h.request(1, idempotent)
 		h.handle(Event{Kind: EventStreaming, Request: 1})
 		actions := h.endAttempt(1, 0, outcome)
-		if noAction(t, actions, ActionSend); onlyAction(t, actions, ActionReject).Request != 1 || len(h.b.requests) > 0 {
+		noAction(t, actions, ActionSend)
+		if onlyAction(t, actions, ActionReject).Request != 1 || len(h.b.requests) > 0 {
 			t.Errorf("outcome %d: %+v", outcome, actions)
 		}
 	}
--- a/internal/balancer/candidates_test.go
+++ b/internal/balancer/candidates_test.go
@@ -37,7 +37,8 @@
 		s := testSettings()
 		s.Agents = c.agents
 		h := newHarness(t, s, readyEndpoints(c.servers)...)
-		if h.pickPair(); len(h.candidates().servers) != c.want {
+		h.pickPair()
+		if len(h.candidates().servers) != c.want {
 			t.Errorf("%d agents and %d servers: %d candidates, want %d", c.agents, c.servers, len(h.candidates().servers), c.want)
 		}
 	}
@@ -90,7 +91,8 @@
 		check := func(actions []Action) {
 			for _, a := range actions {
 				if a.Kind == ActionSend {
-					if sent++; !c.open(list[a.Server-1]) {
+					sent++
+					if !c.open(list[a.Server-1]) {
 						t.Fatalf("%s: sent to %+v", name, list[a.Server-1])
 					}
 				}
@@ -99,7 +101,8 @@
 		for id := range RequestID(60) {
 			h.b.overload, h.b.retryTimes = 0, nil
 			actions := h.request(id, idempotent)
-			if check(actions); any && id == 0 {
+			check(actions)
+			if any && id == 0 {
 				onlyAction(t, actions, ActionSend)
 			} else if !any {
 				onlyAction(t, actions, ActionReject)
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -40,9 +40,8 @@
 	if sentTo[2] != 2 || checked[1] != 1 || checked[2] != 1 {
 		t.Errorf("sent to %v, 1 holding 60 and 2 nothing; checked %v though the reports are fresh", sentTo, checked)
 	}
-	if h.now += time.Minute; len(sentTo) > 0 {
-		ask()
-	}
+	h.now += time.Minute
+	ask()
 	if checked[1]+checked[2] < 3 {
 		t.Error("old reports lead to no health check")
 	}
--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -117,7 +117,8 @@
 	h.handle(Event{Kind: EventTimer}) // brings the Balancer's time up to date
 	h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: s}, OutcomeOK, 0.1)
 	h.now += check.Delay / 2
-	if h.handle(Event{Kind: EventTimer, TimerID: check.TimerID}); s.health[idempotent].failures > 0 {
+	h.handle(Event{Kind: EventTimer, TimerID: check.TimerID})
+	if s.health[idempotent].failures > 0 {
 		t.Errorf("failures %v for a costly request", s.health[idempotent].failures)
 	}
 	h.now += time.Second
--- a/internal/balancer/pick_test.go
+++ b/internal/balancer/pick_test.go
@@ -93,11 +93,13 @@
 	report := func(queue float64) {
 		h.b.recordReport(s, LoadReport{Known: true, InFlight: -1, Queue: queue, ServiceTime: 10 * ms})
 	}
-	if report(20); h.b.inFlightEstimate(s) < 10 || !h.b.isOverloaded(r, s) {
+	report(20)
+	if h.b.inFlightEstimate(s) < 10 || !h.b.isOverloaded(r, s) {
 		t.Errorf("a queue of 20: %v in flight, overloaded %v", h.b.inFlightEstimate(s), h.b.isOverloaded(r, s))
 	}
 	report(0)
-	if s.inFlight = 5; h.b.inFlightEstimate(s) != 5 || h.b.isOverloaded(r, s) {
+	s.inFlight = 5
+	if h.b.inFlightEstimate(s) != 5 || h.b.isOverloaded(r, s) {
 		t.Errorf("5 of our own and no queue: %v in flight, overloaded %v", h.b.inFlightEstimate(s), h.b.isOverloaded(r, s))
 	}
 	for range 50 { // one long queue is not the fleet's
@@ -148,7 +150,8 @@
 	if got := h.b.inFlightEstimate(s); got != 1 {
 		t.Errorf("by a fresh report, 7 of 8 being silent: %v in flight", got)
 	}
-	if h.b.now += time.Second; h.b.inFlightEstimate(s) < 7.5 {
+	h.b.now += time.Second
+	if h.b.inFlightEstimate(s) < 7.5 {
 		t.Errorf("when the report is old: %v in flight", h.b.inFlightEstimate(s))
 	}
 	h.endAttempt(RequestID(timers[0].TimerID&math.MaxUint32), 0, OutcomeReset)
@@ -173,7 +176,8 @@
 	h.b.recordReport(s, load)
 	load.Queue = 0
 	h.b.recordReport(s, load)
-	if s.lastReport.InFlight = 2; h.b.isOverloaded(r, s) {
+	s.lastReport.InFlight = 2
+	if h.b.isOverloaded(r, s) {
 		t.Error("2 in flight without a queue are no overload")
 	}
 	load.InFlight, load.ServiceTime, load.Queue = -1, 10*ms, 15
--- a/internal/balancer/slowstart_fleet_test.go
+++ b/internal/balancer/slowstart_fleet_test.go
@@ -4,6 +4,7 @@
 	"container/heap"
 	"math"
 	"math/rand/v2"
+	"slices"
 	"testing"
 	"time"
 )
@@ -18,19 +19,25 @@
 
 type fleetEventQueue []fleetEvent
 
-func (h fleetEventQueue) Len() int           { return len(h) }
-func (h fleetEventQueue) Less(i, j int) bool { return h[i].at < h[j].at }
-func (h fleetEventQueue) Swap(i, j int)      { h[i], h[j] = h[j], h[i] }
-func (h *fleetEventQueue) Push(x any)        { *h = append(*h, x.(fleetEvent)) }
-func (h *fleetEventQueue) Pop() any {
-	last := (*h)[len(*h)-1]
-	*h = (*h)[:len(*h)-1]
+func (q fleetEventQueue) Len() int           { return len(q) }
+func (q fleetEventQueue) Less(i, j int) bool { return q[i].at < q[j].at }
+func (q fleetEventQueue) Swap(i, j int)      { q[i], q[j] = q[j], q[i] }
+func (q *fleetEventQueue) Push(x any)        { *q = append(*q, x.(fleetEvent)) }
+func (q *fleetEventQueue) Pop() any {
+	last := (*q)[len(*q)-1]
+	*q = (*q)[:len(*q)-1]
 	return last
 }
 
 // steadyTime is how long a fleet runs before some of its servers restart and warm up.
 const steadyTime = 5 * time.Second
 
+// Agents hear of the servers' restart, and some of them restart themselves, so long after it.
+const (
+	fleetNotifyDelay  = 300 * ms
+	fleetRestartDelay = 500 * ms
+)
+
 // warmingFleet describes a simulated fleet of agents that share servers, some of which restart and warm up.
 type warmingFleet struct {
 	agents, servers, warming int
@@ -42,100 +49,147 @@
 	reports                  ReportMode
 }
 
-func (c warmingFleet) run(t *testing.T, set Settings, seed uint64) map[ServerID][]time.Duration {
+// fleetRun is the state of one run of a warmingFleet.
+type fleetRun struct {
+	warmingFleet
+	t            *testing.T
+	settings     Settings
+	rng          *rand.Rand
+	balancers    []*Balancer // by agent
+	incarnations []int       // by agent
+	queue        fleetEventQueue
+	restartedAt  time.Duration // when the first servers restart and begin to warm up
+	busyUntil    map[ServerID]time.Duration
+	sent         map[ServerID][]time.Duration // when servers that warm up were sent something
+}
+
+// run lets the fleet run and returns when each server that warms up was sent something. Servers 1 to f.warming do.
+func (f warmingFleet) run(t *testing.T, settings Settings, seed uint64) map[ServerID][]time.Duration {
 	t.Helper()
-	rng := rand.New(rand.NewPCG(seed, 1))
-	set.Agents, set.Reports = c.agents, c.reports
-	const begin = time.Hour
-	list := readyEndpoints(c.servers)
-	lives := make([]int, c.agents)
-	all := make([]*Balancer, c.agents)
-	create := func(p int) {
-		own := set
-		own.Rank = p
-		b, err := New(own, rng.Uint64())
-		if err != nil {
-			t.Fatal(err)
-		}
-		all[p] = b
-		lives[p]++
+	const start = time.Hour
+	settings.Agents, settings.Reports = f.agents, f.reports
+	r := &fleetRun{
+		warmingFleet: f, t: t, settings: settings, rng: rand.New(rand.NewPCG(seed, 1)),
+		balancers: make([]*Balancer, f.agents), incarnations: make([]int, f.agents), restartedAt: start + steadyTime,
+		busyUntil: map[ServerID]time.Duration{}, sent: map[ServerID][]time.Duration{},
 	}
-	weights := make(sums, 0, c.agents)
-	sigma := math.Sqrt(math.Log(1 + c.trafficDeviation*c.trafficDeviation))
-	for range c.agents {
-		weights = weights.add(math.Exp(sigma * rng.NormFloat64()))
+	traffic := r.drawTraffic()
+	endpoints := readyEndpoints(f.servers)
+	for agent := range r.balancers {
+		r.startAgent(agent)
+		r.handle(start, agent, Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: endpoints})
 	}
-	var due fleetEventQueue
-	sent := map[ServerID][]time.Duration{}
-	busy := map[ServerID]time.Duration{} // until then
-	started := begin + steadyTime
-	warmth := func(s ServerID, now time.Duration) float64 {
-		if int(s) > c.warming || now < started {
-			return 1
-		}
-		return min(1, set.SlowStartMinWeight+(1-set.SlowStartMinWeight)*(now-started).Seconds()/set.SlowStartDuration.Seconds())
+	restarted := slices.Clone(endpoints)
+	for i := range f.warming {
+		restarted[i].Start = r.restartedAt
 	}
-	handle := func(now time.Duration, p int, ev Event) {
-		for _, a := range all[p].Handle(now, ev, nil) {
-			switch a.Kind {
-			case ActionSetTimer:
-				heap.Push(&due, fleetEvent{now + a.Delay, p, lives[p], Event{Kind: EventTimer, TimerID: a.TimerID}})
-			case ActionSend:
-				r := all[p].requests[a.Request]
-				if now >= started && int(a.Server) <= c.warming {
-					sent[a.Server] = append(sent[a.Server], now)
-				}
-				out := Event{Kind: EventOutcome, Request: a.Request, Attempt: len(r.attempts) - 1, Server: a.Server, Answered: true}
-				took := 2 * ms
-				if rng.Float64() < c.failureShare {
-					out.Outcome, out.Answered = OutcomeError, false
-				} else {
-					free := max(now, busy[a.Server])
-					busy[a.Server] = free + seconds(rng.ExpFloat64()/(c.requestsPerSecond*warmth(a.Server, now)))
-					took = busy[a.Server] - now
-					out.Load = LoadReport{Known: c.reports == ReportsInline, InFlight: -1, Queue: (free - now).Seconds() * c.requestsPerSecond}
-				}
-				heap.Push(&due, fleetEvent{now + took, p, lives[p], out})
+	notified, agentsRestarted := false, f.restartedAgents == 0
+	id := RequestID(0)
+	totalPerSecond := f.requestsPerSecond * f.load * float64(f.servers)
+	end := r.restartedAt + min(settings.SlowStartDuration, 10*time.Second)
+	for now := start; now < end; {
+		now += seconds(r.rng.ExpFloat64() / totalPerSecond)
+		r.handleDue(now)
+		if !notified && now >= r.restartedAt+fleetNotifyDelay {
+			notified = true
+			for agent := range r.balancers {
+				r.handle(now, agent, Event{Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: restarted[:f.warming]})
 			}
 		}
+		if !agentsRestarted && now >= r.restartedAt+fleetRestartDelay {
+			agentsRestarted = true
+			for agent := range f.restartedAgents {
+				r.startAgent(agent)
+				r.handle(now, agent, Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: restarted})
+			}
+		}
+		id++
+		agent := traffic.pick(r.rng.Float64())
+		r.handle(now, agent, Event{
+			Kind: EventRequest, Request: id, Class: idempotent, Remaining: settings.Classes[idempotent].Deadline,
+		})
 	}
-	for p := range all {
-		create(p)
-		handle(begin, p, Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: list})
+	return r.sent
+}
+
+// drawTraffic draws the agents' shares of the traffic.
+func (r *fleetRun) drawTraffic() sums {
+	weights := make(sums, 0, r.agents)
+	sigma := math.Sqrt(math.Log(1 + r.trafficDeviation*r.trafficDeviation))
+	for range r.agents {
+		weights = weights.add(math.Exp(sigma * r.rng.NormFloat64()))
 	}
-	news := append([]Endpoint(nil), list...)
-	for i := range c.warming {
-		news[i].Start = started
+	return weights
+}
+
+// startAgent starts an agent that knows nothing yet, in place of its earlier incarnation.
+func (r *fleetRun) startAgent(agent int) {
+	own := r.settings
+	own.Rank = agent
+	b, err := New(own, r.rng.Uint64())
+	if err != nil {
+		r.t.Fatal(err)
 	}
-	heard, restarted := false, c.restartedAgents == 0
-	id := RequestID(0)
-	total := c.requestsPerSecond * c.load * float64(c.servers)
-	for now := begin; now < started+min(set.SlowStartDuration, 10*time.Second); {
-		now += seconds(rng.ExpFloat64() / total)
-		for len(due) > 0 && due[0].at <= now {
-			h := heap.Pop(&due).(fleetEvent)
-			if h.incarnation == lives[h.agent] {
-				handle(h.at, h.agent, h.event)
-			}
-		}
-		if !heard && now >= started+300*ms {
-			heard = true
-			for p := range all {
-				handle(now, p, Event{Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: news[:c.warming]})
-			}
+	r.balancers[agent] = b
+	r.incarnations[agent]++
+}
+
+// handleDue hands out the events that are due; those of an earlier incarnation are dropped.
+func (r *fleetRun) handleDue(now time.Duration) {
+	for len(r.queue) > 0 && r.queue[0].at <= now {
+		next := heap.Pop(&r.queue).(fleetEvent)
+		if next.incarnation == r.incarnations[next.agent] {
+			r.handle(next.at, next.agent, next.event)
 		}
-		if !restarted && now >= started+500*ms {
-			restarted = true
-			for p := range c.restartedAgents {
-				create(p)
-				handle(now, p, Event{Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: news})
-			}
+	}
+}
+
+// handle hands one event to an agent and carries out the actions.
+func (r *fleetRun) handle(now time.Duration, agent int, event Event) {
+	for _, action := range r.balancers[agent].Handle(now, event, nil) {
+		switch action.Kind {
+		case ActionSetTimer:
+			r.schedule(now+action.Delay, agent, Event{Kind: EventTimer, TimerID: action.TimerID})
+		case ActionSend:
+			r.answer(now, agent, action)
 		}
-		id++
-		p := weights.pick(rng.Float64())
-		handle(now, p, Event{Kind: EventRequest, Request: id, Class: idempotent, Remaining: set.Classes[idempotent].Deadline})
 	}
-	return sent
+}
+
+func (r *fleetRun) schedule(at time.Duration, agent int, event Event) {
+	heap.Push(&r.queue, fleetEvent{at: at, agent: agent, incarnation: r.incarnations[agent], event: event})
+}
+
+// answer draws how and when an attempt ends.
+func (r *fleetRun) answer(now time.Duration, agent int, send Action) {
+	if now >= r.restartedAt && int(send.Server) <= r.warming {
+		r.sent[send.Server] = append(r.sent[send.Server], now)
+	}
+	outcome := Event{
+		Kind: EventOutcome, Request: send.Request, Server: send.Server, Answered: true,
+		Attempt: len(r.balancers[agent].requests[send.Request].attempts) - 1,
+	}
+	latency := 2 * ms
+	if r.rng.Float64() < r.failureShare {
+		outcome.Outcome, outcome.Answered = OutcomeError, false
+	} else {
+		free := max(now, r.busyUntil[send.Server])
+		serviceSeconds := r.rng.ExpFloat64() / (r.requestsPerSecond * r.warmth(send.Server, now))
+		r.busyUntil[send.Server] = free + seconds(serviceSeconds)
+		latency = r.busyUntil[send.Server] - now
+		queue := (free - now).Seconds() * r.requestsPerSecond
+		outcome.Load = LoadReport{Known: r.reports == ReportsInline, InFlight: -1, Queue: queue}
+	}
+	r.schedule(now+latency, agent, outcome)
+}
+
+// warmth returns the share of its capacity that a server has.
+func (r *fleetRun) warmth(id ServerID, now time.Duration) float64 {
+	if int(id) > r.warming || now < r.restartedAt {
+		return 1
+	}
+	atStart := r.settings.SlowStartMinWeight
+	return min(1, atStart+(1-atStart)*(now-r.restartedAt).Seconds()/r.settings.SlowStartDuration.Seconds())
 }
 
 // Together the agents of a fleet send a server that warms up no more than its budget and what is chance, in any span of a
@@ -148,10 +202,10 @@
 		settings.Classes[i].LatencyObjective, settings.Classes[i].Deadline = 2500*ms, 6*time.Second
 	}
 	for _, site := range []struct {
-		from, factor float64
-		over, warm   time.Duration
+		minWeight, overloadFactor float64
+		window, slowStart         time.Duration
 	}{{0.31, 3, 2 * time.Second, 8800 * ms}, {0.15, 2.5, 3 * time.Second, 10 * time.Second}, {0.05, 1.5, 5 * time.Second, time.Minute}} {
-		settings.SlowStartMinWeight, settings.OverloadFactor, settings.SlowStartDuration = site.from, site.factor, site.warm
+		settings.SlowStartMinWeight, settings.OverloadFactor, settings.SlowStartDuration = site.minWeight, site.overloadFactor, site.slowStart
 		for i, c := range []warmingFleet{
 			{agents: 3, servers: 15, warming: 3, requestsPerSecond: 8, load: 0.8, trafficDeviation: 0.8},
 			{agents: 20, servers: 40, warming: 8, requestsPerSecond: 8, load: 0.8, trafficDeviation: 1.4},
@@ -170,13 +224,13 @@
 			for s, times := range sent {
 				first := 0
 				for last, at := range times {
-					for at-times[first] >= site.over {
+					for at-times[first] >= site.window {
 						first++
 					}
-					age := (at - time.Hour - steadyTime).Seconds() / site.warm.Seconds()
-					allowed := site.factor * min(1, site.from+(1-site.from)*age) * c.requestsPerSecond * site.over.Seconds()
+					age := (at - time.Hour - steadyTime).Seconds() / site.slowStart.Seconds()
+					allowed := site.overloadFactor * min(1, site.minWeight+(1-site.minWeight)*age) * c.requestsPerSecond * site.window.Seconds()
 					if n := float64(last - first + 1); n > allowed+2*math.Sqrt(allowed)+2 {
-						t.Fatalf("%+v: server %d got %v requests in %v, its budget being %.1f", c, s, n, site.over, allowed)
+						t.Fatalf("%+v: server %d got %v requests in %v, its budget being %.1f", c, s, n, site.window, allowed)
 					}
 				}
 			}
