--- a/internal/balancer/actions.go
+++ b/internal/balancer/actions.go
@@ -29,7 +29,9 @@
 type Action struct {
 	Kind    ActionKind
 	Request RequestID
-	Server  ServerID
+	// Server is whom to send the attempt to, or whose load to check.
+	Server ServerID
+	// Attempt is the attempt to cancel; the attempts of a request count from 0.
 	Attempt int
 	// Timeout is how long an attempt may take.
 	Timeout time.Duration
@@ -38,7 +40,9 @@
 	// RetryAfter is when a rejected client may retry; 0 gives no advice.
 	RetryAfter time.Duration
 	// Delay is the time until a timer fires.
-	Delay   time.Duration
+	Delay time.Duration
+	// TimerID is to be handed back in the EventTimer.
 	TimerID TimerID
-	Text    string
+	// Text is the log line.
+	Text string
 }
--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -133,7 +133,7 @@
 // canFollow reports whether an earlier attempt leaves the request free to be sent to a server.
 func (b *Balancer) canFollow(earlier *attempt, c *class, s *server) bool {
 	if earlier.inFlight && earlier.server == s {
-		return false // what swallows one attempt would swallow the other
+		return false // a fault that loses one attempt would lose the other
 	}
 	if !earlier.mayHaveRun {
 		return true
@@ -259,9 +259,10 @@
 	}
 }
 
-// hedge sends a second attempt of a request whose only attempt is silent, while an answer can still be in time. Servers
-// may swallow single requests, and connections may be dead, which only silence shows. Under overload hedging ends by
-// itself: the silence timeout exceeds the objective, servers are overloaded and the retry budget is spent.
+// hedge sends a second attempt of a request whose only attempt is silent, while an answer can still be in time:
+// servers may lose single requests, and connections may be dead, which only silence shows. Under overload hedging
+// ends by itself, since the silence timeout exceeds the objective, servers are overloaded and the retry budget is
+// spent.
 func (b *Balancer) hedge(r *request) {
 	inTime := b.now+seconds(r.class.latencySeconds.value) < r.objective
 	if r.class.Idempotency == NonIdempotent || r.inFlight != 1 || !inTime {
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -16,10 +16,11 @@
 	candidateWindow      = 5 * time.Second
 	// minCandidates leaves different pairs while two of them are ejected.
 	minCandidates = 6
-	// singleServerShare is the share of requests that get a single server rather than the better of a pair: a little
-	// blind traffic keeps the agents from moving as one. It is p in He and Down.
+	// singleServerShare is the share of requests that get a server picked by weight alone, rather than the better of a
+	// pair, so that agents with the same reports do not all prefer the same servers. It is p in He and Down.
 	singleServerShare = 0.1
-	// epsilonShare is the part of epsilon's upper bound that is used. A pair starves at either end of its range.
+	// epsilonShare is the part of epsilon's upper bound that is used: half is farthest from both ends of its range, at
+	// which single pairs can get too few requests.
 	epsilonShare = 0.5
 	// speedTolerance is the relative change of a speed that warrants a rebuild; less is noise.
 	speedTolerance = 0.1
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -16,17 +16,22 @@
 
 // The values of EndpointState. Only servers that are Ready are sent requests.
 const (
+	// Removed says that the server has left the endpoint list.
 	Removed EndpointState = iota
+	// Ready says that the server takes requests.
 	Ready
+	// Draining says that the server only completes the requests that it holds.
 	Draining
 )
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
-	ID    ServerID
-	Zone  int
+	ID ServerID
+	// Zone and Cell are groups of servers; agents prefer the servers of their zone.
+	Zone int
+	Cell int
+	// Kind is the kind of machine, a position in Settings.Kinds.
 	Kind  int
-	Cell  int
 	State EndpointState
 	// Weight is the server's relative capacity; a weight that is not above 0 is unknown.
 	Weight float64
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -24,8 +24,11 @@
 
 // The values of DedupScope.
 const (
+	// DedupScopeFleet is all servers.
 	DedupScopeFleet DedupScope = iota
+	// DedupScopeZone is the servers of one zone.
 	DedupScopeZone
+	// DedupScopeCell is the servers of one cell.
 	DedupScopeCell
 )
 
@@ -36,12 +39,15 @@
 	// LatencyObjective is the time within which an answer earns all of PriorityWeight.
 	LatencyObjective time.Duration
 	// Deadline is how long a client waits over all its retries.
-	Deadline       time.Duration
+	Deadline time.Duration
+	// PriorityWeight is what an answer earns; requests of little weight are shed first.
 	PriorityWeight float64
 	// LateWeight is the share of PriorityWeight that an answer earns between LatencyObjective and Deadline.
-	LateWeight  float64
+	LateWeight float64
+	// Idempotency says whether a request may run more than once.
 	Idempotency Idempotency
-	DedupScope  DedupScope
+	// DedupScope and DedupWindow count for IdempotentWithKey only.
+	DedupScope DedupScope
 	// DedupWindow is how long repeats of an IdempotentWithKey request are dropped, counted from the first attempt that
 	// may have run.
 	DedupWindow time.Duration
@@ -51,7 +57,7 @@
 	Kinds []int
 }
 
-// Tenant describes one of those who share the fleet.
+// Tenant describes one of the customers that share the fleet.
 type Tenant struct {
 	// Quota is the tenant's share of the fleet's capacity.
 	Quota float64
@@ -62,22 +68,29 @@
 
 // The values of ReportMode.
 const (
+	// ReportsOff says that servers report nothing.
 	ReportsOff ReportMode = iota
+	// ReportsInline says that reports come with answers.
 	ReportsInline
+	// ReportsOnHealthCheck says that reports come with health checks.
 	ReportsOnHealthCheck
 )
 
 // Settings configure a Balancer. New and Adopt check them.
 type Settings struct {
-	// Rank is the number of this agent among Agents, from 0.
-	Rank   int
+	// Rank is the number of this agent among all Agents, from 0.
+	Rank int
+	// Agents is how many agents there are.
 	Agents int
 	// Zone is this agent's zone; below 0 it is not known.
-	Zone    int
+	Zone int
+	// Classes are the kinds of requests, at least one; Event.Class is a position in them.
 	Classes []Class
+	// Tenants share the fleet, if there are any; Event.Tenant is a position in them.
 	Tenants []Tenant
-	// Kinds are the names of the kinds of machine, if there are any.
-	Kinds   []string
+	// Kinds are the names of the kinds of machine, if there are any; Endpoint.Kind is a position in them.
+	Kinds []string
+	// Reports says where servers report their load.
 	Reports ReportMode
 	// PollEndpoints says that the endpoint list comes only after ActionPollEndpoints.
 	PollEndpoints bool
@@ -93,9 +106,10 @@
 	CancelAttempts bool
 	// Hedging allows a request to have two attempts in flight.
 	Hedging bool
-	// AdviseRetryAfter says that rejected clients are told when to retry, MaxRetryAfter at the most; 0 is no limit.
+	// AdviseRetryAfter says that rejected clients are told when to retry.
 	AdviseRetryAfter bool
-	MaxRetryAfter    time.Duration
+	// MaxRetryAfter bounds Action.RetryAfter; 0 is no bound.
+	MaxRetryAfter time.Duration
 	// SlowStartMinWeight is the least share of its capacity that a server has at its start. It has all of it after
 	// SlowStartDuration at the latest.
 	SlowStartMinWeight float64
