--- a/internal/balancer/attempts_test.go
+++ b/internal/balancer/attempts_test.go
@@ -75,7 +75,10 @@
 // within any retry budget, and the server is not at fault.
 func TestUnsentAttemptDoesNotCount(t *testing.T) {
 	s := testSettings()
-	s.MaxAttempts, s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 1, time.Second, 0, 0
+	s.MaxAttempts = 1
+	s.RetryBudgetWindow = time.Second
+	s.RetryBudgetMin = 0
+	s.RetryBudgetRatio = 0
 	for class := range s.Classes {
 		h := newHarness(t, s, readyEndpoints(8)...)
 		a := onlyAction(t, h.request(1, class), ActionSend)
@@ -153,7 +156,9 @@
 // In any window, edges included, retries stay within RetryBudgetMin plus RetryBudgetRatio times the requests.
 func TestRetryBudget(t *testing.T) {
 	s := testSettings()
-	s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = time.Second, 2, 0.5
+	s.RetryBudgetWindow = time.Second
+	s.RetryBudgetMin = 2
+	s.RetryBudgetRatio = 0.5
 	h := newHarness(t, s, readyEndpoints(20)...)
 	retried := func(id RequestID) bool {
 		h.b.overload = 0
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -117,7 +117,8 @@
 	b.meanPriorityWeight = 0
 	for _, adopted := range classes {
 		c := &class{Class: adopted, index: slices.Index(b.classNames, adopted.Name)}
-		c.latencySeconds = mean{value: adopted.LatencyObjective.Seconds() / 3, known: true}
+		guess := adopted.LatencyObjective.Seconds() / 3 // until answers show better
+		c.latencySeconds = mean{value: guess, known: true}
 		if i := slices.IndexFunc(old, func(o *class) bool { return o.Name == adopted.Name }); i >= 0 {
 			c.latencySeconds = old[i].latencySeconds
 			c.firstRequestTimeout = old[i].firstRequestTimeout
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -183,7 +183,9 @@
 		}
 		s.MaxAttempts = 1 + int(data[0]>>2&3)
 		if data[0]&16 != 0 {
-			s.RetryBudgetWindow, s.RetryBudgetMin, s.RetryBudgetRatio = 100*ms, 1, 0.25
+			s.RetryBudgetWindow = 100 * ms
+			s.RetryBudgetMin = 1
+			s.RetryBudgetRatio = 0.25
 		}
 		if data[0]&32 != 0 {
 			s.Classes[nonIdempotent].Zones = []int{1}
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -2,8 +2,12 @@
 
 import "time"
 
-// freshReportLatencies is the age up to which no health check asks for a new report, in mean latencies of the class.
-const freshReportLatencies = 2.0
+const (
+	// freshReportLatencies is the age up to which no health check asks for a new report, in mean latencies of the class.
+	freshReportLatencies = 2.0
+	// maxReportedUtilization keeps the queue of a single server from raising the overload.
+	maxReportedUtilization = 0.9 * targetUtilization
+)
 
 // LoadReport is what a server reports of its own load. A field that is negative or NaN is absent; all of them are
 // absent unless Known is set.
@@ -38,10 +42,9 @@
 	s.reportedAt = b.now
 	s.sentSinceReport = 0
 	if s.reportsQueue() {
-		// When most requests are shed few answers come, and only reports of idle servers can end the overload. The
-		// bound keeps the queue of a single server from raising it.
+		// When most requests are shed few answers come, and only reports of idle servers can end the overload.
 		utilization := max(0, report.InFlight-1) / (2 * b.overloadQueue)
-		b.recordUtilization(min(utilization, 0.9*targetUtilization))
+		b.recordUtilization(min(utilization, maxReportedUtilization))
 	}
 }
 
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -51,7 +51,9 @@
 // requests each every report is old, and all of them together would check more often than they send.
 func TestInlineReportsNeedNoHealthChecks(t *testing.T) {
 	s := testSettings()
-	s.HealthChecks, s.Reports, s.Agents = true, ReportsInline, 80
+	s.HealthChecks = true
+	s.Reports = ReportsInline
+	s.Agents = 80
 	h := newHarness(t, s, readyEndpoints(22)...)
 	for id := RequestID(1); id <= 200; id++ {
 		noAction(t, h.request(id, idempotent), ActionHealthCheck)
--- a/internal/balancer/locality_test.go
+++ b/internal/balancer/locality_test.go
@@ -52,7 +52,9 @@
 	s := testSettings()
 	s.Zone = 1
 	list := readyEndpoints(8)
-	list[0].Zone, list[7].Zone, list[7].Start = 2, 1, time.Hour
+	list[0].Zone = 2
+	list[7].Zone = 1
+	list[7].Start = time.Hour
 	h := newHarness(t, s, list...)
 	budget := slowStartMargin * s.OverloadFactor * s.SlowStartMinWeight / 8
 	if got, _ := h.trafficShares(0); got > 1.2*budget || got < 0.2*budget {
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -173,7 +173,7 @@
 	h := &s.health[c.index]
 	doublings := min(h.ejections, maxEjectionDoublings)
 	durationSeconds := ejectionObjectives * c.LatencyObjective.Seconds() * float64(int(1)<<doublings)
-	jitter := 0.75 + b.rng.Float64()/2
+	jitter := 0.75 + b.rng.Float64()/2 // agents do not all readmit it at once
 	h.ejectedUntil = b.now + seconds(durationSeconds*jitter)
 	h.ejections++
 	h.failures = ejectedFailures
--- a/internal/balancer/pick_test.go
+++ b/internal/balancer/pick_test.go
@@ -180,7 +180,9 @@
 	if h.b.isOverloaded(r, s) {
 		t.Error("2 in flight without a queue are no overload")
 	}
-	load.InFlight, load.ServiceTime, load.Queue = -1, 10*ms, 15
+	load.InFlight = -1
+	load.ServiceTime = 10 * ms
+	load.Queue = 15
 	h.b.recordReport(s, load)
 	if !h.b.isOverloaded(r, s) {
 		t.Error("a queue of 15 does not count as overload")
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -7,7 +7,10 @@
 
 func TestFailedPollKeepsServersAndBacksOff(t *testing.T) {
 	s := testSettings()
-	s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, 10*time.Second, 4, 2
+	s.PollEndpoints = true
+	s.MaxPollInterval = 10 * time.Second
+	s.Agents = 4
+	s.Rank = 2
 	h := newHarness(t, s)
 	first := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: EndpointsCached, Endpoints: readyEndpoints(2)}), ActionSetTimer)
 	if first.Delay < 600*ms || first.Delay > 900*ms {
@@ -37,7 +40,10 @@
 	for _, maxPollInterval := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
 		for _, agents := range []int{1, 6, 350} {
 			s := testSettings()
-			s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, maxPollInterval, agents, agents-1
+			s.PollEndpoints = true
+			s.MaxPollInterval = maxPollInterval
+			s.Agents = agents
+			s.Rank = agents - 1
 			for _, c := range []struct {
 				before      int // failures in a row
 				remaining   time.Duration
@@ -93,7 +99,10 @@
 	} {
 		for seed := range uint64(20) {
 			s := testSettings()
-			s.PollEndpoints, s.MaxPollInterval, s.Agents, s.Rank = true, 10*time.Second, c.agents, c.agents-1
+			s.PollEndpoints = true
+			s.MaxPollInterval = 10 * time.Second
+			s.Agents = c.agents
+			s.Rank = c.agents - 1
 			h := newSeededHarness(t, s, seed, readyEndpoints(2)...)
 			for range c.before {
 				h.handle(Event{Kind: EventDiscovery, Update: PollFailed, PollLatency: c.answer})
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -1,6 +1,7 @@
 package balancer
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
@@ -31,8 +32,13 @@
 	} {
 		s := testSettings()
 		invalidate(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
+		_, err := New(s, 1)
+		if err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v", field, err)
 		}
+		var invalid *SettingError
+		if !errors.As(err, &invalid) || invalid.Field != strings.TrimSpace(field) {
+			t.Errorf("%s: error %v names the field %+v", field, err, invalid)
+		}
 	}
 }
--- a/internal/balancer/slowstart_fleet_test.go
+++ b/internal/balancer/slowstart_fleet_test.go
@@ -205,7 +205,9 @@
 		minWeight, overloadFactor float64
 		window, slowStart         time.Duration
 	}{{0.31, 3, 2 * time.Second, 8800 * ms}, {0.15, 2.5, 3 * time.Second, 10 * time.Second}, {0.05, 1.5, 5 * time.Second, time.Minute}} {
-		settings.SlowStartMinWeight, settings.OverloadFactor, settings.SlowStartDuration = site.minWeight, site.overloadFactor, site.slowStart
+		settings.SlowStartMinWeight = site.minWeight
+		settings.OverloadFactor = site.overloadFactor
+		settings.SlowStartDuration = site.slowStart
 		for i, c := range []warmingFleet{
 			{agents: 3, servers: 15, warming: 3, requestsPerSecond: 8, load: 0.8, trafficDeviation: 0.8},
 			{agents: 20, servers: 40, warming: 8, requestsPerSecond: 8, load: 0.8, trafficDeviation: 1.4},
