--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -72,8 +72,8 @@
 }
 
 // pickPair and candidates are those of the first class.
-func (h *harness) pickPair() (a, c *server)  { return h.b.pickPair(h.b.classes[0]) }
-func (h *harness) candidates() *candidateSet { return &h.b.classes[0].candidates }
+func (h *harness) pickPair() (first, second *server) { return h.b.pickPair(h.b.classes[0]) }
+func (h *harness) candidates() *candidateSet         { return &h.b.classes[0].candidates }
 
 func readyEndpoint(id ServerID, weight float64) Endpoint {
 	return Endpoint{ID: id, Cell: int(id), Zone: int(id), State: Ready, Weight: weight}
@@ -112,7 +112,7 @@
 
 // Each product file stays short enough to be read in one go, and its lines fit on a screen.
 func TestModuleSize(t *testing.T) {
-	const mostLines, mostLetters = 700, 120
+	const maxLines, maxLineLength = 700, 120
 	for _, name := range policyFiles(t) {
 		text, err := os.ReadFile(name)
 		if err != nil {
@@ -123,12 +123,12 @@
 			if strings.TrimSpace(line) != "" {
 				lines++
 			}
-			if length := len([]rune(line)); length > mostLetters {
+			if length := len([]rune(line)); length > maxLineLength {
 				t.Errorf("%s: line %d is %d characters long", name, i+1, length)
 			}
 		}
-		if lines > mostLines {
-			t.Errorf("%s: %d lines that are not blank, %d is the limit", name, lines, mostLines)
+		if lines > maxLines {
+			t.Errorf("%s: %d lines that are not blank, %d is the limit", name, lines, maxLines)
 		}
 	}
 }
@@ -247,9 +247,9 @@
 
 	next := testSettings()
 	next.MaxAttempts = 1
-	fresh := next.Classes[idempotent]
-	fresh.Name, fresh.Idempotency = "fresh", NonIdempotent
-	next.Classes = []Class{fresh, next.Classes[nonIdempotent], next.Classes[keyedByFleet]} // class "a" and others are dropped
+	changed := next.Classes[idempotent]
+	changed.Name, changed.Idempotency = "fresh", NonIdempotent
+	next.Classes = []Class{changed, next.Classes[nonIdempotent], next.Classes[keyedByFleet]} // class "a" and others are dropped
 	if err := h.b.Adopt(next); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/balancer/candidates_test.go
+++ b/internal/balancer/candidates_test.go
@@ -72,7 +72,7 @@
 	for i := range list {
 		list[i].Zone, list[i].Kind = i%4, i/4%2
 	}
-	for name, c := range map[string]struct {
+	for name, placement := range map[string]struct {
 		zones, kinds []int
 		open         func(Endpoint) bool
 	}{
@@ -84,15 +84,15 @@
 	} {
 		s := testSettings()
 		s.Agents, s.Rank = 50, 7 // a small candidate set
-		s.Classes[idempotent].Zones, s.Classes[idempotent].Kinds = c.zones, c.kinds
+		s.Classes[idempotent].Zones, s.Classes[idempotent].Kinds = placement.zones, placement.kinds
 		h := newHarness(t, s, list...)
-		any := slices.ContainsFunc(list, c.open)
+		hasEligible := slices.ContainsFunc(list, placement.open)
 		sent := 0
 		check := func(actions []Action) {
 			for _, a := range actions {
 				if a.Kind == ActionSend {
 					sent++
-					if !c.open(list[a.Server-1]) {
+					if !placement.open(list[a.Server-1]) {
 						t.Fatalf("%s: sent to %+v", name, list[a.Server-1])
 					}
 				}
@@ -102,9 +102,9 @@
 			h.b.overload, h.b.retryTimes = 0, nil
 			actions := h.request(id, idempotent)
 			check(actions)
-			if any && id == 0 {
+			if hasEligible && id == 0 {
 				onlyAction(t, actions, ActionSend)
-			} else if !any {
+			} else if !hasEligible {
 				onlyAction(t, actions, ActionReject)
 			}
 			for n, outcome := range []Outcome{OutcomeConnectFailed, OutcomeRejected, OutcomeError, OutcomeReset} {
@@ -113,14 +113,14 @@
 			h.now += time.Minute // ejections are over
 		}
 		for _, e := range list { // without an eligible server nothing is sent
-			if c.open(e) {
+			if placement.open(e) {
 				e.State = Draining
 				h.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{e}})
 			}
 		}
 		before := sent
 		check(h.request(1000, idempotent))
-		if sent != before || any && before < 60 {
+		if sent != before || hasEligible && before < 60 {
 			t.Errorf("%s: %d sent, then %d", name, before, sent)
 		}
 	}
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -64,56 +64,56 @@
 	}
 }
 
-func (c *ruleChecker) checkSend(r *trackedRequest, a Action) {
-	s, known := c.endpoints[a.Server]
-	made := 0
+func (c *ruleChecker) checkSend(r *trackedRequest, send Action) {
+	server, known := c.endpoints[send.Server]
+	attempts := 0
 	if r != nil {
-		for _, p := range r.attempts {
-			if !p.unsent {
-				made++
+		for _, earlier := range r.attempts {
+			if !earlier.unsent {
+				attempts++
 			}
 		}
 	}
 	switch {
 	case r == nil || r.answered:
-		c.t.Fatalf("sent for a request that is answered: %+v", a)
-	case !known || s.State != Ready:
-		c.t.Fatalf("sent to a server that is not ready: %+v", a)
-	case made >= c.settings.MaxAttempts:
-		c.t.Fatalf("attempt %d of %d", made+1, c.settings.MaxAttempts)
-	case c.now+a.Timeout > r.deadline || a.Timeout <= 0:
-		c.t.Fatalf("timeout %v with %v left", a.Timeout, r.deadline-c.now)
+		c.t.Fatalf("sent for a request that is answered: %+v", send)
+	case !known || server.State != Ready:
+		c.t.Fatalf("sent to a server that is not ready: %+v", send)
+	case attempts >= c.settings.MaxAttempts:
+		c.t.Fatalf("attempt %d of %d", attempts+1, c.settings.MaxAttempts)
+	case c.now+send.Timeout > r.deadline || send.Timeout <= 0:
+		c.t.Fatalf("timeout %v with %v left", send.Timeout, r.deadline-c.now)
 	}
-	if r.class.Zones != nil && !slices.Contains(r.class.Zones, s.Zone) ||
-		r.class.Kinds != nil && !slices.Contains(r.class.Kinds, s.Kind) {
-		c.t.Fatalf("a class with placement sent to %+v", s)
+	if r.class.Zones != nil && !slices.Contains(r.class.Zones, server.Zone) ||
+		r.class.Kinds != nil && !slices.Contains(r.class.Kinds, server.Kind) {
+		c.t.Fatalf("a class with placement sent to %+v", server)
 	}
-	if made > 0 {
+	if attempts > 0 {
 		c.retryTimes = append(c.retryTimes, c.now)
-		most := c.settings.RetryBudgetMin + c.settings.RetryBudgetRatio*c.countInWindow(c.requestTimes, false)
-		if n := c.countInWindow(c.retryTimes, true); c.settings.RetryBudgetWindow > 0 && n > most {
-			c.t.Fatalf("%v retries in the window, %v allowed", n, most)
+		allowed := c.settings.RetryBudgetMin + c.settings.RetryBudgetRatio*c.countInWindow(c.requestTimes, false)
+		if n := c.countInWindow(c.retryTimes, true); c.settings.RetryBudgetWindow > 0 && n > allowed {
+			c.t.Fatalf("%v retries in the window, %v allowed", n, allowed)
 		}
 	}
-	for _, p := range r.attempts {
-		if p.inFlight && !c.settings.Hedging {
+	for _, earlier := range r.attempts {
+		if earlier.inFlight && !c.settings.Hedging {
 			c.t.Fatal("two attempts in flight at once")
 		}
-		if !p.mayHaveRun && !p.inFlight {
+		if !earlier.mayHaveRun && !earlier.inFlight {
 			continue
 		}
 		if r.class.Idempotency == NonIdempotent {
 			c.t.Fatal("a request that is not idempotent sent again")
 		}
-		if r.class.Idempotency == IdempotentWithKey && (c.now >= p.sentAt+r.class.DedupWindow ||
-			r.class.DedupScope == DedupScopeCell && p.server.Cell != s.Cell ||
-			r.class.DedupScope == DedupScopeZone && p.server.Zone != s.Zone) {
+		if r.class.Idempotency == IdempotentWithKey && (c.now >= earlier.sentAt+r.class.DedupWindow ||
+			r.class.DedupScope == DedupScopeCell && earlier.server.Cell != server.Cell ||
+			r.class.DedupScope == DedupScopeZone && earlier.server.Zone != server.Zone) {
 			c.t.Fatal("a request sent again where its idempotency key is not known")
 		}
 	}
-	a.Attempt = len(r.attempts)
-	r.attempts = append(r.attempts, trackedAttempt{server: s, sentAt: c.now, inFlight: true})
-	c.pending = append(c.pending, a)
+	send.Attempt = len(r.attempts)
+	r.attempts = append(r.attempts, trackedAttempt{server: server, sentAt: c.now, inFlight: true})
+	c.pending = append(c.pending, send)
 }
 
 // countInWindow counts the times within the retry budget's window; edge says whether its far edge belongs to it.
@@ -216,32 +216,32 @@
 }
 
 // step lets one legal thing happen; kind chooses it and detail is a parameter of it.
-func (c *ruleChecker) step(id RequestID, what byte, arg int) {
+func (c *ruleChecker) step(id RequestID, kind byte, detail int) {
 	switch {
-	case what < 5:
-		class := c.settings.Classes[arg%len(c.settings.Classes)]
-		remaining := time.Duration(1+arg) * 60 * time.Millisecond
+	case kind < 5:
+		class := c.settings.Classes[detail%len(c.settings.Classes)]
+		remaining := time.Duration(1+detail) * 60 * time.Millisecond
 		c.requests[id] = &trackedRequest{class: class, deadline: c.now + remaining}
 		c.requestTimes = append(c.requestTimes, c.now)
-		c.handle(Event{Kind: EventRequest, Request: id, Class: arg % len(c.settings.Classes), Remaining: remaining, Retry: arg == 15})
-	case what < 9 && len(c.pending) > 0:
-		c.endAttempt(arg%len(c.pending), Outcome(what*5+byte(arg))%(OutcomeServerDraining+1))
-	case what < 11:
-		c.advance(time.Duration(arg) * 20 * time.Millisecond)
-	case what < 12 && len(c.healthChecks) > 0:
-		p := c.healthChecks[0]
+		c.handle(Event{Kind: EventRequest, Request: id, Class: detail % len(c.settings.Classes), Remaining: remaining, Retry: detail == 15})
+	case kind < 9 && len(c.pending) > 0:
+		c.endAttempt(detail%len(c.pending), Outcome(kind*5+byte(detail))%(OutcomeServerDraining+1))
+	case kind < 11:
+		c.advance(time.Duration(detail) * 20 * time.Millisecond)
+	case kind < 12 && len(c.healthChecks) > 0:
+		server := c.healthChecks[0]
 		c.healthChecks = c.healthChecks[1:]
-		c.handle(Event{Kind: EventHealthCheck, Server: p, Outcome: Outcome(arg) % (OutcomeExpired + 1),
-			Load: LoadReport{Known: true, InFlight: float64(arg), Queue: -1, ServiceTime: time.Duration(arg) * ms}})
-	case what < 13 && len(c.pending) > 0:
-		r := c.requests[c.pending[arg%len(c.pending)].Request]
+		c.handle(Event{Kind: EventHealthCheck, Server: server, Outcome: Outcome(detail) % (OutcomeExpired + 1),
+			Load: LoadReport{Known: true, InFlight: float64(detail), Queue: -1, ServiceTime: time.Duration(detail) * ms}})
+	case kind < 13 && len(c.pending) > 0:
+		r := c.requests[c.pending[detail%len(c.pending)].Request]
 		if !r.answered {
 			r.answered = true
-			c.handle(Event{Kind: EventClientClosed, Request: c.pending[arg%len(c.pending)].Request})
+			c.handle(Event{Kind: EventClientClosed, Request: c.pending[detail%len(c.pending)].Request})
 		}
 	default:
-		e := Endpoint{ID: ServerID(arg), Cell: arg % 3, Zone: arg % 2, Kind: arg / 2 % 2, State: EndpointState(what % 3), Weight: float64(arg)}
-		if what == 15 {
+		e := Endpoint{ID: ServerID(detail), Cell: detail % 3, Zone: detail % 2, Kind: detail / 2 % 2, State: EndpointState(kind % 3), Weight: float64(detail)}
+		if kind == 15 {
 			e.State, e.Start = Ready, c.now
 		}
 		c.endpoints[e.ID] = e
--- a/internal/balancer/pick_test.go
+++ b/internal/balancer/pick_test.go
@@ -14,14 +14,14 @@
 	var single, pair [4]float64
 	alone := 0.0
 	for range n {
-		a, c := h.pickPair()
-		i := slices.Index(h.candidates().servers, a)
-		if c == nil {
+		first, second := h.pickPair()
+		i := slices.Index(h.candidates().servers, first)
+		if second == nil {
 			alone++
 			single[i]++
 		} else {
 			pair[i]++
-			if h.candidates().servers[i+1] != c {
+			if h.candidates().servers[i+1] != second {
 				t.Fatal("a pair that is not adjacent")
 			}
 		}
--- a/internal/balancer/speed_test.go
+++ b/internal/balancer/speed_test.go
@@ -51,13 +51,13 @@
 			Load: LoadReport{Known: true, InFlight: -1, Queue: 0, ServiceTime: 30 * ms}})
 	}
 	h.handle(Event{Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{readyEndpoint(5, 1)}})
-	fresh := h.b.serversByID[5]
+	added := h.b.serversByID[5]
 	for _, s := range h.b.servers {
-		if r := h.b.speed(fresh) / h.b.speed(s); r < 0.8 || r > 1.25 {
+		if r := h.b.speed(added) / h.b.speed(s); r < 0.8 || r > 1.25 {
 			t.Errorf("a new server is %.2f times as fast as server %d", r, s.ID)
 		}
-		if each := h.b.serviceSeconds(s); each < 0.03 || each > 0.08 {
-			t.Errorf("a request takes %.3f s on server %d, want 0.05", each, s.ID)
+		if seconds := h.b.serviceSeconds(s); seconds < 0.03 || seconds > 0.08 {
+			t.Errorf("a request takes %.3f s on server %d, want 0.05", seconds, s.ID)
 		}
 	}
 }
