--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -31,18 +31,18 @@
 	candidateEpoch int
 
 	machineKinds   map[int]*machineKind
-	kindAnswers    float64          // answers that the latency ratios of the kinds were learnt from
-	latencySeconds mean             // latency of an answer
-	queueDepth     mean             // requests on the server when one was sent, with that one
-	queueLength    [localities]mean // reported number of waiting requests
-	typicalWait    mean             // in-flight estimate over speed of the less loaded server of a pair
-	overloadQueue  float64          // limit of the waiting requests on one server
+	kindAnswers    float64                   // answers that the latency ratios of the kinds were learnt from
+	latencySeconds movingAverage             // latency of an answer
+	queueDepth     movingAverage             // requests on the server when one was sent, with that one
+	queueLength    [localities]movingAverage // reported number of waiting requests
+	typicalWait    movingAverage             // in-flight estimate over speed of the less loaded server of a pair
+	overloadQueue  float64                   // limit of the waiting requests on one server
 
 	overload           float64 // 0 is none; what exceeds toleratedOverload is the share of requests to shed
 	overloadDecayedAt  time.Duration
-	objectiveUsage     mean      // latency of an answer over the latency objective
-	meanPriorityWeight float64   // mean PriorityWeight of the classes
-	tenantShares       []float64 // shares of the recent requests, by tenant
+	objectiveUsage     movingAverage // latency of an answer over the latency objective
+	meanPriorityWeight float64       // mean PriorityWeight of the classes
+	tenantShares       []float64     // shares of the recent requests, by tenant
 
 	requestTimes history
 	retryTimes   history // when attempts after a request's first were made
@@ -60,7 +60,7 @@
 	Class
 	index               int           // position in classNames and in a server's health
 	firstRequestTimeout time.Duration // how long a client waits for the answer to a request that is no retry
-	latencySeconds      mean          // latency of an answer
+	latencySeconds      movingAverage // latency of an answer
 	candidates          candidateSet
 }
 
@@ -118,7 +118,7 @@
 	for _, adopted := range classes {
 		c := &class{Class: adopted, index: slices.Index(b.classNames, adopted.Name)}
 		guess := adopted.LatencyObjective.Seconds() / 3 // until answers show better
-		c.latencySeconds = mean{value: guess, known: true}
+		c.latencySeconds = movingAverage{value: guess, known: true}
 		if i := slices.IndexFunc(old, func(o *class) bool { return o.Name == adopted.Name }); i >= 0 {
 			c.latencySeconds = old[i].latencySeconds
 			c.firstRequestTimeout = old[i].firstRequestTimeout
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -234,7 +234,7 @@
 func TestAdopt(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, readyEndpoints(3)...)
-	h.b.classes[nonIdempotent].latencySeconds = mean{0.123, true}
+	h.b.classes[nonIdempotent].latencySeconds = movingAverage{0.123, true}
 	h.b.recordFailure(h.b.classes[nonIdempotent], h.b.serversByID[1], 0.5, "test")
 	h.request(1, idempotent)
 	h.request(2, keyedByFleet)
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -31,11 +31,11 @@
 // candidateSet holds the servers that one class picks from, and the sums that picks use. It follows the line variant of
 // the policy for unequal speeds by He and Down: a pair is two neighbours in the order of the set.
 type candidateSet struct {
-	servers      []*server // remote ones first, then by listed speed
-	weights      []float64 // present speeds, those of remote servers reduced by remoteWeight
-	weightSums   sums      // of weights
-	pairSums     sums      // of the weights of pairs
-	sendChances  []float64 // chance that a send is not withheld from a server that is warming up
+	servers      []*server  // remote ones first, then by listed speed
+	weights      []float64  // present speeds, those of remote servers reduced by remoteWeight
+	weightSums   prefixSums // of weights
+	pairSums     prefixSums // of the weights of pairs
+	sendChances  []float64  // chance that a send is not withheld from a server that is warming up
 	remoteWeight float64
 	peakSpeed    float64       // speed of all eligible servers once they are warm, the highest of late
 	epoch        int           // Balancer.candidateEpoch when it was built
@@ -126,7 +126,7 @@
 
 // appendPairSums appends to pairs the running sums of the weights of pairs. A pair weighs the speed of its first server
 // plus epsilon; the last pair weighs what its two servers lack.
-func appendPairSums(speeds []float64, pairs sums) sums {
+func appendPairSums(speeds []float64, pairs prefixSums) prefixSums {
 	n := len(speeds)
 	if n < 2 {
 		return pairs
--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -227,7 +227,7 @@
 func TestCostlyRequestDoesNotEject(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(8)...)
 	for i := range h.b.classes {
-		h.b.classes[i].latencySeconds = mean{0.02, true} // other requests are quick
+		h.b.classes[i].latencySeconds = movingAverage{0.02, true} // other requests are quick
 	}
 	sent := h.request(1, idempotent)
 	s, check := h.b.serversByID[onlyAction(t, sent, ActionSend).Server], onlyAction(t, sent, ActionSetTimer)
--- a/internal/balancer/pick_test.go
+++ b/internal/balancer/pick_test.go
@@ -114,7 +114,7 @@
 func TestLoadedPairIsPickedAnew(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(8)...)
 	candidates := func() []*server { h.pickPair(); return h.candidates().servers }()
-	h.b.typicalWait = mean{1, true}
+	h.b.typicalWait = movingAverage{1, true}
 	r := &request{id: 1, class: h.b.classes[idempotent], deadline: h.now + time.Second, objective: h.now + time.Second}
 	candidates[0].inFlight, candidates[1].inFlight = 9, 9
 	for r.picks = range maxPicks {
--- a/internal/balancer/slowstart_fleet_test.go
+++ b/internal/balancer/slowstart_fleet_test.go
@@ -113,8 +113,8 @@
 }
 
 // drawTraffic draws the agents' shares of the traffic.
-func (r *fleetRun) drawTraffic() sums {
-	weights := make(sums, 0, r.agents)
+func (r *fleetRun) drawTraffic() prefixSums {
+	weights := make(prefixSums, 0, r.agents)
 	sigma := math.Sqrt(math.Log(1 + r.trafficDeviation*r.trafficDeviation))
 	for range r.agents {
 		weights = weights.add(math.Exp(sigma * r.rng.NormFloat64()))
--- a/internal/balancer/speed.go
+++ b/internal/balancer/speed.go
@@ -24,15 +24,15 @@
 
 // machineKind is what has been learnt about the servers of one kind of machine.
 type machineKind struct {
-	latencyRatio mean    // latency of an answer over the mean of its class
-	answers      float64 // answers that latencyRatio was learnt from
+	latencyRatio movingAverage // latency of an answer over the mean of its class
+	answers      float64       // answers that latencyRatio was learnt from
 }
 
 // kindOf returns the kind of machine of a server.
 func (b *Balancer) kindOf(s *server) *machineKind {
 	k := b.machineKinds[s.Kind]
 	if k == nil {
-		k = &machineKind{latencyRatio: mean{value: 1, known: true}}
+		k = &machineKind{latencyRatio: movingAverage{value: 1, known: true}}
 		b.machineKinds[s.Kind] = k
 	}
 	return k
--- a/internal/balancer/sums.go
+++ b/internal/balancer/sums.go
@@ -9,17 +9,17 @@
 // half.
 const maxHistoryLength = 4096
 
-// sums are running sums of weights, for picks by weight in logarithmic time.
-type sums []float64
+// prefixSums are running sums of weights, for picks by weight in logarithmic time.
+type prefixSums []float64
 
 // add appends a weight.
-func (s sums) add(weight float64) sums { return append(s, s.span(0, len(s))+weight) }
+func (s prefixSums) add(weight float64) prefixSums { return append(s, s.span(0, len(s))+weight) }
 
 // span returns the sum of the weights i to j-1; positions that do not exist count as 0.
-func (s sums) span(i, j int) float64 { return s.upTo(j) - s.upTo(i) }
+func (s prefixSums) span(i, j int) float64 { return s.upTo(j) - s.upTo(i) }
 
 // upTo returns the sum of the first n weights.
-func (s sums) upTo(n int) float64 {
+func (s prefixSums) upTo(n int) float64 {
 	n = min(n, len(s))
 	if n <= 0 {
 		return 0
@@ -28,19 +28,19 @@
 }
 
 // pick returns an index by weight; u is uniform in [0, 1).
-func (s sums) pick(u float64) int {
+func (s prefixSums) pick(u float64) int {
 	i, _ := slices.BinarySearch(s, u*s[len(s)-1])
 	return min(i, len(s)-1)
 }
 
-// mean is an exponentially weighted moving average; it starts at its first sample.
-type mean struct {
+// movingAverage is an exponentially weighted moving average; it starts at its first sample.
+type movingAverage struct {
 	value float64
 	known bool
 }
 
 // add takes in a sample.
-func (m *mean) add(sample, weight float64) {
+func (m *movingAverage) add(sample, weight float64) {
 	if !m.known {
 		m.value = sample
 		m.known = true
