--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -1,13 +1,14 @@
 package balancer
 
 import (
+	"errors"
 	"math"
 	"strings"
 	"testing"
 )
 
 func TestNewNamesTheInvalidSetting(t *testing.T) {
-	for field, spoil := range map[string]func(*Settings){
+	for field, invalidate := range map[string]func(*Settings){
 		"Agents":                      func(s *Settings) { s.Agents = 0 },
 		"Rank":                        func(s *Settings) { s.Rank = 1 },
 		"MaxAttempts":                 func(s *Settings) { s.MaxAttempts = 0 },
@@ -30,9 +31,14 @@
 		"Tenants[0].Quota":            func(s *Settings) { s.Tenants = []Tenant{{Quota: -1}} },
 	} {
 		s := testSettings()
-		spoil(&s)
-		if _, err := New(s, 1); err == nil || !strings.Contains(err.Error(), field) {
+		invalidate(&s)
+		_, err := New(s, 1)
+		if err == nil || !strings.Contains(err.Error(), field) {
 			t.Errorf("%s: error %v", field, err)
 		}
+		var invalid *SettingError
+		if !errors.As(err, &invalid) || invalid.Field != strings.TrimSpace(field) {
+			t.Errorf("%s: error %v names the field %+v", field, err, invalid)
+		}
 	}
 }
