--- a/internal/agent/admission.go
+++ b/internal/agent/admission.go
@@ -23,6 +23,9 @@
 	// endTime and endBytes are how long a client may go on sending on a connection that the agent has ended, and how much.
 	endTime  = 500 * time.Millisecond
 	endBytes = 1 << 20
+	// lastAcceptBatch is how many connections are taken at once out of the queue of a listener that is to close. It is no
+	// more than a process keeps free of its quota, because the queue may hold more than there are descriptors.
+	lastAcceptBatch = 8
 )
 
 // admission holds the connections of clients. There is room for so many; when it is short, the one that has been
@@ -318,15 +321,24 @@
 	}
 }
 
-// resize changes how many connections there may be.
-func (a *admission) resize(l limits) {
+// Resize changes how many connections there may be, and how many where all have a request.
+func (a *admission) Resize(maxConns, maxActive int) {
 	a.mu.Lock()
-	a.limit(l)
-	a.mu.Unlock()
+	defer a.mu.Unlock()
+	a.most = maxConns
+	a.busy = maxActive
+}
+
+// UpdateLimits sets how many connections there may be, and how many where all have a request, to what decide returns, in
+// one step with the look at how many are open and whether more are accepted.
+func (a *admission) UpdateLimits(decide func(open int, accepting bool) (maxConns, maxActive int)) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.most, a.busy = decide(a.open, !a.shut)
 }
 
-// limit does so for who holds the mutex.
-func (a *admission) limit(l limits) { a.most, a.busy = l.clients, l.busy }
+// Released holds a value when a connection has ended since the last one was taken out.
+func (a *admission) Released() <-chan struct{} { return a.freed }
 
 // unlist takes a connection out of the list that it is in. The mutex is held.
 func (a *admission) unlist(c *clientConn) {
@@ -426,7 +438,7 @@
 	}
 	var taken []int
 	if err := raw.Control(func(fd uintptr) {
-		for len(taken) < leastRoom {
+		for len(taken) < lastAcceptBatch {
 			n, _, err := syscall.Accept4(int(fd), syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 			switch err {
 			case nil:
--- a/internal/agent/admission_test.go
+++ b/internal/agent/admission_test.go
@@ -264,7 +264,7 @@
 // A process that is replaced takes what waits in its listener's queue a few at a time, as the queue may hold more than it has
 // descriptors, leaves none behind, and closes the listener behind the last.
 func TestLastOfTheQueue(t *testing.T) {
-	const queued = 5*leastRoom + 3
+	const queued = 5*lastAcceptBatch + 3
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -284,7 +284,7 @@
 			t.Fatalf("connection %d: %v", i, err)
 		}
 		defer c.Close()
-		if len(a.waiting) >= leastRoom {
+		if len(a.waiting) >= lastAcceptBatch {
 			t.Fatalf("%d more are taken at once", len(a.waiting))
 		}
 	}
@@ -296,3 +296,40 @@
 		t.Error("the listener is open")
 	}
 }
+
+// The limits are changed in one step with the look at what is open, and whoever passes on what becomes free is told of each
+// connection that ends.
+func TestLimitsFollowOpenConnections(t *testing.T) {
+	a := &admission{metrics: &metrics.Metrics{}, freed: make(chan struct{}, 1), most: 2, busy: 2}
+	active := func() *clientConn { return &clientConn{reading: true} }
+	first := active()
+	if !a.admit(first) || !a.take(first) {
+		t.Fatal("not admitted")
+	}
+	a.UpdateLimits(func(open int, accepting bool) (maxConns, maxActive int) {
+		if open != 1 || !accepting {
+			t.Errorf("%d open, accepting %v", open, accepting)
+		}
+		return 1, 1
+	})
+	if a.admit(active()) {
+		t.Error("admitted beyond the new limit")
+	}
+	if len(a.Released()) != 0 {
+		t.Error("told of a connection that has not ended")
+	}
+	a.noteState(first, http.StateClosed)
+	if len(a.Released()) != 1 {
+		t.Error("not told of a connection that has ended")
+	}
+	a.Resize(2, 3)
+	a.mu.Lock()
+	a.shut = true
+	a.mu.Unlock()
+	a.UpdateLimits(func(open int, accepting bool) (maxConns, maxActive int) {
+		if open != 0 || accepting || a.most != 2 || a.busy != 3 {
+			t.Errorf("%d open, accepting %v, limits %d and %d", open, accepting, a.most, a.busy)
+		}
+		return 0, 0
+	})
+}
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -76,9 +76,9 @@
 }
 
 func serve(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, listening func() (*net.TCPListener, error), log *slog.Logger) error {
-	own := limitsOf(cfg, 1)
+	own := LimitsFor(cfg, 1)
 	counters := &metrics.Metrics{}
-	pool := NewPool(&cfg.Settings, own.backends, counters)
+	pool := NewPool(&cfg.Settings, own.ServerConns, counters)
 	l, err := newLoop(&cfg.Settings, cfg.Seed, pool, counters, log)
 	if err != nil {
 		return err
@@ -97,11 +97,11 @@
 	l.follow = d.Poll
 	clients := &admission{metrics: counters, freed: make(chan struct{}, 1)}
 	handler := &server{
-		loop: l, metrics: counters, clients: clients, most: int64(own.busy - own.busy/8),
-		drain: &drain{clients: clients, ended: work.Done(), log: log}, hurry: make(chan struct{}), buffers: stream.NewBuffers(own.streams),
+		loop: l, metrics: counters, clients: clients, most: int64(own.ActiveClientConns - own.ActiveClientConns/8),
+		drain: &drain{clients: clients, ended: work.Done(), log: log}, hurry: make(chan struct{}), buffers: stream.NewBuffers(own.StreamBytes),
 	}
-	shares := newRooms(cfg, clients, pool)
-	var beside *link
+	shares := NewQuotas(cfg, clients, pool)
+	var beside *Handover
 	if cfg.AdminAddr != "" {
 		c, err := admin.Listen(ctx, cfg.AdminAddr, handler.calls())
 		if err != nil {
@@ -110,8 +110,8 @@
 		defer c.Close()
 		go c.Serve()
 		l.shown = true
-		beside = joinLink(linkPath(cfg.Name), shares, log)
-		defer beside.close()
+		beside = Join(SocketPath(cfg.Name), shares, log)
+		defer beside.Close()
 		defer pool.Resize(0) // before that: the other process takes the link's end for the end of all that this one holds
 	}
 	moves := make(chan discovery.Target)
@@ -136,7 +136,7 @@
 	failed := make(chan error, 1)
 	go func() { failed <- srv.Serve(clients) }()
 	if beside != nil { // before anybody is told yes, on which the other process is told to go
-		if err := beside.serves(); err != nil {
+		if err := beside.Announce(); err != nil {
 			log.Warn("a process that replaces this one will not find it", "error", err)
 		}
 	}
@@ -151,7 +151,7 @@
 
 // leave sends clients away and returns when all that was taken is answered, or the platform is about to kill the process.
 // What serves reports its end on failed.
-func (s *server) leave(work context.Context, beside *link, failed <-chan error, log *slog.Logger) error {
+func (s *server) leave(work context.Context, beside *Handover, failed <-chan error, log *slog.Logger) error {
 	begun := time.Now()
 	longest := time.Duration(0)
 	for _, c := range s.loop.set.Load().Balancer.Classes {
@@ -166,7 +166,7 @@
 	s.drain.leave(last)
 	open, silent := s.clients.count()
 	log.Info("leaving", "still_open", open, "without_request", silent)
-	for time.Since(begun) < leaveAfter && !beside.leave() {
+	for time.Since(begun) < leaveAfter && !beside.Leave() {
 		select {
 		case err := <-failed:
 			return fmt.Errorf("serving: %w", err)
@@ -175,7 +175,7 @@
 	}
 	// Danger: http.Server.Shutdown would close a connection whose next request has just been read. The admission decides
 	// which came first, the request or the end.
-	if beside.leave() {
+	if beside.Leave() {
 		log.Info("another process takes the clients")
 		s.drain.emptyIdle(idleGrace)
 		s.clients.finish()
--- a/internal/agent/handover.go
+++ b/internal/agent/handover.go
@@ -1,3 +1,8 @@
+// Package handover joins the processes of one agent while one replaces the other. They share what the platform grants them
+// together, and tell each other over a Unix socket when they take clients and which places in their quotas they release.
+//
+// A Handover owns the socket, the connections to the other processes and the Quotas; its mutex guards them. It never
+// accepts or closes a client's connection: it only changes how many there may be.
 package agent
 
 import (
@@ -16,236 +21,263 @@
 )
 
 const (
-	linkDial = 200 * time.Millisecond
-	// linkReady is what a process says over the link once it takes clients.
-	linkReady = 'y'
-	// linkPass begins a line that passes places on: to a process that followed, so many of clients and of servers. Danger:
-	// a process of an earlier release takes any linkReady for that word, so none may stand in a line.
-	linkPass = "pass"
-	maxLine  = 64 // bytes
+	socketTimeout = 200 * time.Millisecond
+	// releaseInterval is how often a process looks for servers' connections that have become free.
+	releaseInterval = 20 * time.Millisecond
+	// readyWord is what a process sends once it accepts clients.
+	readyWord = 'y'
+	// releaseWord begins a line that releases places to a newer process: so many of clients and of servers. A process of
+	// an earlier release takes any readyWord for that word, so a line must not contain one.
+	releaseWord  = "pass"
+	maxLineBytes = 64
 )
 
-// link tells a process of the one that runs beside it while one replaces the other. The end of its connection is the end
-// of the other process, however that came.
-type link struct {
+// Handover is this process's side. The end of a connection is the end of the other process, however that came.
+type Handover struct {
 	path string
 	log  *slog.Logger
 
 	mu       sync.Mutex
-	rooms    *rooms
-	listener *net.UnixListener  // behind the path, if it is this process's
-	peers    map[net.Conn]*peer // those that run
-	ready    bool               // this process takes clients
+	quotas   *Quotas
+	listener *net.UnixListener // behind the path, if it is this process's
+	peers    map[net.Conn]*peerProcess
+	ready    bool // this process accepts clients
 	leaving  bool
 }
 
-// peer is another process.
-type peer struct {
-	follows bool // it began beside this one; the other way round otherwise
-	ready   bool // it takes clients
-	passes  bool // it has passed places on, be it none
+// peerProcess is another process that runs. The Handover's mutex guards it.
+type peerProcess struct {
+	newer         bool // it began beside this process; the other way round otherwise
+	ready         bool // it accepts clients
+	releasesQuota bool // it has sent a line, be it of no places
 }
 
-// linkPath is where the processes of one agent meet.
-func linkPath(name string) string {
+// SocketPath is where the processes of one agent meet.
+func SocketPath(agentName string) string {
 	h := fnv.New64a()
-	h.Write([]byte(name))
+	h.Write([]byte(agentName))
 	return filepath.Join(os.TempDir(), fmt.Sprintf("link-%x.sock", h.Sum64()))
 }
 
-// joinLink finds the process that runs already, if any does. Danger: a killed process leaves its file behind; nobody
-// answers there, and that is as good as no file.
-func joinLink(path string, shares *rooms, log *slog.Logger) *link {
-	k := &link{path: path, rooms: shares, log: log, peers: map[net.Conn]*peer{}}
-	if c, err := net.DialTimeout("unix", path, linkDial); err == nil {
-		k.add(c, false)
+// Join finds the process that runs already, if there is one. A file that a killed process has left behind is as good as no
+// file, because nobody answers there.
+func Join(path string, quotas *Quotas, log *slog.Logger) *Handover {
+	h := &Handover{path: path, quotas: quotas, log: log, peers: map[net.Conn]*peerProcess{}}
+	if conn, err := net.DialTimeout("unix", path, socketTimeout); err == nil {
+		h.addPeer(conn, false)
 	}
-	return k
+	return h
 }
 
-// serves notes that this process takes clients now: it is the one to be found, and those it replaces hear of it.
-func (k *link) serves() error {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.ready = true
-	for c := range k.peers {
-		say(c, string(linkReady))
+// Announce notes that this process accepts clients now: it is the one to be found, and those that it replaces are told.
+func (h *Handover) Announce() error {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.ready = true
+	for conn := range h.peers {
+		send(conn, string(readyWord))
 	}
-	return k.take()
+	return h.listen()
 }
 
-// say tells another process. What one that has gone or hangs does not take is lost, places with it, until it ends.
-func say(c net.Conn, what string) {
-	c.SetWriteDeadline(time.Now().Add(linkDial))
-	io.WriteString(c, what)
+// Leave notes that this process is to end, and says whether another one accepts its clients. It may be called more than
+// once, and on a nil Handover, that of a process without others.
+func (h *Handover) Leave() (replaced bool) {
+	if h == nil {
+		return false
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.leaving = true
+	for _, p := range h.peers {
+		replaced = replaced || p.ready
+	}
+	return replaced
+}
+
+// Close closes all connections, by which the other processes learn that this one is gone. It does not wait for the
+// goroutines that follow them, which end with their connections and change nothing but the quotas of this process.
+func (h *Handover) Close() {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.leaving = true
+	if h.listener != nil {
+		h.listener.Close()
+	}
+	for conn := range h.peers {
+		conn.Close()
+	}
 }
 
-// take puts a listener of this process behind the path. The mutex is held.
-func (k *link) take() error {
-	own := fmt.Sprintf("%s.%d", k.path, os.Getpid())
-	os.Remove(own) // left by a process of the same number
+// listen puts a listener of this process behind the path. The mutex is held.
+func (h *Handover) listen() error {
+	own := fmt.Sprintf("%s.%d", h.path, os.Getpid())
+	// A process of the same number may have left it; if it cannot be removed, listening fails.
+	_ = os.Remove(own)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
 	if err != nil {
 		return fmt.Errorf("the link: %w", err)
 	}
 	l.SetUnlinkOnClose(false) // the name may be the next process's by then
-	if err := os.Rename(own, k.path); err != nil {
+	if err := os.Rename(own, h.path); err != nil {
 		l.Close()
 		return fmt.Errorf("the link: %w", err)
 	}
-	if k.listener != nil {
-		k.listener.Close()
+	if h.listener != nil {
+		h.listener.Close()
 	}
-	k.listener = l
-	go func() {
-		for {
-			peer, err := l.Accept()
-			if err != nil {
-				return
-			}
-			k.add(peer, true)
-		}
-	}()
+	h.listener = l
+	go h.accept(l)
 	return nil
 }
 
-// add takes in another process and follows it to its end.
-func (k *link) add(c net.Conn, follows bool) {
-	p := &peer{follows: follows}
-	k.mu.Lock()
-	k.peers[c] = p
-	processes := 1 + len(k.peers)
-	if follows {
-		k.rooms.follows(processes)
-		k.pass(c, p, true) // before all else, by which the other knows that places are passed on
+// accept takes in newer processes until the listener closes, which the Handover does when it gets another or is closed.
+func (h *Handover) accept(l *net.UnixListener) {
+	for {
+		conn, err := l.Accept()
+		if err != nil {
+			return
+		}
+		h.addPeer(conn, true)
+	}
+}
+
+// addPeer takes in another process and starts the goroutines that follow it to its end.
+func (h *Handover) addPeer(conn net.Conn, newer bool) {
+	p := &peerProcess{newer: newer}
+	h.mu.Lock()
+	h.peers[conn] = p
+	processes := 1 + len(h.peers)
+	if newer {
+		h.quotas.split(processes)
+		h.releaseTo(conn, p, true) // before all else, by which the other knows that places are released
 	} else {
-		k.rooms.joins(processes)
+		h.quotas.join(processes)
 	}
-	if k.ready && !k.leaving {
-		say(c, string(linkReady))
+	if h.ready && !h.leaving {
+		send(conn, string(readyWord))
 	}
-	k.mu.Unlock()
-	k.log.Info("another process of this agent runs", "processes", processes)
+	h.mu.Unlock()
+	h.log.Info("peer process joined", "processes", processes)
 	ended := make(chan struct{})
-	if follows {
-		go k.passes(c, p, ended)
+	if newer {
+		go h.releaseUntil(ended, conn, p)
 	}
 	go func() {
-		k.hear(c, p)
+		h.receive(conn, p)
 		close(ended)
-		k.drop(c)
+		h.removePeer(conn)
 	}()
 }
 
-// hear listens to another process to its end. What makes no sense is nothing.
-func (k *link) hear(c net.Conn, p *peer) {
-	said := bufio.NewReader(c)
+// removePeer takes out a process that has ended.
+func (h *Handover) removePeer(conn net.Conn) {
+	conn.Close()
+	h.mu.Lock()
+	delete(h.peers, conn)
+	processes := 1 + len(h.peers)
+	var err error
+	if h.ready && !h.leaving {
+		err = h.listen() // the other may have had the name
+	}
+	h.quotas.peerEnded(processes)
+	h.mu.Unlock()
+	h.log.Info("peer process ended", "processes", processes, "error", err)
+}
+
+// receive reads what another process sends, to its end. What makes no sense is left out.
+func (h *Handover) receive(conn net.Conn, p *peerProcess) {
+	in := bufio.NewReader(conn)
 	var line []byte
 	for {
-		b, err := said.ReadByte()
+		b, err := in.ReadByte()
 		switch {
 		case err != nil:
 			return
-		case b == linkReady:
-			k.mu.Lock()
-			p.ready = true
-			if p.follows {
-				k.pass(c, p, false)
-			} else if !p.passes { // of an earlier release: it passes nothing on
-				k.rooms.takeOwed()
-			}
-			k.mu.Unlock()
-		case b != '\n':
-			if len(line) <= maxLine {
-				line = append(line, b)
-			}
-		default:
-			if clients, servers, ok := parsePass(string(line)); ok && !p.follows {
-				k.mu.Lock()
-				p.passes = true
-				k.rooms.take(clients, servers)
-				k.mu.Unlock()
-			}
+		case b == readyWord:
+			h.peerReady(conn, p)
+		case b == '\n':
+			h.peerReleased(p, string(line))
 			line = line[:0]
+		case len(line) <= maxLineBytes:
+			line = append(line, b)
 		}
 	}
 }
 
-// parsePass reads a line that passes places on.
-func parsePass(line string) (clients, servers int, ok bool) {
-	words := strings.Split(line, " ")
-	if len(line) > maxLine || len(words) != 3 || words[0] != linkPass {
-		return 0, 0, false
+// peerReady notes that another process accepts clients.
+func (h *Handover) peerReady(conn net.Conn, p *peerProcess) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	p.ready = true
+	switch {
+	case p.newer:
+		h.releaseTo(conn, p, false)
+	case !p.releasesQuota: // of an earlier release
+		h.quotas.addEntitled()
 	}
-	of, err := strconv.ParseUint(words[1], 10, 16)
-	to, err2 := strconv.ParseUint(words[2], 10, 16)
-	return int(of), int(to), err == nil && err2 == nil
 }
 
-// passes passes places on to a process that follows, as clients leave them and as servers' are found free.
-func (k *link) passes(c net.Conn, p *peer, ended <-chan struct{}) {
-	look := time.NewTicker(leaveLook)
-	defer look.Stop()
+// peerReleased takes the places that an older process has released.
+func (h *Handover) peerReleased(p *peerProcess, line string) {
+	clients, servers, ok := parseRelease(line)
+	if !ok || p.newer {
+		return
+	}
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	p.releasesQuota = true
+	h.quotas.add(clients, servers)
+}
+
+// releaseUntil releases places to a newer process until that has ended, as clients leave them and as servers' connections
+// are found free.
+func (h *Handover) releaseUntil(ended <-chan struct{}, conn net.Conn, p *peerProcess) {
+	ticker := time.NewTicker(releaseInterval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ended:
 			return
-		case <-k.rooms.admission.freed:
-		case <-look.C:
+		case <-h.quotas.clientConns.Released():
+		case <-ticker.C:
 		}
-		k.mu.Lock()
-		if k.peers[c] != nil {
-			k.pass(c, p, false)
+		h.mu.Lock()
+		if h.peers[conn] != nil {
+			h.releaseTo(conn, p, false)
 		}
-		k.mu.Unlock()
+		h.mu.Unlock()
 	}
 }
 
-// pass passes on what there is to pass, or says that there is nothing. The mutex is held.
-func (k *link) pass(c net.Conn, p *peer, anyway bool) {
-	if clients, servers := k.rooms.spare(p.ready); anyway || clients+servers > 0 {
-		say(c, fmt.Sprintf("%s %d %d\n", linkPass, clients, servers))
+// releaseTo releases the places that there are to release; if there are none it says so only if always is set. The mutex
+// is held.
+func (h *Handover) releaseTo(conn net.Conn, p *peerProcess, always bool) {
+	clients, servers := h.quotas.release(p.ready)
+	if always || clients+servers > 0 {
+		send(conn, fmt.Sprintf("%s %d %d\n", releaseWord, clients, servers))
 	}
 }
 
-// drop takes out a process that has ended.
-func (k *link) drop(c net.Conn) {
-	c.Close()
-	k.mu.Lock()
-	delete(k.peers, c)
-	processes := 1 + len(k.peers)
-	var err error
-	if k.ready && !k.leaving {
-		err = k.take() // the other may have had the name
+// parseRelease reads a line that releases places.
+func parseRelease(line string) (clients, servers int, ok bool) {
+	words := strings.Split(line, " ")
+	if len(line) > maxLineBytes || len(words) != 3 || words[0] != releaseWord {
+		return 0, 0, false
 	}
-	k.rooms.ends(processes)
-	k.mu.Unlock()
-	k.log.Info("another process of this agent has ended", "processes", processes, "error", err)
-}
-
-// leave notes that this process is to end, and says whether another takes its clients. Without a link none does.
-func (k *link) leave() (succeeded bool) {
-	if k == nil {
-		return false
+	ofClients, err := strconv.ParseUint(words[1], 10, 16)
+	if err != nil {
+		return 0, 0, false
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.leaving = true
-	for _, p := range k.peers {
-		succeeded = succeeded || p.ready
+	ofServers, err := strconv.ParseUint(words[2], 10, 16)
+	if err != nil {
+		return 0, 0, false
 	}
-	return succeeded
+	return int(ofClients), int(ofServers), true
 }
 
-// close ends the link, by which the other process learns that this one is gone.
-func (k *link) close() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.leaving = true
-	if k.listener != nil {
-		k.listener.Close()
-	}
-	for c := range k.peers {
-		c.Close()
-	}
+// send writes to another process. What one that has gone or hangs does not take is lost, places included, until it ends.
+func send(conn net.Conn, text string) {
+	conn.SetWriteDeadline(time.Now().Add(socketTimeout))
+	_, _ = io.WriteString(conn, text)
 }
