--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -18,6 +18,7 @@
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/stream"
+	"example.org/ryeloft/internal/upstream"
 )
 
 const (
@@ -78,7 +79,7 @@
 func serve(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, listening func() (*net.TCPListener, error), log *slog.Logger) error {
 	own := LimitsFor(cfg, 1)
 	counters := &metrics.Metrics{}
-	pool := NewPool(&cfg.Settings, own.ServerConns, counters)
+	pool := upstream.NewPool(&cfg.Settings, own.ServerConns, counters)
 	l, err := newLoop(&cfg.Settings, cfg.Seed, pool, counters, log)
 	if err != nil {
 		return err
--- a/internal/agent/loop.go
+++ b/internal/agent/loop.go
@@ -16,6 +16,7 @@
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/settings"
 	"example.org/ryeloft/internal/stream"
+	"example.org/ryeloft/internal/upstream"
 )
 
 const (
@@ -46,7 +47,7 @@
 	class, tenant int                // positions in them
 	retry         bool
 	deadline      time.Duration // of the clock
-	message       *Request
+	message       *upstream.Request
 	answered      chan answer // holds one, so that the loop never waits for a handler
 	gone          func() bool // says whether the client has gone
 
@@ -67,7 +68,7 @@
 }
 
 // clientAnswer is a server's answer as its client gets it.
-func clientAnswer(a Answer) answer {
+func clientAnswer(a upstream.Answer) answer {
 	return answer{status: http.StatusOK, contentType: a.ContentType, body: a.Body, rest: a.Download}
 }
 
@@ -85,7 +86,7 @@
 	set      atomic.Pointer[settings.Settings] // the loop swaps it; handlers read requests by it
 	clock    clock.Anchored
 	balancer *balancer.Balancer
-	pool     *Pool
+	pool     *upstream.Pool
 	metrics  *metrics.Metrics
 	follow   func() // asks discovery for the list
 	log      *slog.Logger
@@ -96,7 +97,7 @@
 	shown    bool          // the figures are read: the loop publishes its own
 
 	servers  *membership.Table // as discovery last told
-	targets  map[balancer.ServerID]*Endpoint
+	targets  map[balancer.ServerID]*upstream.Endpoint
 	requests map[balancer.RequestID]*request
 	callIDs  callIDs
 	lastID   balancer.RequestID
@@ -106,7 +107,7 @@
 	actions  []balancer.Action
 }
 
-func newLoop(set *settings.Settings, seed uint64, pool *Pool, m *metrics.Metrics, log *slog.Logger) (*loop, error) {
+func newLoop(set *settings.Settings, seed uint64, pool *upstream.Pool, m *metrics.Metrics, log *slog.Logger) (*loop, error) {
 	decisions, err := balancer.New(set.Balancer, seed)
 	if err != nil {
 		return nil, err
@@ -115,7 +116,7 @@
 		clock: clock.Anchor(), balancer: decisions, pool: pool, metrics: m, log: log,
 		inputs:   make(chan input, inputQueue),
 		done:     make(chan struct{}),
-		targets:  map[balancer.ServerID]*Endpoint{},
+		targets:  map[balancer.ServerID]*upstream.Endpoint{},
 		requests: map[balancer.RequestID]*request{},
 		callIDs:  callIDs{open: map[string]struct{}{}, recent: map[string]struct{}{}},
 	}
@@ -429,7 +430,7 @@
 		})
 		return
 	}
-	on := &Attempt{Deadline: time.Now().Add(left), LoadFields: l.set.Load().ReportFields, Abandoned: r.over}
+	on := &upstream.Attempt{Deadline: time.Now().Add(left), LoadFields: l.set.Load().ReportFields, Abandoned: r.over}
 	if a.DispatchWithin > 0 {
 		on.SendBefore = time.Now().Add(a.DispatchWithin)
 	}
@@ -440,7 +441,7 @@
 	id, server, msg := r.id, a.Server, r.message
 	begun := balancer.Event{Kind: balancer.EventStreaming, Request: id, Attempt: n, Server: server}
 	on.OnStreaming = func() { l.send(input{event: begun}) }
-	on.PassOn = func(a Answer) error {
+	on.PassOn = func(a upstream.Answer) error {
 		l.send(input{event: begun, answer: clientAnswer(a)})
 		select {
 		case err := <-a.Download.Done():
--- a/internal/agent/loop_test.go
+++ b/internal/agent/loop_test.go
@@ -16,6 +16,7 @@
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/settings"
+	"example.org/ryeloft/internal/upstream"
 )
 
 // The id of a request that is open, or was a moment ago, is no other's: the second is refused and the first served.
@@ -88,7 +89,7 @@
 func newTestLoop(t *testing.T, set *settings.Settings) *loop {
 	t.Helper()
 	counters := &metrics.Metrics{}
-	l, err := newLoop(set, 1, NewPool(set, 4, counters), counters, agenttest.DiscardLogger)
+	l, err := newLoop(set, 1, upstream.NewPool(set, 4, counters), counters, agenttest.DiscardLogger)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -120,7 +121,7 @@
 	list(balancer.EndpointsReplaced, "Ready")
 	x := idOf(t, l, "x")
 	r := &request{call: &call{id: 7, deadline: l.clock.Now() + agenttest.Timeout, answered: make(chan answer, 1), gone: stays,
-		message: NewRequest("POST", "/keyed/1", "x", nil, nil, nil)}}
+		message: upstream.NewRequest("POST", "/keyed/1", "x", nil, nil, nil)}}
 	l.requests[r.id] = r
 	send := balancer.Action{Kind: balancer.ActionSend, Request: r.id, Server: x, Timeout: agenttest.Timeout}
 	l.act(ctx, &send)
@@ -151,7 +152,7 @@
 	ctx := t.Context()
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
 		members: []discovery.Member{{ID: "x", Address: "127.0.0.1:1", State: "Ready"}}})
-	c := &call{set: l.set.Load(), class: 2, deadline: l.clock.Now() + agenttest.Timeout, answered: make(chan answer, 1), gone: stays, message: NewRequest("POST", "/", "x", nil, nil, nil)}
+	c := &call{set: l.set.Load(), class: 2, deadline: l.clock.Now() + agenttest.Timeout, answered: make(chan answer, 1), gone: stays, message: upstream.NewRequest("POST", "/", "x", nil, nil, nil)}
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 	if len(l.requests) != 1 || l.requests[c.id].out != 1 {
 		t.Fatalf("after the request: %+v", l.requests)
@@ -256,7 +257,7 @@
 	ctx := t.Context()
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
 		members: []discovery.Member{{ID: "x", Address: x.Addr, State: "Ready"}, {ID: "y", Address: y.Addr, State: "Ready"}}})
-	c := &call{set: l.set.Load(), deadline: l.clock.Now() + agenttest.Timeout, answered: make(chan answer, 1), gone: stays, message: NewRequest("POST", "/keyed/1", "x", nil, nil, nil)}
+	c := &call{set: l.set.Load(), deadline: l.clock.Now() + agenttest.Timeout, answered: make(chan answer, 1), gone: stays, message: upstream.NewRequest("POST", "/keyed/1", "x", nil, nil, nil)}
 	l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 	select {
 	case <-x.Requests:
@@ -300,7 +301,7 @@
 					ctx := t.Context()
 					l.take(ctx, input{event: balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced},
 						members: []discovery.Member{{ID: "x", Address: "127.0.0.1:1", State: "Ready"}, {ID: "y", Address: "127.0.0.1:1", State: "Ready"}}})
-					c := &call{set: l.set.Load(), deadline: l.clock.Now() + agenttest.Timeout, answered: make(chan answer, 1), gone: stays, message: NewRequest("POST", "/keyed/1", "x", nil, nil, nil)}
+					c := &call{set: l.set.Load(), deadline: l.clock.Now() + agenttest.Timeout, answered: make(chan answer, 1), gone: stays, message: upstream.NewRequest("POST", "/keyed/1", "x", nil, nil, nil)}
 					l.take(ctx, input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
 					for l.requests[c.id].out < 2 { // the module's looks at the silent attempt, due or not
 						look := heap.Pop(&l.timers).(timer)
@@ -348,16 +349,16 @@
 	list(balancer.EndpointsReplaced, old)
 	ctx, cancel := context.WithTimeout(t.Context(), agenttest.Timeout)
 	defer cancel()
-	m := NewRequest("GET", "/", "x", nil, nil, nil)
-	plain := &Attempt{Deadline: time.Now().Add(agenttest.Timeout)}
-	inUse := make(chan Result, 1)
+	m := upstream.NewRequest("GET", "/", "x", nil, nil, nil)
+	plain := &upstream.Attempt{Deadline: time.Now().Add(agenttest.Timeout)}
+	inUse := make(chan upstream.Result, 1)
 	first := l.targets[idOf(t, l, "old")]
 	go func() { inUse <- l.pool.Exchange(ctx, first, m, plain) }()
 	agenttest.Receive(t, "request", b.Requests)
 	list(balancer.EndpointsChanged, next)
 	goOn <- struct{}{}
 	second := l.targets[idOf(t, l, "next")]
-	inUse2 := make(chan Result, 1)
+	inUse2 := make(chan upstream.Result, 1)
 	agenttest.Receive(t, "answer of the old one", inUse)
 	go func() { inUse2 <- l.pool.Exchange(ctx, second, m, plain) }()
 	agenttest.Receive(t, "request", b.Requests)
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -19,6 +19,7 @@
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/stream"
+	"example.org/ryeloft/internal/upstream"
 )
 
 const (
@@ -336,7 +337,7 @@
 		// From here on the connection is watched for a client that goes, for as long as the answer takes.
 		return nil, err
 	}
-	c.message = NewRequest(r.Method, r.RequestURI, r.Host, r.Header, body, long)
+	c.message = upstream.NewRequest(r.Method, r.RequestURI, r.Host, r.Header, body, long)
 	return c, nil
 }
 
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -21,6 +21,7 @@
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/stream"
+	"example.org/ryeloft/internal/upstream"
 )
 
 // streaming starts an agent in front of a server that a handler plays.
@@ -96,7 +97,7 @@
 			for _, n := range []int{1000, 2000} { // whoever waits for all of a short answer has waited enough
 				w.Write(body[n-1000 : n])
 				w.(http.Flusher).Flush()
-				time.Sleep(2 * CompleteWait)
+				time.Sleep(2 * upstream.CompleteWait)
 			}
 			<-goOn
 			w.Write(body[2000:])
--- a/internal/agent/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -1,4 +1,4 @@
-package agent
+package upstream
 
 import (
 	"slices"
--- a/internal/agent/pool.go
+++ b/internal/upstream/pool.go
@@ -3,7 +3,7 @@
 // The Pool owns all connections; its mutex guards the idle ones and the endpoints. A connection in use belongs to the one
 // exchange that took it. The package never sends a request twice: whether one may be repeated is the balancer's to decide,
 // by the outcome that an exchange reports.
-package agent
+package upstream
 
 import (
 	"context"
