--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -15,6 +15,7 @@
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/handover"
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/stream"
@@ -77,7 +78,7 @@
 }
 
 func serve(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, listening func() (*net.TCPListener, error), log *slog.Logger) error {
-	own := LimitsFor(cfg, 1)
+	own := handover.LimitsFor(cfg, 1)
 	counters := &metrics.Metrics{}
 	pool := upstream.NewPool(&cfg.Settings, own.ServerConns, counters)
 	l, err := newLoop(&cfg.Settings, cfg.Seed, pool, counters, log)
@@ -101,8 +102,8 @@
 		loop: l, metrics: counters, clients: clients, most: int64(own.ActiveClientConns - own.ActiveClientConns/8),
 		drain: &drain{clients: clients, ended: work.Done(), log: log}, hurry: make(chan struct{}), buffers: stream.NewBuffers(own.StreamBytes),
 	}
-	shares := NewQuotas(cfg, clients, pool)
-	var beside *Handover
+	shares := handover.NewQuotas(cfg, clients, pool)
+	var beside *handover.Handover
 	if cfg.AdminAddr != "" {
 		c, err := admin.Listen(ctx, cfg.AdminAddr, handler.calls())
 		if err != nil {
@@ -111,7 +112,7 @@
 		defer c.Close()
 		go c.Serve()
 		l.shown = true
-		beside = Join(SocketPath(cfg.Name), shares, log)
+		beside = handover.Join(handover.SocketPath(cfg.Name), shares, log)
 		defer beside.Close()
 		defer pool.Resize(0) // before that: the other process takes the link's end for the end of all that this one holds
 	}
@@ -152,7 +153,7 @@
 
 // leave sends clients away and returns when all that was taken is answered, or the platform is about to kill the process.
 // What serves reports its end on failed.
-func (s *server) leave(work context.Context, beside *Handover, failed <-chan error, log *slog.Logger) error {
+func (s *server) leave(work context.Context, beside *handover.Handover, failed <-chan error, log *slog.Logger) error {
 	begun := time.Now()
 	longest := time.Duration(0)
 	for _, c := range s.loop.set.Load().Balancer.Classes {
--- a/internal/agent/limits_test.go
+++ b/internal/agent/limits_test.go
@@ -5,6 +5,7 @@
 	"testing"
 
 	"example.org/ryeloft/internal/agenttest"
+	"example.org/ryeloft/internal/handover"
 )
 
 // The collector keeps to its part of the memory, with a console and without.
@@ -14,7 +15,7 @@
 	debug.SetMemoryLimit(1 << 40)
 	a := agentFor(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
-	if got, want := debug.SetMemoryLimit(-1), LimitsFor(cfg, 1).HeapBytes; got != want || want > int64(cfg.MemoryMB)<<20 {
+	if got, want := debug.SetMemoryLimit(-1), handover.LimitsFor(cfg, 1).HeapBytes; got != want || want > int64(cfg.MemoryMB)<<20 {
 		t.Errorf("%s: the collector may hold %d bytes, want %d", a.url, got, want)
 	}
 }
--- a/internal/agent/handover.go
+++ b/internal/handover/handover.go
@@ -3,7 +3,7 @@
 //
 // A Handover owns the socket, the connections to the other processes and the Quotas; its mutex guards them. It never
 // accepts or closes a client's connection: it only changes how many there may be.
-package agent
+package handover
 
 import (
 	"bufio"
--- a/internal/agent/limits.go
+++ b/internal/handover/limits.go
@@ -1,4 +1,4 @@
-package agent
+package handover
 
 import (
 	"example.org/ryeloft/internal/config"
--- a/internal/agent/quota.go
+++ b/internal/handover/quota.go
@@ -1,4 +1,4 @@
-package agent
+package handover
 
 import (
 	"runtime/debug"
