--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -42,8 +42,6 @@
 	lastAnswers = 150 * time.Millisecond
 	leaveLook   = 20 * time.Millisecond
 	longestEnd  = 30 * time.Second // of a process that nobody kills
-	// listWait is how long a process that has a console waits for a list that is no old one before it takes clients.
-	listWait = 1500 * time.Millisecond
 )
 
 // Run serves until the context ends, then finishes what it has taken and returns nil. Of a configuration that is
@@ -81,22 +79,22 @@
 	own := handover.LimitsFor(cfg, 1)
 	counters := &metrics.Metrics{}
 	pool := upstream.NewPool(&cfg.Settings, own.ServerConns, counters)
-	l, err := newLoop(&cfg.Settings, cfg.Seed, pool, counters, log)
+	var d *discovery.Client
+	l, err := New(Options{
+		Settings: &cfg.Settings, Seed: cfg.Seed, Pool: pool, Metrics: counters, Log: log, PublishGauges: cfg.AdminAddr != "",
+		PollEndpoints: func() { d.Poll() },
+	})
 	if err != nil {
 		return err
 	}
 	// What the agent has taken it finishes, so its workers outlive the context.
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	tell := func(n discovery.WatchEvent) {
-		l.send(input{event: n.Event(nil), members: n.Members})
-	}
-	d := discovery.New(discovery.Options{
-		Addr: cfg.Discovery, Settings: l.set.Load, Notify: tell, OnPoll: counters.PollEnded, Log: log,
+	d = discovery.New(discovery.Options{
+		Addr: cfg.Discovery, Settings: l.Settings, Notify: l.NotifyEndpoints, OnPoll: counters.PollEnded, Log: log,
 		Name: cfg.Name, Relays: cfg.Relays,
 	})
 	d.StartFrom(cfg.CachedEndpoints)
-	l.follow = d.Poll
 	clients := &admission{metrics: counters, freed: make(chan struct{}, 1)}
 	handler := &server{
 		loop: l, metrics: counters, clients: clients, most: int64(own.ActiveClientConns - own.ActiveClientConns/8),
@@ -111,19 +109,18 @@
 		}
 		defer c.Close()
 		go c.Serve()
-		l.shown = true
 		beside = handover.Join(handover.SocketPath(cfg.Name), shares, log)
 		defer beside.Close()
 		defer pool.Resize(0) // before that: the other process takes the link's end for the end of all that this one holds
 	}
 	moves := make(chan discovery.Target)
-	go l.run(work)
-	tell(discovery.WatchEvent{Update: balancer.EndpointsCached, Members: cfg.CachedEndpoints.Members})
+	go l.Run(work)
+	l.NotifyEndpoints(discovery.WatchEvent{Update: balancer.EndpointsCached, Members: cfg.CachedEndpoints.Members})
 	go d.Run(work, moves)
-	go l.follows(work, reloads, moves)
+	go (&reloader{loop: l, metrics: counters, moves: moves, log: log}).run(work, reloads)
 
 	if beside != nil {
-		l.awaitList(ctx)
+		l.AwaitEndpoints(ctx)
 	}
 	if clients.TCPListener, err = listening(); err != nil {
 		return err
@@ -156,7 +153,7 @@
 func (s *server) leave(work context.Context, beside *handover.Handover, failed <-chan error, log *slog.Logger) error {
 	begun := time.Now()
 	longest := time.Duration(0)
-	for _, c := range s.loop.set.Load().Balancer.Classes {
+	for _, c := range s.loop.Settings().Balancer.Classes {
 		longest = max(longest, c.Deadline)
 	}
 	last := min(longest, killDeadline) + killAfter - lastAnswers
--- /dev/null
+++ b/internal/agent/endpoints.go
@@ -0,0 +1,44 @@
+package agent
+
+import (
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
+)
+
+// updateEndpoints notes where the members of a list are and returns them in the balancer's terms.
+func (l *Loop) updateEndpoints(members []discovery.Member) []balancer.Endpoint {
+	entries := l.members.Endpoints(l.settings.Load(), members)
+	for i, entry := range entries {
+		if entry.State != balancer.Removed { // which is forgotten once the balancer knows
+			l.updateEndpoint(entry, members[i].Address)
+		}
+	}
+	return entries
+}
+
+// updateEndpoint takes another endpoint for a server whose process or address has changed, or that stays after it was
+// draining.
+func (l *Loop) updateEndpoint(entry balancer.Endpoint, addr string) {
+	e := l.endpoints[entry.ID]
+	same := e != nil && e.Is(addr, entry.Start)
+	if !same || entry.State == balancer.Ready && e.Draining() {
+		if e != nil {
+			l.pool.Retire(e)
+		}
+		e = l.pool.AddEndpoint(addr, entry.Start)
+		l.endpoints[entry.ID] = e
+	}
+	if entry.State != balancer.Ready {
+		e.Drain()
+	}
+}
+
+// removeEndpoints drops the endpoints that a list has shown to be gone.
+func (l *Loop) removeEndpoints(update balancer.DiscoveryUpdate, entries []balancer.Endpoint) {
+	for _, id := range l.members.RemoveGone(update, entries) {
+		if e := l.endpoints[id]; e != nil {
+			l.pool.Retire(e)
+			delete(l.endpoints, id)
+		}
+	}
+}
--- /dev/null
+++ b/internal/agent/inputs.go
@@ -0,0 +1,152 @@
+package agent
+
+import (
+	"context"
+	"net/http"
+
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/settings"
+	"example.org/ryeloft/internal/stream"
+)
+
+// input is something that has happened, on its way to the loop, whose goroutine calls handle.
+type input interface {
+	handle(ctx context.Context, l *Loop)
+}
+
+type (
+	// endpointsNotified is what discovery tells.
+	endpointsNotified struct{ discovery.WatchEvent }
+	// submitted is a request that a client has sent completely, or as far as its upload.
+	submitted struct{ request *Request }
+	// abandoned is a request whose answer nobody waits for.
+	abandoned struct{ request *Request }
+	// streaming says that an attempt uses an upload, or that its answer is a download.
+	streaming struct {
+		request balancer.RequestID
+		attempt int
+		server  balancer.ServerID
+		answer  Answer // its Download is nil if the attempt uses an upload
+	}
+	// attemptEnded is the outcome of an attempt.
+	attemptEnded struct {
+		request   balancer.RequestID
+		attempt   int
+		server    balancer.ServerID
+		outcome   balancer.Outcome
+		load      balancer.LoadReport
+		answer    Answer // if the outcome is OK
+		abandoned bool   // the attempt found that nobody waits for the answer
+	}
+	// healthCheckEnded is the outcome of a health check.
+	healthCheckEnded struct {
+		server  balancer.ServerID
+		outcome balancer.Outcome
+		load    balancer.LoadReport
+	}
+	// settingsReloaded are settings that are to be put in force.
+	settingsReloaded struct {
+		next   *settings.Settings
+		result chan<- error // holds one
+	}
+)
+
+func (in endpointsNotified) handle(ctx context.Context, l *Loop) {
+	endpoints := l.updateEndpoints(in.Members)
+	l.handle(ctx, in.Event(endpoints))
+	if in.Update.KeepsEndpoints() {
+		return
+	}
+	l.removeEndpoints(in.Update, endpoints)
+	if len(l.endpoints) > 0 {
+		l.hasEndpoints.Store(true)
+	}
+	if l.hasEndpoints.Load() && in.Update != balancer.EndpointsCached {
+		l.hasSynced.Store(true)
+	}
+}
+
+func (in submitted) handle(ctx context.Context, l *Loop) {
+	r := in.request
+	if !l.ids.add(r.ID) {
+		r.answered <- Answer{Status: http.StatusConflict, ContentType: "text/plain", Body: []byte(protocol.HeaderRequestID + " is in use\n")}
+		return
+	}
+	l.metrics.RequestDispatched()
+	if !r.translate(l.settings.Load()) {
+		l.ids.close(r.ID)
+		r.answered <- Answer{Status: protocol.StatusRejected}
+		return
+	}
+	r.number = l.newNumber()
+	l.requests[r.number] = newOpenRequest(r)
+	l.handle(ctx, balancer.Event{
+		Kind: balancer.EventRequest, Request: r.number, Class: r.Class, Tenant: r.Tenant, Retry: r.Retry,
+		Remaining: r.Deadline - l.clock.Now(),
+	})
+}
+
+func (in abandoned) handle(ctx context.Context, l *Loop) {
+	r := l.requests[in.request.number]
+	if r != nil && !r.ended.Load() {
+		l.abandon(ctx, r)
+		return
+	}
+	// It crossed the answer, if there was one.
+	select {
+	case a := <-in.request.answered:
+		if a.Download != nil {
+			a.Download.Finish(stream.ErrNotRead)
+		}
+	default:
+	}
+}
+
+func (in streaming) handle(ctx context.Context, l *Loop) {
+	r := l.requests[in.request]
+	if in.answer.Download != nil {
+		if !r.answer(in.answer) { // another attempt's answer was first
+			in.answer.Download.Finish(stream.ErrNotRead)
+			return
+		}
+		r.streamingAttempt = in.attempt
+	}
+	l.handle(ctx, balancer.Event{Kind: balancer.EventStreaming, Request: in.request, Attempt: in.attempt, Server: in.server})
+}
+
+func (in attemptEnded) handle(ctx context.Context, l *Loop) {
+	l.metrics.AttemptEnded(in.outcome, in.load)
+	r := l.requests[in.request]
+	r.cancelAttempt[in.attempt]()
+	r.inFlight--
+	if in.abandoned && !r.ended.Load() {
+		l.abandon(ctx, r)
+	}
+	if in.outcome == balancer.OutcomeOK {
+		r.answer(in.answer)
+	}
+	l.handle(ctx, balancer.Event{
+		Kind: balancer.EventOutcome, Request: in.request, Attempt: in.attempt, Server: in.server,
+		Outcome: in.outcome, Load: in.load, Answered: r.ended.Load(),
+	})
+	l.forget(r)
+}
+
+func (in healthCheckEnded) handle(ctx context.Context, l *Loop) {
+	l.metrics.HealthCheckEnded(in.outcome, in.load)
+	l.handle(ctx, balancer.Event{Kind: balancer.EventHealthCheck, Server: in.server, Outcome: in.outcome, Load: in.load})
+}
+
+func (in settingsReloaded) handle(ctx context.Context, l *Loop) {
+	in.result <- l.adopt(ctx, in.next)
+}
+
+// abandon ends a request whose client has gone, with an answer of nothing if the handler does not know yet.
+func (l *Loop) abandon(ctx context.Context, r *openRequest) {
+	r.answer(Answer{})
+	l.metrics.ClientClosed()
+	l.handle(ctx, balancer.Event{Kind: balancer.EventClientClosed, Request: r.number})
+	l.forget(r)
+}
--- /dev/null
+++ b/internal/agent/openrequest.go
@@ -0,0 +1,92 @@
+package agent
+
+import (
+	"context"
+	"sync/atomic"
+	"time"
+
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/settings"
+	"example.org/ryeloft/internal/stream"
+	"example.org/ryeloft/internal/upstream"
+)
+
+// Request is a client's request, which the client's handler shares with the loop. The handler fills in the exported fields
+// before it submits the request, and leaves them to the loop from then on.
+type Request struct {
+	ID        string // the client's
+	ClassName string
+	Settings  *settings.Settings // by which it was read
+	Class     int                // position in the settings
+	Tenant    int                // likewise
+	Retry     bool               // the client repeats it
+	Deadline  time.Duration      // in the loop's time
+	Upstream  *upstream.Request  // what is sent to a server
+	// ClientClosed says whether the client has closed its connection. Any goroutine may call it.
+	ClientClosed func() bool
+
+	answered chan Answer // holds one, so that the loop never waits for a handler
+	number   balancer.RequestID
+	ended    atomic.Bool // answered or abandoned; only the loop sets it
+}
+
+// NewRequest returns a request that was read by these settings.
+func NewRequest(s *settings.Settings) *Request {
+	return &Request{Settings: s, answered: make(chan Answer, 1)}
+}
+
+// Answered gives the request's only answer. A handler that does not wait for it has to abandon the request.
+func (r *Request) Answered() <-chan Answer { return r.answered }
+
+// over says that nothing may be begun for the request any more.
+func (r *Request) over() bool { return r.ended.Load() || r.ClientClosed() }
+
+// Answer is what a client gets.
+type Answer struct {
+	Status      int           // 0: nothing, the client has gone
+	RetryAfter  time.Duration // 0: no advice
+	ContentType string
+	Body        []byte
+	Download    *stream.Download // in place of a body that is held; nil otherwise
+}
+
+// openRequest is what the loop knows of a request until that is answered and its attempts have ended.
+type openRequest struct {
+	*Request
+	cancelAttempt    []context.CancelFunc // by the number of the attempt
+	inFlight         int                  // attempts
+	streamingAttempt int                  // whose answer is passed on to the client; noAttempt for none
+}
+
+const noAttempt = -1
+
+func newOpenRequest(r *Request) *openRequest {
+	return &openRequest{Request: r, streamingAttempt: noAttempt}
+}
+
+// answer gives the client its answer, unless it has one or is gone.
+func (r *openRequest) answer(a Answer) bool {
+	if r.ended.Swap(true) {
+		return false
+	}
+	r.answered <- a
+	return true
+}
+
+// newNumber returns a number that no open request has.
+func (l *Loop) newNumber() balancer.RequestID {
+	for {
+		l.lastID++
+		if l.requests[l.lastID] == nil {
+			return l.lastID
+		}
+	}
+}
+
+// forget drops a request of which nothing more is to be heard.
+func (l *Loop) forget(r *openRequest) {
+	if r.ended.Load() && r.inFlight == 0 {
+		delete(l.requests, r.number)
+		l.ids.close(r.ID)
+	}
+}
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -18,6 +18,7 @@
 	"example.org/ryeloft/internal/clock"
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/settings"
 	"example.org/ryeloft/internal/stream"
 	"example.org/ryeloft/internal/upstream"
 )
@@ -36,9 +37,18 @@
 
 var errNoList = errors.New("not up yet: no list of backends, or no listener")
 
+// dispatcher answers requests; a Loop is one.
+type dispatcher interface {
+	Settings() *settings.Settings
+	Now() time.Duration
+	Ready() bool
+	Submit(*Request)
+	Abandon(*Request)
+}
+
 // server is the client's side: it turns requests into calls for the loop, and its answers into responses.
 type server struct {
-	loop    *loop
+	loop    dispatcher
 	metrics *metrics.Metrics
 	clients *admission
 	buffers *stream.Buffers // of streams
@@ -59,8 +69,8 @@
 
 func (e *badRequest) Error() string { return e.what }
 
-func (e *badRequest) answer() answer {
-	return answer{status: e.status, contentType: "text/plain", body: []byte(e.what + "\n")}
+func (e *badRequest) answer() Answer {
+	return Answer{Status: e.status, ContentType: "text/plain", Body: []byte(e.what + "\n")}
 }
 
 func bad(format string, args ...any) error {
@@ -90,7 +100,7 @@
 	case err != nil, !s.clients.take(connOf(r)): // the connection is gone
 		panic(http.ErrAbortHandler)
 	}
-	if u := c.message.Upload(); u != nil {
+	if u := c.Upstream.Upload(); u != nil {
 		u.OnComplete = func() {
 			s.metrics.RequestOpened()
 			s.clients.noteBody(connOf(r))
@@ -98,7 +108,7 @@
 		defer s.endUpload(w, u)
 		if !u.Reserve(s.buffers) {
 			s.metrics.RequestOverLimit()
-			s.answer(w, r, c, answer{status: protocol.StatusRejected, retryAfter: s.fullAdvice()})
+			s.answer(w, r, c, Answer{Status: protocol.StatusRejected, RetryAfter: s.fullAdvice()})
 			return
 		}
 	} else {
@@ -108,24 +118,24 @@
 	defer s.held.Add(-1)
 	if s.held.Add(1) > s.most {
 		s.metrics.RequestOverLimit()
-		s.answer(w, r, c, answer{status: protocol.StatusRejected, retryAfter: s.fullAdvice()})
+		s.answer(w, r, c, Answer{Status: protocol.StatusRejected, RetryAfter: s.fullAdvice()})
 		return
 	}
-	s.loop.send(input{event: balancer.Event{Kind: balancer.EventRequest}, call: c})
+	s.loop.Submit(c)
 	var late <-chan time.Time
 	if left, bounded := s.drain.late(); bounded {
 		late = time.After(left)
 	}
 	select {
-	case a := <-c.answered:
+	case a := <-c.Answered():
 		switch {
-		case a.status == 0:
+		case a.Status == 0:
 			panic(http.ErrAbortHandler)
-		case a.rest == nil:
+		case a.Download == nil:
 			s.answer(w, r, c, a)
-		case late != nil || c.message.Upload() != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
-			a.rest.Finish(stream.ErrNotRead)
-			s.answer(w, r, c, answer{status: protocol.StatusFailed})
+		case late != nil || c.Upstream.Upload() != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
+			a.Download.Finish(stream.ErrNotRead)
+			s.answer(w, r, c, Answer{Status: protocol.StatusFailed})
 		default:
 			s.passOn(w, r, c, a)
 		}
@@ -134,7 +144,7 @@
 	case <-s.hurry:
 		s.giveUp(w, r, c)
 	case <-r.Context().Done():
-		s.loop.send(input{event: balancer.Event{Kind: balancer.EventClientClosed}, call: c})
+		s.loop.Abandon(c)
 		// Danger: a handler that returns without a word answers 200, and a client that has closed only its own
 		// side would take that for what a backend made.
 		panic(http.ErrAbortHandler)
@@ -150,9 +160,9 @@
 }
 
 // giveUp answers a request as failed whose answer can be waited for no longer.
-func (s *server) giveUp(w http.ResponseWriter, r *http.Request, c *call) {
-	s.loop.send(input{event: balancer.Event{Kind: balancer.EventClientClosed}, call: c})
-	s.answer(w, r, c, answer{status: protocol.StatusFailed})
+func (s *server) giveUp(w http.ResponseWriter, r *http.Request, c *Request) {
+	s.loop.Abandon(c)
+	s.answer(w, r, c, Answer{Status: protocol.StatusFailed})
 }
 
 // takesClients says why clients cannot be served, if they can not.
@@ -160,7 +170,7 @@
 	if err := s.drain.away(); err != nil {
 		return err
 	}
-	if !s.listening.Load() || !s.loop.ready.Load() {
+	if !s.listening.Load() || !s.loop.Ready() {
 		return errNoList
 	}
 	return nil
@@ -189,33 +199,33 @@
 }
 
 // answer gives a request that was taken its answer and counts it.
-func (s *server) answer(w http.ResponseWriter, r *http.Request, c *call, a answer) {
-	s.metrics.RequestAnswered(c.kind, metrics.ResultOf(a.status))
+func (s *server) answer(w http.ResponseWriter, r *http.Request, c *Request, a Answer) {
+	s.metrics.RequestAnswered(c.ClassName, metrics.ResultOf(a.Status))
 	s.finishBody(w, c)
 	s.respond(w, a)
-	if u := c.message.Upload(); u != nil && !u.Complete() && http.NewResponseController(w).Flush() == nil {
+	if u := c.Upstream.Upload(); u != nil && !u.Complete() && http.NewResponseController(w).Flush() == nil {
 		s.clients.answered(connOf(r))
 		u.Discard()
 	}
 }
 
 // finishBody notes, before its answer, that a long body has not come to its end: the rest is in the way of a next request.
-func (s *server) finishBody(w http.ResponseWriter, c *call) {
-	if u := c.message.Upload(); u != nil && !u.Complete() {
+func (s *server) finishBody(w http.ResponseWriter, c *Request) {
+	if u := c.Upstream.Upload(); u != nil && !u.Complete() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
 // passOn gives a request that was taken an answer that flows, and counts it by how it ends.
-func (s *server) passOn(w http.ResponseWriter, r *http.Request, c *call, a answer) {
+func (s *server) passOn(w http.ResponseWriter, r *http.Request, c *Request, a Answer) {
 	s.finishBody(w, c)
-	s.head(w, a, a.rest.Length())
-	err := a.rest.CopyTo(r.Context(), w, s.buffers)
+	s.head(w, a, a.Download.Length())
+	err := a.Download.CopyTo(r.Context(), w, s.buffers)
 	if err == nil {
-		s.metrics.RequestAnswered(c.kind, metrics.ResultOK)
+		s.metrics.RequestAnswered(c.ClassName, metrics.ResultOK)
 		return
 	}
-	s.metrics.RequestAnswered(c.kind, metrics.ResultErrors)
+	s.metrics.RequestAnswered(c.ClassName, metrics.ResultErrors)
 	s.metrics.AnswerBroken(false, err)
 	// The client has to see that this was not all, also where only the close would end the answer.
 	connOf(r).cut()
@@ -224,7 +234,7 @@
 
 // fullAdvice is when to come back to an agent that holds all it can, as far as the settings allow such advice.
 func (s *server) fullAdvice() time.Duration {
-	set := &s.loop.set.Load().Balancer
+	set := &s.loop.Settings().Balancer
 	if !set.AdviseRetryAfter {
 		return 0
 	}
@@ -233,32 +243,32 @@
 
 // respond writes an answer. Whether the connection is to close is asked only now: a request that was taken before
 // the agent was told to stop must not leave a connection on which the next one crosses the close.
-func (s *server) respond(w http.ResponseWriter, a answer) {
+func (s *server) respond(w http.ResponseWriter, a Answer) {
 	// Danger: a client that reads nothing would hold its answer for good. Where there is no deadline to set the
 	// connection is gone, and writing tells.
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
-	s.head(w, a, int64(len(a.body)))
-	w.Write(a.body) // a client that does not take it is gone
+	s.head(w, a, int64(len(a.Body)))
+	w.Write(a.Body) // a client that does not take it is gone
 }
 
 // head writes the head of an answer with a body of so many bytes, or of as many as will come if that is below 0.
-func (s *server) head(w http.ResponseWriter, a answer, length int64) {
+func (s *server) head(w http.ResponseWriter, a Answer, length int64) {
 	h := w.Header()
 	// What else a client sends that has sent nonsense is not to be trusted either.
-	if s.drain.away() != nil || a.status/100 == 4 {
+	if s.drain.away() != nil || a.Status/100 == 4 {
 		h.Set("Connection", "close")
 	}
-	if a.retryAfter > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(a.retryAfter.Seconds(), 'f', 3, 64))
+	if a.RetryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	h["Content-Type"] = nil // or net/http guesses one
-	if a.contentType != "" {
-		h.Set("Content-Type", a.contentType)
+	if a.ContentType != "" {
+		h.Set("Content-Type", a.ContentType)
 	}
 	if length >= 0 {
 		h.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	w.WriteHeader(a.status)
+	w.WriteHeader(a.Status)
 }
 
 // checkFraming checks how a request's body is said to end, before any of it is read.
@@ -279,8 +289,8 @@
 var onceHeaders = []string{protocol.HeaderRequestID, protocol.HeaderClass, protocol.HeaderTenant, protocol.HeaderBudget, protocol.HeaderRetry, protocol.HeaderIdempotencyKey}
 
 // read checks a request's head, and then reads it to its last byte, from which its budget counts.
-func (s *server) read(w http.ResponseWriter, r *http.Request) (*call, error) {
-	set := s.loop.set.Load()
+func (s *server) read(w http.ResponseWriter, r *http.Request) (*Request, error) {
+	set := s.loop.Settings()
 	// What concerns this connection only goes before anything is checked: it may name what is needed.
 	for _, name := range r.Header["Connection"] {
 		for field := range strings.SplitSeq(name, ",") {
@@ -295,26 +305,23 @@
 			return nil, bad("%s stands there twice", name)
 		}
 	}
-	c := &call{
-		set:      set,
-		class:    slices.Index(set.ClassNames, r.Header.Get(protocol.HeaderClass)),
-		retry:    r.Header.Get(protocol.HeaderRetry) == "1",
-		answered: make(chan answer, 1),
-		gone:     connOf(r).gone,
-	}
-	if c.class < 0 {
+	c := NewRequest(set)
+	c.Class = slices.Index(set.ClassNames, r.Header.Get(protocol.HeaderClass))
+	c.Retry = r.Header.Get(protocol.HeaderRetry) == "1"
+	c.ClientClosed = connOf(r).gone
+	if c.Class < 0 {
 		return nil, bad("%s is unknown", protocol.HeaderClass)
 	}
-	c.kind = set.ClassNames[c.class]
-	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != set.ClassNames[c.class] ||
+	c.ClassName = set.ClassNames[c.Class]
+	if first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/"); first != set.ClassNames[c.Class] ||
 		!strings.HasPrefix(r.RequestURI, "/") {
 		return nil, bad("the path does not begin with the class")
 	}
-	if err := checkEffect(set.Balancer.Classes[c.class].Idempotency, r); err != nil {
+	if err := checkEffect(set.Balancer.Classes[c.Class].Idempotency, r); err != nil {
 		return nil, err
 	}
 	if len(set.TenantNames) > 0 {
-		if c.tenant = slices.Index(set.TenantNames, r.Header.Get(protocol.HeaderTenant)); c.tenant < 0 {
+		if c.Tenant = slices.Index(set.TenantNames, r.Header.Get(protocol.HeaderTenant)); c.Tenant < 0 {
 			return nil, bad("%s is unknown", protocol.HeaderTenant)
 		}
 	}
@@ -322,7 +329,7 @@
 	if err != nil {
 		return nil, bad("%s is no time", protocol.HeaderBudget)
 	}
-	if c.callID = r.Header.Get(protocol.HeaderRequestID); c.callID == "" || len(c.callID) > maxCallID {
+	if c.ID = r.Header.Get(protocol.HeaderRequestID); c.ID == "" || len(c.ID) > maxCallID {
 		return nil, bad("%s is missing or too long", protocol.HeaderRequestID)
 	}
 	body, long, err := readBody(r, http.NewResponseController(w))
@@ -330,14 +337,14 @@
 		return nil, &badRequest{http.StatusRequestTimeout, fmt.Sprintf("the body does not come: %v", err)}
 	}
 	budget -= answerMargin(budget)
-	c.deadline = s.loop.clock.Now() + budget
+	c.Deadline = s.loop.Now() + budget
 	if long != nil {
 		long.Budget = budget
 	} else if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil {
 		// From here on the connection is watched for a client that goes, for as long as the answer takes.
 		return nil, err
 	}
-	c.message = upstream.NewRequest(r.Method, r.RequestURI, r.Host, r.Header, body, long)
+	c.Upstream = upstream.NewRequest(r.Method, r.RequestURI, r.Host, r.Header, body, long)
 	return c, nil
 }
 
