--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -15,6 +15,7 @@
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/dispatch"
 	"example.org/ryeloft/internal/handover"
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
@@ -80,7 +81,7 @@
 	counters := &metrics.Metrics{}
 	pool := upstream.NewPool(&cfg.Settings, own.ServerConns, counters)
 	var d *discovery.Client
-	l, err := New(Options{
+	l, err := dispatch.New(dispatch.Options{
 		Settings: &cfg.Settings, Seed: cfg.Seed, Pool: pool, Metrics: counters, Log: log, PublishGauges: cfg.AdminAddr != "",
 		PollEndpoints: func() { d.Poll() },
 	})
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -6,12 +6,13 @@
 
 	"example.org/ryeloft/internal/config"
 	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/dispatch"
 	"example.org/ryeloft/internal/metrics"
 )
 
 // reloader puts configurations in force: the settings first, and then where the list is to be had.
 type reloader struct {
-	loop    *Loop
+	loop    *dispatch.Loop
 	metrics *metrics.Metrics
 	moves   chan<- discovery.Target
 	log     *slog.Logger
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -16,6 +16,7 @@
 	"example.org/ryeloft/internal/admin"
 	"example.org/ryeloft/internal/balancer"
 	"example.org/ryeloft/internal/clock"
+	"example.org/ryeloft/internal/dispatch"
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/settings"
@@ -42,8 +43,8 @@
 	Settings() *settings.Settings
 	Now() time.Duration
 	Ready() bool
-	Submit(*Request)
-	Abandon(*Request)
+	Submit(*dispatch.Request)
+	Abandon(*dispatch.Request)
 }
 
 // server is the client's side: it turns requests into calls for the loop, and its answers into responses.
@@ -69,8 +70,8 @@
 
 func (e *badRequest) Error() string { return e.what }
 
-func (e *badRequest) answer() Answer {
-	return Answer{Status: e.status, ContentType: "text/plain", Body: []byte(e.what + "\n")}
+func (e *badRequest) answer() dispatch.Answer {
+	return dispatch.Answer{Status: e.status, ContentType: "text/plain", Body: []byte(e.what + "\n")}
 }
 
 func bad(format string, args ...any) error {
@@ -108,7 +109,7 @@
 		defer s.endUpload(w, u)
 		if !u.Reserve(s.buffers) {
 			s.metrics.RequestOverLimit()
-			s.answer(w, r, c, Answer{Status: protocol.StatusRejected, RetryAfter: s.fullAdvice()})
+			s.answer(w, r, c, dispatch.Answer{Status: protocol.StatusRejected, RetryAfter: s.fullAdvice()})
 			return
 		}
 	} else {
@@ -118,7 +119,7 @@
 	defer s.held.Add(-1)
 	if s.held.Add(1) > s.most {
 		s.metrics.RequestOverLimit()
-		s.answer(w, r, c, Answer{Status: protocol.StatusRejected, RetryAfter: s.fullAdvice()})
+		s.answer(w, r, c, dispatch.Answer{Status: protocol.StatusRejected, RetryAfter: s.fullAdvice()})
 		return
 	}
 	s.loop.Submit(c)
@@ -135,7 +136,7 @@
 			s.answer(w, r, c, a)
 		case late != nil || c.Upstream.Upload() != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
 			a.Download.Finish(stream.ErrNotRead)
-			s.answer(w, r, c, Answer{Status: protocol.StatusFailed})
+			s.answer(w, r, c, dispatch.Answer{Status: protocol.StatusFailed})
 		default:
 			s.passOn(w, r, c, a)
 		}
@@ -160,9 +161,9 @@
 }
 
 // giveUp answers a request as failed whose answer can be waited for no longer.
-func (s *server) giveUp(w http.ResponseWriter, r *http.Request, c *Request) {
+func (s *server) giveUp(w http.ResponseWriter, r *http.Request, c *dispatch.Request) {
 	s.loop.Abandon(c)
-	s.answer(w, r, c, Answer{Status: protocol.StatusFailed})
+	s.answer(w, r, c, dispatch.Answer{Status: protocol.StatusFailed})
 }
 
 // takesClients says why clients cannot be served, if they can not.
@@ -199,7 +200,7 @@
 }
 
 // answer gives a request that was taken its answer and counts it.
-func (s *server) answer(w http.ResponseWriter, r *http.Request, c *Request, a Answer) {
+func (s *server) answer(w http.ResponseWriter, r *http.Request, c *dispatch.Request, a dispatch.Answer) {
 	s.metrics.RequestAnswered(c.ClassName, metrics.ResultOf(a.Status))
 	s.finishBody(w, c)
 	s.respond(w, a)
@@ -210,14 +211,14 @@
 }
 
 // finishBody notes, before its answer, that a long body has not come to its end: the rest is in the way of a next request.
-func (s *server) finishBody(w http.ResponseWriter, c *Request) {
+func (s *server) finishBody(w http.ResponseWriter, c *dispatch.Request) {
 	if u := c.Upstream.Upload(); u != nil && !u.Complete() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
 // passOn gives a request that was taken an answer that flows, and counts it by how it ends.
-func (s *server) passOn(w http.ResponseWriter, r *http.Request, c *Request, a Answer) {
+func (s *server) passOn(w http.ResponseWriter, r *http.Request, c *dispatch.Request, a dispatch.Answer) {
 	s.finishBody(w, c)
 	s.head(w, a, a.Download.Length())
 	err := a.Download.CopyTo(r.Context(), w, s.buffers)
@@ -243,7 +244,7 @@
 
 // respond writes an answer. Whether the connection is to close is asked only now: a request that was taken before
 // the agent was told to stop must not leave a connection on which the next one crosses the close.
-func (s *server) respond(w http.ResponseWriter, a Answer) {
+func (s *server) respond(w http.ResponseWriter, a dispatch.Answer) {
 	// Danger: a client that reads nothing would hold its answer for good. Where there is no deadline to set the
 	// connection is gone, and writing tells.
 	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
@@ -252,7 +253,7 @@
 }
 
 // head writes the head of an answer with a body of so many bytes, or of as many as will come if that is below 0.
-func (s *server) head(w http.ResponseWriter, a Answer, length int64) {
+func (s *server) head(w http.ResponseWriter, a dispatch.Answer, length int64) {
 	h := w.Header()
 	// What else a client sends that has sent nonsense is not to be trusted either.
 	if s.drain.away() != nil || a.Status/100 == 4 {
@@ -289,7 +290,7 @@
 var onceHeaders = []string{protocol.HeaderRequestID, protocol.HeaderClass, protocol.HeaderTenant, protocol.HeaderBudget, protocol.HeaderRetry, protocol.HeaderIdempotencyKey}
 
 // read checks a request's head, and then reads it to its last byte, from which its budget counts.
-func (s *server) read(w http.ResponseWriter, r *http.Request) (*Request, error) {
+func (s *server) read(w http.ResponseWriter, r *http.Request) (*dispatch.Request, error) {
 	set := s.loop.Settings()
 	// What concerns this connection only goes before anything is checked: it may name what is needed.
 	for _, name := range r.Header["Connection"] {
@@ -305,7 +306,7 @@
 			return nil, bad("%s stands there twice", name)
 		}
 	}
-	c := NewRequest(set)
+	c := dispatch.NewRequest(set)
 	c.Class = slices.Index(set.ClassNames, r.Header.Get(protocol.HeaderClass))
 	c.Retry = r.Header.Get(protocol.HeaderRetry) == "1"
 	c.ClientClosed = connOf(r).gone
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/agenttest"
+	"example.org/ryeloft/internal/dispatch"
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/settings"
@@ -301,8 +302,8 @@
 func (d *countingDispatcher) Settings() *settings.Settings { return d.settings }
 func (d *countingDispatcher) Now() time.Duration           { return 0 }
 func (d *countingDispatcher) Ready() bool                  { return true }
-func (d *countingDispatcher) Submit(*Request)              { d.calls.Add(1) }
-func (d *countingDispatcher) Abandon(*Request)             { d.calls.Add(1) }
+func (d *countingDispatcher) Submit(*dispatch.Request)     { d.calls.Add(1) }
+func (d *countingDispatcher) Abandon(*dispatch.Request)    { d.calls.Add(1) }
 
 // A long body that finds no buffer is rejected and never sent.
 func TestLongBodyWithoutBufferIsRejected(t *testing.T) {
--- a/internal/agent/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -4,7 +4,7 @@
 // balancer and carries out the actions that the balancer answers. It alone decides how a request ends. All state of the
 // Loop is its goroutine's but for the settings and two flags, which are atomic; requests are shared as Request says. The
 // loop itself waits for no connection: attempts and health checks have goroutines of their own.
-package agent
+package dispatch
 
 import (
 	"container/heap"
--- a/internal/agent/requestids.go
+++ b/internal/dispatch/requestids.go
@@ -1,4 +1,4 @@
-package agent
+package dispatch
 
 // maxRecentIDs is how many ids of ended requests are known, twice.
 const maxRecentIDs = 4096
