--- a/internal/agent/admission_test.go
+++ b/internal/agent/admission_test.go
@@ -87,7 +87,7 @@
 	for i := range 1024/3 + 1 {
 		select {
 		case held <- struct{}{}:
-		case <-time.After(idleClients + time.Second):
+		case <-time.After(idleTimeout + time.Second):
 			t.Fatalf("no connection left for request %d", i)
 		}
 		c := a.dial(t)
@@ -109,7 +109,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	a := &admission{TCPListener: listener, metrics: &metrics.Metrics{}, most: 1}
+	a := &Listener{TCPListener: listener, metrics: &metrics.Metrics{}, maxConns: 1}
 	accept := func() *clientConn {
 		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
@@ -124,23 +124,23 @@
 	}
 	x := accept()
 	y := accept()
-	if a.take(x) || !a.take(y) {
+	if a.takeRequest(x) || !a.takeRequest(y) {
 		t.Error("the longest silent has not made room for the newcomer")
 	}
 	if z := (&clientConn{}); a.admit(z) {
 		t.Error("a connection with an open request made room")
 	}
-	a.busy = 2 // where all have a request there is room for some more
+	a.maxActive = 2 // where all have a request there is room for some more
 	z := &clientConn{TCPConn: y.TCPConn}
-	if !a.admit(z) || !a.take(z) || a.admit(&clientConn{}) {
+	if !a.admit(z) || !a.takeRequest(z) || a.admit(&clientConn{}) {
 		t.Errorf("%d connections are open where two may be busy", a.open)
 	}
-	a.noteState(z, http.StateClosed)
-	a.noteState(x, http.StateClosed)
-	a.noteState(y, http.StateIdle)
-	a.noteState(y, http.StateClosed)
-	if a.open != 0 || a.silent.Len() != 0 {
-		t.Errorf("%d open and %d silent are counted", a.open, a.silent.Len())
+	a.connState(z, http.StateClosed)
+	a.connState(x, http.StateClosed)
+	a.connState(y, http.StateIdle)
+	a.connState(y, http.StateClosed)
+	if a.open != 0 || a.idle.Len() != 0 {
+		t.Errorf("%d open and %d silent are counted", a.open, a.idle.Len())
 	}
 }
 
@@ -152,7 +152,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	a := &admission{TCPListener: listener, metrics: &metrics.Metrics{}, most: 1, busy: 2}
+	a := &Listener{TCPListener: listener, metrics: &metrics.Metrics{}, maxConns: 1, maxActive: 2}
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
@@ -169,14 +169,14 @@
 		t.Fatal(err)
 	}
 	used := conn.(*clientConn)
-	a.noteState(used, http.StateIdle) // it has had an answer
+	a.connState(used, http.StateIdle) // it has had an answer
 	io.WriteString(client, crossing)
-	if other := (&clientConn{reading: true}); !a.admit(other) || used.closed {
+	if other := (&clientConn{reading: true}); !a.admit(other) || used.removed {
 		t.Error("a connection made room right behind its answer, with room for one more")
 	}
-	used.since = used.since.Add(-idleGrace)
+	used.idleSince = used.idleSince.Add(-idleGrace)
 	newcomer := dial()
-	if _, err := a.Accept(); err != nil || !used.closed {
+	if _, err := a.Accept(); err != nil || !used.removed {
 		t.Fatalf("no room by a connection that rested for %v: %v", idleGrace, err)
 	}
 	if n, err := used.Read(make([]byte, 100)); n > 0 || err == nil {
@@ -187,11 +187,11 @@
 	}
 	// The same where a connection is ended without being in anybody's way.
 	client = newcomer
-	resting := a.silent.Back().Value.(*clientConn)
-	a.noteState(resting, http.StateIdle)
+	resting := a.idle.Back().Value.(*clientConn)
+	a.connState(resting, http.StateIdle)
 	io.WriteString(client, crossing)
 	a.mu.Lock()
-	a.choose(resting)
+	a.markEnded(resting)
 	a.mu.Unlock()
 	if n, err := resting.Read(make([]byte, 100)); n > 0 || err != io.EOF {
 		t.Errorf("%d bytes were read behind the end: %v", n, err)
@@ -269,7 +269,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	a := &admission{TCPListener: l.(*net.TCPListener), metrics: &metrics.Metrics{}, freed: make(chan struct{}, 1), most: queued, busy: queued}
+	a := &Listener{TCPListener: l.(*net.TCPListener), metrics: &metrics.Metrics{}, released: make(chan struct{}, 1), maxConns: queued, maxActive: queued}
 	for range queued {
 		c, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -277,19 +277,19 @@
 		}
 		defer c.Close()
 	}
-	a.finish()
+	a.FinishQueue()
 	for i := range queued {
-		c, err := a.next()
+		c, err := a.nextConn()
 		if err != nil {
 			t.Fatalf("connection %d: %v", i, err)
 		}
 		defer c.Close()
-		if len(a.waiting) >= lastAcceptBatch {
-			t.Fatalf("%d more are taken at once", len(a.waiting))
+		if len(a.queued) >= lastAcceptBatch {
+			t.Fatalf("%d more are taken at once", len(a.queued))
 		}
 	}
-	if _, err := a.next(); !errors.Is(err, net.ErrClosed) || !a.shut {
-		t.Errorf("behind the last: %v, shut %v", err, a.shut)
+	if _, err := a.nextConn(); !errors.Is(err, net.ErrClosed) || !a.stopped {
+		t.Errorf("behind the last: %v, shut %v", err, a.stopped)
 	}
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		c.Close()
@@ -300,10 +300,10 @@
 // The limits are changed in one step with the look at what is open, and whoever passes on what becomes free is told of each
 // connection that ends.
 func TestLimitsFollowOpenConnections(t *testing.T) {
-	a := &admission{metrics: &metrics.Metrics{}, freed: make(chan struct{}, 1), most: 2, busy: 2}
+	a := &Listener{metrics: &metrics.Metrics{}, released: make(chan struct{}, 1), maxConns: 2, maxActive: 2}
 	active := func() *clientConn { return &clientConn{reading: true} }
 	first := active()
-	if !a.admit(first) || !a.take(first) {
+	if !a.admit(first) || !a.takeRequest(first) {
 		t.Fatal("not admitted")
 	}
 	a.UpdateLimits(func(open int, accepting bool) (maxConns, maxActive int) {
@@ -318,17 +318,17 @@
 	if len(a.Released()) != 0 {
 		t.Error("told of a connection that has not ended")
 	}
-	a.noteState(first, http.StateClosed)
+	a.connState(first, http.StateClosed)
 	if len(a.Released()) != 1 {
 		t.Error("not told of a connection that has ended")
 	}
 	a.Resize(2, 3)
 	a.mu.Lock()
-	a.shut = true
+	a.stopped = true
 	a.mu.Unlock()
 	a.UpdateLimits(func(open int, accepting bool) (maxConns, maxActive int) {
-		if open != 0 || accepting || a.most != 2 || a.busy != 3 {
-			t.Errorf("%d open, accepting %v, limits %d and %d", open, accepting, a.most, a.busy)
+		if open != 0 || accepting || a.maxConns != 2 || a.maxActive != 3 {
+			t.Errorf("%d open, accepting %v, limits %d and %d", open, accepting, a.maxConns, a.maxActive)
 		}
 		return 0, 0
 	})
--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -27,22 +27,22 @@
 	// headTimeout is how long a client may take to send a request's head, from its first byte, or from when it
 	// connected: 2 s, and what a busy core may add.
 	headTimeout = 2600 * time.Millisecond
-	// idleClients is how long a client's connection may be without a request: what the terms give it, and what an answer
+	// idleTimeout is how long a client's connection may be without a request: what the terms give it, and what an answer
 	// takes to its client. Danger: clients that ask once and keep their connection would use up the sockets.
-	idleClients = idleGrace + 100*time.Millisecond
-	// leaveAfter is how long an agent that is to stop, and that no other process follows, goes on accepting: its client
+	idleTimeout = idleGrace + 100*time.Millisecond
+	// acceptWhileLeaving is how long an agent that is to stop, and that no other process follows, goes on accepting: its client
 	// goes on connecting.
-	leaveAfter = 550 * time.Millisecond
-	// firstGrace is how long a connection that has just come may take to bring its first request.
-	firstGrace = 250 * time.Millisecond
-	// killAfter is when the platform kills a process that was told to stop, beyond the longest deadline, which it
-	// counts as killDeadline at most.
-	killAfter    = 700 * time.Millisecond
-	killDeadline = 3 * time.Second
-	// lastAnswers is how long before that what is still open is answered as failed, or it would be lost.
-	lastAnswers = 150 * time.Millisecond
-	leaveLook   = 20 * time.Millisecond
-	longestEnd  = 30 * time.Second // of a process that nobody kills
+	acceptWhileLeaving = 550 * time.Millisecond
+	// newConnGrace is how long a connection that has just come may take to bring its first request.
+	newConnGrace = 250 * time.Millisecond
+	// killMargin is when the platform kills a process that was told to stop, beyond the longest deadline, which it
+	// counts as maxKillDeadline at most.
+	killMargin    = 700 * time.Millisecond
+	maxKillDeadline = 3 * time.Second
+	// lastAnswerMargin is how long before that what is still open is answered as failed, or it would be lost.
+	lastAnswerMargin = 150 * time.Millisecond
+	pollInterval   = 20 * time.Millisecond
+	maxShutdown  = 30 * time.Second // of a process that nobody kills
 )
 
 // Run serves until the context ends, then finishes what it has taken and returns nil. Of a configuration that is
@@ -96,10 +96,10 @@
 		Name: cfg.Name, Relays: cfg.Relays,
 	})
 	d.StartFrom(cfg.CachedEndpoints)
-	clients := &admission{metrics: counters, freed: make(chan struct{}, 1)}
-	handler := &server{
-		loop: l, metrics: counters, clients: clients, most: int64(own.ActiveClientConns - own.ActiveClientConns/8),
-		drain: &drain{clients: clients, ended: work.Done(), log: log}, hurry: make(chan struct{}), buffers: stream.NewBuffers(own.StreamBytes),
+	clients := &Listener{metrics: counters, released: make(chan struct{}, 1)}
+	handler := &clientHandler{
+		dispatcher: l, metrics: counters, listener: clients, maxRequests: int64(own.ActiveClientConns - own.ActiveClientConns/8),
+		drain: &drainer{listener: clients, done: work.Done(), log: log}, hurry: make(chan struct{}), buffers: stream.NewBuffers(own.StreamBytes),
 	}
 	shares := handover.NewQuotas(cfg, clients, pool)
 	var beside *handover.Handover
@@ -127,12 +127,12 @@
 		return err
 	}
 	srv := &http.Server{
-		Handler: handler, ReadHeaderTimeout: headTimeout, IdleTimeout: idleClients, MaxHeaderBytes: protocol.MaxHeadBytes,
-		ConnContext: withConn, ConnState: clients.noteState,
+		Handler: handler, ReadHeaderTimeout: headTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: protocol.MaxHeadBytes,
+		ConnContext: withConn, ConnState: clients.connState,
 		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelWarn),
 	}
 	defer srv.Close()
-	defer clients.abandon()
+	defer clients.Abort()
 	failed := make(chan error, 1)
 	go func() { failed <- srv.Serve(clients) }()
 	if beside != nil { // before anybody is told yes, on which the other process is told to go
@@ -140,7 +140,7 @@
 			log.Warn("a process that replaces this one will not find it", "error", err)
 		}
 	}
-	handler.listening.Store(true)
+	handler.ready.Store(true)
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serving: %w", err)
@@ -151,39 +151,39 @@
 
 // leave sends clients away and returns when all that was taken is answered, or the platform is about to kill the process.
 // What serves reports its end on failed.
-func (s *server) leave(work context.Context, beside *handover.Handover, failed <-chan error, log *slog.Logger) error {
+func (s *clientHandler) leave(work context.Context, beside *handover.Handover, failed <-chan error, log *slog.Logger) error {
 	begun := time.Now()
 	longest := time.Duration(0)
-	for _, c := range s.loop.Settings().Balancer.Classes {
+	for _, c := range s.dispatcher.Settings().Balancer.Classes {
 		longest = max(longest, c.Deadline)
 	}
-	last := min(longest, killDeadline) + killAfter - lastAnswers
+	last := min(longest, maxKillDeadline) + killMargin - lastAnswerMargin
 	hurry := time.AfterFunc(last, func() { close(s.hurry) })
 	defer hurry.Stop()
 	// Then only long answers are left, and they are the platform's to cut off.
-	end, cancel := context.WithDeadline(work, begun.Add(longestEnd))
+	end, cancel := context.WithDeadline(work, begun.Add(maxShutdown))
 	defer cancel()
-	s.drain.leave(last)
-	open, silent := s.clients.count()
+	s.drain.shutDown(last)
+	open, silent := s.listener.Count()
 	log.Info("leaving", "still_open", open, "without_request", silent)
-	for time.Since(begun) < leaveAfter && !beside.Leave() {
+	for time.Since(begun) < acceptWhileLeaving && !beside.Leave() {
 		select {
 		case err := <-failed:
 			return fmt.Errorf("serving: %w", err)
-		case <-time.After(leaveLook):
+		case <-time.After(pollInterval):
 		}
 	}
 	// Danger: http.Server.Shutdown would close a connection whose next request has just been read. The admission decides
 	// which came first, the request or the end.
 	if beside.Leave() {
 		log.Info("another process takes the clients")
-		s.drain.emptyIdle(idleGrace)
-		s.clients.finish()
+		s.drain.closeIdleAfter(idleGrace)
+		s.listener.FinishQueue()
 	} else {
-		s.drain.emptyIdle(firstGrace)
-		s.clients.TCPListener.Close()
+		s.drain.closeIdleAfter(newConnGrace)
+		s.listener.TCPListener.Close()
 	}
 	<-failed // at the end of the listener, and of its queue
-	s.clients.emptied(end)
+	s.listener.AwaitEmpty(end)
 	return nil
 }
--- a/internal/agent/closing_test.go
+++ b/internal/agent/closing_test.go
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	a := &admission{TCPListener: listener, metrics: &metrics.Metrics{}, most: 2, busy: 2}
+	a := &Listener{TCPListener: listener, metrics: &metrics.Metrics{}, maxConns: 2, maxActive: 2}
 	accept := func() (*clientConn, net.Conn) {
 		c, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
@@ -97,20 +97,20 @@
 	}
 	read, _ := accept()
 	taken, _ := accept()
-	if !a.take(taken) {
+	if !a.takeRequest(taken) {
 		t.Error("not taken")
 	}
 	a.closeIdle(time.Now(), true)
-	if a.take(read) {
+	if a.takeRequest(read) {
 		t.Error("taken after the end")
 	}
-	if taken.ends {
+	if taken.ended {
 		t.Error("ended under a request")
 	}
 	// A connection that only waits for its client's end makes room for a newcomer.
 	_, client := accept()
-	if open, _ := a.count(); open != 2 || a.ending.Len() != 0 {
-		t.Errorf("%d open, %d of them ended", open, a.ending.Len())
+	if open, _ := a.Count(); open != 2 || a.closing.Len() != 0 {
+		t.Errorf("%d open, %d of them ended", open, a.closing.Len())
 	}
 	client.Close()
 }
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -153,28 +153,28 @@
 func TestDrainStates(t *testing.T) {
 	for _, c := range []struct {
 		name string
-		do   func(*drain)
+		do   func(*drainer)
 		want error
 	}{
-		{"as it starts", func(*drain) {}, nil},
-		{"on", (*drain).on, errDraining},
-		{"on and off", func(d *drain) { d.on(); d.off() }, nil},
-		{"off without on", func(d *drain) { d.off() }, nil},
-		{"on, on, off", func(d *drain) { d.on(); d.on(); d.off() }, nil},
-		{"leaving", func(d *drain) { d.leave(time.Second) }, errLeaving},
-		{"leaving during a drain", func(d *drain) { d.on(); d.leave(time.Second) }, errLeaving},
-		{"on while leaving", func(d *drain) { d.leave(time.Second); d.on() }, errLeaving},
-		{"off while leaving", func(d *drain) {
-			d.on()
-			d.leave(time.Second)
-			if d.off() == nil {
+		{"as it starts", func(*drainer) {}, nil},
+		{"on", (*drainer).start, ErrDraining},
+		{"on and off", func(d *drainer) { d.start(); d.stop() }, nil},
+		{"off without on", func(d *drainer) { d.stop() }, nil},
+		{"on, on, off", func(d *drainer) { d.start(); d.start(); d.stop() }, nil},
+		{"leaving", func(d *drainer) { d.shutDown(time.Second) }, ErrShuttingDown},
+		{"leaving during a drain", func(d *drainer) { d.start(); d.shutDown(time.Second) }, ErrShuttingDown},
+		{"on while leaving", func(d *drainer) { d.shutDown(time.Second); d.start() }, ErrShuttingDown},
+		{"off while leaving", func(d *drainer) {
+			d.start()
+			d.shutDown(time.Second)
+			if d.stop() == nil {
 				t.Error("off while leaving is granted")
 			}
-		}, errLeaving},
+		}, ErrShuttingDown},
 	} {
-		d := &drain{clients: &admission{metrics: &metrics.Metrics{}}, ended: t.Context().Done(), log: agenttest.DiscardLogger}
-		if c.do(d); d.away() != c.want {
-			t.Errorf("%s: %v, want %v", c.name, d.away(), c.want)
+		d := &drainer{listener: &Listener{metrics: &metrics.Metrics{}}, done: t.Context().Done(), log: agenttest.DiscardLogger}
+		if c.do(d); d.reason() != c.want {
+			t.Errorf("%s: %v, want %v", c.name, d.reason(), c.want)
 		}
 	}
 }
@@ -230,18 +230,18 @@
 	ago := func(d time.Duration) time.Time { return time.Now().Add(-d) }
 	for _, c := range []struct {
 		name    string
-		d       *drain
+		d       *drainer
 		bounded bool
 		most    time.Duration
 	}{
-		{"as ever", &drain{}, false, 0},
-		{"just sent away", &drain{asked: ago(time.Second)}, false, 0},
-		{"slow to send", &drain{asked: ago(3 * time.Second)}, true, 800 * time.Millisecond},
-		{"long sent away", &drain{asked: ago(time.Minute)}, false, 0},
-		{"told to stop", &drain{leaving: ago(100 * time.Millisecond), killed: 3 * time.Second}, false, 0},
-		{"past what is forgiven", &drain{leaving: ago(time.Second), killed: 3 * time.Second}, true, 2 * time.Second},
+		{"as ever", &drainer{}, false, 0},
+		{"just sent away", &drainer{drainSince: ago(time.Second)}, false, 0},
+		{"slow to send", &drainer{drainSince: ago(3 * time.Second)}, true, 800 * time.Millisecond},
+		{"long sent away", &drainer{drainSince: ago(time.Minute)}, false, 0},
+		{"told to stop", &drainer{shutdownSince: ago(100 * time.Millisecond), killedAfter: 3 * time.Second}, false, 0},
+		{"past what is forgiven", &drainer{shutdownSince: ago(time.Second), killedAfter: 3 * time.Second}, true, 2 * time.Second},
 	} {
-		if left, bounded := c.d.late(); bounded != c.bounded || bounded && (left > c.most || left < c.most-time.Second) {
+		if left, bounded := c.d.requestLimit(); bounded != c.bounded || bounded && (left > c.most || left < c.most-time.Second) {
 			t.Errorf("%s: %v, bounded %v", c.name, left, bounded)
 		}
 	}
@@ -249,7 +249,7 @@
 
 // Of the clients without a request those that are sending one make room last.
 func TestSlowSendersMakeRoomLast(t *testing.T) {
-	a := &admission{metrics: &metrics.Metrics{}, most: 2, busy: 3}
+	a := &Listener{metrics: &metrics.Metrics{}, maxConns: 2, maxActive: 3}
 	conn := func(reading bool) *clientConn {
 		c := &clientConn{TCPConn: &net.TCPConn{}}
 		c.reading = reading
@@ -258,14 +258,14 @@
 	sending, silent := conn(true), conn(false)
 	a.admit(sending)
 	a.admit(silent)
-	silent.since = silent.since.Add(-firstGrace)
-	if third := conn(true); !a.admit(third) || sending.closed || !silent.closed {
-		t.Errorf("sending closed: %v, silent closed: %v", sending.closed, silent.closed)
+	silent.idleSince = silent.idleSince.Add(-newConnGrace)
+	if third := conn(true); !a.admit(third) || sending.removed || !silent.removed {
+		t.Errorf("sending closed: %v, silent closed: %v", sending.removed, silent.removed)
 	}
-	if !a.admit(conn(true)) || sending.closed || a.open != 3 {
-		t.Errorf("with room for one more that is busy: sending closed: %v, %d open", sending.closed, a.open)
+	if !a.admit(conn(true)) || sending.removed || a.open != 3 {
+		t.Errorf("with room for one more that is busy: sending closed: %v, %d open", sending.removed, a.open)
 	}
-	if !a.admit(conn(true)) || !sending.closed || a.open != 3 {
-		t.Errorf("with no room: sending closed: %v, %d open", sending.closed, a.open)
+	if !a.admit(conn(true)) || !sending.removed || a.open != 3 {
+		t.Errorf("with no room: sending closed: %v, %d open", sending.removed, a.open)
 	}
 }
--- a/internal/agent/replacement_test.go
+++ b/internal/agent/replacement_test.go
@@ -85,7 +85,7 @@
 		next := begin(t, *cfg)
 		now.stop()
 		begun := time.Now()
-		if err := agenttest.Receive(t, "end of the process that is replaced", now.ended); err != nil || time.Since(begun) > killDeadline {
+		if err := agenttest.Receive(t, "end of the process that is replaced", now.ended); err != nil || time.Since(begun) > maxKillDeadline {
 			t.Errorf("ended after %v with %v", time.Since(begun), err)
 		}
 		now = next
--- a/internal/agent/server.go
+++ b/internal/agent/server.go
@@ -25,21 +25,21 @@
 )
 
 const (
-	mostMargin   = 25 * time.Millisecond
-	marginShare  = 10              // of a budget that is its margin at most
-	writeTimeout = 5 * time.Second // for a client to take its answer
-	maxCallID    = 256             // bytes
-	fullAdvice   = time.Second     // when to come back to an agent that holds all the requests it can
+	maxAnswerMargin   = 25 * time.Millisecond
+	answerMarginShare  = 10              // of a budget that is its margin at most
+	answerWriteTimeout = 5 * time.Second // for a client to take its answer
+	maxRequestIDBytes    = 256             // bytes
+	overLimitRetryAfter   = time.Second     // when to come back to an agent that holds all the requests it can
 )
 
 // hopHeaders concern one connection only and are not passed on.
 var hopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
 	"Upgrade", "Expect", "Content-Length"}
 
-var errNoList = errors.New("not up yet: no list of backends, or no listener")
+var ErrNotReady = errors.New("not up yet: no list of backends, or no listener")
 
-// dispatcher answers requests; a Loop is one.
-type dispatcher interface {
+// Dispatcher answers requests; a Loop is one.
+type Dispatcher interface {
 	Settings() *settings.Settings
 	Now() time.Duration
 	Ready() bool
@@ -47,19 +47,19 @@
 	Abandon(*dispatch.Request)
 }
 
-// server is the client's side: it turns requests into calls for the loop, and its answers into responses.
-type server struct {
-	loop    dispatcher
+// clientHandler is the client's side: it turns requests into calls for the loop, and its answers into responses.
+type clientHandler struct {
+	dispatcher    Dispatcher
 	metrics *metrics.Metrics
-	clients *admission
+	listener *Listener
 	buffers *stream.Buffers // of streams
-	most    int64           // requests held at once
+	maxRequests    int64           // requests held at once
 
-	drain *drain        // while clients are sent away, connections are closed after their answers
+	drain *drainer        // while clients are sent away, connections are closed after their answers
 	hurry chan struct{} // closed when what is open is to be answered as failed: the process is about to be killed
 
-	held      atomic.Int64 // requests
-	listening atomic.Bool  // for clients
+	openRequests      atomic.Int64 // requests
+	ready atomic.Bool  // for clients
 }
 
 // badRequest is what a client did wrong, and the status that tells it so.
@@ -78,53 +78,53 @@
 	return &badRequest{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-func (s *server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (s *clientHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	// Danger: a body that nobody reads is read by net/http behind the answer, and would be waited for without an end.
 	http.NewResponseController(w).SetReadDeadline(time.Now().Add(stream.BodyGrace))
 	if err := checkFraming(r); err != nil {
-		s.turnDown(w, err)
+		s.answerBadRequest(w, err)
 		return
 	}
 	if r.URL.Path == protocol.PathReady {
-		if err := s.takesClients(); err != nil {
+		if err := s.checkReady(); err != nil {
 			w.Header().Set("Connection", "close")
 			http.Error(w, err.Error(), http.StatusServiceUnavailable)
 		}
 		return
 	}
-	c, err := s.read(w, r)
+	c, err := s.readRequest(w, r)
 	var b *badRequest
 	switch {
 	case errors.As(err, &b):
-		s.turnDown(w, b)
+		s.answerBadRequest(w, b)
 		return
-	case err != nil, !s.clients.take(connOf(r)): // the connection is gone
+	case err != nil, !s.listener.takeRequest(connOf(r)): // the connection is gone
 		panic(http.ErrAbortHandler)
 	}
 	if u := c.Upstream.Upload(); u != nil {
 		u.OnComplete = func() {
 			s.metrics.RequestOpened()
-			s.clients.noteBody(connOf(r))
+			s.listener.uploadComplete(connOf(r))
 		}
-		defer s.endUpload(w, u)
+		defer s.closeUpload(w, u)
 		if !u.Reserve(s.buffers) {
 			s.metrics.RequestOverLimit()
-			s.answer(w, r, c, dispatch.Answer{Status: protocol.StatusRejected, RetryAfter: s.fullAdvice()})
+			s.finishRequest(w, r, c, dispatch.Answer{Status: protocol.StatusRejected, RetryAfter: s.fullAdvice()})
 			return
 		}
 	} else {
 		s.metrics.RequestOpened()
 		defer s.metrics.RequestClosed()
 	}
-	defer s.held.Add(-1)
-	if s.held.Add(1) > s.most {
+	defer s.openRequests.Add(-1)
+	if s.openRequests.Add(1) > s.maxRequests {
 		s.metrics.RequestOverLimit()
-		s.answer(w, r, c, dispatch.Answer{Status: protocol.StatusRejected, RetryAfter: s.fullAdvice()})
+		s.finishRequest(w, r, c, dispatch.Answer{Status: protocol.StatusRejected, RetryAfter: s.fullAdvice()})
 		return
 	}
-	s.loop.Submit(c)
+	s.dispatcher.Submit(c)
 	var late <-chan time.Time
-	if left, bounded := s.drain.late(); bounded {
+	if left, bounded := s.drain.requestLimit(); bounded {
 		late = time.After(left)
 	}
 	select {
@@ -133,62 +133,62 @@
 		case a.Status == 0:
 			panic(http.ErrAbortHandler)
 		case a.Download == nil:
-			s.answer(w, r, c, a)
-		case late != nil || c.Upstream.Upload() != nil && s.drain.ends(): // nobody knows how long it would flow, and it cannot be taken back
+			s.finishRequest(w, r, c, a)
+		case late != nil || c.Upstream.Upload() != nil && s.drain.limitsRequests(): // nobody knows how long it would flow, and it cannot be taken back
 			a.Download.Finish(stream.ErrNotRead)
-			s.answer(w, r, c, dispatch.Answer{Status: protocol.StatusFailed})
+			s.finishRequest(w, r, c, dispatch.Answer{Status: protocol.StatusFailed})
 		default:
-			s.passOn(w, r, c, a)
+			s.streamAnswer(w, r, c, a)
 		}
 	case <-late:
-		s.giveUp(w, r, c)
+		s.failRequest(w, r, c)
 	case <-s.hurry:
-		s.giveUp(w, r, c)
+		s.failRequest(w, r, c)
 	case <-r.Context().Done():
-		s.loop.Abandon(c)
+		s.dispatcher.Abandon(c)
 		// Danger: a handler that returns without a word answers 200, and a client that has closed only its own
 		// side would take that for what a backend made.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// endUpload ends all use of a long body, whose request has ended.
-func (s *server) endUpload(w http.ResponseWriter, u *stream.Upload) {
+// closeUpload ends all use of a long body, whose request has ended.
+func (s *clientHandler) closeUpload(w http.ResponseWriter, u *stream.Upload) {
 	u.Close(http.NewResponseController(w))
 	if u.Complete() {
 		s.metrics.RequestClosed()
 	}
 }
 
-// giveUp answers a request as failed whose answer can be waited for no longer.
-func (s *server) giveUp(w http.ResponseWriter, r *http.Request, c *dispatch.Request) {
-	s.loop.Abandon(c)
-	s.answer(w, r, c, dispatch.Answer{Status: protocol.StatusFailed})
+// failRequest answers a request as failed whose answer can be waited for no longer.
+func (s *clientHandler) failRequest(w http.ResponseWriter, r *http.Request, c *dispatch.Request) {
+	s.dispatcher.Abandon(c)
+	s.finishRequest(w, r, c, dispatch.Answer{Status: protocol.StatusFailed})
 }
 
-// takesClients says why clients cannot be served, if they can not.
-func (s *server) takesClients() error {
-	if err := s.drain.away(); err != nil {
+// checkReady says why clients cannot be served, if they can not.
+func (s *clientHandler) checkReady() error {
+	if err := s.drain.reason(); err != nil {
 		return err
 	}
-	if !s.listening.Load() || !s.loop.Ready() {
-		return errNoList
+	if !s.ready.Load() || !s.dispatcher.Ready() {
+		return ErrNotReady
 	}
 	return nil
 }
 
-// turnDown answers what was never taken.
-func (s *server) turnDown(w http.ResponseWriter, why *badRequest) {
+// answerBadRequest answers what was never taken.
+func (s *clientHandler) answerBadRequest(w http.ResponseWriter, why *badRequest) {
 	s.metrics.BadRequest(why.what)
-	s.respond(w, why.answer())
+	s.writeAnswer(w, why.answer())
 }
 
 // calls are what the operators may ask on the console.
-func (s *server) calls() map[string]admin.Command {
+func (s *clientHandler) calls() map[string]admin.Command {
 	return map[string]admin.Command{
-		"check":     func(io.Writer) error { return s.takesClients() },
-		"drain-on":  func(io.Writer) error { s.drain.on(); return nil },
-		"drain-off": func(io.Writer) error { return s.drain.off() },
+		"check":     func(io.Writer) error { return s.checkReady() },
+		"drain-on":  func(io.Writer) error { s.drain.start(); return nil },
+		"drain-off": func(io.Writer) error { return s.drain.stop() },
 		"vars": func(w io.Writer) error {
 			if err := s.metrics.WriteText(w); err != nil {
 				return err
@@ -199,28 +199,28 @@
 	}
 }
 
-// answer gives a request that was taken its answer and counts it.
-func (s *server) answer(w http.ResponseWriter, r *http.Request, c *dispatch.Request, a dispatch.Answer) {
+// finishRequest gives a request that was taken its answer and counts it.
+func (s *clientHandler) finishRequest(w http.ResponseWriter, r *http.Request, c *dispatch.Request, a dispatch.Answer) {
 	s.metrics.RequestAnswered(c.ClassName, metrics.ResultOf(a.Status))
 	s.finishBody(w, c)
-	s.respond(w, a)
+	s.writeAnswer(w, a)
 	if u := c.Upstream.Upload(); u != nil && !u.Complete() && http.NewResponseController(w).Flush() == nil {
-		s.clients.answered(connOf(r))
+		s.listener.requestAnswered(connOf(r))
 		u.Discard()
 	}
 }
 
 // finishBody notes, before its answer, that a long body has not come to its end: the rest is in the way of a next request.
-func (s *server) finishBody(w http.ResponseWriter, c *dispatch.Request) {
+func (s *clientHandler) finishBody(w http.ResponseWriter, c *dispatch.Request) {
 	if u := c.Upstream.Upload(); u != nil && !u.Complete() {
 		w.Header().Set("Connection", "close")
 	}
 }
 
-// passOn gives a request that was taken an answer that flows, and counts it by how it ends.
-func (s *server) passOn(w http.ResponseWriter, r *http.Request, c *dispatch.Request, a dispatch.Answer) {
+// streamAnswer gives a request that was taken an answer that flows, and counts it by how it ends.
+func (s *clientHandler) streamAnswer(w http.ResponseWriter, r *http.Request, c *dispatch.Request, a dispatch.Answer) {
 	s.finishBody(w, c)
-	s.head(w, a, a.Download.Length())
+	s.writeHead(w, a, a.Download.Length())
 	err := a.Download.CopyTo(r.Context(), w, s.buffers)
 	if err == nil {
 		s.metrics.RequestAnswered(c.ClassName, metrics.ResultOK)
@@ -229,34 +229,34 @@
 	s.metrics.RequestAnswered(c.ClassName, metrics.ResultErrors)
 	s.metrics.AnswerBroken(false, err)
 	// The client has to see that this was not all, also where only the close would end the answer.
-	connOf(r).cut()
+	connOf(r).reset()
 	panic(http.ErrAbortHandler)
 }
 
-// fullAdvice is when to come back to an agent that holds all it can, as far as the settings allow such advice.
-func (s *server) fullAdvice() time.Duration {
-	set := &s.loop.Settings().Balancer
+// overLimitRetryAfter is when to come back to an agent that holds all it can, as far as the settings allow such advice.
+func (s *clientHandler) fullAdvice() time.Duration {
+	set := &s.dispatcher.Settings().Balancer
 	if !set.AdviseRetryAfter {
 		return 0
 	}
-	return min(fullAdvice, cmp.Or(set.MaxRetryAfter, fullAdvice))
+	return min(overLimitRetryAfter, cmp.Or(set.MaxRetryAfter, overLimitRetryAfter))
 }
 
-// respond writes an answer. Whether the connection is to close is asked only now: a request that was taken before
+// writeAnswer writes an answer. Whether the connection is to close is asked only now: a request that was taken before
 // the agent was told to stop must not leave a connection on which the next one crosses the close.
-func (s *server) respond(w http.ResponseWriter, a dispatch.Answer) {
+func (s *clientHandler) writeAnswer(w http.ResponseWriter, a dispatch.Answer) {
 	// Danger: a client that reads nothing would hold its answer for good. Where there is no deadline to set the
 	// connection is gone, and writing tells.
-	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(writeTimeout))
-	s.head(w, a, int64(len(a.Body)))
+	http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWriteTimeout))
+	s.writeHead(w, a, int64(len(a.Body)))
 	w.Write(a.Body) // a client that does not take it is gone
 }
 
-// head writes the head of an answer with a body of so many bytes, or of as many as will come if that is below 0.
-func (s *server) head(w http.ResponseWriter, a dispatch.Answer, length int64) {
+// writeHead writes the head of an answer with a body of so many bytes, or of as many as will come if that is below 0.
+func (s *clientHandler) writeHead(w http.ResponseWriter, a dispatch.Answer, length int64) {
 	h := w.Header()
 	// What else a client sends that has sent nonsense is not to be trusted either.
-	if s.drain.away() != nil || a.Status/100 == 4 {
+	if s.drain.reason() != nil || a.Status/100 == 4 {
 		h.Set("Connection", "close")
 	}
 	if a.RetryAfter > 0 {
@@ -276,7 +276,7 @@
 func checkFraming(r *http.Request) *badRequest {
 	head, chunked := &connOf(r).head, len(r.TransferEncoding) > 0
 	switch {
-	case head.encoding && (head.length || !chunked), chunked && !head.ended:
+	case head.transferEncoding && (head.contentLength || !chunked), chunked && !head.ended:
 		// Danger: net/http drops the length that stands beside chunks, and the chunks of a request that cannot have them,
 		// and one of both hides a request in the body from whoever goes by the other.
 		return &badRequest{http.StatusBadRequest, "Transfer-Encoding and Content-Length do not go together"}
@@ -289,9 +289,9 @@
 // onceHeaders say what a request is; two of one would leave open which counts.
 var onceHeaders = []string{protocol.HeaderRequestID, protocol.HeaderClass, protocol.HeaderTenant, protocol.HeaderBudget, protocol.HeaderRetry, protocol.HeaderIdempotencyKey}
 
-// read checks a request's head, and then reads it to its last byte, from which its budget counts.
-func (s *server) read(w http.ResponseWriter, r *http.Request) (*dispatch.Request, error) {
-	set := s.loop.Settings()
+// readRequest checks a request's head, and then reads it to its last byte, from which its budget counts.
+func (s *clientHandler) readRequest(w http.ResponseWriter, r *http.Request) (*dispatch.Request, error) {
+	set := s.dispatcher.Settings()
 	// What concerns this connection only goes before anything is checked: it may name what is needed.
 	for _, name := range r.Header["Connection"] {
 		for field := range strings.SplitSeq(name, ",") {
@@ -309,7 +309,7 @@
 	c := dispatch.NewRequest(set)
 	c.Class = slices.Index(set.ClassNames, r.Header.Get(protocol.HeaderClass))
 	c.Retry = r.Header.Get(protocol.HeaderRetry) == "1"
-	c.ClientClosed = connOf(r).gone
+	c.ClientClosed = connOf(r).closedByClient
 	if c.Class < 0 {
 		return nil, bad("%s is unknown", protocol.HeaderClass)
 	}
@@ -330,7 +330,7 @@
 	if err != nil {
 		return nil, bad("%s is no time", protocol.HeaderBudget)
 	}
-	if c.ID = r.Header.Get(protocol.HeaderRequestID); c.ID == "" || len(c.ID) > maxCallID {
+	if c.ID = r.Header.Get(protocol.HeaderRequestID); c.ID == "" || len(c.ID) > maxRequestIDBytes {
 		return nil, bad("%s is missing or too long", protocol.HeaderRequestID)
 	}
 	body, long, err := readBody(r, http.NewResponseController(w))
@@ -338,7 +338,7 @@
 		return nil, &badRequest{http.StatusRequestTimeout, fmt.Sprintf("the body does not come: %v", err)}
 	}
 	budget -= answerMargin(budget)
-	c.Deadline = s.loop.Now() + budget
+	c.Deadline = s.dispatcher.Now() + budget
 	if long != nil {
 		long.Budget = budget
 	} else if err := http.NewResponseController(w).SetReadDeadline(time.Time{}); err != nil {
@@ -351,7 +351,7 @@
 
 // readBody returns a body that can be held whole, or else what it can be read from.
 func readBody(r *http.Request, rc *http.ResponseController) (body []byte, long *stream.Upload, err error) {
-	from := stream.NewPacedReader(r.Body, rc, clock.Instant(connOf(r).began.Load()).Time())
+	from := stream.NewPacedReader(r.Body, rc, clock.Instant(connOf(r).begun.Load()).Time())
 	if r.ContentLength > stream.MaxHeldBytes {
 		return nil, stream.NewUpload(r.ContentLength, nil, from), nil
 	}
@@ -385,4 +385,4 @@
 
 // answerMargin is how long before a client gives up it is owed its answer at the latest: an answer that is only made
 // then, when an attempt's time is up, reaches nobody, and on a busy core it counts as lost.
-func answerMargin(budget time.Duration) time.Duration { return min(mostMargin, budget/marginShare) }
+func answerMargin(budget time.Duration) time.Duration { return min(maxAnswerMargin, budget/answerMarginShare) }
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -22,7 +22,7 @@
 	agenttest.Receive(t, "request", b.Requests)
 	begun := time.Now()
 	a.stop()
-	if status := agenttest.Receive(t, "answer", answered); status != protocol.StatusFailed || time.Since(begun) > time.Second+killAfter {
+	if status := agenttest.Receive(t, "answer", answered); status != protocol.StatusFailed || time.Since(begun) > time.Second+killMargin {
 		t.Errorf("answered %d after %v", status, time.Since(begun))
 	}
 	if err := agenttest.Receive(t, "end", a.ended); err != nil {
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -279,7 +279,7 @@
 	for i := range 2 {
 		text := fmt.Sprintf(head, i)
 		if i > 0 {
-			time.Sleep(idleClients - 500*time.Millisecond)
+			time.Sleep(idleTimeout - 500*time.Millisecond)
 			io.WriteString(c, text[:2])
 			time.Sleep(time.Second) // past the time that the connection could have been idle
 			text = text[2:]
@@ -316,8 +316,8 @@
 	none.TryGet()
 	none.TryGet()
 	loop := &countingDispatcher{settings: &cfg.Settings}
-	clients := &admission{metrics: &metrics.Metrics{}, most: 10}
-	s := &server{loop: loop, metrics: counters, clients: clients, buffers: none, most: 10, drain: &drain{clients: clients}}
+	clients := &Listener{metrics: &metrics.Metrics{}, maxConns: 10}
+	s := &clientHandler{dispatcher: loop, metrics: counters, listener: clients, buffers: none, maxRequests: 10, drain: &drainer{listener: clients}}
 	srv := httptest.NewUnstartedServer(s)
 	tcp, err := listen(t.Context(), "127.0.0.1:0", false)
 	if err != nil {
@@ -325,7 +325,7 @@
 	}
 	clients.TCPListener = tcp
 	srv.Listener.Close()
-	srv.Listener, srv.Config.ConnContext, srv.Config.ConnState = clients, withConn, clients.noteState
+	srv.Listener, srv.Config.ConnContext, srv.Config.ConnState = clients, withConn, clients.connState
 	srv.Start()
 	defer srv.Close()
 	req := a.request("unsafe", "15000m")
