--- a/cmd/agent/clock_test.go
+++ b/cmd/agent/clock_test.go
@@ -57,7 +57,7 @@
 				}
 				defer c.Close()
 				begun := time.Now()
-				c.SetDeadline(begun.Add(Timeout))
+				c.SetDeadline(begun.Add(testTimeout))
 				fmt.Fprintf(c, "POST /c/%s HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: c\r\nX-Budget: 15000m\r\nContent-Length: %d\r\n\r\n", id, id, pieces)
 				go func() {
 					for range pieces {
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -116,7 +116,7 @@
 	return free.Addr().String()
 }
 
-const Timeout = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 // awaitWatch waits until the list has been asked for and is watched.
 func awaitWatch(t *testing.T, polls chan string) {
@@ -127,7 +127,7 @@
 			if q != "" {
 				return
 			}
-		case <-time.After(Timeout):
+		case <-time.After(testTimeout):
 			t.Fatal("the program does not follow the list")
 		}
 	}
@@ -153,7 +153,7 @@
 		if err != nil {
 			t.Errorf("ended with %v", err)
 		}
-	case <-time.After(Timeout):
+	case <-time.After(testTimeout):
 		t.Fatal("the program goes on")
 	}
 }
@@ -261,7 +261,7 @@
 			t.Fatal(err)
 		}
 		for begun := time.Now(); call(console, "check") != "ok\n"; time.Sleep(10 * time.Millisecond) {
-			if time.Since(begun) > Timeout {
+			if time.Since(begun) > testTimeout {
 				t.Fatalf("start %d: check is answered %q", i, call(console, "check"))
 			}
 		}
@@ -283,7 +283,7 @@
 		return err.Error()
 	}
 	defer c.Close()
-	c.SetDeadline(time.Now().Add(Timeout))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintln(c, name)
 	answer, _ := io.ReadAll(c)
 	return string(answer)
@@ -306,7 +306,7 @@
 		t.Fatal(err)
 	}
 	for begun := time.Now(); call(console, "check") != "ok\n"; time.Sleep(10 * time.Millisecond) {
-		if time.Since(begun) > Timeout {
+		if time.Since(begun) > testTimeout {
 			t.Fatalf("check is answered %q", call(console, "check"))
 		}
 	}
@@ -347,7 +347,7 @@
 	for range 4 * sockets { // connections have had to make way all the while
 		select {
 		case <-full:
-		case <-time.After(Timeout):
+		case <-time.After(testTimeout):
 			t.Fatal("idle clients are never closed")
 		}
 	}
@@ -372,12 +372,12 @@
 	defer list.Close()
 	go list.Serve(l)
 	served := 0
-	for begun := time.Now(); served < 20 && time.Since(begun) < Timeout; {
+	for begun := time.Now(); served < 20 && time.Since(begun) < testTimeout; {
 		req, _ := http.NewRequest(http.MethodGet, "http://"+listen+"/c/1", nil)
 		req.Header.Set("X-Call-Id", fmt.Sprint(time.Now().UnixNano()))
 		req.Header.Set("X-Call-Class", "c")
 		req.Header.Set("X-Budget", "5000m")
-		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: Timeout}).Do(req)
+		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}).Do(req)
 		switch {
 		case err != nil: // it made way before its request was read, and is sent once more
 			continue
--- a/cmd/agent/reloads_test.go
+++ b/cmd/agent/reloads_test.go
@@ -214,7 +214,7 @@
 	}
 	select {
 	case <-a.ended:
-	case <-time.After(Timeout):
+	case <-time.After(testTimeout):
 		t.Errorf("agent %d goes on after SIGTERM", a.rank)
 		a.cmd.Process.Kill()
 		<-a.ended
@@ -268,7 +268,7 @@
 				return
 			}
 		}
-		if time.Since(begun) > Timeout {
+		if time.Since(begun) > testTimeout {
 			t.Fatalf("the agent at %s is not up: %v", listen, err)
 		}
 	}
--- a/cmd/agent/replace_test.go
+++ b/cmd/agent/replace_test.go
@@ -63,7 +63,7 @@
 					t.Fatal(err)
 				}
 				for begun := time.Now(); call(console, "check") != "ok\n"; time.Sleep(time.Millisecond) {
-					if time.Since(begun) > Timeout {
+					if time.Since(begun) > testTimeout {
 						t.Fatalf("check is answered %q", call(console, "check"))
 					}
 				}
@@ -82,7 +82,7 @@
 					return 0
 				}
 				defer c.Close()
-				c.SetDeadline(time.Now().Add(Timeout))
+				c.SetDeadline(time.Now().Add(testTimeout))
 				fmt.Fprintf(c, "GET %s HTTP/1.1\r\nHost: x\r\nX-Call-Id: %d\r\nX-Call-Class: c\r\nX-Budget: 25000m\r\n\r\n", path, id.Add(1))
 				open.Add(1)
 				defer open.Add(-1)
@@ -126,7 +126,7 @@
 			await := func(what string, done func() bool) {
 				t.Helper()
 				for begun := time.Now(); !done(); time.Sleep(time.Millisecond) {
-					if time.Since(begun) > Timeout {
+					if time.Since(begun) > testTimeout {
 						t.Fatalf("never %s", what)
 					}
 				}
