--- /dev/null
+++ b/internal/lists/caller.go
@@ -0,0 +1,173 @@
+package lists
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"strconv"
+	"sync"
+	"time"
+)
+
+// errNoListYet answers for a store without a list: an empty list would say that all endpoints are removed.
+var errNoListYet = errors.New("no list yet")
+
+// caller is one agent's side of the server.
+type caller struct {
+	server *Server
+	agent  int
+
+	mu         sync.Mutex
+	inFlight   int
+	answeredAt time.Time // when its last watch was answered; zero if it has none
+}
+
+// begin admits a call, and says whether it continues a watch.
+func (c *caller) begin(q query, now time.Time) (continues, ok bool) {
+	limit := c.server.MaxCallsPerAgent
+	if limit == 0 {
+		limit = defaultMaxCalls
+	}
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.inFlight >= limit {
+		return false, false
+	}
+	c.inFlight++
+	continues = q.hasSince && !c.answeredAt.IsZero() && now.Sub(c.answeredAt) <= WatchContinuation
+	return continues, true
+}
+
+// end notes how a call ended. Only an answered watch can be continued.
+func (c *caller) end(record *CallRecord) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.inFlight--
+	c.answeredAt = time.Time{}
+	if record.HasSince && record.Status == http.StatusOK {
+		c.answeredAt = record.WrittenAt
+	}
+}
+
+// ServeHTTP answers a call and reports how it ended.
+func (c *caller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	record := CallRecord{Agent: c.agent}
+	defer func() {
+		if c.server.OnCallDone != nil {
+			c.server.OnCallDone(record)
+		}
+	}()
+	c.serve(w, r, &record)
+}
+
+func (c *caller) serve(w http.ResponseWriter, r *http.Request, record *CallRecord) {
+	now := time.Now()
+	q, status, err := parseRequest(r)
+	if err != nil {
+		record.Status = status
+		writeError(w, status, err)
+		return
+	}
+	record.SinceRevision = q.since
+	record.HasSince = q.hasSince
+	continues, ok := c.begin(q, now)
+	if !ok {
+		record.Status = http.StatusServiceUnavailable
+		writeError(w, record.Status, RejectedError{Cause: "too many calls at a time"})
+		return
+	}
+	defer c.end(record)
+	if c.server.OnAcknowledge != nil && q.hasSince && q.since <= c.server.Store.Revision() {
+		c.server.OnAcknowledge(c.agent, q.since, now)
+	}
+	answer, err := c.answer(r.Context(), q, now, continues, record)
+	if err != nil {
+		writeError(w, http.StatusServiceUnavailable, err)
+		if r.Context().Err() == nil {
+			record.Status = http.StatusServiceUnavailable
+		}
+		return
+	}
+	record.Revision = answer.Revision
+	record.Complete = answer.Complete
+	record.Entries = answer.Entries
+	if writeAnswer(w, answer.Body) == nil {
+		record.Status = http.StatusOK
+		record.WrittenAt = time.Now()
+	}
+}
+
+// answer finds the answer to a call and has it admitted; a watch without changes waits for one first.
+func (c *caller) answer(ctx context.Context, q query, now time.Time, continues bool, record *CallRecord) (Answer, error) {
+	answer, changed := c.lookUp(q)
+	if answer.Body == nil {
+		return answer, errNoListYet
+	}
+	waits := q.waits(answer, now)
+	work := Work{Agent: c.agent, Continues: continues, Complete: answer.Complete}
+	if !waits {
+		work.Entries = answer.Entries
+	}
+	if err := c.admit(ctx, work, record); err != nil || !waits {
+		return answer, err
+	}
+	record.HeldAt = time.Now()
+	timeout := time.NewTimer(time.Until(now.Add(q.wait)))
+	defer timeout.Stop()
+	for q.waits(answer, now) {
+		select {
+		case <-changed:
+		case <-timeout.C:
+		case <-ctx.Done():
+			return answer, ctx.Err()
+		}
+		answer, changed = c.lookUp(q)
+	}
+	work = Work{Agent: c.agent, Continues: true, Complete: answer.Complete, Entries: answer.Entries}
+	return answer, c.admit(ctx, work, record)
+}
+
+// lookUp is the present answer and what is closed when there will be another.
+func (c *caller) lookUp(q query) (Answer, <-chan struct{}) {
+	changed := c.server.Store.Changed()
+	return c.server.Store.Since(q.since, q.hasSince), changed
+}
+
+// admit has the limiter admit work, if there is any.
+func (c *caller) admit(ctx context.Context, w Work, record *CallRecord) error {
+	if c.server.Limiter == nil || w.Continues && w.Entries == 0 {
+		return nil
+	}
+	planned, err := c.server.Limiter.Admit(ctx, w)
+	record.QueueDelay = planned
+	return err
+}
+
+// writeError answers a call without a list.
+func writeError(w http.ResponseWriter, status int, err error) {
+	var rejected RejectedError
+	switch {
+	case status == http.StatusMethodNotAllowed:
+		w.Header().Set("Allow", http.MethodGet)
+	case errors.As(err, &rejected) && rejected.RetryAfter > 0:
+		w.Header().Set("Retry-After", strconv.FormatFloat(rejected.RetryAfter.Seconds(), 'f', -1, 64))
+	case status == http.StatusBadRequest: // the rest of it, if there is any, is not worth reading
+		w.Header().Set("Connection", "close")
+	}
+	http.Error(w, err.Error(), status)
+}
+
+// writeAnswer sends an answer and returns when the system has taken all of it. A caller that does not read loses its connection.
+func writeAnswer(w http.ResponseWriter, text []byte) error {
+	header := w.Header()
+	header.Set("Content-Type", "application/json")
+	header.Set("Content-Length", strconv.Itoa(len(text)))
+	controller := http.NewResponseController(w)
+	if controller.SetWriteDeadline(time.Now().Add(writeTimeout)) == nil { // a test's recorder has no deadlines
+		defer func() { _ = controller.SetWriteDeadline(time.Time{}) }() // a connection that has closed needs none
+	}
+	if _, err := w.Write(text); err != nil {
+		return err
+	}
+	return controller.Flush()
+}
--- a/internal/lists/encode.go
+++ b/internal/lists/encode.go
@@ -8,13 +8,16 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// lineBytes is about what an entry takes as text.
-const lineBytes = 160
+const (
+	// memberBytes and envelopeBytes are about what a member and the rest of a list take as text.
+	memberBytes   = 160
+	envelopeBytes = 64
+)
 
-// Encode writes a list, or changes of one, as discovery answers it. Figures that JSON cannot hold become 0, which stands
-// for unknown.
+// Encode writes a list, or changes of one, as discovery answers it. Numbers that JSON cannot hold become 0, which stands for
+// unknown.
 func Encode(revision uint64, complete bool, members []discovery.Member) []byte {
-	b := make([]byte, 0, 64+lineBytes*len(members))
+	b := make([]byte, 0, envelopeBytes+memberBytes*len(members))
 	b = append(b, `{"revision":`...)
 	b = strconv.AppendUint(b, revision, 10)
 	b = append(b, `,"complete":`...)
--- a/internal/lists/listener.go
+++ b/internal/lists/listener.go
@@ -6,12 +6,12 @@
 	"sync/atomic"
 )
 
-// Listener returns a listener whose connections are known as one agent's, and are few. One http.Server serves them all:
-// a server for each of many hundreds of agents would hold as many sets of bookkeeping.
+// Listener returns a listener whose connections are known as one agent's, and are bounded in number. One http.Server serves the
+// listeners of all agents, since one for each of many hundreds would cost as much memory each.
 func (s *Server) Listener(l net.Listener, agent int) net.Listener {
 	limit := s.MaxConns
 	if limit == 0 {
-		limit = connsEach
+		limit = defaultMaxConns
 	}
 	return &listener{Listener: l, agent: agent, limit: int64(limit)}
 }
@@ -31,20 +31,21 @@
 			return nil, err
 		}
 		if l.open.Add(1) <= l.limit {
-			return &conn{Conn: c, l: l}, nil
+			return &conn{Conn: c, listener: l}, nil
 		}
 		l.open.Add(-1)
 		c.Close()
 	}
 }
 
+// conn is a connection that counts as open until its first Close.
 type conn struct {
 	net.Conn
-	l    *listener
-	once sync.Once
+	listener  *listener
+	closeOnce sync.Once
 }
 
 func (c *conn) Close() error {
-	c.once.Do(func() { c.l.open.Add(-1) })
+	c.closeOnce.Do(func() { c.listener.open.Add(-1) })
 	return c.Conn.Close()
 }
--- a/internal/lists/listener_test.go
+++ b/internal/lists/listener_test.go
@@ -129,7 +129,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	long := strings.Replace(plain, "Host: x", "Host: x\r\nX: "+strings.Repeat("x", 2*maxHeader), 1)
+	long := strings.Replace(plain, "Host: x", "Host: x\r\nX: "+strings.Repeat("x", 2*maxHeaderBytes), 1)
 	if _, err := io.WriteString(c, long); err != nil {
 		t.Fatal(err)
 	}
@@ -163,10 +163,10 @@
 		read       bool
 		want       time.Duration
 	}{
-		{"no headers", "", true, headerGrace},
-		{"half the headers", plain[:20], true, headerGrace},
-		{"the answer is not read", plain, false, writeGrace},
-		{"no further call", plain, true, idleGrace},
+		{"no headers", "", true, headerTimeout},
+		{"half the headers", plain[:20], true, headerTimeout},
+		{"the answer is not read", plain, false, writeTimeout},
+		{"no further call", plain, true, idleTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/internal/lists/store.go
+++ b/internal/lists/store.go
@@ -1,5 +1,6 @@
-// Package lists serves the list of servers as discovery does: whole, or as the changes after a revision, to watches that
-// wait for them. It holds one list and hands the same bytes to all who ask the same.
+// Package lists serves the endpoint list as discovery does: the whole list, or the changes since a revision, to watches that wait
+// for them. A Store holds one list and hands the same bytes to all who ask the same; a Server answers calls from it. The package
+// neither decides what is in the list nor, but for what its Limiter says, when a call is answered.
 package lists
 
 import (
@@ -12,16 +13,16 @@
 )
 
 const (
-	// spans is how many ranges of changes are kept encoded. Callers that follow the list all ask for the newest change;
+	// cachedChanges is how many encoded ranges of changes are kept. Callers that follow the list all ask for the newest change;
 	// a few lag behind by one or two.
-	spans = 8
-	// logLines is how many changed entries the log holds for each of its revisions, on average.
-	logLines = 16
+	cachedChanges = 8
+	// membersPerRevision is how many changed members the log holds for each of its revisions, on average.
+	membersPerRevision = 16
 )
 
 var (
-	errNoList    = errors.New("no list to change")
-	errBackwards = errors.New("revision does not follow")
+	errNoList     = errors.New("no list to change")
+	errOutOfOrder = errors.New("revision does not follow")
 )
 
 // Answer is the text of one answer and what it holds.
@@ -29,33 +30,32 @@
 	Body     []byte // JSON, shared by all who get it: never to be written to. Nil while the store has no list
 	Revision uint64
 	Complete bool // the whole list, not changes
-	Entries  int  // entries
+	Entries  int  // members
 }
 
-// Store is the newest whole list and the changes that led to it, as far back as its log goes. It is safe for concurrent
-// use. A revision names one state of the list: a source that counts anew must not reach revisions that are still held by
-// someone as another state, for nothing in the protocol tells the two apart.
+// Store is the newest whole list and the changes that led to it, as far back as its log goes. It is safe for concurrent use. A
+// revision names one state of the list: a source that counts anew must not reach revisions that are still held by someone as
+// another state, for nothing in the protocol tells the two apart.
 //
-// What is shared: each text is encoded once, under the lock, into memory of its own, and nothing writes to it afterwards,
-// so any number of callers may send it at once, also when the list has long moved on. A change touches the entries that
-// it changes and no others; the list is neither copied nor encoded unless somebody asks for all of it, and then once for
-// each revision.
+// Each text is encoded once, with the mutex held, into memory of its own, and nothing writes to it afterwards, so any number of
+// callers may send it at once, also when the list has changed since. A change touches the members that it changes and no others; the
+// list is neither copied nor encoded unless somebody asks for all of it, and then once for each revision.
 type Store struct {
-	limit int // revisions in the log
-
-	mu       sync.Mutex
-	held     bool
-	revision uint64
-	floor    uint64             // the log holds all changes after this revision
-	members  []discovery.Member // in no particular order, the same for the same history
-	at       map[string]int     // positions in members by ID
-	lent     bool               // members has been handed out: it is copied before the next change
-	log      []change           // oldest first
-	lines    int                // entries in the log
-	changed  chan struct{}      // closed when the list changes
-	whole    Answer             // of this revision; no text: not encoded yet
-	spans    [spans]span        // up to this revision
-	next     int                // the span to give up for another
+	maxLogged int // revisions in the log
+
+	mu            sync.Mutex
+	hasList       bool
+	revision      uint64
+	members       []discovery.Member // in no particular order, the same for the same history
+	index         map[string]int     // positions in members by ID
+	shared        bool               // members has been handed out: it is copied before the next change
+	log           []change           // oldest first
+	logFloor      uint64             // the log holds all changes after this revision
+	loggedMembers int
+	changed       chan struct{}               // closed when the list changes
+	complete      Answer                      // the whole list at this revision; no text: not encoded yet
+	changes       [cachedChanges]cachedAnswer // up to this revision
+	nextChanges   int                         // of changes, the one to give up for another
 }
 
 // change is what one revision changed.
@@ -64,91 +64,99 @@
 	members  []discovery.Member
 }
 
-// span is the answer to those who hold the revision after. No text: none.
-type span struct {
-	after  uint64
+// cachedAnswer is the answer to those who hold a revision. No text: none.
+type cachedAnswer struct {
+	since  uint64
 	answer Answer
 }
 
-// NewStore returns a store without a list, whose log will hold the changes of so many revisions: fewer where they are
-// large, for changes longer than the whole list help nobody.
-func NewStore(log int) *Store {
-	return &Store{limit: max(log, 0), changed: make(chan struct{})}
+// NewStore returns a store without a list, whose log will hold the changes of so many revisions: fewer where they are large, for
+// changes longer than the whole list help nobody.
+func NewStore(maxLogged int) *Store {
+	return &Store{maxLogged: max(maxLogged, 0), changed: make(chan struct{})}
 }
 
-// Reset takes in a whole list, which may be of any revision; entries that are Gone are left out. What was logged before
-// no longer leads to it: who holds another revision gets the whole list. The store keeps no part of the slice.
+// Reset replaces the list, by one of any revision; removed members are left out. The log is dropped, as it does not lead to this
+// list: who holds another revision gets the whole list. The store keeps no part of the slice.
 func (s *Store) Reset(revision uint64, members []discovery.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.members, s.at, s.lent = make([]discovery.Member, 0, len(members)), make(map[string]int, len(members)), false
+	s.hasList = true
+	s.members = make([]discovery.Member, 0, len(members))
+	s.index = make(map[string]int, len(members))
+	s.shared = false
 	for _, m := range members {
 		s.put(m)
 	}
-	s.held, s.floor, s.log, s.lines = true, revision, nil, 0
-	s.moved(revision)
+	s.log = nil
+	s.logFloor = revision
+	s.loggedMembers = 0
+	s.setRevision(revision)
 }
 
-// Apply takes in what a revision changed, Gone entries among it. It fails, and changes nothing, if there is no list yet
-// or the revision is not above the one held; the revision held, with no changes, is no news and no error. The store
-// keeps no part of the slice.
+// Apply changes the list by what a revision changed, removed members among it. It fails, and changes nothing, if there is no list
+// yet or the revision is not above the one held; the revision held, with no changes, is no error. The store keeps no part of the
+// slice.
 func (s *Store) Apply(revision uint64, changed []discovery.Member) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case !s.held:
+	case !s.hasList:
 		return fmt.Errorf("revision %d: %w", revision, errNoList)
 	case revision == s.revision && len(changed) == 0:
 		return nil
 	case revision <= s.revision:
-		return fmt.Errorf("%w: %d after %d", errBackwards, revision, s.revision)
+		return fmt.Errorf("%w: %d after %d", errOutOfOrder, revision, s.revision)
 	}
-	if s.lent {
-		s.members, s.lent = slices.Clone(s.members), false
+	if s.shared {
+		s.members = slices.Clone(s.members)
+		s.shared = false
 	}
 	for _, m := range changed {
 		s.put(m)
 	}
 	s.log = append(s.log, change{revision, slices.Clone(changed)})
-	s.lines += len(changed)
-	s.trim()
-	s.moved(revision)
+	s.loggedMembers += len(changed)
+	s.trimLog()
+	s.setRevision(revision)
 	return nil
 }
 
-// put sets one entry, or removes it.
+// put sets one member, or removes it.
 func (s *Store) put(m discovery.Member) {
-	i, known := s.at[m.ID]
+	i, known := s.index[m.ID]
 	switch {
 	case !m.Removed() && known:
 		s.members[i] = m
 	case !m.Removed():
-		s.at[m.ID] = len(s.members)
+		s.index[m.ID] = len(s.members)
 		s.members = append(s.members, m)
 	case known:
 		last := len(s.members) - 1
 		s.members[i] = s.members[last]
-		s.at[s.members[i].ID] = i
+		s.index[s.members[i].ID] = i
 		s.members[last] = discovery.Member{}
 		s.members = s.members[:last]
-		delete(s.at, m.ID)
+		delete(s.index, m.ID)
 	}
 }
 
-// trim drops the log's oldest revisions until it is within its bounds.
-func (s *Store) trim() {
-	lines := max(s.limit*logLines, len(s.members))
-	for len(s.log) > s.limit || s.lines > lines {
-		s.floor = s.log[0].revision
-		s.lines -= len(s.log[0].members)
-		s.log[0] = change{}
+// trimLog drops the log's oldest revisions until it is within its bounds.
+func (s *Store) trimLog() {
+	maxMembers := max(s.maxLogged*membersPerRevision, len(s.members))
+	for len(s.log) > s.maxLogged || s.loggedMembers > maxMembers {
+		s.logFloor = s.log[0].revision
+		s.loggedMembers -= len(s.log[0].members)
+		s.log[0] = change{} // for the garbage collector
 		s.log = s.log[1:]
 	}
 }
 
-// moved makes this the newest revision: what was encoded led to another one, and those who wait are told.
-func (s *Store) moved(revision uint64) {
-	s.revision, s.whole, s.spans = revision, Answer{}, [spans]span{}
+// setRevision makes this the newest revision: what was encoded led to another one, and those who wait are woken.
+func (s *Store) setRevision(revision uint64) {
+	s.revision = revision
+	s.complete = Answer{}
+	s.changes = [cachedChanges]cachedAnswer{}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -161,55 +169,54 @@
 }
 
 // Members is the whole list. The slice is shared by all who ask and must not be written to; the store itself copies it
-// before it changes an entry of it.
+// before it changes a member of it.
 func (s *Store) Members() []discovery.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lent = true
+	s.shared = true
 	return slices.Clip(s.members)
 }
 
-// Changed is closed at the next change of the list. Danger: take it before Since, or the change in between is missed.
+// Changed is closed at the next change of the list. It is called before Since, lest a change in between be missed.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Since is the answer to one who holds the revision after, or none if not known: the changes since then, each entry once
-// and as it is now, or the whole list where after is not known, is ahead of the store or lies before the log.
-func (s *Store) Since(after uint64, known bool) Answer {
+// Since is the answer to one who holds a revision, or none if !known: the changes since then, each member once and as it is now,
+// or the whole list where the revision is not known, is ahead of the store or lies before the log.
+func (s *Store) Since(revision uint64, known bool) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	switch {
-	case !s.held:
+	if !s.hasList {
 		return Answer{}
-	case !known || after > s.revision || after < s.floor:
-		if s.whole.Body == nil {
-			s.whole = answer(s.revision, true, s.members)
+	}
+	if !known || revision > s.revision || revision < s.logFloor {
+		if s.complete.Body == nil {
+			s.complete = encodeAnswer(s.revision, true, s.members)
 		}
-		return s.whole
+		return s.complete
 	}
-	for i := range s.spans {
-		if c := &s.spans[i]; c.answer.Body != nil && c.after == after {
-			return c.answer
+	for i := range s.changes {
+		if cached := &s.changes[i]; cached.answer.Body != nil && cached.since == revision {
+			return cached.answer
 		}
 	}
-	c := &s.spans[s.next]
-	s.next = (s.next + 1) % spans
-	*c = span{after, answer(s.revision, false, s.merged(after))}
-	return c.answer
+	answer := encodeAnswer(s.revision, false, s.mergeChanges(revision))
+	s.changes[s.nextChanges] = cachedAnswer{since: revision, answer: answer}
+	s.nextChanges = (s.nextChanges + 1) % cachedChanges
+	return answer
 }
 
-func answer(revision uint64, complete bool, members []discovery.Member) Answer {
+func encodeAnswer(revision uint64, complete bool, members []discovery.Member) Answer {
 	return Answer{Body: Encode(revision, complete, members), Revision: revision, Complete: complete, Entries: len(members)}
 }
 
-// merged are the entries that changed after a revision in the log, each as its last change left it, in the order of
-// those.
-func (s *Store) merged(after uint64) []discovery.Member {
-	first, _ := slices.BinarySearchFunc(s.log, after, func(c change, after uint64) int {
-		if c.revision <= after {
+// mergeChanges are the members that changed after a revision in the log, each as its last change left it, in the order of those.
+func (s *Store) mergeChanges(since uint64) []discovery.Member {
+	first, _ := slices.BinarySearchFunc(s.log, since, func(c change, since uint64) int {
+		if c.revision <= since {
 			return -1
 		}
 		return 1
--- a/internal/lists/store_test.go
+++ b/internal/lists/store_test.go
@@ -170,9 +170,9 @@
 		want  error
 	}{
 		{"no list", nil, step{false, 1, "a:Ready"}, errNoList},
-		{"backwards", []step{{true, 10, "a:Ready"}}, step{false, 9, "b:Ready"}, errBackwards},
-		{"backwards without changes", []step{{true, 10, "a:Ready"}}, step{false, 9, ""}, errBackwards},
-		{"the same again", []step{{true, 10, "a:Ready"}}, step{false, 10, "b:Ready"}, errBackwards},
+		{"backwards", []step{{true, 10, "a:Ready"}}, step{false, 9, "b:Ready"}, errOutOfOrder},
+		{"backwards without changes", []step{{true, 10, "a:Ready"}}, step{false, 9, ""}, errOutOfOrder},
+		{"the same again", []step{{true, 10, "a:Ready"}}, step{false, 10, "b:Ready"}, errOutOfOrder},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := NewStore(8)
@@ -205,8 +205,8 @@
 			t.Fatal(err)
 		}
 	}
-	if !s.Since(log-2, true).Complete || s.Since(log-1, true).Complete || s.lines > members {
-		t.Errorf("the log holds %d lines of %d revisions", s.lines, len(s.log))
+	if !s.Since(log-2, true).Complete || s.Since(log-1, true).Complete || s.loggedMembers > members {
+		t.Errorf("the log holds %d lines of %d revisions", s.loggedMembers, len(s.log))
 	}
 }
 
