--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,4 +1,5 @@
-// Package membership holds the backends as discovery last told them and turns lists into the module's terms.
+// Package membership holds the endpoints as discovery last reported them and numbers them for the balancer. It neither calls
+// discovery nor decides anything about endpoints.
 package membership
 
 import (
@@ -12,80 +13,95 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// Table numbers the backends by their names, the same in every life of the agent, and knows what discovery last said of
-// each. It is one goroutine's.
+// Table numbers the endpoints by their names, the same in every incarnation of the agent, and knows what discovery last
+// reported of each. It belongs to one goroutine.
 type Table struct {
-	ids     map[string]balancer.ServerID
-	members map[balancer.ServerID]discovery.Member
-	states  map[balancer.EndpointState]int // members
-	starts  starts
+	ids        map[string]balancer.ServerID
+	members    map[balancer.ServerID]discovery.Member
+	counts     map[balancer.EndpointState]int // of members
+	startTimes startTimes
 }
 
-// New makes an empty table. The clock tells the agent's time since 1970, to which starts of backends are brought; without one
-// they stay as discovery tells them.
+// New makes an empty table. The clock tells the agent's time since 1970, to which start times are converted; without one they stay
+// as discovery reports them.
 func New(clock func() time.Duration) *Table {
 	return &Table{
-		starts:  newStarts(clock),
-		ids:     map[string]balancer.ServerID{},
-		members: map[balancer.ServerID]discovery.Member{},
-		states:  map[balancer.EndpointState]int{},
+		ids:        map[string]balancer.ServerID{},
+		members:    map[balancer.ServerID]discovery.Member{},
+		counts:     map[balancer.EndpointState]int{},
+		startTimes: newStartTimes(clock),
 	}
 }
 
-// Endpoints notes the members of a list, or of changes, and returns an entry for each, in their order. One that is gone is
-// noted too, until Forget: its number must not be another's before the module has heard.
+// Endpoints updates the table by the members of a list, or of changes, and returns an endpoint for each, in their order. One that
+// is removed stays in the table until RemoveGone, as its number must not be another's before the balancer knows.
 func (t *Table) Endpoints(set *settings.Settings, members []discovery.Member) []balancer.Endpoint {
-	entries := make([]balancer.Endpoint, 0, len(members))
-	t.starts.see(members)
+	endpoints := make([]balancer.Endpoint, 0, len(members))
+	t.startTimes.observe(members)
 	for _, m := range members {
-		e := balancer.Endpoint{
-			ID:     t.of(m.ID),
+		id := t.idOf(m.ID)
+		endpoints = append(endpoints, balancer.Endpoint{
+			ID:     id,
 			Zone:   slices.Index(set.ZoneNames, m.Zone),
 			Kind:   slices.Index(set.KindNames, m.Kind),
 			Cell:   m.Cell,
 			State:  m.EndpointState(),
 			Weight: m.Weight,
-		}
-		e.Start = t.starts.of(e.ID, m)
-		old, known := t.members[e.ID]
-		if known && old.State != m.State {
-			t.states[old.EndpointState()]--
-		}
-		if !known || old.State != m.State {
-			t.states[e.State]++
-		}
-		if old != m {
-			t.members[e.ID] = m
-		}
-		entries = append(entries, e)
+			Start:  t.startTimes.of(id, m),
+		})
+		t.put(id, m)
+	}
+	return endpoints
+}
+
+// put sets what is known of an endpoint.
+func (t *Table) put(id balancer.ServerID, m discovery.Member) {
+	old, known := t.members[id]
+	if known && old == m {
+		return
+	}
+	if known {
+		t.counts[old.EndpointState()]--
 	}
-	return entries
+	t.counts[m.EndpointState()]++
+	t.members[id] = m
 }
 
-// RemoveGone frees the backends that a list has shown to be gone, by what Entries returned for it, and returns their numbers in
-// no order. Changes cost what they name; a list, which is whole, also frees what it does not name. After PollFailed
-// nothing is gone.
-func (t *Table) RemoveGone(mode balancer.DiscoveryUpdate, entries []balancer.Endpoint) (gone []balancer.ServerID) {
-	if mode.KeepsEndpoints() {
+// RemoveGone removes the endpoints that an update has shown to be gone, by what Endpoints returned for it, and returns their numbers
+// in no order. Changes cost what they name; a whole list also removes what it does not name. PollFailed removes nothing.
+func (t *Table) RemoveGone(update balancer.DiscoveryUpdate, endpoints []balancer.Endpoint) (gone []balancer.ServerID) {
+	if update.KeepsEndpoints() {
 		return nil
 	}
-	t.starts.followed = t.starts.followed || mode != balancer.EndpointsCached
-	if mode == balancer.EndpointsChanged {
-		for _, e := range entries {
-			if m, known := t.members[e.ID]; known && m.EndpointState() == balancer.Removed {
-				t.free(e.ID)
-				gone = append(gone, e.ID)
-			}
+	if update != balancer.EndpointsCached {
+		t.startTimes.synced = true
+	}
+	if update == balancer.EndpointsChanged {
+		return t.removeChanged(endpoints)
+	}
+	return t.removeUnlisted(endpoints)
+}
+
+// removeChanged removes those of the endpoints that the table knows as removed.
+func (t *Table) removeChanged(endpoints []balancer.Endpoint) (gone []balancer.ServerID) {
+	for _, e := range endpoints {
+		if m, known := t.members[e.ID]; known && m.EndpointState() == balancer.Removed {
+			t.remove(e.ID)
+			gone = append(gone, e.ID)
 		}
-		return gone
 	}
-	stays := make(map[balancer.ServerID]bool, len(entries))
-	for _, e := range entries {
+	return gone
+}
+
+// removeUnlisted removes all but the endpoints that a whole list names and does not report as removed.
+func (t *Table) removeUnlisted(endpoints []balancer.Endpoint) (gone []balancer.ServerID) {
+	stays := make(map[balancer.ServerID]bool, len(endpoints))
+	for _, e := range endpoints {
 		stays[e.ID] = e.State != balancer.Removed
 	}
 	for _, id := range t.ids {
 		if !stays[id] {
-			t.free(id)
+			t.remove(id)
 			gone = append(gone, id)
 		}
 	}
@@ -100,18 +116,18 @@
 // Len counts the members.
 func (t *Table) Len() int { return len(t.members) }
 
-// Count counts the members that discovery says are in a state.
-func (t *Table) Count(state balancer.EndpointState) int { return t.states[state] }
+// Count counts the members that discovery reports to be in a state.
+func (t *Table) Count(state balancer.EndpointState) int { return t.counts[state] }
 
-// Member returns what discovery last said of a backend, and whether it is in the table.
+// Member returns what discovery last reported of an endpoint, and whether it is in the table.
 func (t *Table) Member(id balancer.ServerID) (discovery.Member, bool) {
 	m, known := t.members[id]
 	return m, known
 }
 
-// of returns the number of a name, and takes one for it if it is new. Names that would share a number are kept
-// apart: the later one gets the next that is free.
-func (t *Table) of(name string) balancer.ServerID {
+// idOf returns the number of a name, and assigns one if it is new: its hash, or the next number that is free, so that names with the
+// same hash are kept apart.
+func (t *Table) idOf(name string) balancer.ServerID {
 	if id, ok := t.ids[name]; ok {
 		return id
 	}
@@ -128,11 +144,11 @@
 	return id
 }
 
-// free forgets a name that has left the list.
-func (t *Table) free(id balancer.ServerID) {
+// remove removes an endpoint, whose number may then be another's.
+func (t *Table) remove(id balancer.ServerID) {
 	m := t.members[id]
-	t.states[m.EndpointState()]--
+	t.counts[m.EndpointState()]--
 	delete(t.ids, m.ID)
 	delete(t.members, id)
-	delete(t.starts.known, id)
+	t.startTimes.remove(id)
 }
