--- a/cmd/relay/main_test.go
+++ b/cmd/relay/main_test.go
@@ -239,7 +239,7 @@
 }
 
 // A relay that is killed under the watches of its agents costs them no change: they go to the other one and hear of it
-// within what the platform allows, without another whole list. Started again while discovery is down, it has its list.
+// within what the platform allows, without another full list. Started again while discovery is down, it has its list.
 func TestKilledRelay(t *testing.T) {
 	s := newService(t, 7, member("x", "Ready"), member("y", "Ready"))
 	relays := []*program{startProgram(t, s.addr), startProgram(t, s.addr)}
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -65,7 +65,7 @@
 
 	target   Target
 	route    *route
-	revision *uint64 // of the list that changes follow; nil when the whole list is wanted
+	revision *uint64 // of the list that changes follow; nil when the full list is wanted
 
 	lastCall       callTiming
 	rejectedAtOnce bool // the last call that failed was, without work for it
@@ -99,7 +99,7 @@
 }
 
 // StartFrom makes a list that the agent held before its start the one that changes follow; it is called before Run. Agents that
-// start together and all poll the whole list could keep discovery busy for good with polls that have timed out meanwhile.
+// start together and all poll the full list could keep discovery busy for good with polls that have timed out meanwhile.
 func (c *Client) StartFrom(known EndpointList) {
 	if known.Complete && len(known.Members) > 0 {
 		c.revision = known.Revision
@@ -110,15 +110,15 @@
 func (c *Client) Run(ctx context.Context, migrations <-chan Target) {
 	for {
 		targetCtx, leaveTarget := context.WithCancel(ctx)
-		left := make(chan struct{})
+		followed := make(chan struct{})
 		pollMode := c.pollMode()
 		go func() {
 			c.followList(ctx, targetCtx)
-			close(left)
+			close(followed)
 		}()
 		target, ok := c.awaitMigration(ctx, migrations, pollMode)
 		leaveTarget()
-		<-left
+		<-followed
 		if !ok {
 			return
 		}
@@ -128,7 +128,7 @@
 
 // awaitMigration returns the target of the next reload after which the calls have to begin anew: another target, or the same one
 // where the mode has changed. It returns false if the context ends first. Each reload names the target again; were all of them
-// migrations, all agents would poll the whole list at each of them.
+// migrations, all agents would poll the full list at each of them.
 func (c *Client) awaitMigration(ctx context.Context, migrations <-chan Target, pollMode bool) (target Target, ok bool) {
 	for {
 		select {
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -34,24 +34,24 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// A call for the list that hangs is given up before the platform counts what it missed as told, 6 s from its begin, with
+// A call for the list that hangs is given up before the platform counts what it missed as notified, 6 s from its begin, with
 // time for another, be it a watch or not.
 func TestHangingCallsEndInTime(t *testing.T) {
 	revision := uint64(41)
 	for _, c := range []struct {
-		ask      bool
+		pollMode bool
 		revision *uint64
 		most     time.Duration
 	}{
 		{true, nil, 4 * time.Second}, {false, nil, 4 * time.Second},
 		{true, &revision, 4 * time.Second}, {false, &revision, 4 * time.Second},
 	} {
-		set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: c.ask}}
+		set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: c.pollMode}}
 		d := New(Options{Addr: "127.0.0.1:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
 		d.revision = c.revision
 		d.httpClient.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			if due, ok := r.Context().Deadline(); !ok || time.Until(due) > c.most {
-				t.Errorf("asked %v, list held %v: waits until %v, want %v at most", c.ask, c.revision != nil, due, c.most)
+				t.Errorf("poll mode %v, list held %v: waits until %v, want %v at most", c.pollMode, c.revision != nil, due, c.most)
 			}
 			return nil, errors.New("no discovery")
 		})
@@ -59,14 +59,14 @@
 		switch {
 		case c.revision == nil:
 			wait = 0
-		case c.ask:
+		case c.pollMode:
 			wait = minWatchWait + watchCycle
 		}
 		d.pollOrWatch(t.Context(), t.Context(), wait)
 	}
 }
 
-// A list is taken whole or not at all, and the error says what cannot be used.
+// A list is accepted as a whole or not at all, and the error says what cannot be used.
 func TestParse(t *testing.T) {
 	const good = `{"revision":7,"complete":true,"members":[
 	 {"id":"x","host_port":"10.0.0.1:80","locality":"a","flavor":"m1","cell":3,"phase":"Ready","size":2,"up_since_ms":5},
@@ -94,8 +94,8 @@
 	}
 }
 
-// Each call is counted once, with its wait, its time and its error, before what came of it is told; what is told says its
-// revision; and all calls go through the dial that the client is given.
+// Each call is counted once, with its wait, its duration and its error, before its result is notified; the event says its revision;
+// and all calls go through the dial that the client is given.
 func TestCallsAreCountedAndDialed(t *testing.T) {
 	answers := make(chan string)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -108,15 +108,17 @@
 	defer s.Close()
 	ctx, stop := context.WithCancel(t.Context())
 	defer stop()
-	dialed, calls, told := make(chan string, 100), make(chan PollResult, 100), make(chan WatchEvent, 100)
+	dialed := make(chan string, 100)
+	calls := make(chan PollResult, 100)
+	events := make(chan WatchEvent, 100)
 	set := &settings.Settings{Balancer: balancer.Settings{Agents: 1}}
 	d := New(Options{
 		Addr: "127.0.0.1:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler),
-		Notify: func(n WatchEvent) {
+		Notify: func(event WatchEvent) {
 			if len(calls) == 0 {
-				t.Errorf("told %+v, and no call is counted", n)
+				t.Errorf("notified of %+v, and no call is counted", event)
 			}
-			told <- n
+			events <- event
 		},
 		OnPoll: func(c PollResult) { calls <- c },
 		Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
@@ -130,7 +132,7 @@
 		text     string
 		wait     time.Duration
 		fails    bool
-		mode     balancer.DiscoveryUpdate // told, if it does not fail
+		update   balancer.DiscoveryUpdate // notified, if it does not fail
 		revision uint64
 	}{
 		{`{"revision":4,"complete":true,"members":[{"id":"x","host_port":"10.0.0.1:80","phase":"Ready"}]}`, 0, false, balancer.EndpointsReplaced, 4},
@@ -144,8 +146,8 @@
 			t.Fatalf("no call %d", i)
 		}
 		if !c.fails {
-			if n := receive(t, "news", told); n.Update != c.mode || n.Revision != c.revision {
-				t.Errorf("call %d: told %+v", i, n)
+			if event := receive(t, "event", events); event.Update != c.update || event.Revision != c.revision {
+				t.Errorf("call %d: notified of %+v", i, event)
 			}
 		}
 		got := receive(t, "count", calls)
@@ -160,7 +162,7 @@
 			t.Errorf("dialed %s", addr)
 		}
 	}
-	if len(told) > 0 {
-		t.Errorf("%d more told", len(told))
+	if len(events) > 0 {
+		t.Errorf("%d more events", len(events))
 	}
 }
--- a/internal/discovery/endpointlist.go
+++ b/internal/discovery/endpointlist.go
@@ -24,7 +24,7 @@
 )
 
 var (
-	// ErrMalformedList is an answer of discovery that cannot be used, after which only the whole list will do.
+	// ErrMalformedList is an answer of discovery that cannot be used, after which only the full list will do.
 	ErrMalformedList = errors.New("malformed endpoint list")
 	// ErrTruncatedList is an answer that broke off, or may have been on its way when its watch was given up.
 	ErrTruncatedList = errors.New("truncated endpoint list")
@@ -57,7 +57,7 @@
 	stateRemoved:  balancer.Removed,
 }
 
-// EndpointList is an answer of discovery: the whole list, or what has changed since a revision. A parsed one has a revision.
+// EndpointList is an answer of discovery: the full list, or what has changed since a revision. A parsed one has a revision.
 type EndpointList struct {
 	Revision *uint64
 	Complete bool
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -41,7 +41,7 @@
 	changed        chan struct{} // closed at the next change
 	broken         chan struct{} // closed when the calls that are open now break
 	silent         bool          // those that break hang
-	chargesWatches bool          // a watch behind a poll of the whole list costs a call of its own
+	chargesWatches bool          // a watch behind a poll of the full list costs a call of its own
 	rejectsEarly   bool          // rejected calls cost nothing, and those that would take too long are rejected as they come
 }
 
@@ -122,7 +122,7 @@
 	services   map[string]*service
 	spoilsNext bool      // the next answer that brings a change breaks off
 	answered   time.Time // the last call
-	full       bool      // it was for the whole list
+	full       bool      // it was for the full list
 }
 
 // continues says whether a call continues a watch, which costs the service nothing.
@@ -502,7 +502,7 @@
 			continue
 		}
 		synctest.Test(t, func(t *testing.T) {
-			s := newService(2 * 2 * time.Second / 350) // whole lists cost more than watches
+			s := newService(2 * 2 * time.Second / 350) // full lists cost more than watches
 			s.rejectFor(5 * time.Second)
 			s.rejectEvery = 2
 			begun := time.Now()
--- a/internal/discovery/migration_test.go
+++ b/internal/discovery/migration_test.go
@@ -18,24 +18,24 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// watched answers watches with the revision that it has, and notes what each call asked.
-type watched struct {
+// watchedService answers watches with the revision that it has, and notes what each call requested.
+type watchedService struct {
 	mu       sync.Mutex
 	revision int
 	changed  chan struct{}
-	asked    []string // host and query
+	requests []string // host and query
 }
 
-func (w *watched) RoundTrip(r *http.Request) (*http.Response, error) {
+func (w *watchedService) RoundTrip(r *http.Request) (*http.Response, error) {
 	var after int
 	_, err := fmt.Sscanf(r.URL.Query().Get("after"), "%d", &after)
-	whole := err != nil
+	full := err != nil
 	wait, _ := time.ParseDuration("0" + r.URL.Query().Get("wait_ms") + "ms")
 	w.mu.Lock()
-	w.asked = append(w.asked, r.URL.Host+"?"+r.URL.RawQuery)
+	w.requests = append(w.requests, r.URL.Host+"?"+r.URL.RawQuery)
 	changed := w.changed
 	w.mu.Unlock()
-	if !whole && wait > 0 {
+	if !full && wait > 0 {
 		select {
 		case <-changed:
 		case <-time.After(wait):
@@ -46,14 +46,14 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	members := ""
-	if whole || w.revision > after {
+	if full || w.revision > after {
 		members = `{"id":"x","host_port":"10.0.0.1:80","phase":"Ready"}`
 	}
-	text := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, w.revision, whole, members)
+	text := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, w.revision, full, members)
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(text))}, nil
 }
 
-func (w *watched) change() {
+func (w *watchedService) change() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.revision++
@@ -61,70 +61,70 @@
 	w.changed = make(chan struct{})
 }
 
-// calls are how many asked for the whole list so far, and how many there were.
-func (w *watched) calls() (whole, all int) {
+// calls are how many polled the full list so far, and how many there were.
+func (w *watchedService) calls() (full, all int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for _, q := range w.asked {
+	for _, q := range w.requests {
 		if strings.HasSuffix(q, "?") {
-			whole++
+			full++
 		}
 	}
-	return whole, len(w.asked)
+	return full, len(w.requests)
 }
 
 // A configuration that is reloaded names discovery's address again. Where it is the same, the watch that runs goes on, and
-// nobody asks for the whole list; where only the settings say that lists are asked for now, or no longer, the calls are
-// made anew with the revision held; where it is another address, the whole list comes first.
+// nobody polls the full list; where only the mode changes, the calls begin
+// anew with the revision held; where it is another address, the full list comes first.
 func TestOnlyAMoveAsksForTheWholeList(t *testing.T) {
 	for name, c := range map[string]struct {
-		before, after bool // asked for
+		before, after bool // poll mode
 		addr          string
-		whole         int  // calls for the whole list, the first one among them
-		goesOn        bool // the watch
+		full          int  // polls of the full list, the first one among them
+		continues     bool // the watch
 	}{
 		"pushed":              {false, false, "old", 1, true},
-		"asked":               {true, true, "old", 1, true},
-		"asked from then on":  {false, true, "old", 1, false},
+		"polled":              {true, true, "old", 1, true},
+		"polled from then on": {false, true, "old", 1, false},
 		"pushed from then on": {true, false, "old", 1, false},
-		"pushed and moved":    {false, false, "new", 2, false},
-		"asked and moved":     {true, true, "new", 2, false},
+		"pushed and migrated": {false, false, "new", 2, false},
+		"polled and migrated": {true, true, "new", 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, stop := context.WithCancel(t.Context())
-				w := &watched{revision: 1, changed: make(chan struct{})}
+				w := &watchedService{revision: 1, changed: make(chan struct{})}
 				var set atomic.Pointer[settings.Settings]
-				have := func(asked bool) {
-					set.Store(&settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: asked}})
+				setMode := func(poll bool) {
+					set.Store(&settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: poll}})
 				}
-				have(c.before)
+				setMode(c.before)
 				var mu sync.Mutex
 				var revisions []uint64
 				var d *Client
 				d = New(Options{
 					Addr: "old", Settings: set.Load, OnPoll: func(PollResult) {}, Log: slog.New(slog.DiscardHandler),
-					Notify: func(n WatchEvent) {
-						if n.Update.KeepsEndpoints() {
-							d.Poll() // as the module does, later
+					Notify: func(event WatchEvent) {
+						if event.Update.KeepsEndpoints() {
+							d.Poll() // as the balancer does, later
 							return
 						}
 						mu.Lock()
 						defer mu.Unlock()
-						revisions = append(revisions, n.Revision)
+						revisions = append(revisions, event.Revision)
 					},
 				})
 				d.SetTransport(w)
-				moves := make(chan Target)
+				migrations := make(chan Target)
 				ended := make(chan struct{})
-				go func() { d.Run(ctx, moves); close(ended) }()
+				go func() { d.Run(ctx, migrations); close(ended) }()
 				d.Poll()
 				synctest.Wait()
 				_, before := w.calls()
-				have(c.after)
-				moves <- Target{Addr: c.addr}
+				setMode(c.after)
+				migrations <- Target{Addr: c.addr}
 				synctest.Wait()
-				if _, now := w.calls(); (now == before) != c.goesOn {
+				if _, now := w.calls(); (now == before) != c.continues {
 					t.Errorf("%d calls before the reload, %d at once after it", before, now)
 				}
 				for range 3 {
@@ -133,11 +133,11 @@
 				}
 				mu.Lock()
 				if !slices.Contains(revisions, 4) {
-					t.Errorf("told revisions %v, want 4 among them", revisions)
+					t.Errorf("notified of revisions %v, want 4 among them", revisions)
 				}
 				mu.Unlock()
-				if whole, _ := w.calls(); whole != c.whole {
-					t.Errorf("%d calls for the whole list, want %d: %q", whole, c.whole, w.asked)
+				if full, _ := w.calls(); full != c.full {
+					t.Errorf("%d polls of the full list, want %d: %q", full, c.full, w.requests)
 				}
 				stop()
 				<-ended
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -28,10 +28,10 @@
 
 const never = time.Hour
 
-// An inquiry has a second call beside one that is not answered, only one, and only where calls are made in turn and none was in
-// vain before; the first answer counts, and one that cannot be used ends it at once.
+// A poll hedges a call that is not answered, once, and only in poll mode and if none timed out before; the first answer counts, and one
+// that cannot be used ends the poll at once.
 func TestInquiry(t *testing.T) {
-	const whole, other = `{"revision":4,"complete":true,"members":[]}`, `{"revision":5,"complete":true,"members":[]}`
+	const first, second = `{"revision":4,"complete":true,"members":[]}`, `{"revision":5,"complete":true,"members":[]}`
 	for name, c := range map[string]struct {
 		pushed   bool
 		timeouts int
@@ -42,20 +42,20 @@
 		want     uint64 // revision; 0: none
 		made     int    // calls
 	}{
-		"answered":                     {calls: []scriptedCall{{after: time.Second, text: whole}}, took: time.Second, want: 4, made: 1},
-		"slow":                         {calls: []scriptedCall{{after: 2 * time.Second, text: whole}, {after: never}}, took: 2 * time.Second, want: 4, made: 2},
-		"lost":                         {calls: []scriptedCall{{after: never}, {after: time.Second, text: other}}, took: 2500 * time.Millisecond, want: 5, made: 2},
-		"lost, a slow service":         {left: time.Second, answer: 500 * time.Millisecond, calls: []scriptedCall{{after: never}, {after: 100 * time.Millisecond, text: other}}, took: 850 * time.Millisecond, want: 5, made: 2},
-		"lost, a quick service":        {left: time.Second, answer: 10 * time.Millisecond, calls: []scriptedCall{{after: never}, {after: 100 * time.Millisecond, text: other}}, took: 600 * time.Millisecond, want: 5, made: 2},
-		"both lost":                    {calls: []scriptedCall{{after: never}, {after: never}}, took: 4500 * time.Millisecond, made: 2},
-		"refused":                      {calls: []scriptedCall{{after: time.Second, err: errReset}}, took: time.Second, made: 1},
-		"the first refused, late":      {calls: []scriptedCall{{after: 2 * time.Second, err: errReset}, {after: time.Second, text: other}}, took: 2500 * time.Millisecond, want: 5, made: 2},
-		"the second refused":           {calls: []scriptedCall{{after: 2 * time.Second, text: whole}, {after: 0, err: errReset}}, took: 2 * time.Second, want: 4, made: 2},
-		"no use, a second call open":   {calls: []scriptedCall{{after: 2 * time.Second, text: "no list"}, {after: never}}, took: 2 * time.Second, made: 2},
-		"after a call in vain":         {timeouts: 1, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, made: 1},
-		"pushed":                       {pushed: true, calls: []scriptedCall{{after: never}}, took: time.Second, made: 1},
-		"pushed, after a call in vain": {pushed: true, timeouts: 1, calls: []scriptedCall{{after: 1500 * time.Millisecond, text: whole}}, took: 1500 * time.Millisecond, want: 4, made: 1},
-		"pushed, after many":           {pushed: true, timeouts: 9, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, made: 1},
+		"answered":                    {calls: []scriptedCall{{after: time.Second, text: first}}, took: time.Second, want: 4, made: 1},
+		"slow":                        {calls: []scriptedCall{{after: 2 * time.Second, text: first}, {after: never}}, took: 2 * time.Second, want: 4, made: 2},
+		"lost":                        {calls: []scriptedCall{{after: never}, {after: time.Second, text: second}}, took: 2500 * time.Millisecond, want: 5, made: 2},
+		"lost, a slow service":        {left: time.Second, answer: 500 * time.Millisecond, calls: []scriptedCall{{after: never}, {after: 100 * time.Millisecond, text: second}}, took: 850 * time.Millisecond, want: 5, made: 2},
+		"lost, a quick service":       {left: time.Second, answer: 10 * time.Millisecond, calls: []scriptedCall{{after: never}, {after: 100 * time.Millisecond, text: second}}, took: 600 * time.Millisecond, want: 5, made: 2},
+		"both lost":                   {calls: []scriptedCall{{after: never}, {after: never}}, took: 4500 * time.Millisecond, made: 2},
+		"rejected":                    {calls: []scriptedCall{{after: time.Second, err: errReset}}, took: time.Second, made: 1},
+		"the first rejected, late":    {calls: []scriptedCall{{after: 2 * time.Second, err: errReset}, {after: time.Second, text: second}}, took: 2500 * time.Millisecond, want: 5, made: 2},
+		"the hedge rejected":          {calls: []scriptedCall{{after: 2 * time.Second, text: first}, {after: 0, err: errReset}}, took: 2 * time.Second, want: 4, made: 2},
+		"unusable, the hedge open":    {calls: []scriptedCall{{after: 2 * time.Second, text: "no list"}, {after: never}}, took: 2 * time.Second, made: 2},
+		"after a timeout":             {timeouts: 1, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, made: 1},
+		"pushed":                      {pushed: true, calls: []scriptedCall{{after: never}}, took: time.Second, made: 1},
+		"pushed, after a timeout":     {pushed: true, timeouts: 1, calls: []scriptedCall{{after: 1500 * time.Millisecond, text: first}}, took: 1500 * time.Millisecond, want: 4, made: 1},
+		"pushed, after many timeouts": {pushed: true, timeouts: 9, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, made: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -102,14 +102,14 @@
 				if (err == nil) != (c.want > 0) || err == nil && *l.Revision != c.want {
 					t.Errorf("%+v, error %v, want revision %d", l, err, c.want)
 				}
-				synctest.Wait() // calls that are still open end with the inquiry
+				synctest.Wait() // calls that are still open end with the poll
 			})
 		})
 	}
 }
 
-// The round follows the service: answers tell its work, calls in vain double it up to half of the bound, and a move begins anew with
-// what was known.
+// The round follows the service: answers measure its work, timeouts double it up to half of the bound, and a migration begins anew
+// with what was known.
 func TestRound(t *testing.T) {
 	set := &settings.Settings{Balancer: balancer.Settings{Agents: 6, PollEndpoints: true}}
 	d := New(Options{Addr: "x:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
@@ -127,24 +127,24 @@
 	d.latency.recordAnswer(1000 * time.Millisecond)
 	expect("after a slower one", 1800*time.Millisecond)
 	d.latency.recordTimeout(time.Second)
-	expect("after a call in vain", 1800*time.Millisecond)
+	expect("after a timeout", 1800*time.Millisecond)
 	d.latency.recordTimeout(time.Second)
 	expect("after another", 2*time.Second)
 	d.latency.recordTimeout(time.Second)
 	expect("after a third", 3*time.Second)
 	d.latency.migrated()
-	expect("after a move", 1800*time.Millisecond)
+	expect("after a migration", 1800*time.Millisecond)
 }
 
 // An outage leaves a few lines in the log, however long it is: the first calls one by one, then fewer and fewer.
 func TestFailuresInTheLog(t *testing.T) {
 	for name, c := range map[string]struct {
-		asked bool
-		lines int // of 1,000 failures
-	}{"asked": {true, 8 + 6}, "pushed": {false, 10}} {
+		pollMode bool
+		lines    int // of 1,000 failures
+	}{"poll mode": {true, 8 + 6}, "push mode": {false, 10}} {
 		t.Run(name, func(t *testing.T) {
 			var text strings.Builder
-			set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: c.asked}}
+			set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: c.pollMode}}
 			d := New(Options{Addr: "x:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.NewTextHandler(&text, nil))})
 			for range 1000 {
 				d.failures++
--- a/internal/discovery/reloads_test.go
+++ b/internal/discovery/reloads_test.go
@@ -23,7 +23,7 @@
 // A fleet whose agents are migrated several times in quick succession, each time to another address of one slow service,
 // receives what changes meanwhile before it counts as notified. The service works through calls in turn, and rejects
 // those that would wait for more than a second: early, as they come and without work, as the operators' was measured to do (trials
-// bd242cab and d7999206), or only behind its work on them, which jams it sooner. A watch behind a whole list is the same call
+// bd242cab and d7999206), or only behind its work on them, which jams it sooner. A watch behind a full list is the same call
 // or costs one of its own, by how one reads the protocol.
 //
 // Where a call of each agent and its watch need nearly all of the time that there is, or a quarter of the calls is rejected at
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -31,7 +31,7 @@
 	// watchGrace, and what it missed may be older by RelayMaxStaleness; what is left of NotifyBoundAfterFailure is for the calls that
 	// make up for it: a dial to each relay that is just as silent, and one poll.
 	RelayTimeout = balancer.NotifyBoundAfterFailure / 6
-	// RelayFullListTimeout bounds a poll of the whole list at a relay, which hands those out at a stated rate.
+	// RelayFullListTimeout bounds a poll of the full list at a relay, which hands those out at a stated rate.
 	RelayFullListTimeout = balancer.NotifyBoundAfterFailure / 3
 	// RelayMaxStaleness is how far behind discovery a relay may be that still answers.
 	RelayMaxStaleness = balancer.NotifyBoundAfterFailure / 3
@@ -95,7 +95,7 @@
 	relayed bool
 }
 
-// newRequest asks the present address for the whole list if no revision is held, else for what has changed.
+// newRequest asks the present address for the full list if no revision is held, else for what has changed.
 func (c *Client) newRequest(wait time.Duration) request {
 	url := "http://" + c.route.addr() + listPath
 	if c.revision != nil {
--- a/internal/discovery/route_test.go
+++ b/internal/discovery/route_test.go
@@ -20,7 +20,7 @@
 )
 
 // An agent's first relay depends on its name alone, relays share agents evenly, and those of one that is lost spread over
-// the others evenly, while nobody else moves.
+// the others evenly, while nobody else fails over.
 func TestAgentsShareRelays(t *testing.T) {
 	const agents = 830
 	for _, relays := range [][]string{
@@ -28,7 +28,8 @@
 		{"127.0.0.1:9001", "127.0.0.1:9002", "127.0.0.1:9003", "127.0.0.1:9004", "127.0.0.1:9005"},
 	} {
 		for _, form := range []string{"agent-%03d", "%d", "gw-7f3a9c21e0b4d655-%d"} {
-			first, then := map[string]int{}, map[string]int{}
+			first := map[string]int{}
+			then := map[string]int{}
 			lost := relays[2]
 			others := slices.DeleteFunc(slices.Clone(relays), func(r string) bool { return r == lost })
 			for i := range agents {
@@ -42,7 +43,7 @@
 						t.Errorf("%s goes from %s to %s, its second is %s", name, lost, left[0], order[1])
 					}
 				case left[0] != order[0]:
-					t.Errorf("%s moves from %s to %s though %s is lost", name, order[0], left[0], lost)
+					t.Errorf("%s migrations from %s to %s though %s is lost", name, order[0], left[0], lost)
 				}
 			}
 			for r, n := range first {
@@ -64,39 +65,39 @@
 
 // How a host answers.
 const (
-	serving  = iota
-	down     // connections are refused, and open ones are reset
-	silentOn // says nothing any more
-	refusing // 503
-	busyOnce // 503 with Retry-After once, then serving
+	serving       = iota
+	down          // connections are refused, and open ones are reset
+	silent        // does not respond any more
+	rejecting     // 503
+	rejectingOnce // 503 with Retry-After once, then serving
 )
 
-// hostsOf is a service behind several addresses, all with the same list at once.
-type hostsOf struct {
-	watched
-	state   map[string]int
-	switchd chan struct{} // closed when a state changes
+// serviceHosts is a service behind several addresses, all with the same list at once.
+type serviceHosts struct {
+	watchedService
+	state        map[string]int
+	stateChanged chan struct{} // closed when a state changes
 }
 
-func newHosts(addrs ...string) *hostsOf {
-	h := &hostsOf{watched: watched{revision: 1, changed: make(chan struct{})}, state: map[string]int{}, switchd: make(chan struct{})}
+func newHosts(addrs ...string) *serviceHosts {
+	h := &serviceHosts{watchedService: watchedService{revision: 1, changed: make(chan struct{})}, state: map[string]int{}, stateChanged: make(chan struct{})}
 	for _, a := range addrs {
 		h.state[a] = serving
 	}
 	return h
 }
 
-func (h *hostsOf) become(state int, addrs ...string) {
+func (h *serviceHosts) setState(state int, addrs ...string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, a := range addrs {
 		h.state[a] = state
 	}
-	close(h.switchd)
-	h.switchd = make(chan struct{})
+	close(h.stateChanged)
+	h.stateChanged = make(chan struct{})
 }
 
-func (h *hostsOf) RoundTrip(r *http.Request) (*http.Response, error) {
+func (h *serviceHosts) RoundTrip(r *http.Request) (*http.Response, error) {
 	type result struct {
 		resp *http.Response
 		err  error
@@ -106,24 +107,24 @@
 	defer cancel()
 	for first := true; ; first = false {
 		h.mu.Lock()
-		state, changed := h.state[r.URL.Host], h.switchd
+		state, changed := h.state[r.URL.Host], h.stateChanged
 		if first && state != serving {
-			h.asked = append(h.asked, r.URL.Host+"?"+r.URL.RawQuery)
+			h.requests = append(h.requests, r.URL.Host+"?"+r.URL.RawQuery)
 		}
-		if state == busyOnce {
+		if state == rejectingOnce {
 			h.state[r.URL.Host] = serving
 		}
 		h.mu.Unlock()
 		switch state {
 		case down:
 			return nil, errors.New("refused or reset")
-		case refusing:
+		case rejecting:
 			return &http.Response{Status: "503", StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}, nil
-		case busyOnce:
+		case rejectingOnce:
 			return &http.Response{
 				Status: "503", StatusCode: http.StatusServiceUnavailable, Body: http.NoBody, Header: http.Header{"Retry-After": {"1.25"}},
 			}, nil
-		case silentOn:
+		case silent:
 			select {
 			case <-changed:
 				return nil, errors.New("reset by a host that is back")
@@ -133,7 +134,7 @@
 		}
 		if first {
 			go func() {
-				resp, err := h.watched.RoundTrip(r.WithContext(ctx))
+				resp, err := h.watchedService.RoundTrip(r.WithContext(ctx))
 				answered <- result{resp, err}
 			}()
 		}
@@ -147,12 +148,12 @@
 	}
 }
 
-// since are the hosts that were asked from the n-th call on, in order, each once.
-func (h *hostsOf) since(n int) []string {
+// since are the hosts that were called from the n-th call on, in order, each once.
+func (h *serviceHosts) since(n int) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var hosts []string
-	for _, q := range h.asked[n:] {
+	for _, q := range h.requests[n:] {
 		if host, _, _ := strings.Cut(q, "?"); !slices.Contains(hosts, host) {
 			hosts = append(hosts, host)
 		}
@@ -160,41 +161,41 @@
 	return hosts
 }
 
-// alone is one agent whose list comes through relays.
-type alone struct {
-	*hostsOf
-	order  []string // its relays
-	mu     sync.Mutex
-	heard  map[uint64]time.Time
-	failed []time.Duration // what was left when the module was told that calls had failed
+// relayedAgent is one agent whose list comes through relays.
+type relayedAgent struct {
+	*serviceHosts
+	order     []string // its relays
+	mu        sync.Mutex
+	received  map[uint64]time.Time
+	remaining []time.Duration // of each notification that calls had failed
 }
 
 const service = "10.0.0.9:1"
 
-// follows starts an agent that holds revision 1, or nothing. Where the list is asked for, it asks a turn later than it
-// could, as the module would; a turn below 0 is the longest that the module takes for what is left.
-func follows(t *testing.T, asked, known bool, turn time.Duration) *alone {
+// startRelayed starts an agent that holds revision 1, or nothing. In poll mode it polls a turn later than it could, as the balancer
+// would; a turn below 0 is the longest that the balancer takes for the remaining time.
+func startRelayed(t *testing.T, pollMode, known bool, turn time.Duration) *relayedAgent {
 	relays := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
-	a := &alone{hostsOf: newHosts(append(relays, service)...), order: rankRelays("a", relays), heard: map[uint64]time.Time{}}
-	set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: asked}}
+	a := &relayedAgent{serviceHosts: newHosts(append(relays, service)...), order: rankRelays("a", relays), received: map[uint64]time.Time{}}
+	set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: pollMode}}
 	var d *Client
 	d = New(Options{
 		Addr: service, Name: "a", Relays: relays, Settings: func() *settings.Settings { return set },
 		OnPoll: func(PollResult) {}, Log: slog.New(slog.DiscardHandler),
-		Notify: func(n WatchEvent) {
+		Notify: func(event WatchEvent) {
 			a.mu.Lock()
 			defer a.mu.Unlock()
-			if n.Update.KeepsEndpoints() {
-				a.failed = append(a.failed, n.Remaining)
+			if event.Update.KeepsEndpoints() {
+				a.remaining = append(a.remaining, event.Remaining)
 				wait := turn
 				if wait < 0 {
-					wait = max(300*time.Millisecond, cmp.Or(n.Remaining, balancer.NotifyBoundAfterFailure)-1500*time.Millisecond)
+					wait = max(300*time.Millisecond, cmp.Or(event.Remaining, balancer.NotifyBoundAfterFailure)-1500*time.Millisecond)
 				}
 				time.AfterFunc(wait, d.Poll)
 				return
 			}
-			if _, ok := a.heard[n.Revision]; !ok {
-				a.heard[n.Revision] = time.Now()
+			if _, ok := a.received[event.Revision]; !ok {
+				a.received[event.Revision] = time.Now()
 			}
 		},
 	})
@@ -202,7 +203,7 @@
 		one := uint64(1)
 		d.StartFrom(EndpointList{Revision: &one, Complete: true, Members: []Member{{ID: "x"}}})
 	}
-	d.SetTransport(a.hostsOf)
+	d.SetTransport(a.serviceHosts)
 	ctx, stop := context.WithCancel(t.Context())
 	ended := make(chan struct{})
 	go func() { d.Run(ctx, nil); close(ended) }()
@@ -211,68 +212,68 @@
 	return a
 }
 
-func (a *alone) heardOf(revision uint64) (time.Time, bool) {
+func (a *relayedAgent) receivedAt(revision uint64) (time.Time, bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	at, ok := a.heard[revision]
+	at, ok := a.received[revision]
 	return at, ok
 }
 
-// However relays are lost, an agent goes to its next one at once and to discovery itself last, and hears of what is new
-// within what the platform allows. It asks for the whole list no second time.
+// However relays are lost, an agent fails over to its next one at once and to discovery itself last, and receives what is new within
+// what the platform allows. It polls the full list no second time.
 func TestRelaysAreLost(t *testing.T) {
 	const turn = time.Second
 	for name, c := range map[string]struct {
-		asked  bool
+		poll   bool
 		state  int
 		lost   int // of three, from the first on
 		within time.Duration
-		next   string // who is asked in the end
-		failed int    // times that the module is told
+		next   string // who is called in the end
+		failed int    // notifications that calls had failed
 	}{
 		"reset":              {true, down, 1, 10 * time.Millisecond, "second", 0},
-		"refused":            {true, refusing, 1, 10 * time.Millisecond, "second", 0},
-		"silent":             {true, silentOn, 1, relayWatchWait + watchGrace, "second", 0},
+		"rejected":           {true, rejecting, 1, 10 * time.Millisecond, "second", 0},
+		"silent":             {true, silent, 1, relayWatchWait + watchGrace, "second", 0},
 		"two reset":          {true, down, 2, 10 * time.Millisecond, "third", 0},
-		"two silent":         {true, silentOn, 2, relayWatchWait + watchGrace + RelayTimeout, "third", 0},
+		"two silent":         {true, silent, 2, relayWatchWait + watchGrace + RelayTimeout, "third", 0},
 		"all reset":          {true, down, 3, turn + 10*time.Millisecond, "service", 1},
-		"all refuse":         {true, refusing, 3, turn + 10*time.Millisecond, "service", 1},
+		"all reject":         {true, rejecting, 3, turn + 10*time.Millisecond, "service", 1},
 		"pushed, reset":      {false, down, 1, 10 * time.Millisecond, "second", 0},
-		"pushed, silent":     {false, silentOn, 1, relayWatchWait + watchGrace, "second", 0},
+		"pushed, silent":     {false, silent, 1, relayWatchWait + watchGrace, "second", 0},
 		"pushed, all reset":  {false, down, 3, 10 * time.Millisecond, "service", 0},
-		"pushed, all refuse": {false, refusing, 3, 10 * time.Millisecond, "service", 0},
+		"pushed, all reject": {false, rejecting, 3, 10 * time.Millisecond, "service", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := follows(t, c.asked, false, turn)
+				a := startRelayed(t, c.poll, false, turn)
 				time.Sleep(10*time.Second + 100*time.Millisecond) // within a watch
 				synctest.Wait()
-				whole, calls := a.calls()
-				if got := a.since(0); !slices.Equal(got, a.order[:1]) || whole != 1 {
-					t.Fatalf("%v are asked, the whole list %d times", got, whole)
+				full, calls := a.calls()
+				if got := a.since(0); !slices.Equal(got, a.order[:1]) || full != 1 {
+					t.Fatalf("%v are called, for the full list %d times", got, full)
 				}
-				a.become(c.state, a.order[:c.lost]...)
+				a.setState(c.state, a.order[:c.lost]...)
 				a.change()
 				begun := time.Now()
 				time.Sleep(6 * time.Second)
 				synctest.Wait()
-				if at, ok := a.heardOf(2); !ok || at.Sub(begun) > c.within {
-					t.Errorf("heard %v after %v, want within %v", ok, at.Sub(begun), c.within)
+				if at, ok := a.receivedAt(2); !ok || at.Sub(begun) > c.within {
+					t.Errorf("received %v after %v, want within %v", ok, at.Sub(begun), c.within)
 				}
-				if whole, _ := a.calls(); whole != 1 {
-					t.Errorf("the whole list is asked for %d times: %q", whole, a.asked)
+				if full, _ := a.calls(); full != 1 {
+					t.Errorf("the full list is polled %d times: %q", full, a.requests)
 				}
-				asked := a.since(calls)
+				called := a.since(calls)
 				ends := map[string]string{"second": a.order[1], "third": a.order[2], "service": service}
-				if len(asked) == 0 || asked[len(asked)-1] != ends[c.next] {
-					t.Errorf("%q are asked, the last one is to be the %s", asked, c.next)
+				if len(called) == 0 || called[len(called)-1] != ends[c.next] {
+					t.Errorf("%q are called, the last one is to be the %s", called, c.next)
 				}
-				if len(a.failed) != c.failed {
-					t.Errorf("the module is told %v, want %d times", a.failed, c.failed)
+				if len(a.remaining) != c.failed {
+					t.Errorf("notified of failures with %v remaining, want %d", a.remaining, c.failed)
 				}
-				for _, left := range a.failed { // what the relay itself may have missed is taken off
-					if left <= 0 || left > balancer.NotifyBoundAfterFailure-RelayMaxStaleness {
-						t.Errorf("the module is told that %v are left", left)
+				for _, remaining := range a.remaining { // what the relay itself may have missed is taken off
+					if remaining <= 0 || remaining > balancer.NotifyBoundAfterFailure-RelayMaxStaleness {
+						t.Errorf("notified of a failure with %v remaining", remaining)
 					}
 				}
 			})
@@ -280,11 +281,11 @@
 	}
 }
 
-// An agent that was cut off from its relays and from discovery for any time hears within the bound once it is not any more:
-// what it could take for a jam of discovery holds it off from that alone.
+// An agent that was cut off from its relays and from discovery for any time is synced within the bound once it is not any more: what
+// it could take for an overload of discovery keeps it from calling that alone.
 func TestBackFromACut(t *testing.T) {
 	for _, cut := range []time.Duration{time.Second, 5 * time.Second, 12 * time.Second, 20 * time.Second, 47 * time.Second, 5 * time.Minute} {
-		for name, relays := range map[string]int{"silent": silentOn, "stale": refusing} {
+		for name, relays := range map[string]int{"silent": silent, "stale": rejecting} {
 			t.Run(fmt.Sprintf("%s relays/%v", name, cut), func(t *testing.T) { backFromACut(t, relays, cut) })
 		}
 	}
@@ -292,24 +293,24 @@
 
 func backFromACut(t *testing.T, relays int, cut time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
-		a := follows(t, true, true, -1)
+		a := startRelayed(t, true, true, -1)
 		time.Sleep(10*time.Second + 100*time.Millisecond)
 		all := append(slices.Clone(a.order), service)
-		a.become(relays, a.order...)
-		a.become(silentOn, service)
+		a.setState(relays, a.order...)
+		a.setState(silent, service)
 		time.Sleep(cut)
-		a.become(serving, all...)
+		a.setState(serving, all...)
 		a.change()
 		back := time.Now()
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
-		if at, ok := a.heardOf(2); !ok || at.Sub(back) > balancer.NotifyBoundAfterFailure {
-			t.Errorf("heard %v, %v after the cut", ok, at.Sub(back))
+		if at, ok := a.receivedAt(2); !ok || at.Sub(back) > balancer.NotifyBoundAfterFailure {
+			t.Errorf("received %v, %v after the cut", ok, at.Sub(back))
 		}
 	})
 }
 
-// A machine that says nothing shows in the dial already, in time for the other relays.
+// A machine that does not respond shows in the dial already, in time for the other relays.
 func TestDialsToRelaysAreShort(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dial := withRelayDialTimeout(func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -337,56 +338,56 @@
 }
 
 // An agent that is away from its first relay tries it again once a minute at most, stays where it was if that fails, and
-// otherwise is at home again.
+// otherwise stays there.
 func TestHomeAgain(t *testing.T) {
 	for _, lost := range []int{1, 3} { // to the second relay, and to discovery itself
 		synctest.Test(t, func(t *testing.T) {
-			a := follows(t, true, true, time.Second)
+			a := startRelayed(t, true, true, time.Second)
 			time.Sleep(10 * time.Second)
-			a.become(down, a.order[:lost]...)
+			a.setState(down, a.order[:lost]...)
 			time.Sleep(10 * time.Second)
 			_, before := a.calls()
 			time.Sleep(10 * time.Minute)
-			a.hostsOf.mu.Lock()
+			a.serviceHosts.mu.Lock()
 			tries := 0
-			for _, q := range a.asked[before:] {
+			for _, q := range a.requests[before:] {
 				if host, _, _ := strings.Cut(q, "?"); host == a.order[0] {
 					tries++
 				}
 			}
-			a.hostsOf.mu.Unlock()
+			a.serviceHosts.mu.Unlock()
 			if tries < 8 || tries > 10 {
 				t.Errorf("%d lost: the first relay is tried %d times in ten minutes", lost, tries)
 			}
-			a.become(serving, a.order...)
+			a.setState(serving, a.order...)
 			time.Sleep(preferredRetryInterval + 2*relayWatchWait + watchCycle)
 			_, before = a.calls()
 			time.Sleep(time.Minute)
 			if got := a.since(before); !slices.Equal(got, a.order[:1]) {
-				t.Errorf("%d lost: a minute after their return %q are asked, want %q", lost, got, a.order[0])
+				t.Errorf("%d lost: a minute after their return %q are called, want %q", lost, got, a.order[0])
 			}
-			if whole, _ := a.calls(); whole != 0 {
-				t.Errorf("the whole list is asked for %d times", whole)
+			if full, _ := a.calls(); full != 0 {
+				t.Errorf("the full list is polled %d times", full)
 			}
 		})
 	}
 }
 
-// A relay that says when to come again is asked again then, and nobody else meanwhile.
+// A relay that rejects a call with Retry-After is called again then, and nobody else meanwhile.
 func TestComesAgainWhenTold(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := follows(t, true, false, time.Second)
-		a.become(busyOnce, a.order[0])
+		a := startRelayed(t, true, false, time.Second)
+		a.setState(rejectingOnce, a.order[0])
 		begun := time.Now()
 		time.Sleep(5 * time.Second)
-		at, ok := a.heardOf(1)
-		if asked := a.since(0); !ok || at.Sub(begun) != 1250*time.Millisecond || !slices.Equal(asked, a.order[:1]) {
-			t.Errorf("heard %v after %v, %q are asked", ok, at.Sub(begun), asked)
+		at, ok := a.receivedAt(1)
+		if called := a.since(0); !ok || at.Sub(begun) != 1250*time.Millisecond || !slices.Equal(called, a.order[:1]) {
+			t.Errorf("received %v after %v, %q are called", ok, at.Sub(begun), called)
 		}
 	})
 }
 
-// Relays that come and go change where the list is asked for, not what is held.
+// Relays that come and go change who is called, not which revision is held.
 func TestOtherRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHosts("10.0.0.1:1", "10.0.0.2:1", service)
@@ -397,8 +398,8 @@
 		})
 		d.SetTransport(h)
 		ctx, stop := context.WithCancel(t.Context())
-		moves, ended := make(chan Target), make(chan struct{})
-		go func() { d.Run(ctx, moves); close(ended) }()
+		migrations, ended := make(chan Target), make(chan struct{})
+		go func() { d.Run(ctx, migrations); close(ended) }()
 		synctest.Wait()
 		for _, c := range []struct {
 			relays []string
@@ -409,14 +410,14 @@
 			{nil, service},
 		} {
 			_, before := h.calls()
-			moves <- Target{service, c.relays}
+			migrations <- Target{service, c.relays}
 			synctest.Wait()
 			if got := h.since(before); !slices.Equal(got, []string{c.want}) {
-				t.Errorf("relays %q: %q are asked", c.relays, got)
+				t.Errorf("relays %q: %q are called", c.relays, got)
 			}
 		}
-		if whole, _ := h.calls(); whole != 1 {
-			t.Errorf("the whole list is asked for %d times", whole)
+		if full, _ := h.calls(); full != 1 {
+			t.Errorf("the full list is polled %d times", full)
 		}
 		stop()
 		<-ended
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -90,7 +90,7 @@
 		return EndpointList{}, err
 	}
 	if wait > 0 && targetCtx.Err() != nil {
-		return EndpointList{}, targetCtx.Err() // what a migration crossed comes again, as the whole list
+		return EndpointList{}, targetCtx.Err() // what a migration crossed comes again, as the full list
 	}
 	if !list.Complete && (c.revision == nil || *list.Revision < *c.revision) {
 		return EndpointList{}, fmt.Errorf("%w: changes up to %d do not follow the list held", ErrMalformedList, *list.Revision)
--- a/internal/lists/server.go
+++ b/internal/lists/server.go
@@ -37,7 +37,7 @@
 type Work struct {
 	Agent     int
 	Continues bool // the call began before, or continues a watch; only the members are work
-	Complete  bool // the answer is a whole list
+	Complete  bool // the answer is a full list
 	Entries   int  // members of the answer; 0 if there is none yet
 }
 
--- a/internal/lists/store.go
+++ b/internal/lists/store.go
@@ -1,4 +1,4 @@
-// Package lists serves the endpoint list as discovery does: the whole list, or the changes since a revision, to watches that wait
+// Package lists serves the endpoint list as discovery does: the full list, or the changes since a revision, to watches that wait
 // for them. A Store holds one list and hands the same bytes to all who ask the same; a Server answers calls from it. The package
 // neither decides what is in the list nor, but for what its Limiter says, when a call is answered.
 package lists
@@ -29,11 +29,11 @@
 type Answer struct {
 	Body     []byte // JSON, shared by all who get it: never to be written to. Nil while the store has no list
 	Revision uint64
-	Complete bool // the whole list, not changes
+	Complete bool // the full list, not changes
 	Entries  int  // members
 }
 
-// Store is the newest whole list and the changes that led to it, as far back as its log goes. It is safe for concurrent use. A
+// Store is the newest full list and the changes that led to it, as far back as its log goes. It is safe for concurrent use. A
 // revision names one state of the list: a source that counts anew must not reach revisions that are still held by someone as
 // another state, for nothing in the protocol tells the two apart.
 //
@@ -53,7 +53,7 @@
 	logFloor      uint64             // the log holds all changes after this revision
 	loggedMembers int
 	changed       chan struct{}               // closed when the list changes
-	complete      Answer                      // the whole list at this revision; no text: not encoded yet
+	complete      Answer                      // the full list at this revision; no text: not encoded yet
 	changes       [cachedChanges]cachedAnswer // up to this revision
 	nextChanges   int                         // of changes, the one to give up for another
 }
@@ -71,13 +71,13 @@
 }
 
 // NewStore returns a store without a list, whose log will hold the changes of so many revisions: fewer where they are large, for
-// changes longer than the whole list help nobody.
+// changes longer than the full list help nobody.
 func NewStore(maxLogged int) *Store {
 	return &Store{maxLogged: max(maxLogged, 0), changed: make(chan struct{})}
 }
 
 // Reset replaces the list, by one of any revision; removed members are left out. The log is dropped, as it does not lead to this
-// list: who holds another revision gets the whole list. The store keeps no part of the slice.
+// list: who holds another revision gets the full list. The store keeps no part of the slice.
 func (s *Store) Reset(revision uint64, members []discovery.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -168,7 +168,7 @@
 	return s.revision
 }
 
-// Members is the whole list. The slice is shared by all who ask and must not be written to; the store itself copies it
+// Members is the full list. The slice is shared by all who ask and must not be written to; the store itself copies it
 // before it changes a member of it.
 func (s *Store) Members() []discovery.Member {
 	s.mu.Lock()
@@ -185,7 +185,7 @@
 }
 
 // Since is the answer to one who holds a revision, or none if !known: the changes since then, each member once and as it is now,
-// or the whole list where the revision is not known, is ahead of the store or lies before the log.
+// or the full list where the revision is not known, is ahead of the store or lies before the log.
 func (s *Store) Since(revision uint64, known bool) Answer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/lists/store_test.go
+++ b/internal/lists/store_test.go
@@ -236,7 +236,7 @@
 	return after.TotalAlloc - before.TotalAlloc
 }
 
-// However many follow the list, a change is encoded once, the whole list at most once, and neither is copied.
+// However many follow the list, a change is encoded once, the full list at most once, and neither is copied.
 func TestEncodedOnce(t *testing.T) {
 	const members, followers, changes = 1024, 1000, 20
 	s := NewStore(64)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -68,7 +68,7 @@
 }
 
 // RemoveGone removes the endpoints that an update has shown to be gone, by what Endpoints returned for it, and returns their numbers
-// in no order. Changes cost what they name; a whole list also removes what it does not name. PollFailed removes nothing.
+// in no order. Changes cost what they name; a full list also removes what it does not name. PollFailed removes nothing.
 func (t *Table) RemoveGone(update balancer.DiscoveryUpdate, endpoints []balancer.Endpoint) (gone []balancer.ServerID) {
 	if update.KeepsEndpoints() {
 		return nil
@@ -93,7 +93,7 @@
 	return gone
 }
 
-// removeUnlisted removes all but the endpoints that a whole list names and does not report as removed.
+// removeUnlisted removes all but the endpoints that a full list names and does not report as removed.
 func (t *Table) removeUnlisted(endpoints []balancer.Endpoint) (gone []balancer.ServerID) {
 	stays := make(map[balancer.ServerID]bool, len(endpoints))
 	for _, e := range endpoints {
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -116,7 +116,7 @@
 	}
 }
 
-// BenchmarkList is what a list event costs the table: one change, or the whole list again.
+// BenchmarkList is what a list event costs the table: one change, or the full list again.
 func BenchmarkList(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		var all []discovery.Member
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -130,7 +130,7 @@
 }
 
 // CheckReload returns an error unless a running relay can take this configuration in place of the present one: only discovery's
-// address and the rate of whole lists can change.
+// address and the rate of full lists can change.
 func (c *Config) CheckReload(present *Config) error {
 	const needsRestart = ": needs a new process"
 	switch {
--- a/internal/relay/disk.go
+++ b/internal/relay/disk.go
@@ -19,7 +19,7 @@
 	listFileName = "list"     // in the state directory
 	tempFileName = "list.new" // renamed to listFileName once it is on the disk
 
-	// A stored list is the magic, the text's length in 8 bytes, big-endian, its SHA-256, and the text: a whole list as
+	// A stored list is the magic, the text's length in 8 bytes, big-endian, its SHA-256, and the text: a full list as
 	// discovery answers it.
 	magic        = "relayls1"
 	headerBytes  = len(magic) + 8 + sha256.Size
@@ -32,7 +32,7 @@
 // listFile is where a relay keeps its last list. One goroutine at a time uses it.
 type listFile struct{ dir string }
 
-// load reads the list that was saved last. Without one the error wraps fs.ErrNotExist; for anything that is not a whole list as it
+// load reads the list that was saved last. Without one the error wraps fs.ErrNotExist; for anything that is not a full list as it
 // was written it wraps errCorrupt.
 func (f listFile) load() (discovery.EndpointList, error) {
 	path := filepath.Join(f.dir, listFileName)
@@ -50,7 +50,7 @@
 	return decodeFile(data)
 }
 
-// save makes the text of a whole list the one that load finds, also after a crash at any moment: the old one stays until
+// save makes the text of a full list the one that load finds, also after a crash at any moment: the old one stays until
 // the new one is on the disk.
 func (f listFile) save(text []byte) error {
 	next := filepath.Join(f.dir, tempFileName)
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -17,7 +17,7 @@
 )
 
 const (
-	// What the service takes for a call and for a member of a whole list, as was seen: 68 ms for a list of 830.
+	// What the service takes for a call and for a member of a full list, as was seen: 68 ms for a list of 830.
 	callCost   = 2 * time.Millisecond
 	memberCost = 80 * time.Microsecond
 	// busyCall is what it took for a call when hundreds came at once.
@@ -180,7 +180,7 @@
 }
 
 // All agents start without a list, as after a loss of all. Through five relays all have one within 6 s, in both modes; the service
-// alone, which takes 68 ms for each whole list of 830, works for callers that have given up.
+// alone, which takes 68 ms for each full list of 830, works for callers that have given up.
 func TestFleetStartsWithoutAList(t *testing.T) {
 	for _, agents := range sizes() {
 		for _, mode := range []string{"subscribe", "automatic"} {
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -108,7 +108,7 @@
 
 // answer answers a call once the caller's revision and the relay's are known to be of the same service and in order.
 //
-// A caller that holds the very list of this relay goes on with it, also if that was loaded from the disk. A whole list from the
+// A caller that holds the very list of this relay goes on with it, also if that was loaded from the disk. A full list from the
 // disk, or changes that lead to it, could name endpoints that have been removed since; a restarted relay answers other callers only
 // once upstream has answered.
 //
@@ -200,7 +200,7 @@
 // reject sends a caller to the next relay.
 func reject(w http.ResponseWriter, why string) { http.Error(w, why, http.StatusServiceUnavailable) }
 
-// countFullList counts the whole lists among the calls that the server of lists has ended.
+// countFullList counts the full lists among the calls that the server of lists has ended.
 func (r *Relay) countFullList(c lists.CallRecord) {
 	if c.Status == http.StatusOK && c.Complete {
 		r.counters.fullLists.Add(1)
--- a/internal/relay/limiter.go
+++ b/internal/relay/limiter.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	// maxQueueDelay is how long a caller may wait for its whole list in one call: less than its call may take, by what it may
+	// maxQueueDelay is how long a caller may wait for its full list in one call: less than its call may take, by what it may
 	// have waited for an answer from upstream (aheadHold) and what writing and reading the list may need.
 	maxQueueDelay = discovery.RelayFullListTimeout * 5 / 8
 	// reservationGrace is how long after its time a reserved slot is still kept for its caller.
 	reservationGrace = balancer.NotifyBoundAfterFailure / 24
 )
 
-// fullListLimiter hands whole lists out at a stated rate; changes pass at once, since they are small and have to be in time.
+// fullListLimiter hands full lists out at a stated rate; changes pass at once, since they are small and have to be in time.
 //
 // A caller that cannot have a slot within maxQueueDelay is rejected with Retry-After, and that slot is reserved. Reservations bear
 // no name: any caller takes the first one that is due within maxQueueDelay, so that a slot whose caller went elsewhere is not
@@ -28,9 +28,9 @@
 // A mutex guards its state; Admit may be called by any goroutine.
 type fullListLimiter struct {
 	mu              sync.Mutex
-	interval        time.Duration // between two whole lists
+	interval        time.Duration // between two full lists
 	nextSlot        time.Time     // the first that nobody has
-	reserved        []time.Time   // slots that callers were told to come back for, sorted
+	reserved        []time.Time   // slots that rejected callers got as Retry-After, sorted
 	maxReservations int
 	waiting         int // callers in Admit that wait for their slot
 }
@@ -41,7 +41,7 @@
 	return l
 }
 
-// setRate changes how many whole lists a second are handed out; slots that were given stay.
+// setRate changes how many full lists a second are handed out; slots that were given stay.
 func (l *fullListLimiter) setRate(perSecond float64) {
 	l.mu.Lock()
 	l.interval = time.Duration(float64(time.Second) / perSecond)
--- a/internal/relay/limiter_test.go
+++ b/internal/relay/limiter_test.go
@@ -12,7 +12,7 @@
 	"example.org/ryeloft/internal/lists"
 )
 
-// asker wants one whole list and comes again when it is told to.
+// asker wants one full list and comes again when it is told to.
 type asker struct {
 	at      time.Duration // when it had its turn
 	refused int
@@ -34,7 +34,7 @@
 	}
 }
 
-// All callers that come at once have their whole list after as long as the stated rate needs for them, no sooner, and each
+// All callers that come at once have their full list after as long as the stated rate needs for them, no sooner, and each
 // is sent away once at most; changes wait for nobody.
 func TestWholeListsAreHandedOutAtTheStatedRate(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -13,11 +13,11 @@
 // Metrics are what a relay counted since its start, and its present state.
 type Metrics struct {
 	Calls     int64         // that came
-	FullLists int64         // whole lists handed out
+	FullLists int64         // full lists handed out
 	Rejected  int64         // calls that got a 503
 	Bytes     int64         // of answers' bodies
 	Open      int64         // calls that are in flight now
-	Waiting   int           // of them, those that wait for their turn to get the whole list
+	Waiting   int           // of them, those that wait for their turn to get the full list
 	Staleness time.Duration // since the list was known to be the newest
 	Revision  uint64        // 0: no list
 }
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -46,7 +46,7 @@
 	Name               string
 	Discovery          string  // IP address and port of the upstream service
 	State              string  // a directory of its own, made if it is missing
-	FullListsPerSecond float64 // whole lists that it hands out
+	FullListsPerSecond float64 // full lists that it hands out
 	MaxCallers         int     // calls that it has in flight at a time
 	Log                *slog.Logger
 	OnAcknowledge      func(agent int, revision uint64, at time.Time)   // if not nil: an agent's call says that it holds this revision
@@ -70,7 +70,7 @@
 	mu           sync.Mutex
 	upstreamAddr string
 	hasList      bool
-	migrated     bool // the next whole list is of another service, which counts revisions of its own
+	migrated     bool // the next full list is of another service, which counts revisions of its own
 	ended        bool // Run has
 	startedAt    time.Time
 	syncedAt     time.Time          // begin of the last call to upstream that was answered; zero: none yet
@@ -148,7 +148,7 @@
 	r.storeList()
 }
 
-// Migrate has the relay follow the service at an address, unless it does already, and hand out so many whole lists a second. It is
+// Migrate has the relay follow the service at an address, unless it does already, and hand out so many full lists a second. It is
 // called while Run runs.
 func (r *Relay) Migrate(ctx context.Context, upstreamAddr string, fullListsPerSecond float64) {
 	r.limiter.setRate(fullListsPerSecond)
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -28,7 +28,7 @@
 	return strings.Join(all, " ")
 }
 
-// is checks an answer: its revision, whether it is the whole list, and who is in it.
+// is checks an answer: its revision, whether it is the full list, and who is in it.
 func (got reply) is(t *testing.T, what string, revision uint64, complete bool, members string) {
 	t.Helper()
 	if got.status != http.StatusOK || *got.list.Revision != revision || got.list.Complete != complete || ids(got.list) != members {
@@ -126,7 +126,7 @@
 	}
 }
 
-// The service above has lost its log and sends the whole list: who follows this relay is told the changes all the same.
+// The service above has lost its log and sends the full list: who follows this relay is told the changes all the same.
 func TestWholeListBecomesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -141,7 +141,7 @@
 }
 
 // Nobody is told an older list after a newer one. Who is ahead waits for an answer from above that was asked for later; if
-// that is no newer, the service counts anew, and the whole list follows; without one, the caller goes on by its list.
+// that is no newer, the service counts anew, and the full list follows; without one, the caller goes on by its list.
 func TestNothingOlderAfterNewer(t *testing.T) {
 	for name, c := range map[string]struct {
 		then     func(*upstream) // 100 ms after the call has come
@@ -246,7 +246,7 @@
 	})
 }
 
-// After a move the revisions are another service's: the whole list of the new one replaces all, lower or higher.
+// After a move the revisions are another service's: the full list of the new one replaces all, lower or higher.
 func TestMoves(t *testing.T) {
 	for _, revision := range []uint64{3, 7, 100} {
 		synctest.Test(t, func(t *testing.T) {
@@ -395,7 +395,7 @@
 	})
 }
 
-// The bounds fit: who is ahead is answered within a call's time, who waits for its whole list too, and what a relay that is
+// The bounds fit: who is ahead is answered within a call's time, who waits for its full list too, and what a relay that is
 // stale has missed can still be had elsewhere.
 func TestBounds(t *testing.T) {
 	for what, ok := range map[string]bool{
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -19,8 +19,8 @@
 	}
 }
 
-// replace updates the store by a whole list. One that follows the list held becomes the changes between the two, so that hundreds of
-// callers that can go on with those need not get the whole list anew.
+// replace updates the store by a full list. One that follows the list held becomes the changes between the two, so that hundreds of
+// callers that can go on with those need not get the full list anew.
 func (r *Relay) replace(revision uint64, members []discovery.Member) {
 	r.mu.Lock()
 	reset := r.migrated || !r.hasList || revision <= r.store.Revision()
@@ -45,8 +45,8 @@
 	if err == nil {
 		return
 	}
-	// Upstream changes what it has reported already. Callers that hold that revision could not be told of it, so all get the
-	// whole list anew.
+	// Upstream changes what it has reported already. Callers that hold that revision could not get it as changes, so all get the
+	// full list anew.
 	r.log.Error("upstream changes out of order", "error", err)
 	merged := lists.NewStore(0)
 	merged.Reset(0, r.store.Members())
