--- a/internal/lists/listener_test.go
+++ b/internal/lists/listener_test.go
@@ -28,8 +28,8 @@
 	return l.Addr().String()
 }
 
-// ask writes a request and reads the answer's head and body.
-func ask(t *testing.T, c net.Conn, request string) (*http.Response, []byte) {
+// call writes a request and reads the answer's head and body.
+func call(t *testing.T, c net.Conn, request string) (*http.Response, []byte) {
 	t.Helper()
 	if _, err := io.WriteString(c, request); err != nil {
 		t.Fatal(err)
@@ -48,7 +48,7 @@
 
 const plain = "GET " + Path + " HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// A list as long as an agent takes comes whole.
+// A list as long as an agent accepts comes complete.
 func TestLargestList(t *testing.T) {
 	s := &Server{Store: NewStore(8)}
 	s.Store.Reset(1, ready(30000))
@@ -62,7 +62,7 @@
 	}
 	defer c.Close()
 	for range 2 { // on the same connection
-		if resp, text := ask(t, c, plain); resp.StatusCode != 200 || string(text) != string(want.Body) {
+		if resp, text := call(t, c, plain); resp.StatusCode != 200 || string(text) != string(want.Body) {
 			t.Errorf("%s, %d bytes of %d", resp.Status, len(text), len(want.Body))
 		}
 	}
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		ask(t, c, plain)
+		call(t, c, plain)
 		open = append(open, c)
 	}
 	more, err := net.Dial("tcp", addr)
@@ -92,7 +92,7 @@
 		t.Errorf("the third connection gets %d bytes", n)
 	}
 	// The server closes this one itself, once it has answered.
-	ask(t, open[0], strings.Replace(plain, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
+	call(t, open[0], strings.Replace(plain, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
 	if _, err := open[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the first connection ends with %v", err)
 	}
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	defer next.Close()
-	if resp, _ := ask(t, next, plain); resp.StatusCode != 200 {
+	if resp, _ := call(t, next, plain); resp.StatusCode != 200 {
 		t.Errorf("the connection in its place: %s", resp.Status)
 	}
 }
@@ -115,7 +115,7 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	resp, text := ask(t, c, "GET "+Path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n")
+	resp, text := call(t, c, "GET "+Path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n")
 	if resp.StatusCode != 400 || !strings.Contains(string(text), "body") || !resp.Close {
 		t.Errorf("%s %s, closes %v", resp.Status, text, resp.Close)
 	}
@@ -156,7 +156,7 @@
 func (p pipes) Close() error   { close(p.done); return nil }
 func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
-// Who does not send its headers, does not take its answer or makes no calls loses its connection.
+// A caller that does not send its headers, does not read its answer or makes no calls loses its connection.
 func TestSlowCallers(t *testing.T) {
 	for _, c := range []struct {
 		name, send string
@@ -198,9 +198,9 @@
 
 // One server tells its listeners' agents apart.
 func TestListenersOfOneServer(t *testing.T) {
-	heard := make(chan string, 1)
+	acknowledged := make(chan string, 1)
 	s := &Server{Store: NewStore(8), Log: slog.New(slog.DiscardHandler), OnAcknowledge: func(agent int, revision uint64, _ time.Time) {
-		heard <- fmt.Sprint(agent, " ", revision)
+		acknowledged <- fmt.Sprint(agent, " ", revision)
 	}}
 	s.Store.Reset(5, ready(1))
 	h := s.HTTP()
@@ -215,10 +215,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		ask(t, c, strings.Replace(plain, Path, Path+"?after=5", 1))
+		call(t, c, strings.Replace(plain, Path, Path+"?after=5", 1))
 		c.Close()
-		if got := <-heard; got != fmt.Sprint(agent, " 5") {
-			t.Errorf("agent %d is heard as %s", agent, got)
+		if got := <-acknowledged; got != fmt.Sprint(agent, " 5") {
+			t.Errorf("agent %d acknowledges as %s", agent, got)
 		}
 	}
 }
--- a/internal/lists/server_test.go
+++ b/internal/lists/server_test.go
@@ -77,7 +77,7 @@
 	}
 }
 
-// A watch ends with the first change, or when its time is over, or at once if there is something to tell.
+// A watch ends with the first change, or when its time is over, or at once if there is a change already.
 func TestWatch(t *testing.T) {
 	list := step{true, 10, "a:Ready b:Ready"}
 	drain, leave := step{false, 11, "b:Terminating"}, step{false, 12, "b:Gone c:Ready"}
@@ -136,7 +136,7 @@
 	}
 }
 
-// A watch whose caller goes away ends, and makes room for another.
+// A watch whose caller goes away ends, and another may be made.
 func TestCallerGoes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan CallRecord, 1)
@@ -167,41 +167,41 @@
 	})
 }
 
-// gate notes what enters, keeps it for a while and may refuse it.
-type gate struct {
+// recordingLimiter notes work, delays it for a while and may reject it.
+type recordingLimiter struct {
 	mu    sync.Mutex
 	works []Work
-	takes time.Duration
+	delay time.Duration
 	err   error
 }
 
-func (g *gate) Admit(ctx context.Context, w Work) (time.Duration, error) {
-	g.mu.Lock()
-	g.works = append(g.works, w)
-	takes, err := g.takes, g.err
-	g.mu.Unlock()
+func (l *recordingLimiter) Admit(ctx context.Context, w Work) (time.Duration, error) {
+	l.mu.Lock()
+	l.works = append(l.works, w)
+	delay, err := l.delay, l.err
+	l.mu.Unlock()
 	select {
-	case <-time.After(takes):
-		return takes, err
+	case <-time.After(delay):
+		return delay, err
 	case <-ctx.Done():
-		return takes, ctx.Err()
+		return delay, ctx.Err()
 	}
 }
 
-func (g *gate) took() []Work {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	works := g.works
-	g.works = nil
+func (l *recordingLimiter) takeWorks() []Work {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	works := l.works
+	l.works = nil
 	return works
 }
 
-// A call pays for its beginning, unless it goes on with a watch, and for the lines that it is answered.
+// The work of a call is its beginning, unless it continues a watch, and the members of its answer.
 func TestWhatACallPays(t *testing.T) {
 	const agent = 3
-	began := func(complete bool, lines int) Work { return Work{Agent: agent, Complete: complete, Entries: lines} }
-	told := func(complete bool, lines int) Work {
-		return Work{Agent: agent, Continues: true, Complete: complete, Entries: lines}
+	begins := func(complete bool, members int) Work { return Work{Agent: agent, Complete: complete, Entries: members} }
+	continues := func(complete bool, members int) Work {
+		return Work{Agent: agent, Continues: true, Complete: complete, Entries: members}
 	}
 	for _, c := range []struct {
 		name   string
@@ -211,28 +211,28 @@
 		change string // while it waits, if any
 		want   []Work
 	}{
-		{"whole list", "", 0, "", "", []Work{began(true, 2)}},
-		{"new watch, nothing to tell", "", 0, "?after=10&wait_ms=1000", "", []Work{began(false, 0)}},
-		{"new watch, a change", "", 0, "?after=10&wait_ms=1000", "b:Gone c:Ready", []Work{began(false, 0), told(false, 2)}},
-		{"new watch, behind", "", 0, "?after=9&wait_ms=1000", "", []Work{began(true, 2)}},
-		{"after a whole list", "?", 0, "?after=10&wait_ms=1000", "", []Work{began(false, 0)}},
-		{"goes on", "?after=10", WatchContinuation, "?after=10&wait_ms=1000", "", nil},
-		{"goes on to a change", "?after=10", WatchContinuation, "?after=10&wait_ms=1000", "b:Gone", []Work{told(false, 1)}},
-		{"goes on to a whole list", "?after=10", WatchContinuation, "?after=9&wait_ms=1000", "", []Work{told(true, 2)}},
-		{"too late", "?after=10", WatchContinuation + time.Millisecond, "?after=10&wait_ms=1000", "", []Work{began(false, 0)}},
-		{"the whole list is no watch that goes on", "?after=10", 0, "", "", []Work{began(true, 2)}},
-		{"after a bad call", "?after=10&wait=0", 0, "?after=10&wait_ms=1000", "", []Work{began(false, 0)}},
+		{"full list", "", 0, "", "", []Work{begins(true, 2)}},
+		{"new watch, no change", "", 0, "?after=10&wait_ms=1000", "", []Work{begins(false, 0)}},
+		{"new watch, a change", "", 0, "?after=10&wait_ms=1000", "b:Gone c:Ready", []Work{begins(false, 0), continues(false, 2)}},
+		{"new watch, behind", "", 0, "?after=9&wait_ms=1000", "", []Work{begins(true, 2)}},
+		{"after a full list", "?", 0, "?after=10&wait_ms=1000", "", []Work{begins(false, 0)}},
+		{"continues", "?after=10", WatchContinuation, "?after=10&wait_ms=1000", "", nil},
+		{"continues to a change", "?after=10", WatchContinuation, "?after=10&wait_ms=1000", "b:Gone", []Work{continues(false, 1)}},
+		{"continues to a full list", "?after=10", WatchContinuation, "?after=9&wait_ms=1000", "", []Work{continues(true, 2)}},
+		{"too late", "?after=10", WatchContinuation + time.Millisecond, "?after=10&wait_ms=1000", "", []Work{begins(false, 0)}},
+		{"the full list is no watch that continues", "?after=10", 0, "", "", []Work{begins(true, 2)}},
+		{"after a bad call", "?after=10&wait=0", 0, "?after=10&wait_ms=1000", "", []Work{begins(false, 0)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := &gate{takes: 5 * time.Millisecond}
+				l := &recordingLimiter{delay: 5 * time.Millisecond}
 				var last CallRecord
-				s := &Server{Store: NewStore(8), Limiter: g, OnCallDone: func(c CallRecord) { last = c }}
+				s := &Server{Store: NewStore(8), Limiter: l, OnCallDone: func(c CallRecord) { last = c }}
 				step{true, 10, "a:Ready b:Ready"}.play(t, s.Store)
 				if c.first != "" {
 					get(s.Handler(agent), c.first)
 					time.Sleep(c.pause) // of the bubble's clock
-					g.took()
+					l.takeWorks()
 				}
 				began := time.Now()
 				ended := make(chan *httptest.ResponseRecorder)
@@ -244,19 +244,19 @@
 				if w := <-ended; w.Code != 200 {
 					t.Errorf("answered %d", w.Code)
 				}
-				got := g.took()
+				got := l.takeWorks()
 				if fmt.Sprint(got) != fmt.Sprint(c.want) {
-					t.Errorf("paid for %+v, want %+v", got, c.want)
+					t.Errorf("work %+v, want %+v", got, c.want)
 				}
-				if c.change != "" && (time.Since(began) != 105*time.Millisecond || last.QueueDelay != g.takes || last.HeldAt.IsZero()) {
-					t.Errorf("told after %v: %+v", time.Since(began), last)
+				if c.change != "" && (time.Since(began) != 105*time.Millisecond || last.QueueDelay != l.delay || last.HeldAt.IsZero()) {
+					t.Errorf("answered after %v: %+v", time.Since(began), last)
 				}
 			})
 		})
 	}
 }
 
-// A call that the gate refuses gets a 503, and what comes next is a new call.
+// A call that the limiter rejects gets a 503, and what comes next is a new call.
 func TestRefused(t *testing.T) {
 	for _, c := range []struct {
 		err   error
@@ -267,35 +267,35 @@
 		{fmt.Errorf("relay: %w", RejectedError{RetryAfter: 2 * time.Second}), "2"},
 		{errors.New("out of order"), ""},
 	} {
-		g := &gate{}
-		s := &Server{Store: NewStore(8), Limiter: g}
+		l := &recordingLimiter{}
+		s := &Server{Store: NewStore(8), Limiter: l}
 		s.Store.Reset(1, ready(1))
 		get(s.Handler(0), "?after=1")
-		g.err = c.err
+		l.err = c.err
 		if w := get(s.Handler(0), ""); w.Code != 503 || w.Header().Get("Retry-After") != c.after {
 			t.Errorf("%v: %d, Retry-After %q", c.err, w.Code, w.Header().Get("Retry-After"))
 		}
-		g.err = nil
-		g.took()
+		l.err = nil
+		l.takeWorks()
 		get(s.Handler(0), "?after=1")
-		if got := g.took(); len(got) != 1 || got[0].Continues {
-			t.Errorf("%v: the next call paid for %+v", c.err, got)
+		if got := l.takeWorks(); len(got) != 1 || got[0].Continues {
+			t.Errorf("%v: the next call is the work %+v", c.err, got)
 		}
 	}
 }
 
-// A call says what its agent holds, unless the store cannot know that.
+// A call acknowledges the revision that its agent holds, unless the store cannot know that.
 func TestHeard(t *testing.T) {
-	var heard []string
+	var acknowledged []string
 	s := &Server{Store: NewStore(8), OnAcknowledge: func(agent int, revision uint64, _ time.Time) {
-		heard = append(heard, fmt.Sprint(agent, ":", revision))
+		acknowledged = append(acknowledged, fmt.Sprint(agent, ":", revision))
 	}}
 	s.Store.Reset(10, ready(1))
 	for agent, query := range []string{"", "?after=10", "?after=11", "?after=4", "?after=x"} {
 		get(s.Handler(agent), query)
 	}
-	if got := strings.Join(heard, " "); got != "1:10 3:4" {
-		t.Errorf("heard %s", got)
+	if got := strings.Join(acknowledged, " "); got != "1:10 3:4" {
+		t.Errorf("acknowledged %s", got)
 	}
 }
 
@@ -308,7 +308,8 @@
 	ends := make([]map[string]discovery.Member, followers)
 	for i := range followers {
 		all.Go(func() {
-			held, after, known := make(map[string]discovery.Member), uint64(0), false
+			held := make(map[string]discovery.Member)
+			after, known := uint64(0), false
 			for after < last {
 				query := ""
 				if known {
@@ -336,8 +337,8 @@
 		})
 	}
 	for r := uint64(1); r <= last; r++ {
-		phase := []string{"Terminating", "Gone", "Ready"}[r%3]
-		if err := s.Store.Apply(r, []discovery.Member{member(fmt.Sprintf("s-%d", r%31), phase)}); err != nil {
+		state := []string{"Terminating", "Gone", "Ready"}[r%3]
+		if err := s.Store.Apply(r, []discovery.Member{member(fmt.Sprintf("s-%d", r%31), state)}); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/lists/store_test.go
+++ b/internal/lists/store_test.go
@@ -13,13 +13,13 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-func member(id, phase string) discovery.Member {
+func member(id, state string) discovery.Member {
 	return discovery.Member{
-		ID: id, Address: "10.1.0.18:9000", Zone: "a", Kind: "m2", Cell: 3, State: phase, Weight: 1.5, StartedAtMillis: 1764640000000,
+		ID: id, Address: "10.1.0.18:9000", Zone: "a", Kind: "m2", Cell: 3, State: state, Weight: 1.5, StartedAtMillis: 1764640000000,
 	}
 }
 
-// ready are n entries with ids from s-0 on.
+// ready are n members with IDs from s-0 on.
 func ready(n int) []discovery.Member {
 	members := make([]discovery.Member, n)
 	for i := range members {
@@ -38,7 +38,7 @@
 	return l
 }
 
-// words tells entries as "a:Ready b:Gone".
+// words writes members as "a:Ready b:Gone".
 func words(members []discovery.Member) string {
 	var all []string
 	for _, m := range members {
@@ -74,11 +74,11 @@
 	m := member("s-1", "Ready")
 	m.Weight, m.StartedAtMillis = math.NaN(), math.Inf(1)
 	if l := parse(t, Encode(1, false, []discovery.Member{m})); l.Complete || l.Members[0].Weight != 0 || l.Members[0].StartedAtMillis != 0 {
-		t.Errorf("figures that JSON cannot hold read as %+v", l)
+		t.Errorf("numbers that JSON cannot hold read as %+v", l)
 	}
 }
 
-// step is a call of Reset or Apply, by the entries "a:Ready".
+// step is a call of Reset or Apply, by members as "a:Ready".
 type step struct {
 	reset    bool
 	revision uint64
@@ -88,8 +88,8 @@
 func (s step) members() []discovery.Member {
 	var members []discovery.Member
 	for _, w := range strings.Fields(s.entries) {
-		id, phase, _ := strings.Cut(w, ":")
-		members = append(members, member(id, phase))
+		id, state, _ := strings.Cut(w, ":")
+		members = append(members, member(id, state))
 	}
 	return members
 }
@@ -111,14 +111,14 @@
 		name     string
 		log      int
 		steps    []step
-		after    uint64
+		since    uint64
 		known    bool
 		revision uint64
 		complete bool
 		want     string
 	}{
-		{"whole", 8, []step{list}, 0, false, 10, true, "a:Ready b:Ready c:Ready"},
-		{"whole after changes", 8, []step{list, drain, leave}, 0, false, 13, true, "c:Ready b:Terminating d:Ready"},
+		{"full", 8, []step{list}, 0, false, 10, true, "a:Ready b:Ready c:Ready"},
+		{"full after changes", 8, []step{list, drain, leave}, 0, false, 13, true, "c:Ready b:Terminating d:Ready"},
 		{"nothing newer", 8, []step{list}, 10, true, 10, false, ""},
 		{"nothing newer after changes", 8, []step{list, drain}, 11, true, 11, false, ""},
 		{"one change", 8, []step{list, drain}, 10, true, 11, false, "b:Terminating"},
@@ -130,7 +130,7 @@
 		{"twice in one change", 8, []step{list, {false, 11, "b:Gone b:Ready"}}, 10, true, 11, false, "b:Ready"},
 		{"came and went", 8, []step{list, {false, 11, "d:Ready"}, {false, 12, "d:Gone"}}, 10, true, 12, false, "d:Gone"},
 		{"a revision without changes", 8, []step{list, {false, 11, ""}}, 10, true, 11, false, ""},
-		{"no news is no revision", 8, []step{list, {false, 10, ""}}, 10, true, 10, false, ""},
+		{"no changes are no revision", 8, []step{list, {false, 10, ""}}, 10, true, 10, false, ""},
 		{"ahead", 8, []step{list}, 11, true, 10, true, "a:Ready b:Ready c:Ready"},
 		{"before the list", 8, []step{list, drain}, 9, true, 11, true, "a:Ready b:Terminating c:Ready"},
 		{"the log's first", 2, []step{list, drain, leave, {false, 14, "c:Gone"}}, 11, true, 14, false, "a:Gone d:Ready c:Gone"},
@@ -146,7 +146,7 @@
 			for _, step := range c.steps {
 				step.play(t, s)
 			}
-			a := s.Since(c.after, c.known)
+			a := s.Since(c.since, c.known)
 			l := parse(t, a.Body)
 			if got := words(l.Members); got != c.want || l.Complete != c.complete || *l.Revision != c.revision {
 				t.Errorf("%s, want revision %d, complete %v: %s", a.Body, c.revision, c.complete, c.want)
@@ -161,7 +161,7 @@
 	}
 }
 
-// A change that cannot follow is refused and leaves the store as it was.
+// A change that cannot follow is rejected and leaves the store as it was.
 func TestApplyRefuses(t *testing.T) {
 	for _, c := range []struct {
 		name  string
@@ -188,14 +188,14 @@
 			}
 			select {
 			case <-changed:
-				t.Error("a refused change is told")
+				t.Error("a rejected change wakes those who wait")
 			default:
 			}
 		})
 	}
 }
 
-// The log is bounded in entries as well as in revisions.
+// The log is bounded in members as well as in revisions.
 func TestLogBoundedInLines(t *testing.T) {
 	const log, members = 4, 100
 	s := NewStore(log)
@@ -206,7 +206,7 @@
 		}
 	}
 	if !s.Since(log-2, true).Complete || s.Since(log-1, true).Complete || s.loggedMembers > members {
-		t.Errorf("the log holds %d lines of %d revisions", s.loggedMembers, len(s.log))
+		t.Errorf("the log holds %d members of %d revisions", s.loggedMembers, len(s.log))
 	}
 }
 
@@ -241,7 +241,7 @@
 	const members, followers, changes = 1024, 1000, 20
 	s := NewStore(64)
 	s.Reset(1, ready(members))
-	whole := uint64(len(s.Since(0, false).Body))
+	full := uint64(len(s.Since(0, false).Body))
 
 	texts := make(map[*byte]bool)
 	took := allocated(func() {
@@ -255,10 +255,10 @@
 			}
 		}
 	})
-	t.Logf("%d changes to %d followers: %d texts, %d bytes taken; the whole list has %d", changes, followers, len(texts), took, whole)
-	if len(texts) > 2*changes || took > whole {
-		t.Errorf("%d changes told to %d followers took %d texts and %d bytes; the whole list has %d",
-			changes, followers, len(texts), took, whole)
+	t.Logf("%d changes to %d followers: %d texts, %d bytes taken; the full list has %d", changes, followers, len(texts), took, full)
+	if len(texts) > 2*changes || took > full {
+		t.Errorf("%d changes for %d followers took %d texts and %d bytes; the full list has %d",
+			changes, followers, len(texts), took, full)
 	}
 
 	texts = make(map[*byte]bool)
@@ -268,8 +268,8 @@
 			s.Members()
 		}
 	})
-	t.Logf("the whole list to %d: %d texts, %d bytes taken", followers, len(texts), took)
-	if len(texts) != 1 || took > 2*whole {
-		t.Errorf("the whole list to %d took %d texts and %d bytes; it has %d", followers, len(texts), took, whole)
+	t.Logf("the full list to %d: %d texts, %d bytes taken", followers, len(texts), took)
+	if len(texts) != 1 || took > 2*full {
+		t.Errorf("the full list to %d took %d texts and %d bytes; it has %d", followers, len(texts), took, full)
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// An entry says in the module's terms what discovery said; what the settings do not name is at no position.
+// An endpoint says in the balancer's terms what discovery reported; what the settings do not name is at no position.
 func TestEntries(t *testing.T) {
 	set := &settings.Settings{ZoneNames: []string{"a", "b"}, KindNames: []string{"m1"}}
 	m := discovery.Member{ID: "x", Address: "10.0.0.1:80", Zone: "b", Kind: "m2", Cell: 4, State: "Terminating", Weight: 2, StartedAtMillis: 1.5}
@@ -46,30 +46,33 @@
 		t.Errorf("the table has %+v, %v", got, known)
 	}
 	if _, known := table.Member(e.ID + 1); known {
-		t.Error("the table has a backend that nobody told")
+		t.Error("the table has an endpoint that nobody reported")
 	}
 }
 
-// Whatever comes of lists, changes and failures, the table has who was told and has not gone, each at its number, and tells
-// of each that goes once.
+// Whatever comes of lists, changes and failures, the table has those who were reported and are not gone, each at its number, and
+// returns each that goes once.
 func TestTableFollowsLists(t *testing.T) {
-	set, r := &settings.Settings{}, rand.New(rand.NewPCG(1, 2))
-	phases := []string{"Ready", "Ready", "Terminating", "Gone"}
-	table, want, ids := New(nil), map[string]string{}, map[string]balancer.ServerID{}
+	set := &settings.Settings{}
+	r := rand.New(rand.NewPCG(1, 2))
+	states := []string{"Ready", "Ready", "Terminating", "Gone"}
+	table := New(nil)
+	want := map[string]string{} // states by name
+	ids := map[string]balancer.ServerID{}
 	for step := range 3000 {
-		mode := []balancer.DiscoveryUpdate{balancer.EndpointsChanged, balancer.EndpointsChanged, balancer.EndpointsReplaced, balancer.EndpointsCached, balancer.PollFailed}[r.IntN(5)]
+		update := []balancer.DiscoveryUpdate{balancer.EndpointsChanged, balancer.EndpointsChanged, balancer.EndpointsReplaced, balancer.EndpointsCached, balancer.PollFailed}[r.IntN(5)]
 		var members []discovery.Member
-		if mode != balancer.PollFailed {
+		if update != balancer.PollFailed {
 			for _, i := range r.Perm(40)[:r.IntN(40)] {
 				m := ready(fmt.Sprint("s-", i))
-				m.State = phases[r.IntN(len(phases))]
+				m.State = states[r.IntN(len(states))]
 				members = append(members, m)
 			}
 		}
 		var gone []string // as it has to be
 		for name := range want {
 			listed := slices.ContainsFunc(members, func(m discovery.Member) bool { return m.ID == name })
-			if !listed && (mode == balancer.EndpointsReplaced || mode == balancer.EndpointsCached) {
+			if !listed && (update == balancer.EndpointsReplaced || update == balancer.EndpointsCached) {
 				gone = append(gone, name)
 			}
 		}
@@ -78,8 +81,8 @@
 				gone = append(gone, m.ID)
 			}
 		}
-		entries := table.Endpoints(set, members)
-		for i, e := range entries {
+		endpoints := table.Endpoints(set, members)
+		for i, e := range endpoints {
 			if id, known := ids[members[i].ID]; known && id != e.ID {
 				t.Fatalf("step %d: %s had %d, has %d", step, members[i].ID, id, e.ID)
 			}
@@ -91,18 +94,18 @@
 			delete(want, name)
 			delete(ids, name)
 		}
-		got := table.RemoveGone(mode, entries)
+		got := table.RemoveGone(update, endpoints)
 		slices.Sort(got)
 		slices.Sort(wantGone)
 		if !slices.Equal(got, wantGone) {
-			t.Fatalf("step %d, mode %d: gone are %d, want %d", step, mode, got, wantGone)
+			t.Fatalf("step %d, update %d: gone are %d, want %d", step, update, got, wantGone)
 		}
 		count := map[balancer.EndpointState]int{}
-		for name, phase := range want {
-			if m, known := table.Member(ids[name]); !known || m.ID != name || m.State != phase {
+		for name, state := range want {
+			if m, known := table.Member(ids[name]); !known || m.ID != name || m.State != state {
 				t.Fatalf("step %d: %s is %+v", step, name, m)
 			}
-			member := discovery.Member{State: phase}
+			member := discovery.Member{State: state}
 			count[member.EndpointState()]++
 		}
 		for _, state := range []balancer.EndpointState{balancer.Removed, balancer.Ready, balancer.Draining} {
@@ -126,23 +129,23 @@
 			all = append(all, m)
 		}
 		for name, c := range map[string]struct {
-			mode    balancer.DiscoveryUpdate
+			update  balancer.DiscoveryUpdate
 			members []discovery.Member
-		}{"change": {balancer.EndpointsChanged, all[:1]}, "whole": {balancer.EndpointsReplaced, all}} {
+		}{"change": {balancer.EndpointsChanged, all[:1]}, "full": {balancer.EndpointsReplaced, all}} {
 			b.Run(fmt.Sprintf("%s/%d", name, n), func(b *testing.B) {
 				set := &settings.Settings{ZoneNames: []string{"a"}, KindNames: []string{"m1"}}
 				table := New(nil)
 				table.RemoveGone(balancer.EndpointsReplaced, table.Endpoints(set, all))
 				b.ReportAllocs()
 				for b.Loop() {
-					table.RemoveGone(c.mode, table.Endpoints(set, c.members))
+					table.RemoveGone(c.update, table.Endpoints(set, c.members))
 				}
 			})
 		}
 	}
 }
 
-// Backends are as cold as the agent's own experience says, whatever its wall clock was wrong by when it started.
+// Endpoints are as cold as the agent's own experience says, whatever its wall clock was wrong by when it started.
 func TestStartsUnderAWrongClock(t *testing.T) {
 	const second = time.Second
 	up := func(id string, at time.Duration) discovery.Member {
@@ -154,12 +157,12 @@
 			now := start
 			table, set := New(func() time.Duration { return now + wrong }), &settings.Settings{}
 			// ages are how old the members of a list are taken for.
-			ages := func(mode balancer.DiscoveryUpdate, members ...discovery.Member) (ages []time.Duration) {
-				entries := table.Endpoints(set, members)
-				for _, e := range entries {
+			ages := func(update balancer.DiscoveryUpdate, members ...discovery.Member) (ages []time.Duration) {
+				endpoints := table.Endpoints(set, members)
+				for _, e := range endpoints {
 					ages = append(ages, now+wrong-e.Start)
 				}
-				table.RemoveGone(mode, entries)
+				table.RemoveGone(update, endpoints)
 				return ages
 			}
 			expect := func(what string, got, least, most time.Duration) {
@@ -187,9 +190,9 @@
 			expect("one that was restarted", ages(balancer.EndpointsChanged, up("old", now))[0], 0, second)
 			now += 20 * second
 			late := ages(balancer.EndpointsChanged, up("late", now-3*second), up("back", start-time.Hour), up("newer", now-second/2))
-			expect("one that is told of late", late[0], 2*second, 3*second)
+			expect("one that is reported late", late[0], 2*second, 3*second)
 			expect("one that was away", late[1], time.Hour, time.Hour+time.Minute)
-			expect("one that is told of sooner", late[2], 0, second/2)
+			expect("one that is reported sooner", late[2], 0, second/2)
 		})
 	}
 }
