--- /dev/null
+++ b/internal/agent/admission.go
@@ -0,0 +1,284 @@
+package agent
+
+import (
+	"cmp"
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"syscall"
+	"time"
+
+	"example.org/ryeloft/internal/clock"
+)
+
+const (
+	// IdleGrace is how long the protocol lets a connection be without a request before the agent may close it.
+	IdleGrace = 2 * time.Second
+	// newConnGrace is how long a connection that has just come may take to bring its first request.
+	newConnGrace = 250 * time.Millisecond
+	// emptyLookInterval is how often AwaitEmpty looks.
+	emptyLookInterval = 20 * time.Millisecond
+)
+
+// Resize changes how many connections there may be, and how many where all have a request.
+func (l *Listener) Resize(maxConns, maxActive int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.maxConns = maxConns
+	l.maxActive = maxActive
+}
+
+// UpdateLimits sets how many connections there may be, and how many where all have a request, to what decide returns, in
+// one step with the look at how many are open and whether more are accepted.
+func (l *Listener) UpdateLimits(decide func(open int, accepting bool) (maxConns, maxActive int)) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.maxConns, l.maxActive = decide(l.open, !l.stopped)
+}
+
+// Released holds a value when a connection has ended since the last one was taken out.
+func (l *Listener) Released() <-chan struct{} { return l.released }
+
+// notifyReleased says that a connection has ended, unless that is said already.
+func (l *Listener) notifyReleased() {
+	select {
+	case l.released <- struct{}{}:
+	default:
+	}
+}
+
+// count returns how many connections there are, and how many of them have no request.
+func (l *Listener) count() (open, idle int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return l.open, l.idle.Len()
+}
+
+// awaitEmpty waits until all connections have ended, or the context has.
+func (l *Listener) awaitEmpty(ctx context.Context) {
+	ticker := time.NewTicker(emptyLookInterval)
+	defer ticker.Stop()
+	for {
+		if open, _ := l.count(); open == 0 {
+			return
+		}
+		select {
+		case <-ticker.C:
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// admit takes in a connection, for which another may have to make room.
+func (l *Listener) admit(c *clientConn) bool {
+	l.mu.Lock()
+	var victim *clientConn
+	if l.open >= l.maxConns {
+		victim = l.evictable()
+		if victim == nil && l.open >= max(l.maxConns, l.maxActive) {
+			l.mu.Unlock()
+			return false
+		}
+	}
+	if victim != nil {
+		l.remove(victim)
+	}
+	l.open++
+	l.pushIdle(c)
+	l.mu.Unlock()
+	if victim != nil {
+		victim.closeNow()
+	}
+	return true
+}
+
+// evictable returns the connection that is to make room, nil if none can. On one that has had an answer a moment ago the
+// next request may be there already, so it has IdleGrace; one that has just come is about to bring its first. If there is
+// no room otherwise, those that have brought no complete request go all the same, and those that have begun one go last.
+// The mutex is held.
+func (l *Listener) evictable() *clientConn {
+	if e := l.closing.Front(); e != nil {
+		return e.Value.(*clientConn)
+	}
+	var fresh, begun *clientConn
+	for e := l.idle.Front(); e != nil; e = e.Next() {
+		c := e.Value.(*clientConn)
+		age := time.Since(c.idleSince)
+		switch {
+		case c.reading:
+			begun = cmp.Or(begun, c)
+		case age >= IdleGrace, !c.head.reused && age >= newConnGrace:
+			return c
+		case !c.head.reused:
+			fresh = cmp.Or(fresh, c)
+		}
+	}
+	if l.open < max(l.maxConns, l.maxActive) {
+		return nil
+	}
+	return cmp.Or(fresh, begun)
+}
+
+// pushIdle puts a connection behind all that are idle. The mutex is held.
+func (l *Listener) pushIdle(c *clientConn) {
+	c.element = l.idle.PushBack(c)
+	c.idleSince = time.Now()
+}
+
+// unlist takes a connection out of the list that it is in. The mutex is held.
+func (l *Listener) unlist(c *clientConn) {
+	if c.element != nil {
+		l.idle.Remove(c.element) // each list leaves the other's elements alone
+		l.closing.Remove(c.element)
+		c.element = nil
+	}
+}
+
+// remove takes a connection out of the count. The mutex is held.
+func (l *Listener) remove(c *clientConn) {
+	if c.removed {
+		return
+	}
+	c.removed = true
+	l.open--
+	l.unlist(c)
+	l.notifyReleased()
+}
+
+// markEnded has a connection end; it is the first to make room. The mutex is held.
+func (l *Listener) markEnded(c *clientConn) {
+	if !c.ended && !c.removed {
+		c.ended = true
+		l.unlist(c)
+		c.element = l.closing.PushBack(c)
+	}
+}
+
+// endConn is the step from which on nothing of a connection is read and no request of it is taken. It says whether the
+// connection is to close at once, because it is idle or nobody is owed anything.
+func (l *Listener) endConn(c *clientConn) (atOnce bool) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.markEnded(c)
+	return !c.reading || l.aborted.Load()
+}
+
+// abort has connections close without any wait, because the agent ends.
+func (l *Listener) abort() { l.aborted.Store(true) }
+
+// readConn reads what has come on a connection and notes it, in one step: one that was chosen to be closed is read no more.
+// The client of a request that was read and not answered cannot know whether it ran; what was not read the kernel answers
+// with a reset, on which the client sends it once more.
+func (l *Listener) readConn(c *clientConn, fd int, p []byte) (n int, begins bool, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if c.ended || c.removed {
+		return 0, false, io.EOF
+	}
+	n, err = readDescriptor(fd, p)
+	if err != nil {
+		return 0, false, err
+	}
+	if n == 0 && len(p) > 0 {
+		return 0, false, io.EOF
+	}
+	begins = !c.reading
+	c.pipelined = c.reading && c.element == nil
+	c.reading = true
+	return n, begins, nil
+}
+
+// takeRequest notes that a complete request has come on a connection, which is not closed then until the request is
+// answered. It is false if the connection's end came first: such a request must not be sent, as nobody can be answered.
+func (l *Listener) takeRequest(c *clientConn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if c.removed || c.ended {
+		return false
+	}
+	l.unlist(c)
+	return true
+}
+
+// uploadComplete notes that what was read after a request was taken was its body, and no request behind it.
+func (l *Listener) uploadComplete(c *clientConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	c.pipelined = false
+}
+
+// requestAnswered notes that a connection is kept only to read what its client goes on to send: it may be closed again.
+func (l *Listener) requestAnswered(c *clientConn) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if c.element == nil && !c.removed && !c.ended {
+		l.pushIdle(c)
+	}
+}
+
+// connState follows what net/http makes of a connection.
+func (l *Listener) connState(conn net.Conn, state http.ConnState) {
+	c := conn.(*clientConn)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	switch state {
+	case http.StateIdle:
+		l.connIdle(c)
+	case http.StateClosed:
+		l.remove(c)
+		if c.reading && !c.head.ended {
+			l.metrics.HeadIncomplete()
+		}
+	}
+}
+
+// connIdle notes that a connection waits for its next request, of which part may have come behind the last one. The mutex
+// is held.
+func (l *Listener) connIdle(c *clientConn) {
+	c.idleSince = time.Now()
+	c.reading = c.pipelined
+	c.pipelined = false
+	if c.reading {
+		c.begun.Store(int64(clock.InstantOf(c.idleSince)))
+	}
+	c.head.reset()
+	if c.element != nil {
+		l.idle.MoveToBack(c.element)
+	} else if !c.removed {
+		c.element = l.idle.PushBack(c)
+	}
+}
+
+// closeIdle closes the connections that have been without a request since then or longer; those that bring one just now
+// only if evenReading is set.
+func (l *Listener) closeIdle(since time.Time, evenReading bool) {
+	var idle []*clientConn
+	l.mu.Lock()
+	for e := l.idle.Front(); e != nil; {
+		c := e.Value.(*clientConn)
+		e = e.Next()
+		if !c.idleSince.After(since) && (evenReading || !c.reading) {
+			idle = append(idle, c)
+			l.markEnded(c)
+		}
+	}
+	l.mu.Unlock()
+	for _, c := range idle {
+		go func() { // waits for the client, for lingerTimeout at most
+			_ = c.Close() // the client sees the close
+		}()
+	}
+}
+
+// readDescriptor reads from a descriptor, again if a signal interrupts it.
+func readDescriptor(fd int, p []byte) (int, error) {
+	for {
+		n, err := syscall.Read(fd, p)
+		if !errors.Is(err, syscall.EINTR) {
+			return n, err
+		}
+	}
+}
--- /dev/null
+++ b/internal/agent/request.go
@@ -0,0 +1,198 @@
+package agent
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"net/textproto"
+	"slices"
+	"strings"
+	"time"
+
+	"example.org/ryeloft/internal/balancer"
+	"example.org/ryeloft/internal/dispatch"
+	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/settings"
+	"example.org/ryeloft/internal/stream"
+	"example.org/ryeloft/internal/upstream"
+)
+
+const (
+	// MaxRequestIDBytes is the longest id that a request may have.
+	MaxRequestIDBytes = 256
+	// MaxAnswerMargin is the most that an answer is due before its client gives up.
+	MaxAnswerMargin = 25 * time.Millisecond
+	// answerMarginShare is the part of a budget that is its margin at most.
+	answerMarginShare = 10
+)
+
+var (
+	// hopHeaders concern one connection only and are not passed on.
+	hopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
+		"Upgrade", "Expect", "Content-Length"}
+	// singleHeaders say what a request is; two of one would leave open which counts.
+	singleHeaders = []string{protocol.HeaderRequestID, protocol.HeaderClass, protocol.HeaderTenant,
+		protocol.HeaderBudget, protocol.HeaderRetry, protocol.HeaderIdempotencyKey}
+)
+
+// badRequestError is what a client did wrong, and the status that tells it so.
+type badRequestError struct {
+	status int
+	reason string
+}
+
+func (e *badRequestError) Error() string { return e.reason }
+
+func badRequest(format string, args ...any) error {
+	return &badRequestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
+}
+
+// checkFraming checks how a request's body is said to end, before any of it is read. net/http drops the length that stands
+// beside chunks, and the chunks of a request that cannot have them; one of both hides a request in the body from whoever
+// goes by the other.
+func checkFraming(r *http.Request) *badRequestError {
+	head := &connOf(r).head
+	chunked := len(r.TransferEncoding) > 0
+	switch {
+	case head.transferEncoding && (head.contentLength || !chunked), chunked && !head.ended:
+		return &badRequestError{http.StatusBadRequest, "Transfer-Encoding and Content-Length do not go together"}
+	case r.ContentLength > stream.MaxBytes:
+		return &badRequestError{http.StatusRequestEntityTooLarge, fmt.Sprintf("a body of over %d bytes", stream.MaxBytes)}
+	}
+	return nil
+}
+
+// readRequest checks a request's head, and then reads it to its last byte, from which its budget counts. An error that is
+// no badRequestError is the connection's.
+func (h *clientHandler) readRequest(w http.ResponseWriter, r *http.Request) (*dispatch.Request, error) {
+	removeHopHeaders(r.Header)
+	request, budget, err := parseHead(r, h.dispatcher.Settings())
+	if err != nil {
+		return nil, err
+	}
+	conn := connOf(r)
+	control := http.NewResponseController(w)
+	body, upload, err := readBody(r, stream.NewPacedReader(r.Body, control, conn.requestBegun()))
+	if err != nil {
+		return nil, &badRequestError{http.StatusRequestTimeout, fmt.Sprintf("the body does not come: %v", err)}
+	}
+	budget -= answerMargin(budget)
+	request.Deadline = h.dispatcher.Now() + budget
+	request.ClientClosed = conn.closedByClient
+	request.Upstream = upstream.NewRequest(r.Method, r.RequestURI, r.Host, r.Header, body, upload)
+	if upload != nil {
+		upload.Budget = budget
+		return request, nil
+	}
+	// From here on the connection is watched for a client that goes, for as long as the answer takes.
+	if err := control.SetReadDeadline(time.Time{}); err != nil {
+		return nil, err
+	}
+	return request, nil
+}
+
+// removeHopHeaders removes the headers that concern the connection only. That comes before all checks, as one of those may
+// be named.
+func removeHopHeaders(header http.Header) {
+	for _, names := range header["Connection"] {
+		for name := range strings.SplitSeq(names, ",") {
+			header.Del(textproto.TrimString(name))
+		}
+	}
+	for _, name := range hopHeaders {
+		header.Del(name)
+	}
+}
+
+// parseHead reads what a request's head says by these settings, and its budget.
+func parseHead(r *http.Request, set *settings.Settings) (*dispatch.Request, time.Duration, error) {
+	for _, name := range singleHeaders {
+		if len(r.Header[name]) > 1 {
+			return nil, 0, badRequest("%s stands there twice", name)
+		}
+	}
+	request := dispatch.NewRequest(set)
+	request.Retry = r.Header.Get(protocol.HeaderRetry) == "1"
+	if err := parseClass(r, request); err != nil {
+		return nil, 0, err
+	}
+	if err := parseTenant(r, request); err != nil {
+		return nil, 0, err
+	}
+	budget, err := protocol.ParseBudget(r.Header.Get(protocol.HeaderBudget))
+	if err != nil {
+		return nil, 0, badRequest("%s is no time", protocol.HeaderBudget)
+	}
+	request.ID = r.Header.Get(protocol.HeaderRequestID)
+	if request.ID == "" || len(request.ID) > MaxRequestIDBytes {
+		return nil, 0, badRequest("%s is missing or too long", protocol.HeaderRequestID)
+	}
+	return request, budget, nil
+}
+
+// parseClass finds a request's class, and checks that the request is sent as the class asks.
+func parseClass(r *http.Request, request *dispatch.Request) error {
+	set := request.Settings
+	request.Class = slices.Index(set.ClassNames, r.Header.Get(protocol.HeaderClass))
+	if request.Class < 0 {
+		return badRequest("%s is unknown", protocol.HeaderClass)
+	}
+	request.ClassName = set.ClassNames[request.Class]
+	first, _, _ := strings.Cut(strings.TrimPrefix(r.URL.Path, "/"), "/")
+	if first != request.ClassName || !strings.HasPrefix(r.RequestURI, "/") {
+		return badRequest("the path does not begin with the class")
+	}
+	return checkIdempotency(set.Balancer.Classes[request.Class].Idempotency, r)
+}
+
+// checkIdempotency checks that a request is sent as its class's idempotency asks. Without its key a request would be
+// repeated as if servers could tell.
+func checkIdempotency(idempotency balancer.Idempotency, r *http.Request) error {
+	method := http.MethodPost
+	if idempotency == balancer.Idempotent {
+		method = http.MethodGet
+	}
+	if r.Method != method {
+		return &badRequestError{http.StatusMethodNotAllowed, "the class wants " + method}
+	}
+	if idempotency == balancer.IdempotentWithKey && r.Header.Get(protocol.HeaderIdempotencyKey) == "" {
+		return badRequest("the class wants %s", protocol.HeaderIdempotencyKey)
+	}
+	return nil
+}
+
+// parseTenant finds a request's tenant, if the settings name any.
+func parseTenant(r *http.Request, request *dispatch.Request) error {
+	names := request.Settings.TenantNames
+	if len(names) == 0 {
+		return nil
+	}
+	request.Tenant = slices.Index(names, r.Header.Get(protocol.HeaderTenant))
+	if request.Tenant < 0 {
+		return badRequest("%s is unknown", protocol.HeaderTenant)
+	}
+	return nil
+}
+
+// readBody returns a body that can be held, or else an upload of which nothing, or as much as can be held, has been read.
+func readBody(r *http.Request, source io.Reader) (body []byte, upload *stream.Upload, err error) {
+	if r.ContentLength > stream.MaxHeldBytes {
+		return nil, stream.NewUpload(r.ContentLength, nil, source), nil
+	}
+	if r.ContentLength >= 0 {
+		body = make([]byte, r.ContentLength)
+		_, err = io.ReadFull(source, body)
+		return body, nil, err
+	}
+	body, err = io.ReadAll(io.LimitReader(source, stream.MaxHeldBytes+1))
+	if len(body) > stream.MaxHeldBytes {
+		return nil, stream.NewUpload(r.ContentLength, body, source), err
+	}
+	return body, nil, err
+}
+
+// answerMargin is how long before its client gives up a request is owed its answer at the latest: one that is only made
+// then, when an attempt's time is up, reaches nobody, and on a busy core it counts as lost.
+func answerMargin(budget time.Duration) time.Duration {
+	return min(MaxAnswerMargin, budget/answerMarginShare)
+}
--- /dev/null
+++ b/internal/agent/response.go
@@ -0,0 +1,86 @@
+package agent
+
+import (
+	"net/http"
+	"strconv"
+	"time"
+
+	"example.org/ryeloft/internal/dispatch"
+	"example.org/ryeloft/internal/metrics"
+)
+
+// answerWriteTimeout is how long a client may take to read an answer that is held.
+const answerWriteTimeout = 5 * time.Second
+
+// answerBadRequest answers a request that was never taken.
+func (h *clientHandler) answerBadRequest(w http.ResponseWriter, bad *badRequestError) {
+	h.metrics.BadRequest(bad.reason)
+	h.writeAnswer(w, dispatch.Answer{Status: bad.status, ContentType: "text/plain", Body: []byte(bad.reason + "\n")})
+}
+
+// answer gives a request that was taken its answer and counts it.
+func (h *clientHandler) answer(x *exchange, a dispatch.Answer) {
+	h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultOf(a.Status))
+	h.closeBehindUpload(x)
+	h.writeAnswer(x.w, a)
+	upload := x.upload()
+	if upload != nil && !upload.Complete() && http.NewResponseController(x.w).Flush() == nil {
+		h.listener.requestAnswered(x.conn)
+		upload.Discard()
+	}
+}
+
+// closeBehindUpload has the connection close behind the answer if a long body has not come to its end, because the rest of
+// it is in the way of a next request.
+func (h *clientHandler) closeBehindUpload(x *exchange) {
+	if upload := x.upload(); upload != nil && !upload.Complete() {
+		x.w.Header().Set("Connection", "close")
+	}
+}
+
+// passOn gives a request that was taken a download as its answer, and counts it by how that ends.
+func (h *clientHandler) passOn(x *exchange, a dispatch.Answer) {
+	h.closeBehindUpload(x)
+	h.writeHead(x.w, a, a.Download.Length())
+	err := a.Download.CopyTo(x.r.Context(), x.w, h.buffers)
+	if err == nil {
+		h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultOK)
+		return
+	}
+	h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultErrors)
+	h.metrics.AnswerBroken(false, err)
+	// The client has to see that this was not all, also where only the close would end the answer.
+	x.conn.reset()
+	panic(http.ErrAbortHandler)
+}
+
+// writeAnswer writes an answer that is held. Whether the connection is to close is asked only now, because a request that
+// was taken before a shutdown must not leave a connection on which the next one crosses the close.
+func (h *clientHandler) writeAnswer(w http.ResponseWriter, a dispatch.Answer) {
+	// A client that reads nothing would hold its answer for good. The deadline can only fail to be set on a connection that
+	// is closed.
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWriteTimeout))
+	h.writeHead(w, a, int64(len(a.Body)))
+	// A client that does not take its answer is gone.
+	_, _ = w.Write(a.Body)
+}
+
+// writeHead writes the head of an answer with a body of so many bytes, or of as many as will come if that is below 0.
+func (h *clientHandler) writeHead(w http.ResponseWriter, a dispatch.Answer, length int64) {
+	header := w.Header()
+	// What else a client sends that has sent nonsense is not to be trusted either.
+	if h.drain.reason() != nil || a.Status/100 == 4 {
+		header.Set("Connection", "close")
+	}
+	if a.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
+	}
+	header["Content-Type"] = nil // or net/http guesses one
+	if a.ContentType != "" {
+		header.Set("Content-Type", a.ContentType)
+	}
+	if length >= 0 {
+		header.Set("Content-Length", strconv.FormatInt(length, 10))
+	}
+	w.WriteHeader(a.Status)
+}
--- /dev/null
+++ b/internal/agent/shutdown.go
@@ -0,0 +1,65 @@
+package agent
+
+import (
+	"context"
+	"fmt"
+	"time"
+
+	"example.org/ryeloft/internal/handover"
+)
+
+const (
+	// acceptWhileLeaving is how long an agent that is to stop, and that no other process replaces, goes on accepting,
+	// because its client goes on connecting.
+	acceptWhileLeaving = 550 * time.Millisecond
+	// The platform kills a process that was told to stop killMargin after the longest deadline, which it counts as
+	// maxKillDeadline at most.
+	killMargin      = 700 * time.Millisecond
+	maxKillDeadline = 3 * time.Second
+	// lastAnswerMargin is how long before that what is still open is answered as failed, or it would be lost.
+	lastAnswerMargin = 150 * time.Millisecond
+	// maxShutdown bounds the end of a process that nobody kills.
+	maxShutdown = 30 * time.Second
+	// replacedLookInterval is how often to look whether another process takes the clients.
+	replacedLookInterval = 20 * time.Millisecond
+)
+
+// shutDown sends clients away and returns when all that was taken is answered, or the platform is about to kill the
+// process. What serves the clients reports its end on served.
+func (a *agent) shutDown(work context.Context, peers *handover.Handover, served <-chan error) error {
+	begun := time.Now()
+	lastAnswers := a.killedAfter() - lastAnswerMargin
+	failOpen := time.AfterFunc(lastAnswers, a.clients.FailOpen)
+	defer failOpen.Stop()
+	// From then on only long answers are left, which are the platform's to cut off.
+	end, cancel := context.WithDeadline(work, begun.Add(maxShutdown))
+	defer cancel()
+	a.clients.StartShutdown(lastAnswers)
+	open, idle := a.clients.Count()
+	a.log.Info("graceful shutdown started", "still_open", open, "without_request", idle)
+	for time.Since(begun) < acceptWhileLeaving && !peers.Leave() {
+		select {
+		case err := <-served:
+			return fmt.Errorf("serving: %w", err)
+		case <-time.After(replacedLookInterval):
+		}
+	}
+	if peers.Leave() {
+		a.log.Info("clients handed over to another process")
+		a.clients.FinishQueue()
+	} else {
+		a.clients.CloseListener()
+	}
+	a.log.Debug("listener closed", "error", <-served) // and its queue is empty
+	a.clients.AwaitEmpty(end)
+	return nil
+}
+
+// killedAfter returns how long after it was told to stop the platform kills the process.
+func (a *agent) killedAfter() time.Duration {
+	longest := time.Duration(0)
+	for _, class := range a.loop.Settings().Balancer.Classes {
+		longest = max(longest, class.Deadline)
+	}
+	return min(longest, maxKillDeadline) + killMargin
+}
