--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -15,6 +15,7 @@
 	"example.org/ryeloft/internal/discovery"
 	"example.org/ryeloft/internal/dispatch"
 	"example.org/ryeloft/internal/handover"
+	"example.org/ryeloft/internal/inbound"
 	"example.org/ryeloft/internal/metrics"
 	"example.org/ryeloft/internal/stream"
 	"example.org/ryeloft/internal/upstream"
@@ -82,7 +83,7 @@
 	pool      *upstream.Pool
 	loop      *dispatch.Loop
 	discovery *discovery.Client
-	clients   *Server
+	clients   *inbound.Server
 	quotas    *handover.Quotas
 }
 
@@ -104,7 +105,7 @@
 		Name: cfg.Name, Relays: cfg.Relays,
 	})
 	a.discovery.StartFrom(cfg.CachedEndpoints)
-	a.clients = New(Options{
+	a.clients = inbound.New(inbound.Options{
 		Dispatcher: a.loop, Metrics: a.metrics, Buffers: stream.NewBuffers(limits.StreamBytes),
 		MaxRequests: limits.ActiveClientConns - limits.ActiveClientConns/8, Log: log, Done: work.Done(),
 	})
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -13,6 +13,7 @@
 
 	"example.org/ryeloft/internal/admin"
 	"example.org/ryeloft/internal/agenttest"
+	"example.org/ryeloft/internal/inbound"
 	"example.org/ryeloft/internal/protocol"
 )
 
@@ -133,7 +134,7 @@
 	}
 	begun := time.Now()
 	unused.SetReadDeadline(begun.Add(agenttest.Timeout))
-	if _, err := unused.Read(make([]byte, 1)); !errors.Is(err, io.EOF) || time.Since(begun) > IdleGrace+time.Second {
+	if _, err := unused.Read(make([]byte, 1)); !errors.Is(err, io.EOF) || time.Since(begun) > inbound.IdleGrace+time.Second {
 		t.Errorf("an idle connection ends with %v after %v", err, time.Since(begun))
 	}
 	goOn <- struct{}{}
--- a/internal/agent/listener_test.go
+++ b/internal/agent/listener_test.go
@@ -11,6 +11,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/agenttest"
+	"example.org/ryeloft/internal/inbound"
 )
 
 // dial opens a client's connection to an agent.
@@ -86,7 +87,7 @@
 	for i := range 1024/3 + 1 {
 		select {
 		case held <- struct{}{}:
-		case <-time.After(IdleTimeout + time.Second):
+		case <-time.After(inbound.IdleTimeout + time.Second):
 			t.Fatalf("no connection left for request %d", i)
 		}
 		c := a.dial(t)
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/agenttest"
+	"example.org/ryeloft/internal/inbound"
 	"example.org/ryeloft/internal/protocol"
 	"example.org/ryeloft/internal/stream"
 )
@@ -47,7 +48,7 @@
 		"negative": func(r *http.Request) { r.Header.Set(protocol.HeaderBudget, "-3m") },
 		"id":       func(r *http.Request) { r.Header.Del(protocol.HeaderRequestID) },
 		"long id": func(r *http.Request) {
-			r.Header.Set(protocol.HeaderRequestID, strings.Repeat("x", MaxRequestIDBytes+1))
+			r.Header.Set(protocol.HeaderRequestID, strings.Repeat("x", inbound.MaxRequestIDBytes+1))
 		},
 		"key":    func(r *http.Request) { r.Header.Del(protocol.HeaderIdempotencyKey) },
 		"method": func(r *http.Request) { r.Method = http.MethodPut },
@@ -96,7 +97,7 @@
 	}()
 	sent := agenttest.Receive(t, "request", b.Requests)
 	left, err := protocol.ParseBudget(sent.Header.Get(protocol.HeaderBudget))
-	if latest := 20*time.Second - MaxAnswerMargin; err != nil || left > latest || left < latest-time.Since(begun) {
+	if latest := 20*time.Second - inbound.MaxAnswerMargin; err != nil || left > latest || left < latest-time.Since(begun) {
 		t.Errorf("passed on with a budget of %v, want at most %v: %v", left, latest, err)
 	}
 }
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -15,6 +15,7 @@
 	"time"
 
 	"example.org/ryeloft/internal/agenttest"
+	"example.org/ryeloft/internal/inbound"
 	"example.org/ryeloft/internal/stream"
 	"example.org/ryeloft/internal/upstream"
 )
@@ -275,7 +276,7 @@
 	for i := range 2 {
 		text := fmt.Sprintf(head, i)
 		if i > 0 {
-			time.Sleep(IdleTimeout - 500*time.Millisecond)
+			time.Sleep(inbound.IdleTimeout - 500*time.Millisecond)
 			io.WriteString(c, text[:2])
 			time.Sleep(time.Second) // past the time that the connection could have been idle
 			text = text[2:]
--- a/internal/agent/listener.go
+++ b/internal/inbound/listener.go
@@ -1,4 +1,4 @@
-package agent
+package inbound
 
 import (
 	"container/list"
--- a/internal/agent/server.go
+++ b/internal/inbound/server.go
@@ -4,7 +4,7 @@
 // The Listener owns the connections, whose states its mutex orders; the drainer owns whether clients are sent away. Each
 // connection has a goroutine of net/http's, which runs the clientHandler. The package decides nothing about a request but
 // whether it is well-formed and whether the agent can hold it.
-package agent
+package inbound
 
 import (
 	"context"
