--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -21,8 +21,8 @@
 	"example.org/ryeloft/internal/upstream"
 )
 
-// Run serves until the context ends, then finishes what it has taken and returns nil. Of a configuration that is
-// reloaded it takes the settings and the addresses of discovery and its relays.
+// Run serves until the context ends, then finishes its open requests and returns nil. Of a reloaded configuration it applies
+// the settings and the addresses of discovery and its relays.
 func Run(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, log *slog.Logger) error {
 	return run(ctx, cfg, reloads, log, func() (*net.TCPListener, error) {
 		return listen(ctx, cfg.Listen, cfg.AdminAddr != "")
@@ -31,7 +31,7 @@
 
 // run does so with the listener that listening opens once the agent is ready for clients.
 func run(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, log *slog.Logger, listening func() (*net.TCPListener, error)) error {
-	// What the agent has taken it finishes, so its parts outlive the context.
+	// The parts outlive the context, because open requests are finished.
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	a, err := newAgent(work, cfg, log)
@@ -48,7 +48,7 @@
 		go console.Serve() // ends when the console closes
 		peers = handover.Join(handover.SocketPath(cfg.Name), a.quotas, log)
 		defer peers.Close()
-		// The peers take the end of the handover for the end of all connections that this process holds.
+		// When the handover closes, the peers assume that this process holds no connection any more.
 		defer a.pool.Resize(0)
 	}
 	a.start(work, reloads)
@@ -61,7 +61,7 @@
 	}
 	defer a.clients.Close()
 	served := a.clients.Serve(tcp)
-	if peers != nil { // before the console says that clients are taken, on which the other process is told to end
+	if peers != nil { // before the console reports ready, on which operators end the other process
 		if err := peers.Announce(); err != nil {
 			log.Warn("handover socket unavailable", "error", err)
 		}
--- a/internal/agent/listen.go
+++ b/internal/agent/listen.go
@@ -10,7 +10,7 @@
 // soReusePort is Linux's SO_REUSEPORT, which package syscall leaves out.
 const soReusePort = 0xf
 
-// listen opens the clients' address; a shared one, beside another process that shares it.
+// listen opens the clients' address, if shared together with other processes that share it.
 func listen(ctx context.Context, addr string, shared bool) (*net.TCPListener, error) {
 	var config net.ListenConfig
 	if shared {
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// acceptWhileLeaving is how long an agent that is to stop, and that no other process replaces, goes on accepting,
-	// because its client goes on connecting.
+	// acceptWhileLeaving is how long a process that shuts down without a replacement goes on accepting, because its clients
+	// go on connecting.
 	acceptWhileLeaving = 550 * time.Millisecond
-	// The platform kills a process that was told to stop killMargin after the longest deadline, which it counts as
-	// maxKillDeadline at most.
+	// The platform kills a process killMargin after the longest deadline has passed since SIGTERM; it counts that deadline
+	// as maxKillDeadline at most.
 	killMargin      = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
-	// lastAnswerMargin is how long before that what is still open is answered as failed, or it would be lost.
+	// lastAnswerMargin is how long before the kill all open requests are answered as failed.
 	lastAnswerMargin = 150 * time.Millisecond
 	// maxShutdown bounds the end of a process that nobody kills.
 	maxShutdown = 30 * time.Second
@@ -24,14 +24,14 @@
 	replacedLookInterval = 20 * time.Millisecond
 )
 
-// shutDown sends clients away and returns when all that was taken is answered, or the platform is about to kill the
-// process. What serves the clients reports its end on served.
+// shutDown drains the agent and returns when all open requests are answered, or the platform is about to kill the process.
+// The end of the clients' server comes on served.
 func (a *agent) shutDown(work context.Context, peers *handover.Handover, served <-chan error) error {
 	begun := time.Now()
 	lastAnswers := a.killedAfter() - lastAnswerMargin
 	failOpen := time.AfterFunc(lastAnswers, a.clients.FailOpen)
 	defer failOpen.Stop()
-	// From then on only long answers are left, which are the platform's to cut off.
+	// After the last answers only downloads are open, which the platform may cut off.
 	end, cancel := context.WithDeadline(work, begun.Add(maxShutdown))
 	defer cancel()
 	a.clients.StartShutdown(lastAnswers)
@@ -55,7 +55,7 @@
 	return nil
 }
 
-// killedAfter returns how long after it was told to stop the platform kills the process.
+// killedAfter returns how long after SIGTERM the platform kills the process.
 func (a *agent) killedAfter() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range a.loop.Settings().Balancer.Classes {
--- a/internal/dispatch/adopt.go
+++ b/internal/dispatch/adopt.go
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// translate finds a request's class and tenant in the settings now in force, by their names. It is false if the class has
-// gone or has another idempotency: as what it was read, the request is no longer one that may be sent.
+// translate finds a request's class and tenant in the settings now in force, by their names. It is false if there is no such
+// class any more or its idempotency has changed, because the request was checked against the old one.
 func (r *Request) translate(to *settings.Settings) bool {
 	if r.Settings == to {
 		return true
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -71,8 +71,8 @@
 	}()
 }
 
-// reportStreaming has the loop told when an attempt uses an upload, and when its answer is a download, which then flows
-// until the client's handler has finished it.
+// reportStreaming notifies the loop when an attempt uses an upload, and when its answer is a download. The attempt then
+// waits until the client's handler has finished the download.
 func (l *Loop) reportStreaming(options *upstream.Attempt, begun streaming) {
 	options.OnStreaming = func() { l.send(begun) }
 	options.PassOn = func(a upstream.Answer) error {
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -23,7 +23,7 @@
 )
 
 const (
-	inputQueue       = 256 // inputs that may wait for the loop; whoever has one more waits with it
+	inputQueue       = 256 // further senders wait
 	sweepInterval    = time.Second
 	logInterval      = 5 * time.Second // of the counters
 	gaugeInterval    = 100 * time.Millisecond
@@ -60,7 +60,7 @@
 	inputs        chan input
 	done          chan struct{} // closed when Run returns
 
-	members   *membership.Table // as discovery last told
+	members   *membership.Table // as of the last list from discovery
 	endpoints map[balancer.ServerID]*upstream.Endpoint
 	requests  map[balancer.RequestID]*openRequest
 	ids       requestIDs
@@ -118,10 +118,10 @@
 // Submit hands a request to the loop, which answers it on its Answered channel.
 func (l *Loop) Submit(r *Request) { l.send(submitted{r}) }
 
-// Abandon tells the loop that nobody waits for a request's answer any more.
+// Abandon notifies the loop that nobody waits for a request's answer any more.
 func (l *Loop) Abandon(r *Request) { l.send(abandoned{r}) }
 
-// NotifyEndpoints tells the loop a list of endpoints, or that a poll failed.
+// NotifyEndpoints notifies the loop of a list of endpoints, or of a poll that failed.
 func (l *Loop) NotifyEndpoints(e discovery.WatchEvent) { l.send(endpointsNotified{e}) }
 
 // Adopt puts other settings in force, or returns why it does not. It returns the context's error if that ends first.
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -16,7 +16,7 @@
 	return entries
 }
 
-// updateEndpoint takes another endpoint for a server whose process or address has changed, or that stays after it was
+// updateEndpoint makes a new endpoint for a server whose process or address has changed, or that is ready again after it was
 // draining.
 func (l *Loop) updateEndpoint(entry balancer.Endpoint, addr string) {
 	e := l.endpoints[entry.ID]
@@ -33,7 +33,7 @@
 	}
 }
 
-// removeEndpoints drops the endpoints that a list has shown to be gone.
+// removeEndpoints retires the endpoints that a list has removed.
 func (l *Loop) removeEndpoints(update balancer.DiscoveryUpdate, entries []balancer.Endpoint) {
 	for _, id := range l.members.RemoveGone(update, entries) {
 		if e := l.endpoints[id]; e != nil {
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -17,9 +17,9 @@
 }
 
 type (
-	// endpointsNotified is what discovery tells.
+	// endpointsNotified is a watch event of discovery.
 	endpointsNotified struct{ discovery.WatchEvent }
-	// submitted is a request that a client has sent completely, or as far as its upload.
+	// submitted is a request that a client has sent, completely or up to its upload.
 	submitted struct{ request *Request }
 	// abandoned is a request whose answer nobody waits for.
 	abandoned struct{ request *Request }
@@ -143,7 +143,7 @@
 	in.result <- l.adopt(ctx, in.next)
 }
 
-// abandon ends a request whose client has gone, with an answer of nothing if the handler does not know yet.
+// abandon ends a request whose client has closed its connection, and releases its handler if that still waits.
 func (l *Loop) abandon(ctx context.Context, r *openRequest) {
 	r.answer(Answer{})
 	l.metrics.ClientClosed()
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -43,7 +43,7 @@
 
 // Answer is what a client gets.
 type Answer struct {
-	Status      int           // 0: nothing, the client has gone
+	Status      int           // 0: no answer, because the client has closed its connection
 	RetryAfter  time.Duration // 0: no advice
 	ContentType string
 	Body        []byte
@@ -64,7 +64,7 @@
 	return &openRequest{Request: r, streamingAttempt: noAttempt}
 }
 
-// answer gives the client its answer, unless it has one or is gone.
+// answer hands the handler its answer. It is false if the request was answered or abandoned before.
 func (r *openRequest) answer(a Answer) bool {
 	if r.ended.Swap(true) {
 		return false
--- a/internal/dispatch/requestids.go
+++ b/internal/dispatch/requestids.go
@@ -4,8 +4,7 @@
 const maxRecentIDs = 4096
 
 // requestIDs knows the clients' ids of the open requests and of those that ended a short while ago. Servers and clients
-// tell requests apart by them, so a second request under an id would be served with the first one's answer, or run as its
-// repeat.
+// distinguish requests by id, so a second request with the same one could get the first one's answer or run as its repeat.
 type requestIDs struct {
 	open, recent, older map[string]struct{}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,5 +1,6 @@
-// Package handover joins the processes of one agent while one replaces the other. They share what the platform grants them
-// together, and tell each other over a Unix socket when they take clients and which places in their quotas they release.
+// Package handover connects the processes of one agent while one replaces the other. They share the connections that the
+// platform grants them together, and notify each other over a Unix socket when they accept clients and which places in
+// their quotas they release.
 //
 // A Handover owns the socket, the connections to the other processes and the Quotas; its mutex guards them. It never
 // accepts or closes a client's connection: it only changes how many there may be.
@@ -27,7 +28,7 @@
 	// readyWord is what a process sends once it accepts clients.
 	readyWord = 'y'
 	// releaseWord begins a line that releases places to a newer process: so many of clients and of servers. A process of
-	// an earlier release takes any readyWord for that word, so a line must not contain one.
+	// an earlier release reads any readyWord as that word, so a line must not contain one.
 	releaseWord  = "pass"
 	maxLineBytes = 64
 )
@@ -47,7 +48,7 @@
 
 // peerProcess is another process that runs. The Handover's mutex guards it.
 type peerProcess struct {
-	newer         bool // it began beside this process; the other way round otherwise
+	newer         bool // it started after this process
 	ready         bool // it accepts clients
 	releasesQuota bool // it has sent a line, be it of no places
 }
@@ -69,7 +70,7 @@
 	return h
 }
 
-// Announce notes that this process accepts clients now: it is the one to be found, and those that it replaces are told.
+// Announce notes that this process accepts clients now: newer processes find it from now on, and older ones are notified.
 func (h *Handover) Announce() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,7 +96,7 @@
 	return replaced
 }
 
-// Close closes all connections, by which the other processes learn that this one is gone. It does not wait for the
+// Close closes all connections, by which the other processes learn that this one ends. It does not wait for the
 // goroutines that follow them, which end with their connections and change nothing but the quotas of this process.
 func (h *Handover) Close() {
 	h.mu.Lock()
@@ -276,7 +277,7 @@
 	return int(ofClients), int(ofServers), true
 }
 
-// send writes to another process. What one that has gone or hangs does not take is lost, places included, until it ends.
+// send writes to another process. What that does not read in time is lost, places included, until one of the two ends.
 func send(conn net.Conn, text string) {
 	conn.SetWriteDeadline(time.Now().Add(socketTimeout))
 	_, _ = io.WriteString(conn, text)
--- a/internal/handover/limits.go
+++ b/internal/handover/limits.go
@@ -5,10 +5,10 @@
 )
 
 const (
-	// extraClientConns are for those who connect beside the application.
+	// extraClientConns are for clients other than the application.
 	extraClientConns = 8
-	// minQuota is what a process begins with beside another, of either kind of connections, and what one that accepts
-	// keeps free of the clients' if it can.
+	// minQuota is what a newer process starts with, of either kind of connections, and what a process that accepts clients
+	// keeps free for them if it can.
 	minQuota = extraClientConns
 	// streamShare is the part of the memory that streams may hold.
 	streamShare = 16
--- a/internal/handover/quota.go
+++ b/internal/handover/quota.go
@@ -6,36 +6,36 @@
 	"example.org/ryeloft/internal/config"
 )
 
-// quota is how many connections of one kind a process may hold. A place in it is one process's at any time: who releases it
-// has it no more before the other hears of it, so whatever the order all together never hold more than there are.
+// quota is how many connections of one kind a process may hold. Each place in it belongs to one process at a time: a process
+// gives it up before it notifies the other, so that together they never hold more than the total.
 type quota struct {
 	total    int // of a process that is alone
 	entitled int // each of the present number of processes
 	limit    int // of this one, now
-	excess   int // places that are to go before any is released: all processes together have so many too many
+	excess   int // places to drop before any is released, because all processes together hold so many too many
 }
 
-// takeAll gives a process that is alone all there is.
+// takeAll gives the total to a process that is alone.
 func (q *quota) takeAll() {
 	q.entitled = q.total
 	q.limit = q.total
 	q.excess = 0
 }
 
-// join begins beside a process that holds all there is.
+// join starts the quota of a process that joins one that holds the total.
 func (q *quota) join(entitled int) {
 	q.entitled = entitled
 	q.limit = min(minQuota, entitled)
 	q.excess = 0
 }
 
-// split makes one of several processes of this one, beside which another begins.
+// split notes that another process joins this one.
 func (q *quota) split(entitled, processes int) {
 	q.excess += min(minQuota, entitled) + max(0, q.entitled*(processes-1)-entitled*processes)
 	q.entitled = entitled
 }
 
-// release takes out the places that this process does not need, and returns how many another may take.
+// release gives up the places that this process does not need, and returns how many another process may add.
 func (q *quota) release(needed int) (places int) {
 	unused := max(0, q.limit-needed)
 	q.limit -= unused
@@ -44,7 +44,7 @@
 	return unused - dropped
 }
 
-// add puts in what another process has released.
+// add takes places that another process has released.
 func (q *quota) add(places int) { q.limit = min(q.limit+max(0, places), q.total) }
 
 // ClientConns are the connections of clients, which a Quotas limits.
@@ -54,7 +54,7 @@
 	// UpdateLimits sets these to what decide returns, in one step with the look at how many connections are open and
 	// whether more are accepted.
 	UpdateLimits(decide func(open int, accepting bool) (maxConns, maxActive int))
-	// Released holds a value when a connection has ended since the last one was taken out.
+	// Released returns a channel that receives a value after a connection has ended.
 	Released() <-chan struct{}
 }
 
@@ -88,7 +88,7 @@
 	return q
 }
 
-// join has this process begin beside others.
+// join notes that this process joins others.
 func (q *Quotas) join(processes int) {
 	l := q.limitMemory(processes)
 	q.clients.join(l.ActiveClientConns)
@@ -96,15 +96,15 @@
 	q.enforce()
 }
 
-// split has another process begin beside this one.
+// split notes that another process joins this one.
 func (q *Quotas) split(processes int) {
 	l := q.limitMemory(processes)
 	q.clients.split(l.ActiveClientConns, processes)
 	q.servers.split(l.ServerConns, processes)
 }
 
-// peerEnded has one process end, and so many be left. What it held is known only if none but this one is left, which then
-// takes all.
+// peerEnded notes that a process has ended and how many are left. What it held is known only if this one is alone, which
+// then takes the total.
 func (q *Quotas) peerEnded(processes int) {
 	l := q.limitMemory(processes)
 	q.clients.entitled = l.ActiveClientConns
@@ -124,14 +124,14 @@
 	return l
 }
 
-// add puts in what another process has released.
+// add takes places that another process has released.
 func (q *Quotas) add(clients, servers int) {
 	q.clients.add(clients)
 	q.servers.add(servers)
 	q.enforce()
 }
 
-// addEntitled puts in what this process is entitled to, beside one that releases nothing.
+// addEntitled takes what this process is entitled to from a process that releases nothing.
 func (q *Quotas) addEntitled() {
 	q.add(q.clients.entitled-q.clients.limit, q.servers.entitled-q.servers.limit)
 }
@@ -147,9 +147,9 @@
 	return l.ClientConns, l.ActiveClientConns
 }
 
-// release takes out what goes to a newer process: of the servers' connections what is not in use beyond what this process
-// is entitled to, and of the clients' likewise once the newer process accepts them, and all that is free once this one
-// accepts none. Each is one step with the look at what is in use.
+// release gives up places for a newer process. Of the connections to servers these are the ones beyond what this process is
+// entitled to that are not in use; of the clients' likewise once the newer process accepts clients, and all that are not in
+// use once this process accepts none. The count of open connections and the new limit are one step.
 func (q *Quotas) release(peerAccepts bool) (clients, servers int) {
 	if peerAccepts {
 		q.clientConns.UpdateLimits(func(open int, accepting bool) (maxConns, maxActive int) {
--- a/internal/inbound/admission.go
+++ b/internal/inbound/admission.go
@@ -38,7 +38,7 @@
 	l.maxConns, l.maxActive = decide(l.open, !l.stopped)
 }
 
-// Released holds a value when a connection has ended since the last one was taken out.
+// Released returns a channel that receives a value after a connection has ended; several ends may share one.
 func (l *Listener) Released() <-chan struct{} { return l.released }
 
 // notifyReleased says that a connection has ended, unless that is said already.
@@ -72,7 +72,7 @@
 	}
 }
 
-// admit takes in a connection, for which another may have to make room.
+// admit counts a connection in, and closes an idle one for it if the limit asks for that. It is false if none may be closed.
 func (l *Listener) admit(c *clientConn) bool {
 	l.mu.Lock()
 	var victim *clientConn
@@ -95,10 +95,10 @@
 	return true
 }
 
-// evictable returns the connection that is to make room, nil if none can. On one that has had an answer a moment ago the
-// next request may be there already, so it has IdleGrace; one that has just come is about to bring its first. If there is
-// no room otherwise, those that have brought no complete request go all the same, and those that have begun one go last.
-// The mutex is held.
+// evictable returns the connection to close for a new one, nil if none may be closed. On a connection that was answered a
+// moment ago the next request may have arrived already, so it has IdleGrace; one that has just connected is about to send
+// its first. If the limit leaves no choice, connections without a complete request are closed all the same, those that are
+// sending one last. The mutex is held.
 func (l *Listener) evictable() *clientConn {
 	if e := l.closing.Front(); e != nil {
 		return e.Value.(*clientConn)
@@ -148,7 +148,7 @@
 	l.notifyReleased()
 }
 
-// markEnded has a connection end; it is the first to make room. The mutex is held.
+// markEnded notes that a connection is closing, which makes it the first to be evicted. The mutex is held.
 func (l *Listener) markEnded(c *clientConn) {
 	if !c.ended && !c.removed {
 		c.ended = true
@@ -157,8 +157,8 @@
 	}
 }
 
-// endConn is the step from which on nothing of a connection is read and no request of it is taken. It says whether the
-// connection is to close at once, because it is idle or nobody is owed anything.
+// endConn is the step from which on nothing is read from a connection and no request of it begins. It says whether the
+// connection is to close at once, because it is idle or the agent ends.
 func (l *Listener) endConn(c *clientConn) (atOnce bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,12 +166,12 @@
 	return !c.reading || l.aborted.Load()
 }
 
-// abort has connections close without any wait, because the agent ends.
+// abort makes connections close without waiting for their clients, because the agent ends.
 func (l *Listener) abort() { l.aborted.Store(true) }
 
-// readConn reads what has come on a connection and notes it, in one step: one that was chosen to be closed is read no more.
-// The client of a request that was read and not answered cannot know whether it ran; what was not read the kernel answers
-// with a reset, on which the client sends it once more.
+// readConn reads from a connection and notes that it did, in one step: a connection that was chosen to close is not read
+// any more. The client of a request that was read but not answered cannot know whether it ran; one that was not read is
+// answered by the kernel with a reset, on which the client sends it again.
 func (l *Listener) readConn(c *clientConn, fd int, p []byte) (n int, begins bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,9 +191,9 @@
 	return n, begins, nil
 }
 
-// takeRequest notes that a complete request has come on a connection, which is not closed then until the request is
-// answered. It is false if the connection's end came first: such a request must not be sent, as nobody can be answered.
-func (l *Listener) takeRequest(c *clientConn) bool {
+// beginRequest notes that a complete request has arrived on a connection, which is not closed until the request is
+// answered. It is false if the connection was ended first: the request must not be sent then, as nobody can be answered.
+func (l *Listener) beginRequest(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if c.removed || c.ended {
@@ -203,14 +203,14 @@
 	return true
 }
 
-// uploadComplete notes that what was read after a request was taken was its body, and no request behind it.
+// uploadComplete notes that what was read after a request began was its body, and not a pipelined request.
 func (l *Listener) uploadComplete(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.pipelined = false
 }
 
-// requestAnswered notes that a connection is kept only to read what its client goes on to send: it may be closed again.
+// requestAnswered notes that a connection stays open only to read what its client goes on to send, so it may be evicted.
 func (l *Listener) requestAnswered(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/inbound/admission_test.go
+++ b/internal/inbound/admission_test.go
@@ -37,11 +37,11 @@
 	}
 	read, _ := accept()
 	taken, _ := accept()
-	if !a.takeRequest(taken) {
+	if !a.beginRequest(taken) {
 		t.Error("not taken")
 	}
 	a.closeIdle(time.Now(), true)
-	if a.takeRequest(read) {
+	if a.beginRequest(read) {
 		t.Error("taken after the end")
 	}
 	if taken.ended {
@@ -100,7 +100,7 @@
 	}
 	x := accept()
 	y := accept()
-	if a.takeRequest(x) || !a.takeRequest(y) {
+	if a.beginRequest(x) || !a.beginRequest(y) {
 		t.Error("the longest silent has not made room for the newcomer")
 	}
 	if z := (&clientConn{}); a.admit(z) {
@@ -108,7 +108,7 @@
 	}
 	a.maxActive = 2 // where all have a request there is room for some more
 	z := &clientConn{TCPConn: y.TCPConn}
-	if !a.admit(z) || !a.takeRequest(z) || a.admit(&clientConn{}) {
+	if !a.admit(z) || !a.beginRequest(z) || a.admit(&clientConn{}) {
 		t.Errorf("%d connections are open where two may be busy", a.open)
 	}
 	a.connState(z, http.StateClosed)
@@ -220,7 +220,7 @@
 	a := &Listener{metrics: &metrics.Metrics{}, released: make(chan struct{}, 1), maxConns: 2, maxActive: 2}
 	active := func() *clientConn { return &clientConn{reading: true} }
 	first := active()
-	if !a.admit(first) || !a.takeRequest(first) {
+	if !a.admit(first) || !a.beginRequest(first) {
 		t.Fatal("not admitted")
 	}
 	a.UpdateLimits(func(open int, accepting bool) (maxConns, maxActive int) {
--- a/internal/inbound/clientconn.go
+++ b/internal/inbound/clientconn.go
@@ -55,8 +55,8 @@
 	return c, nil
 }
 
-// Read notes that a request begins. net/http tells only of one whose head is complete, and holds the first bytes of one to
-// the time that a connection may be idle.
+// Read notes that a request begins, because net/http reports only a complete head and applies the idle timeout to the first
+// bytes of one.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	begins := false
 	if rawErr := c.raw.Read(func(fd uintptr) bool {
@@ -79,7 +79,7 @@
 func (c *clientConn) requestBegins() {
 	now := time.Now()
 	c.begun.Store(int64(clock.InstantOf(now)))
-	// It fails only on a connection that is closed, on which the next read tells.
+	// It fails only on a connection that is closed, where the next read fails as well.
 	_ = c.SetReadDeadline(now.Add(HeadTimeout))
 }
 
--- a/internal/inbound/drain.go
+++ b/internal/inbound/drain.go
@@ -9,8 +9,8 @@
 
 const (
 	idleCloseInterval = 50 * time.Millisecond
-	// drainLimit is how long after a drain began a client that was slow to send may still be served. Operators take a
-	// connection that still brings requests 4 s after it for one that was never sent away.
+	// drainLimit is how long after a drain began a client that is slow to send may still be served: operators expect no
+	// request on any connection from 4 s on.
 	drainLimit = 3800 * time.Millisecond
 	// killForgiveness is how long after SIGTERM the platform forgives a request that is open when it kills the process:
 	// 0.7 s, less what a request may take to come here.
@@ -20,12 +20,12 @@
 var (
 	// ErrShuttingDown says that the process is to end.
 	ErrShuttingDown = errors.New("the process is leaving")
-	// ErrDraining says that the operators have clients sent away.
+	// ErrDraining says that the operators drain the agent.
 	ErrDraining = errors.New("clients are sent away")
 )
 
-// drainer is the one owner of whether clients are sent away: because the operators drain the agent, which they may take
-// back, or because the process is to end, which nobody can. Its mutex guards all but what it was made of.
+// drainer is the sole owner of whether the agent drains: because the operators want it, who may end that, or because the
+// process shuts down, which is for good. Its mutex guards all but the fields that are set when it is made.
 type drainer struct {
 	listener *Listener
 	done     <-chan struct{} // closed when the agent has ended
@@ -39,7 +39,7 @@
 	closingIdle   bool          // a goroutine closes idle connections
 }
 
-// reason says that clients are sent away, and why.
+// reason returns why the agent drains, nil if it does not.
 func (d *drainer) reason() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// start sends clients away on the operators' word; twice is as good as once.
+// start begins a drain by the operators; it has no further effect on one that has begun.
 func (d *drainer) start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,7 +62,7 @@
 	d.startClosingIdle(IdleGrace)
 }
 
-// stop takes clients again, unless the process is to end.
+// stop ends a drain by the operators. It returns ErrShuttingDown if the process shuts down all the same.
 func (d *drainer) stop() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// shutDown sends clients away for good; the process is as good as killed after so long.
+// shutDown drains for good; the platform kills the process after so long.
 func (d *drainer) shutDown(killedAfter time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -95,10 +95,10 @@
 		return
 	}
 	d.closingIdle = true
-	go d.closeIdle() // ends when clients are taken again, at the latest with the agent
+	go d.closeIdle() // ends with the drain, at the latest with the agent
 }
 
-// closeIdle closes connections that are idle for long enough, for as long as clients are sent away.
+// closeIdle closes connections that are idle for longer than the grace, for as long as the agent drains.
 func (d *drainer) closeIdle() {
 	ticker := time.NewTicker(idleCloseInterval)
 	defer ticker.Stop()
@@ -130,8 +130,8 @@
 	d.log.Info("drain limit reached", "after", drainLimit, "still_open", open, "without_request", idle)
 }
 
-// idleLimits returns when the operators' drain began, if there is one, for how long connections may be idle, and whether
-// they are to be closed any more at all.
+// idleLimits returns when the operators' drain began, if there is one, for how long connections may be idle, and whether the
+// agent still drains.
 func (d *drainer) idleLimits() (drainSince time.Time, grace time.Duration, goOn bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,9 +139,9 @@
 	return d.drainSince, d.grace, d.closingIdle
 }
 
-// requestLimit returns how long a request that is taken now may last, and whether that is limited: in a drain by the time
-// that idle connections were closed, when only clients that are slow to send bring any; in a shutdown by what the platform
-// still forgives if it kills the process under the request.
+// requestLimit returns how long a request that begins now may last, and whether that is limited: in a drain from the time
+// on when idle connections have been closed, so that only clients that are slow to send are left; in a shutdown from when
+// on the platform counts a request that is cut off by the kill.
 func (d *drainer) requestLimit() (left time.Duration, limited bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,7 +156,7 @@
 	return 0, false
 }
 
-// limitsRequests says whether requests that are taken now may not last.
+// limitsRequests says whether requests that begin now are limited.
 func (d *drainer) limitsRequests() bool {
 	_, limited := d.requestLimit()
 	return limited
--- a/internal/inbound/handler.go
+++ b/internal/inbound/handler.go
@@ -14,13 +14,13 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// overLimitRetryAfter is when to come back to an agent that holds all the requests it can.
+// overLimitRetryAfter is the Retry-After of a request that is over the agent's own limit.
 const overLimitRetryAfter = time.Second
 
-// ErrNotReady says that no client can be served yet.
+// ErrNotReady says that the agent cannot serve clients yet.
 var ErrNotReady = errors.New("not up yet: no list of backends, or no listener")
 
-// Dispatcher answers requests. A dispatch.Loop is one, whose methods tell what these do.
+// Dispatcher answers requests; dispatch.Loop implements it and documents the methods.
 type Dispatcher interface {
 	Settings() *settings.Settings
 	Now() time.Duration
@@ -38,13 +38,13 @@
 	buffers     *stream.Buffers
 	maxRequests int64
 	drain       *drainer
-	failOpen    chan struct{} // closed when what is open is to be answered as failed, because the process is about to be killed
+	failOpen    chan struct{} // closed when all open requests are to fail, because the process is about to be killed
 
 	openRequests atomic.Int64
 	accepting    atomic.Bool
 }
 
-// exchange is a request that was taken, on its way through the handler.
+// exchange is a request that has begun, on its way through the handler.
 type exchange struct {
 	w       http.ResponseWriter
 	r       *http.Request
@@ -57,7 +57,7 @@
 
 // ServeHTTP implements http.Handler.
 func (h *clientHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// net/http reads a body that nobody reads behind the answer, and would wait for it without an end. The deadline can only
+	// net/http reads what is left of a body after the answer, and would wait for it without a limit. The deadline can only
 	// fail to be set on a connection that is closed.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(stream.BodyGrace))
 	if bad := checkFraming(r); bad != nil {
@@ -75,13 +75,13 @@
 		return
 	}
 	x := &exchange{w: w, r: r, conn: connOf(r), request: request}
-	if err != nil || !h.listener.takeRequest(x.conn) { // the connection is gone
+	if err != nil || !h.listener.beginRequest(x.conn) { // the connection is gone
 		panic(http.ErrAbortHandler)
 	}
 	h.serve(x)
 }
 
-// serveReady answers whether the agent takes clients.
+// serveReady answers whether the agent accepts clients.
 func (h *clientHandler) serveReady(w http.ResponseWriter) {
 	if err := h.checkReady(); err != nil {
 		w.Header().Set("Connection", "close")
@@ -89,7 +89,7 @@
 	}
 }
 
-// checkReady says why clients are not taken, if they are not.
+// checkReady returns why clients are not accepted, nil if they are.
 func (h *clientHandler) checkReady() error {
 	if err := h.drain.reason(); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// serve answers a request that was taken.
+// serve answers a request that has begun.
 func (h *clientHandler) serve(x *exchange) {
 	if upload := x.upload(); upload != nil {
 		upload.OnComplete = func() {
@@ -149,14 +149,14 @@
 		h.failRequest(x)
 	case <-x.r.Context().Done():
 		h.dispatcher.Abandon(x.request)
-		// A handler that returns without a word answers 200, and a client that has closed only its own side would take that
-		// for a server's answer.
+		// net/http answers 200 for a handler that returns without an answer, and a client that has closed only its own side
+		// would see that.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// deliver gives the client the dispatcher's answer. A download is not begun if the request is limited, because nobody knows
-// how long it would flow, and it cannot be taken back.
+// deliver gives the client the dispatcher's answer. A download does not begin if the request is limited, because it may last
+// for any time and cannot be undone.
 func (h *clientHandler) deliver(x *exchange, a dispatch.Answer, limited bool) {
 	switch {
 	case a.Status == 0:
@@ -171,13 +171,13 @@
 	}
 }
 
-// failRequest answers a request as failed whose answer can be waited for no longer.
+// failRequest abandons a request that can wait no longer and answers it as failed.
 func (h *clientHandler) failRequest(x *exchange) {
 	h.dispatcher.Abandon(x.request)
 	h.answer(x, dispatch.Answer{Status: protocol.StatusFailed})
 }
 
-// rejectOverLimit rejects a request because the agent itself holds all it can, with advice if the settings allow it.
+// rejectOverLimit rejects a request because the agent itself is at its limit, with Retry-After if the settings allow it.
 func (h *clientHandler) rejectOverLimit(x *exchange) {
 	h.metrics.RequestOverLimit()
 	rejected := dispatch.Answer{Status: protocol.StatusRejected}
--- a/internal/inbound/headscanner.go
+++ b/internal/inbound/headscanner.go
@@ -2,7 +2,7 @@
 
 import "bytes"
 
-// headScanner sees of a request's head what net/http does not tell: which of the two ways to end a body stand in it. It is
+// headScanner finds in a request's head what net/http does not report: which of the two framings of a body it states. It is
 // the goroutine's that reads the connection.
 type headScanner struct {
 	line             []byte // the present one, as far as a name in question reaches
--- a/internal/inbound/listener.go
+++ b/internal/inbound/listener.go
@@ -27,7 +27,7 @@
 	metrics   *metrics.Metrics
 	released  chan struct{} // holds a value when a connection has ended
 	finishing atomic.Bool   // no connection is waited for any more
-	aborted   atomic.Bool   // nothing more is owed to any client
+	aborted   atomic.Bool   // connections close at once, because the agent ends
 
 	// These are the goroutine's that accepts.
 	tcp         *net.TCPListener
--- a/internal/inbound/request.go
+++ b/internal/inbound/request.go
@@ -30,12 +30,12 @@
 	// hopHeaders concern one connection only and are not passed on.
 	hopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
 		"Upgrade", "Expect", "Content-Length"}
-	// singleHeaders say what a request is; two of one would leave open which counts.
+	// singleHeaders may stand in a request once only, because servers could take the other of two.
 	singleHeaders = []string{protocol.HeaderRequestID, protocol.HeaderClass, protocol.HeaderTenant,
 		protocol.HeaderBudget, protocol.HeaderRetry, protocol.HeaderIdempotencyKey}
 )
 
-// badRequestError is what a client did wrong, and the status that tells it so.
+// badRequestError is a request that is not well-formed, with the status and the text of its answer.
 type badRequestError struct {
 	status int
 	reason string
@@ -47,9 +47,8 @@
 	return &badRequestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// checkFraming checks how a request's body is said to end, before any of it is read. net/http drops the length that stands
-// beside chunks, and the chunks of a request that cannot have them; one of both hides a request in the body from whoever
-// goes by the other.
+// checkFraming checks the framing of a request's body before any of it is read. net/http ignores a length beside chunks, and
+// chunks where they are not allowed, so a request could be smuggled in a body that a server frames the other way.
 func checkFraming(r *http.Request) *badRequestError {
 	head := &connOf(r).head
 	chunked := len(r.TransferEncoding) > 0
@@ -84,15 +83,15 @@
 		upload.Budget = budget
 		return request, nil
 	}
-	// From here on the connection is watched for a client that goes, for as long as the answer takes.
+	// From here on net/http watches the connection for its client's end, for as long as the answer takes.
 	if err := control.SetReadDeadline(time.Time{}); err != nil {
 		return nil, err
 	}
 	return request, nil
 }
 
-// removeHopHeaders removes the headers that concern the connection only. That comes before all checks, as one of those may
-// be named.
+// removeHopHeaders removes the headers that concern the connection only, before any check, because the Connection header may
+// name one that is checked.
 func removeHopHeaders(header http.Header) {
 	for _, names := range header["Connection"] {
 		for name := range strings.SplitSeq(names, ",") {
@@ -145,8 +144,8 @@
 	return checkIdempotency(set.Balancer.Classes[request.Class].Idempotency, r)
 }
 
-// checkIdempotency checks that a request is sent as its class's idempotency asks. Without its key a request would be
-// repeated as if servers could tell.
+// checkIdempotency checks that a request has the method and the key that its class's idempotency asks for: without a key
+// servers could not recognize a repeat.
 func checkIdempotency(idempotency balancer.Idempotency, r *http.Request) error {
 	method := http.MethodPost
 	if idempotency == balancer.Idempotent {
@@ -191,8 +190,8 @@
 	return body, nil, err
 }
 
-// answerMargin is how long before its client gives up a request is owed its answer at the latest: one that is only made
-// then, when an attempt's time is up, reaches nobody, and on a busy core it counts as lost.
+// answerMargin is how long before its client's timeout a request is due to be answered, because an answer that is made at
+// the timeout comes too late.
 func answerMargin(budget time.Duration) time.Duration {
 	return min(MaxAnswerMargin, budget/answerMarginShare)
 }
--- a/internal/inbound/response.go
+++ b/internal/inbound/response.go
@@ -12,13 +12,13 @@
 // answerWriteTimeout is how long a client may take to read an answer that is held.
 const answerWriteTimeout = 5 * time.Second
 
-// answerBadRequest answers a request that was never taken.
+// answerBadRequest answers a request that is not well-formed.
 func (h *clientHandler) answerBadRequest(w http.ResponseWriter, bad *badRequestError) {
 	h.metrics.BadRequest(bad.reason)
 	h.writeAnswer(w, dispatch.Answer{Status: bad.status, ContentType: "text/plain", Body: []byte(bad.reason + "\n")})
 }
 
-// answer gives a request that was taken its answer and counts it.
+// answer writes the answer to a request and counts it.
 func (h *clientHandler) answer(x *exchange, a dispatch.Answer) {
 	h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultOf(a.Status))
 	h.closeBehindUpload(x)
@@ -38,7 +38,7 @@
 	}
 }
 
-// passOn gives a request that was taken a download as its answer, and counts it by how that ends.
+// passOn answers a request with a download and counts it by how that ends.
 func (h *clientHandler) passOn(x *exchange, a dispatch.Answer) {
 	h.closeBehindUpload(x)
 	h.writeHead(x.w, a, a.Download.Length())
@@ -49,26 +49,26 @@
 	}
 	h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultErrors)
 	h.metrics.AnswerBroken(false, err)
-	// The client has to see that this was not all, also where only the close would end the answer.
+	// The client has to see that the answer is incomplete, also where only the end of the connection would end it.
 	x.conn.reset()
 	panic(http.ErrAbortHandler)
 }
 
-// writeAnswer writes an answer that is held. Whether the connection is to close is asked only now, because a request that
-// was taken before a shutdown must not leave a connection on which the next one crosses the close.
+// writeAnswer writes an answer that is held. Whether the connection is to close is decided only now, so that a request that
+// began before a drain does not leave a connection open on which the next one crosses the close.
 func (h *clientHandler) writeAnswer(w http.ResponseWriter, a dispatch.Answer) {
-	// A client that reads nothing would hold its answer for good. The deadline can only fail to be set on a connection that
-	// is closed.
+	// A client that reads nothing would hold its answer without a limit. The deadline can only fail to be set on a connection
+	// that is closed.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWriteTimeout))
 	h.writeHead(w, a, int64(len(a.Body)))
-	// A client that does not take its answer is gone.
+	// A client that does not read its answer has closed the connection.
 	_, _ = w.Write(a.Body)
 }
 
 // writeHead writes the head of an answer with a body of so many bytes, or of as many as will come if that is below 0.
 func (h *clientHandler) writeHead(w http.ResponseWriter, a dispatch.Answer, length int64) {
 	header := w.Header()
-	// What else a client sends that has sent nonsense is not to be trusted either.
+	// What follows a bad request on its connection is not to be trusted either.
 	if h.drain.reason() != nil || a.Status/100 == 4 {
 		header.Set("Connection", "close")
 	}
--- a/internal/inbound/server.go
+++ b/internal/inbound/server.go
@@ -1,9 +1,9 @@
 // Package inbound serves the clients: it admits their connections, reads and checks their requests, submits them to a
 // Dispatcher and writes the answers.
 //
-// The Listener owns the connections, whose states its mutex orders; the drainer owns whether clients are sent away. Each
-// connection has a goroutine of net/http's, which runs the clientHandler. The package decides nothing about a request but
-// whether it is well-formed and whether the agent can hold it.
+// The Listener owns the connections, whose states its mutex orders; the drainer owns whether the agent drains. Each
+// connection has a goroutine of net/http's, which runs the clientHandler. Of a request the package decides only whether it
+// is well-formed and whether the agent can hold it.
 package inbound
 
 import (
@@ -18,8 +18,8 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// IdleTimeout is how long a client's connection may be without a request: what the protocol gives it, and what an answer
-// takes to its client. Clients that ask once and keep their connection would otherwise use up the sockets.
+// IdleTimeout is how long a client's connection may be without a request: what the protocol grants it, and what an answer
+// takes to reach its client. Connections that are used once and kept would otherwise use up the sockets.
 const IdleTimeout = IdleGrace + 100*time.Millisecond
 
 // Options are what a Server is made of.
@@ -71,34 +71,34 @@
 	return ended
 }
 
-// SetAccepting notes that clients are taken from now on.
+// SetAccepting has the agent be ready, if it has endpoints and does not drain.
 func (s *Server) SetAccepting() { s.handler.accepting.Store(true) }
 
-// CheckReady returns why clients are not taken, if they are not.
+// CheckReady returns why clients are not accepted, nil if they are.
 func (s *Server) CheckReady() error { return s.handler.checkReady() }
 
-// StartDrain sends clients away until StopDrain; twice is as good as once.
+// StartDrain drains the agent until StopDrain. It has no further effect on a drain that has begun.
 func (s *Server) StartDrain() { s.drain.start() }
 
-// StopDrain takes clients again. It returns ErrShuttingDown if the process is to end.
+// StopDrain ends the drain. It returns ErrShuttingDown if the process shuts down all the same.
 func (s *Server) StopDrain() error { return s.drain.stop() }
 
-// StartShutdown sends clients away for good. The process is as good as killed after so long: what is open then is answered
-// as failed by FailOpen.
+// StartShutdown drains the agent for good. No request that begins late lasts beyond killedAfter, when the caller is to call
+// FailOpen.
 func (s *Server) StartShutdown(killedAfter time.Duration) { s.drain.shutDown(killedAfter) }
 
-// FailOpen answers all open requests as failed, but for those whose answer flows. It is called once.
+// FailOpen answers all open requests as failed, except those whose answer is a download that has begun. It is called once.
 func (s *Server) FailOpen() { close(s.handler.failOpen) }
 
-// FinishQueue closes the listener behind the last connection that waits there, because another process takes the clients,
-// and idle connections after IdleGrace.
+// FinishQueue closes the listener after the last connection that waits there, for another process to accept those that come
+// later, and idle connections after IdleGrace.
 func (s *Server) FinishQueue() {
 	s.drain.closeIdleAfter(IdleGrace)
 	s.listener.finishQueue()
 }
 
-// CloseListener closes the listener, and idle connections after the time that a new one has to bring its first request.
-// http.Server.Shutdown does not serve, because it would close a connection whose next request has just been read.
+// CloseListener closes the listener, and idle connections after newConnGrace. It does not use http.Server.Shutdown, which
+// would close a connection whose next request has just been read.
 func (s *Server) CloseListener() {
 	s.drain.closeIdleAfter(newConnGrace)
 	// It fails only on a listener that is closed.
--- a/internal/metrics/log.go
+++ b/internal/metrics/log.go
@@ -6,7 +6,7 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// Log logs what was counted since the last call, if anything was, beside how many endpoints are ready and draining.
+// Log logs what was counted since the last call, if anything was, with how many endpoints are ready and draining.
 func (m *Metrics) Log(log *slog.Logger, ready, draining int) {
 	m.mu.Lock()
 	since, now, before := m.interval, m.totals, m.logged
--- a/internal/stream/download.go
+++ b/internal/stream/download.go
@@ -31,7 +31,7 @@
 // Length returns the length that the server has stated, below 0 if none.
 func (d *Download) Length() int64 { return d.length }
 
-// Finish tells the attempt how the answer ended; nil if the client has it completely.
+// Finish reports to the attempt how the answer ended; nil if the client has read it completely.
 func (d *Download) Finish(err error) { d.done <- err }
 
 // Done gives what Finish was called with.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -42,8 +42,8 @@
 	return n, err
 }
 
-// stale says that the server has closed the connection, or sent what nobody asked for. It looks into the socket, because a
-// request written to a closed connection may have run.
+// stale says that the server has closed the connection, or sent something without a request. It peeks into the socket,
+// because a request that is written to a closed connection cannot be told from one that has run.
 func (c *conn) stale() bool {
 	sys, ok := c.Conn.(syscall.Conn)
 	if !ok {
--- a/internal/upstream/endpoint.go
+++ b/internal/upstream/endpoint.go
@@ -5,9 +5,8 @@
 	"time"
 )
 
-// Endpoint is one process of a server at an address, and the idle connections to it. They are not kept by address, because
-// another process may come up at the address of one that has gone, and must not share its connections. The pool's mutex
-// guards it.
+// Endpoint is one process of a server at an address, with the idle connections to it. Connections are not kept by address,
+// because another process may start at the same address and must not share them. The pool's mutex guards it.
 type Endpoint struct {
 	addr    string
 	start   time.Duration
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -33,7 +33,7 @@
 	Abandoned bool   // nothing was sent, because nobody waits for the answer
 }
 
-// Attempt is what holds for one exchange beside its request.
+// Attempt holds the terms of one exchange.
 type Attempt struct {
 	// Deadline is when the answer's first bytes have to be there; for a request with an upload it counts from its last byte.
 	Deadline time.Time
@@ -61,8 +61,8 @@
 	writtenAll
 )
 
-// Exchange sends a request once and waits for its answer until the context ends. The cause of that tells why: canceled, or
-// its deadline exceeded.
+// Exchange sends a request once and waits for its answer until the context ends, whose cause is context.Canceled or
+// context.DeadlineExceeded.
 func (p *Pool) Exchange(ctx context.Context, e *Endpoint, r *Request, a *Attempt) Result {
 	answer, sent, err := p.roundTrip(ctx, e, r, a)
 	if err != nil {
@@ -151,7 +151,7 @@
 		return nil, writtenAll, err
 	}
 	p.recordLoss(c, false)
-	// What stands behind an answer would be taken for the next request's.
+	// Bytes that follow an answer would be read as the next request's answer.
 	reusable = !answer.head.Close && c.buffered.Buffered() == 0
 	return answer, writtenAll, nil
 }
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -12,7 +12,7 @@
 
 const healthCheckTimeout = 300 * time.Millisecond
 
-// HealthCheck asks an endpoint for its load where health checks bring reports, and otherwise whether it lives.
+// HealthCheck asks an endpoint for its load report if the settings want reports, and otherwise only whether it is alive.
 func (p *Pool) HealthCheck(ctx context.Context, e *Endpoint, s *settings.Settings) Result {
 	path := protocol.PathLive
 	reports := s.Balancer.Reports != balancer.ReportsOff
--- a/internal/upstream/idleage.go
+++ b/internal/upstream/idleage.go
@@ -18,7 +18,7 @@
 )
 
 // idleAge learns how long a connection may have been idle and still carry a request. The settings state only when servers
-// close one at the latest; some servers, or what stands between, drop it far sooner without a word. Its owner guards it.
+// close one at the latest; some servers, or middleboxes, drop it far sooner without notice. Its owner guards it.
 type idleAge struct {
 	used, lost [idleBands]float64
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -32,8 +32,8 @@
 	return errors.Is(err, errSocketLimit) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// Pool keeps the connections to all servers. net/http's own transport does not serve, because it sends again by itself on
-// a stale connection and does not tell whether a request's last byte went out, on which it depends whether the request may
+// Pool keeps the connections to all servers. It does not use net/http's transport, which retries by itself on a stale
+// connection and does not report whether a request's last byte was written, on which it depends whether the request may
 // have run. Any goroutine may call its methods.
 type Pool struct {
 	metrics *metrics.Metrics
@@ -182,7 +182,7 @@
 	p.idleAge.record(c.idleAge, lost)
 }
 
-// dial opens a connection, for which the one that has been idle longest makes room if need be.
+// dial opens a connection, and closes the one that has been idle longest if there are too many.
 func (p *Pool) dial(ctx context.Context, e *Endpoint) (*conn, error) {
 	dialer, err := p.reserve()
 	if err != nil {
--- a/internal/upstream/readanswer.go
+++ b/internal/upstream/readanswer.go
@@ -30,7 +30,7 @@
 )
 
 // serverAnswer is what was read of an answer: all of it, or the beginning of one that is too long to be held or slow to
-// tell its end.
+// end.
 type serverAnswer struct {
 	head *http.Response
 	body []byte
@@ -119,7 +119,7 @@
 // end.
 func (c *conn) readableBefore(until time.Time) bool {
 	if c.SetReadDeadline(until) != nil {
-		return true // reading tells why
+		return true // the next read fails
 	}
 	_, err := c.buffered.Peek(1)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
