--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -16,26 +16,26 @@
 	"example.org/ryeloft/internal/protocol"
 )
 
-// running is an agent under test.
-type running struct {
+// testAgent is an agent under test.
+type testAgent struct {
 	url    string
 	stop   context.CancelFunc
 	ended  chan error
 	client *http.Client
 
 	reloads chan config.ReloadResult
-	calls   atomic.Int64 // requests made
+	requestCount   atomic.Int64 // requests made
 }
 
 // start runs an agent and waits until it is up, which it is once it has a list that names a backend.
-func start(t *testing.T, cfg *config.Config) *running {
+func start(t *testing.T, cfg *config.Config) *testAgent {
 	t.Helper()
 	listener, err := listen(t.Context(), cfg.Listen, true)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	r := &running{
+	r := &testAgent{
 		url: "http://" + listener.Addr().String(), stop: stop, ended: make(chan error, 1),
 		client:  &http.Client{Transport: &http.Transport{}, Timeout: agenttest.Timeout},
 		reloads: make(chan config.ReloadResult),
@@ -62,13 +62,13 @@
 }
 
 // request makes a client's request of a class.
-func (r *running) request(class string, budget string) *http.Request {
+func (r *testAgent) request(class string, budget string) *http.Request {
 	method, body := http.MethodPost, "body of "+class
 	if class == "safe" {
 		method, body = http.MethodGet, ""
 	}
 	req, _ := http.NewRequest(method, r.url+"/"+class+"/7f%2F3a?x=1&y", strings.NewReader(body))
-	req.Header.Set(protocol.HeaderRequestID, fmt.Sprintf("call-%d", r.calls.Add(1)))
+	req.Header.Set(protocol.HeaderRequestID, fmt.Sprintf("call-%d", r.requestCount.Add(1)))
 	req.Header.Set(protocol.HeaderClass, class)
 	req.Header.Set(protocol.HeaderTenant, "acme")
 	req.Header.Set(protocol.HeaderBudget, budget)
@@ -78,7 +78,7 @@
 	return req
 }
 
-func (r *running) do(t *testing.T, req *http.Request) (int, string) {
+func (r *testAgent) do(t *testing.T, req *http.Request) (int, string) {
 	t.Helper()
 	resp, err := r.client.Do(req)
 	if err != nil {
@@ -92,8 +92,8 @@
 	return resp.StatusCode, string(body)
 }
 
-// agentFor starts an agent that knows the backends, each in a cell of its own number.
-func agentFor(t *testing.T, settings string, backends ...*agenttest.Server) *running {
+// startWith starts an agent that knows the backends, each in a cell of its own number.
+func startWith(t *testing.T, settings string, backends ...*agenttest.Server) *testAgent {
 	t.Helper()
 	var members []string
 	for i, b := range backends {
@@ -105,7 +105,7 @@
 
 func TestPassesOnUnchanged(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	req := a.request("keyed", "1500m")
 	req.Header.Set("Traceparent", "00-1-2-01")
 	resp, err := a.client.Do(req)
@@ -137,7 +137,7 @@
 		<-goOn
 		return agenttest.OKAnswer, false
 	})
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	answers := make(chan *http.Response, 2)
 	ask := func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(a.request("unsafe", "15000m"))
--- a/internal/agent/gone_test.go
+++ b/internal/agent/clientclosed_test.go
@@ -15,8 +15,8 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// accept has a listener that was full take its connections, old and new.
-func accept(t *testing.T, fd int, handler http.Handler) {
+// acceptWaiting has a listener that was full take its connections, old and new.
+func acceptWaiting(t *testing.T, fd int, handler http.Handler) {
 	t.Helper()
 	own, err := syscall.Dup(fd) // the other one ends with the test
 	if err != nil {
@@ -33,8 +33,8 @@
 	go s.Serve(l)
 }
 
-// leave ends a client's connection in one of the ways that there are.
-func leave(t *testing.T, c net.Conn, how string) {
+// closeClient ends a client's connection in one of the ways that there are.
+func closeClient(t *testing.T, c net.Conn, how string) {
 	t.Helper()
 	switch how {
 	case "half":
@@ -50,13 +50,13 @@
 	c.Close()
 }
 
-var leavings = []string{"close", "half", "reset", "behind bytes", "behind many bytes"}
+var waysToClose = []string{"close", "half", "reset", "behind bytes", "behind many bytes"}
 
 // Nothing is begun for a client that has gone, however it went, and whether or not the settings allow cancelling: what
 // waits for a connection then is not sent when that is up, and the connection carries the next one's request.
-func TestNothingBeginsForAClientThatHasGone(t *testing.T) {
+func TestNoAttemptForClosedClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		for _, how := range leavings {
+		for _, how := range waysToClose {
 			for _, size := range []int{10, stream.MaxHeldBytes + 1000} {
 				t.Run(fmt.Sprintf("%s/cancel %v/%d bytes", how, cancel, size), func(t *testing.T) {
 					t.Parallel()
@@ -72,8 +72,8 @@
 					if err := req.Write(c); err != nil {
 						t.Fatal(err)
 					}
-					leave(t, c, how)
-					accept(t, fd, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+					closeClient(t, c, how)
+					acceptWaiting(t, fd, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 						io.Copy(io.Discard, r.Body)
 						got <- r
 						io.WriteString(w, "served")
@@ -93,22 +93,22 @@
 }
 
 // A failed attempt of a client that has gone is followed by no other.
-func TestNoFurtherAttemptForAClientThatHasGone(t *testing.T) {
+func TestNoRetryForClosedClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		for _, how := range leavings {
+		for _, how := range waysToClose {
 			t.Run(fmt.Sprintf("%s/cancel %v", how, cancel), func(t *testing.T) {
 				t.Parallel()
 				clients, failed := make(chan net.Conn, 1), make(chan struct{}, 1)
 				fails := func(_ int, r *http.Request) (string, bool) {
 					if strings.HasPrefix(r.URL.Path, "/safe") {
-						leave(t, <-clients, how)
+						closeClient(t, <-clients, how)
 						failed <- struct{}{}
 						return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false
 					}
 					return agenttest.OKAnswer, false
 				}
 				x, y := agenttest.NewServer(t, fails), agenttest.NewServer(t, fails)
-				a := agentFor(t, strings.Replace(agenttest.Settings, `"cancel":true`, fmt.Sprintf(`"cancel":%v`, cancel), 1), x, y)
+				a := startWith(t, strings.Replace(agenttest.Settings, `"cancel":true`, fmt.Sprintf(`"cancel":%v`, cancel), 1), x, y)
 				c := a.dial(t)
 				if err := a.request("safe", "15000m").Write(c); err != nil {
 					t.Fatal(err)
--- a/internal/agent/closing_test.go
+++ b/internal/agent/connectionend_test.go
@@ -14,19 +14,19 @@
 	"example.org/ryeloft/internal/protocol"
 )
 
-// whole makes a whole request of the unsafe class as it is sent.
-func (r *running) whole(t *testing.T, more string) string {
+// completeRequest makes a whole request of the unsafe class as it is sent.
+func (r *testAgent) completeRequest(t *testing.T, more string) string {
 	t.Helper()
 	return fmt.Sprintf("POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: call-%d\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\n"+
-		"X-Budget: 15000m\r\n%sContent-Length: 4\r\n\r\nbody", r.calls.Add(1), more)
+		"X-Budget: 15000m\r\n%sContent-Length: 4\r\n\r\nbody", r.requestCount.Add(1), more)
 }
 
-// resting opens a connection that has had an answer and now rests.
-func (r *running) resting(t *testing.T) (net.Conn, *bufio.Reader) {
+// idleConn opens a connection that has had an answer and now rests.
+func (r *testAgent) idleConn(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c := r.dial(t)
 	br := bufio.NewReader(c)
-	io.WriteString(c, r.whole(t, ""))
+	io.WriteString(c, r.completeRequest(t, ""))
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
 		t.Fatal(err)
@@ -41,10 +41,10 @@
 // request is served, and its connection ends behind the answer.
 func TestRequestCrossesTheEnd(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
-	a := agentFor(t, agenttest.Settings, b)
-	_, rests := a.resting(t)
-	crosses, br := a.resting(t)
-	text := a.whole(t, "")
+	a := startWith(t, agenttest.Settings, b)
+	_, rests := a.idleConn(t)
+	crosses, br := a.idleConn(t)
+	text := a.completeRequest(t, "")
 	half := len(text) / 2
 	io.WriteString(crosses, text[:half])
 	for len(b.Requests) > 0 {
@@ -76,11 +76,11 @@
 func TestAnswerComesWholeBeforeTheEnd(t *testing.T) {
 	ahead := strings.Repeat("GET /up HTTP/1.1\r\nHost: x\r\n\r\n", 3000) + "GET /up HT"
 	for name, c := range map[string]struct {
-		ends   func(*running) // while the request is under way; nil: its answer does
+		ends   func(*testAgent) // while the request is under way; nil: its answer does
 		more   string
 		status int
 	}{
-		"told to end":    {func(a *running) { a.stop() }, "", 200},
+		"told to end":    {func(a *testAgent) { a.stop() }, "", 200},
 		"client's wish":  {nil, "Connection: close\r\n", 200},
 		"a bad request":  {nil, "X-Caller: acme\r\n", 400},
 		"no more budget": {nil, "X-Budget: 1m\r\n", 400},
@@ -92,9 +92,9 @@
 				<-goOn
 				return agenttest.OKAnswer, false
 			})
-			a := agentFor(t, agenttest.Settings, b)
+			a := startWith(t, agenttest.Settings, b)
 			conn := a.dial(t)
-			io.WriteString(conn, a.whole(t, c.more)+ahead)
+			io.WriteString(conn, a.completeRequest(t, c.more)+ahead)
 			if c.status == http.StatusOK {
 				agenttest.Receive(t, "request", b.Requests)
 			}
--- a/internal/agent/listener_test.go
+++ b/internal/agent/connections_test.go
@@ -15,7 +15,7 @@
 )
 
 // dial opens a client's connection to an agent.
-func (r *running) dial(t *testing.T) net.Conn {
+func (r *testAgent) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
 	if err != nil {
@@ -26,8 +26,8 @@
 	return c
 }
 
-// talk writes what a client sends as it is, and returns all that comes back until the agent closes.
-func (r *running) talk(t *testing.T, text string) string {
+// exchangeText writes what a client sends as it is, and returns all that comes back until the agent closes.
+func (r *testAgent) exchangeText(t *testing.T, text string) string {
 	t.Helper()
 	c := r.dial(t)
 	go io.WriteString(c, text)
@@ -41,13 +41,13 @@
 
 // Clients that keep connections without a request do not shut out others, and a request that is open is not
 // disturbed by them.
-func TestSilentClientsMakeRoom(t *testing.T) {
+func TestIdleClientsAreEvicted(t *testing.T) {
 	goOn := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-goOn
 		return agenttest.OKAnswer, false
 	})
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	first := make(chan int, 1)
 	go func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
@@ -81,8 +81,8 @@
 
 // An application that keeps each connection that it has used once, and holds a third of the sockets at most, gets one for its
 // next request as soon as the terms let the agent close one.
-func TestKeptConnectionsLeaveSome(t *testing.T) {
-	a := agentFor(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
+func TestKeptConnectionsDoNotExhaustSockets(t *testing.T) {
+	a := startWith(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	held := make(chan struct{}, 1024/3)
 	for i := range 1024/3 + 1 {
 		select {
@@ -104,7 +104,7 @@
 
 // Clients that say nothing, or never end what they say, are closed; so are those with nothing more to say.
 func TestSlowClientsAreClosed(t *testing.T) {
-	a := agentFor(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
+	a := startWith(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	whole := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n"
 	for what, c := range map[string]struct{ text, answer string }{
 		"silence":     {"", ""},
@@ -114,7 +114,7 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			if got := a.talk(t, c.text); !strings.HasPrefix(got, c.answer) || c.answer == "" && got != "" {
+			if got := a.exchangeText(t, c.text); !strings.HasPrefix(got, c.answer) || c.answer == "" && got != "" {
 				t.Errorf("answered %q", got)
 			}
 		})
@@ -125,7 +125,7 @@
 // two things: neither goes on to a backend.
 func TestAmbiguousRequests(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	head := func(extra string) string {
 		return "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n" + extra + "\r\n"
 	}
@@ -151,7 +151,7 @@
 		"endless head":      {"POST /unsafe/1 HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20), 431},
 		"unreadable":        {"\x00\x01\x02\r\n\r\n" + hidden, 400},
 	} {
-		got := a.talk(t, c.text)
+		got := a.exchangeText(t, c.text)
 		if !strings.Contains(got[:min(len(got), 13)], fmt.Sprintf(" %d ", c.status)) || strings.Count(got, "HTTP/1.1 200") > 1 {
 			t.Errorf("%s: answered %q", what, got)
 		}
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -28,8 +28,8 @@
 	return free.Addr().String()
 }
 
-// withConsole starts an agent that has a console and knows the backends.
-func withConsole(t *testing.T, backends ...*agenttest.Server) (*running, string) {
+// startWithConsole starts an agent that has a console and knows the backends.
+func startWithConsole(t *testing.T, backends ...*agenttest.Server) (*testAgent, string) {
 	t.Helper()
 	t.Setenv("TMPDIR", t.TempDir()) // where processes of one agent would meet
 	var members []string
@@ -42,8 +42,8 @@
 	return start(t, cfg), cfg.AdminAddr
 }
 
-// operator makes one call, or sends whatever text is given, and returns all of the answer.
-func operator(t *testing.T, console, text string) string {
+// consoleCall makes one call, or sends whatever text is given, and returns all of the answer.
+func consoleCall(t *testing.T, console, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", console)
 	if err != nil {
@@ -60,7 +60,7 @@
 }
 
 func TestConsoleCalls(t *testing.T) {
-	_, console := withConsole(t, agenttest.NewServer(t, agenttest.Serve))
+	_, console := startWithConsole(t, agenttest.NewServer(t, agenttest.Serve))
 	for _, c := range []struct{ call, want string }{
 		{"check\n", "ok\n"},
 		{"check\r\n", "ok\n"},
@@ -71,11 +71,11 @@
 		{"", "fail no whole line"},
 		{strings.Repeat("x", admin.MaxLineBytes+1) + "\n", "fail a call has at most"},
 	} {
-		if got := operator(t, console, c.call); !strings.HasPrefix(got, c.want) {
+		if got := consoleCall(t, console, c.call); !strings.HasPrefix(got, c.want) {
 			t.Errorf("%.20q is answered %q, want %q", c.call, got, c.want)
 		}
 	}
-	if got := operator(t, console, "vars\n"); !strings.HasPrefix(got, "ok\ngw_responses_total{") || !strings.HasSuffix(got, "\neof\n") {
+	if got := consoleCall(t, console, "vars\n"); !strings.HasPrefix(got, "ok\ngw_responses_total{") || !strings.HasSuffix(got, "\neof\n") {
 		t.Errorf("vars is answered %q", got)
 	}
 }
@@ -101,7 +101,7 @@
 		<-goOn
 		return agenttest.OKAnswer, false
 	})
-	a, console := withConsole(t, b)
+	a, console := startWithConsole(t, b)
 	up := func() int {
 		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}}).Get(a.url + protocol.PathReady)
 		if err != nil {
@@ -125,11 +125,11 @@
 	}()
 	agenttest.Receive(t, "request", b.Requests)
 	for range 2 { // twice is as good as once
-		if got := operator(t, console, "drain-on\n"); got != "ok\n" {
+		if got := consoleCall(t, console, "drain-on\n"); got != "ok\n" {
 			t.Fatalf("drain-on: %q", got)
 		}
 	}
-	if status, said := up(), operator(t, console, "check\n"); status == 200 || !strings.HasPrefix(said, "fail") {
+	if status, said := up(), consoleCall(t, console, "check\n"); status == 200 || !strings.HasPrefix(said, "fail") {
 		t.Errorf("while clients are sent away /up answers %d, check %q", status, said)
 	}
 	begun := time.Now()
@@ -141,7 +141,7 @@
 	if resp := agenttest.Receive(t, "answer", taken); resp == nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("what was taken is answered %v", resp)
 	}
-	if got := operator(t, console, "drain-off\n"); got != "ok\n" || up() != 200 {
+	if got := consoleCall(t, console, "drain-off\n"); got != "ok\n" || up() != 200 {
 		t.Errorf("drain-off: %q, then /up %d", got, up())
 	}
 	goOn <- struct{}{}
@@ -159,7 +159,7 @@
 		<-goOn
 		return agenttest.OKAnswer, false
 	})
-	a, console := withConsole(t, b)
+	a, console := startWithConsole(t, b)
 	head := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 15000m\r\nContent-Length: 0\r\n\r\n"
 	slowly := func(id string, begins, ends time.Duration) (answer string, took time.Duration) {
 		begun := time.Now()
@@ -178,7 +178,7 @@
 		got, _ := io.ReadAll(c)
 		return string(got), time.Since(begun)
 	}
-	if got := operator(t, console, "drain-on\n"); got != "ok\n" {
+	if got := consoleCall(t, console, "drain-on\n"); got != "ok\n" {
 		t.Fatalf("drain-on: %q", got)
 	}
 	var all sync.WaitGroup
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -154,7 +154,7 @@
 }
 
 // Where the list must be asked for, the module hears of a failure and decides when to ask again.
-func TestAskedDiscovery(t *testing.T) {
+func TestPolledDiscovery(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	set := strings.Replace(agenttest.Settings, `"automatic"`, `"subscribe"`, 1)
 	set = strings.Replace(set, `"extraFloor"`, `"mustAskIn":50,"extraFloor"`, 1)
@@ -203,7 +203,7 @@
 						moved.Discovery = next.Listener.Addr().String()
 						a.reloads <- config.ReloadResult{Config: &moved}
 					case how == "dial":
-						accept(t, fd, next.Config.Handler)
+						acceptWaiting(t, fd, next.Config.Handler)
 					default:
 						return // nothing comes up
 					}
--- a/internal/agent/loop_test.go
+++ b/internal/agent/dispatch_test.go
@@ -18,7 +18,7 @@
 		<-goOn
 		return agenttest.OKAnswer, false
 	})
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	first := make(chan int, 1)
 	go func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
@@ -47,10 +47,10 @@
 }
 
 // A client that hangs up cancels its attempts, which closes their connections.
-func TestHangup(t *testing.T) {
+func TestClientClosesConnection(t *testing.T) {
 	released := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	ctx, hangUp := context.WithCancel(context.Background())
 	go func() {
 		defer close(released)
@@ -87,7 +87,7 @@
 		return agenttest.OKAnswer, false
 	})
 	// With a tick of 5 s one probe of each lasts for the whole test.
-	a := agentFor(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
+	a := startWith(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
 		`"maxAttempts":3`, `"maxAttempts":20,"probes":true`).Replace(agenttest.Settings), x, y)
 	answers := make(chan int, asked+more)
 	ask := func() {
--- a/internal/agent/limits_test.go
+++ b/internal/agent/memory_test.go
@@ -13,7 +13,7 @@
 	old := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(old)
 	debug.SetMemoryLimit(1 << 40)
-	a := agentFor(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
+	a := startWith(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	if got, want := debug.SetMemoryLimit(-1), handover.LimitsFor(cfg, 1).HeapBytes; got != want || want > int64(cfg.MemoryMB)<<20 {
 		t.Errorf("%s: the collector may hold %d bytes, want %d", a.url, got, want)
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -10,19 +10,19 @@
 )
 
 // The figures tell each end of a request by class, every class from 0, and the tries and servers behind them.
-func TestFigures(t *testing.T) {
+func TestMetricsCountResults(t *testing.T) {
 	b := agenttest.NewServer(t, func(n int, _ *http.Request) (string, bool) {
 		if n == 0 {
 			return "", true // the connection breaks: the request may have run
 		}
 		return agenttest.OKAnswer, false
 	})
-	a, console := withConsole(t, b)
+	a, console := startWithConsole(t, b)
 	expect := func(lines ...string) {
 		t.Helper()
 		var got string
 		for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(10 * time.Millisecond) {
-			got = operator(t, console, "vars\n")
+			got = consoleCall(t, console, "vars\n")
 			missing := false
 			for _, l := range lines {
 				missing = missing || !strings.Contains(got, l+"\n")
@@ -44,14 +44,14 @@
 }
 
 // What the agent itself turns away is refused, and counted so.
-func TestFiguresOfRefusals(t *testing.T) {
+func TestMetricsCountRejections(t *testing.T) {
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Terminating", 0)))
 	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
 	cfg.AdminAddr = freeAddr(t)
 	t.Setenv("TMPDIR", t.TempDir())
 	a := start(t, cfg)
 	a.do(t, a.request("unsafe", "15000m"))
-	if got := operator(t, cfg.AdminAddr, "vars\n"); !strings.Contains(got, `{kind="unsafe",result="shed"} 1`) ||
+	if got := consoleCall(t, cfg.AdminAddr, "vars\n"); !strings.Contains(got, `{kind="unsafe",result="shed"} 1`) ||
 		!strings.Contains(got, "gw_tries_total 0\n") {
 		t.Errorf("the figures\n%s", got)
 	}
--- a/internal/agent/exchange_test.go
+++ b/internal/agent/outcomes_test.go
@@ -49,7 +49,7 @@
 				// The other attempt goes to the second backend, so one script serves for both.
 				both := agenttest.NewServer(t, script)
 				other := agenttest.NewServer(t, agenttest.Serve)
-				a := agentFor(t, agenttest.Settings, both, other)
+				a := startWith(t, agenttest.Settings, both, other)
 				for len(both.Requests) == 0 { // until the draw falls on the first
 					status, body := a.do(t, a.request(class, "15000m"))
 					again := class == "keyed" || !row.ran
@@ -71,14 +71,14 @@
 
 // A good answer is served whatever stands before and behind it; its connection is not used again, or what stands
 // behind it would be the next request's answer.
-func TestMoreThanAnAnswer(t *testing.T) {
+func TestBytesAroundAnAnswer(t *testing.T) {
 	for what, text := range map[string]string{
 		"a copy behind":   agenttest.OKAnswer + strings.Replace(agenttest.OKAnswer, "served", "again!", 1),
 		"noise behind":    agenttest.OKAnswer + "\x00\x01\r\n\r\n",
 		"hints before":    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + agenttest.OKAnswer,
 		"a broken report": strings.Replace(agenttest.OKAnswer, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
 	} {
-		a := agentFor(t, agenttest.Settings, agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return text, false }))
+		a := startWith(t, agenttest.Settings, agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return text, false }))
 		for range 3 {
 			if status, body := a.do(t, a.request("unsafe", "15000m")); status != 200 || body != "served" {
 				t.Errorf("%s: answered %d %q", what, status, body)
@@ -91,7 +91,7 @@
 func TestKeyedStaysInItsCell(t *testing.T) {
 	breaks := func(int, *http.Request) (string, bool) { return "", true }
 	x, y := agenttest.NewServer(t, breaks), agenttest.NewServer(t, breaks)
-	a := agentFor(t, agenttest.Settings, x, y)
+	a := startWith(t, agenttest.Settings, x, y)
 	a.do(t, a.request("celled", "15000m"))
 	if len(x.Requests) > 0 && len(y.Requests) > 0 {
 		t.Error("sent to both cells")
@@ -105,7 +105,7 @@
 	}
 	closed.Close()
 	gone := &agenttest.Server{Addr: closed.Addr().String()}
-	a := agentFor(t, agenttest.Settings, gone)
+	a := startWith(t, agenttest.Settings, gone)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != protocol.StatusRejected {
 		t.Errorf("answered %d: what never ran can be refused", status)
 	}
@@ -113,7 +113,7 @@
 
 func TestTimeout(t *testing.T) {
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	status, _ := a.do(t, a.request("unsafe", "150m"))
 	if status != protocol.StatusFailed {
 		t.Errorf("answered %d: it may have run", status)
@@ -143,7 +143,7 @@
 				continue // that is how such an answer ends
 			}
 			t.Run(name+", "+end, func(t *testing.T) {
-				a := streamingAgent(t, func(w http.ResponseWriter, _ *http.Request) {
+				a := startStreaming(t, func(w http.ResponseWriter, _ *http.Request) {
 					c, _, err := w.(http.Hijacker).Hijack()
 					if err != nil {
 						t.Error(err)
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -22,10 +22,10 @@
 		}
 		return agenttest.OKAnswer, false
 	})
-	a, console := withConsole(t, b)
+	a, console := startWithConsole(t, b)
 	expect := func(line string) {
 		t.Helper()
-		for begun := time.Now(); !strings.Contains(operator(t, console, "vars\n"), line+"\n"); time.Sleep(time.Millisecond) {
+		for begun := time.Now(); !strings.Contains(consoleCall(t, console, "vars\n"), line+"\n"); time.Sleep(time.Millisecond) {
 			if time.Since(begun) > agenttest.Timeout {
 				t.Fatalf("no %q in the figures", line)
 			}
--- a/internal/agent/replacement_test.go
+++ b/internal/agent/replacement_test.go
@@ -22,8 +22,8 @@
 	ended   chan error
 }
 
-// begin starts one and waits until it says yes.
-func begin(t *testing.T, cfg config.Config) *process {
+// startProcess starts one and waits until it says yes.
+func startProcess(t *testing.T, cfg config.Config) *process {
 	t.Helper()
 	cfg.AdminAddr = freeAddr(t)
 	ctx, stop := context.WithCancel(context.Background())
@@ -33,7 +33,7 @@
 	for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(time.Millisecond) {
 		if c, err := net.Dial("tcp", p.console); err == nil {
 			c.Close()
-			if operator(t, p.console, "check\n") == "ok\n" {
+			if consoleCall(t, p.console, "check\n") == "ok\n" {
 				return p
 			}
 		}
@@ -54,7 +54,7 @@
 	}()
 	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
 	cfg.Listen = freeAddr(t)
-	now := begin(t, *cfg)
+	now := startProcess(t, *cfg)
 
 	var asked, failed atomic.Int64
 	clients, over := context.WithCancel(context.Background())
@@ -82,14 +82,14 @@
 		})
 	}
 	for range 2 {
-		next := begin(t, *cfg)
+		next := startProcess(t, *cfg)
 		now.stop()
 		begun := time.Now()
 		if err := agenttest.Receive(t, "end of the process that is replaced", now.ended); err != nil || time.Since(begun) > maxKillDeadline {
 			t.Errorf("ended after %v with %v", time.Since(begun), err)
 		}
 		now = next
-		if got := operator(t, now.console, "check\n"); got != "ok\n" {
+		if got := consoleCall(t, now.console, "check\n"); got != "ok\n" {
 			t.Errorf("the next is asked: %q", got)
 		}
 	}
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -18,7 +18,7 @@
 // A client that closes its own side only has gone as well, and must not be told that it was served.
 func TestHalfCloseIsNotServed(t *testing.T) {
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
@@ -37,7 +37,7 @@
 
 func TestBadRequests(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	for what, change := range map[string]func(*http.Request){
 		"class":    func(r *http.Request) { r.Header.Set(protocol.HeaderClass, "nobody") },
 		"path":     func(r *http.Request) { r.URL.Path = "/safe/1"; r.URL.RawPath = "" },
@@ -68,7 +68,7 @@
 	}
 }
 
-func TestRefusalTellsWhenToComeBack(t *testing.T) {
+func TestRejectionHasRetryAfter(t *testing.T) {
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Terminating", 0)))
 	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
 	resp, err := a.client.Do(a.request("unsafe", "15000m"))
@@ -85,7 +85,7 @@
 // What a request is owed is owed before its client gives up.
 func TestAnswersAreDueBeforeTheClientGivesUp(t *testing.T) {
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	begun := time.Now()
 	ctx, gone := context.WithCancel(t.Context())
 	defer gone()
--- a/internal/agent/pool_test.go
+++ b/internal/agent/reuse_test.go
@@ -10,7 +10,7 @@
 // request does not survive.
 func TestStaleConnection(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	for i := range 3 {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
 		if status != 200 {
@@ -22,7 +22,7 @@
 
 func TestConnectionsAreReused(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
-	a := agentFor(t, agenttest.Settings, b)
+	a := startWith(t, agenttest.Settings, b)
 	for range 5 {
 		a.do(t, a.request("unsafe", "15000m"))
 	}
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -13,7 +13,7 @@
 // What is still open when the process is about to be killed is answered as failed.
 func TestLastAnswers(t *testing.T) {
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
-	a := agentFor(t, strings.ReplaceAll(agenttest.Settings, `"aim":20000,"deadline":30000`, `"aim":1000,"deadline":1000`), b)
+	a := startWith(t, strings.ReplaceAll(agenttest.Settings, `"aim":20000,"deadline":30000`, `"aim":1000,"deadline":1000`), b)
 	answered := make(chan int, 1)
 	go func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -20,8 +20,8 @@
 	"example.org/ryeloft/internal/upstream"
 )
 
-// streamingAgent starts an agent in front of a server that a handler plays.
-func streamingAgent(t *testing.T, handler http.HandlerFunc) *running {
+// startStreaming starts an agent in front of a server that a handler plays.
+func startStreaming(t *testing.T, handler http.HandlerFunc) *testAgent {
 	t.Helper()
 	s := httptest.NewServer(handler)
 	t.Cleanup(func() { s.CloseClientConnections(); s.Close() })
@@ -31,7 +31,7 @@
 
 // Bodies of any length and framing go on unchanged, and so do the answers.
 func TestBodiesPassUnchanged(t *testing.T) {
-	a := streamingAgent(t, func(w http.ResponseWriter, r *http.Request) {
+	a := startStreaming(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
 			t.Errorf("the body: %v", err)
@@ -86,7 +86,7 @@
 	for _, length := range []string{"", "200000"} {
 		goOn := make(chan struct{})
 		body := agenttest.Pattern(200_000)
-		a := streamingAgent(t, func(w http.ResponseWriter, _ *http.Request) {
+		a := startStreaming(t, func(w http.ResponseWriter, _ *http.Request) {
 			if length != "" {
 				w.Header().Set("Content-Length", length)
 			}
@@ -125,7 +125,7 @@
 		"bad chunk":         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + strings.Repeat("x", 70000) + "\r\nzz\r\n",
 	} {
 		b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return play, true })
-		a, console := withConsole(t, b)
+		a, console := startWithConsole(t, b)
 		resp, err := a.client.Do(a.request("keyed", "15000m"))
 		if err == nil {
 			_, err = io.ReadAll(resp.Body)
@@ -137,7 +137,7 @@
 		if n := len(b.Requests); n != 1 {
 			t.Errorf("%s: sent %d times", what, n)
 		}
-		for begun := time.Now(); !strings.Contains(operator(t, console, "vars\n"), `{kind="keyed",result="errors"} 1`); {
+		for begun := time.Now(); !strings.Contains(consoleCall(t, console, "vars\n"), `{kind="keyed",result="errors"} 1`); {
 			if time.Since(begun) > agenttest.Timeout {
 				t.Fatalf("%s: not counted as failed", what)
 			}
@@ -154,7 +154,7 @@
 			}
 			return agenttest.OKAnswer, false
 		})
-		a := agentFor(t, agenttest.Settings, b)
+		a := startWith(t, agenttest.Settings, b)
 		if status, body := a.do(t, a.request("keyed", "15000m")); status != 200 || body != "served" || len(b.Requests) != 2 {
 			t.Errorf("%s: answered %d %.20q after %d attempts", framing, status, body, len(b.Requests))
 		}
@@ -194,7 +194,7 @@
 // take longer is served.
 func TestBodiesFollowAPace(t *testing.T) {
 	whole := make(chan int, 10)
-	a := streamingAgent(t, func(_ http.ResponseWriter, r *http.Request) {
+	a := startStreaming(t, func(_ http.ResponseWriter, r *http.Request) {
 		if body, err := io.ReadAll(r.Body); err == nil {
 			whole <- len(body)
 		}
@@ -264,7 +264,7 @@
 
 // The first bytes of a request count for the request: one that begins as its connection's idle time ends is not cut off.
 func TestSlowHeadOnAKeptConnection(t *testing.T) {
-	a := agentFor(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
+	a := startWith(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -60,7 +60,7 @@
 }
 
 // The loop keeps a repeat from being sent too late, and forgets backends that are gone.
-func TestLoopCarriesOut(t *testing.T) {
+func TestActionsAreCarriedOut(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
@@ -204,7 +204,7 @@
 
 // A backend at the address of one that has gone has connections of its own: those of the old one close, the one in
 // use when it is back, and the new one's stay when the old one is forgotten.
-func TestNewBackendAtAnOldAddress(t *testing.T) {
+func TestNewServerAtOldAddress(t *testing.T) {
 	goOn := make(chan struct{}, 1)
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-goOn
@@ -256,7 +256,7 @@
 
 // An answer that flows to the client is its only one: what another attempt brings is dropped, and ending that attempt's
 // rivals does not cut it off.
-func TestFlowingAnswerIsTheOnlyOne(t *testing.T) {
+func TestDownloadIsTheOnlyAnswer(t *testing.T) {
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
 	cut := [2]bool{}
--- a/internal/inbound/admission_test.go
+++ b/internal/inbound/admission_test.go
@@ -79,7 +79,7 @@
 }
 
 // What has been closed to make room is not sent on, though its request has been read meanwhile.
-func TestTakeAfterMakingRoom(t *testing.T) {
+func TestNoRequestAfterEviction(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
