--- /dev/null
+++ b/internal/inbound/handler.go
@@ -0,0 +1,188 @@
+package inbound
+
+import (
+	"cmp"
+	"errors"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"example.org/ryeloft/internal/dispatch"
+	"example.org/ryeloft/internal/metrics"
+	"example.org/ryeloft/internal/protocol"
+	"example.org/ryeloft/internal/settings"
+	"example.org/ryeloft/internal/stream"
+)
+
+// overLimitRetryAfter is the Retry-After of a request that is over the agent's own limit.
+const overLimitRetryAfter = time.Second
+
+// ErrNotReady says that the agent cannot serve clients yet.
+var ErrNotReady = errors.New("not up yet: no list of backends, or no listener")
+
+// Dispatcher answers requests; dispatch.Loop implements it and documents the methods.
+type Dispatcher interface {
+	Settings() *settings.Settings
+	Now() time.Duration
+	Ready() bool
+	Submit(*dispatch.Request)
+	Abandon(*dispatch.Request)
+}
+
+// clientHandler turns clients' requests into those of the dispatcher, and its answers into responses. net/http calls it on
+// a goroutine for each connection.
+type clientHandler struct {
+	dispatcher  Dispatcher
+	metrics     *metrics.Metrics
+	listener    *Listener
+	buffers     *stream.Buffers
+	maxRequests int64
+	drain       *drainer
+	failOpen    chan struct{} // closed when all open requests are to fail, because the process is about to be killed
+
+	openRequests atomic.Int64
+	accepting    atomic.Bool
+}
+
+// exchange is a request that has begun, on its way through the handler.
+type exchange struct {
+	w       http.ResponseWriter
+	r       *http.Request
+	conn    *clientConn
+	request *dispatch.Request
+}
+
+// upload returns the request's body if that is too long to be held, and otherwise nil.
+func (x *exchange) upload() *stream.Upload { return x.request.Upstream.Upload() }
+
+// ServeHTTP implements http.Handler.
+func (h *clientHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+	// net/http reads what is left of a body after the answer, and would wait for it without a limit. The deadline can only
+	// fail to be set on a connection that is closed.
+	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(stream.BodyGrace))
+	if bad := checkFraming(r); bad != nil {
+		h.answerBadRequest(w, bad)
+		return
+	}
+	if r.URL.Path == protocol.PathReady {
+		h.serveReady(w)
+		return
+	}
+	request, err := h.readRequest(w, r)
+	var bad *badRequestError
+	if errors.As(err, &bad) {
+		h.answerBadRequest(w, bad)
+		return
+	}
+	x := &exchange{w: w, r: r, conn: connOf(r), request: request}
+	if err != nil || !h.listener.beginRequest(x.conn) { // the connection is gone
+		panic(http.ErrAbortHandler)
+	}
+	h.serve(x)
+}
+
+// serveReady answers whether the agent accepts clients.
+func (h *clientHandler) serveReady(w http.ResponseWriter) {
+	if err := h.checkReady(); err != nil {
+		w.Header().Set("Connection", "close")
+		http.Error(w, err.Error(), http.StatusServiceUnavailable)
+	}
+}
+
+// checkReady returns why clients are not accepted, nil if they are.
+func (h *clientHandler) checkReady() error {
+	if err := h.drain.reason(); err != nil {
+		return err
+	}
+	if !h.accepting.Load() || !h.dispatcher.Ready() {
+		return ErrNotReady
+	}
+	return nil
+}
+
+// serve answers a request that has begun.
+func (h *clientHandler) serve(x *exchange) {
+	if upload := x.upload(); upload != nil {
+		upload.OnComplete = func() {
+			h.metrics.RequestOpened()
+			h.listener.uploadComplete(x.conn)
+		}
+		defer h.closeUpload(x)
+		if !upload.Reserve(h.buffers) {
+			h.rejectOverLimit(x)
+			return
+		}
+	} else {
+		h.metrics.RequestOpened()
+		defer h.metrics.RequestClosed()
+	}
+	defer h.openRequests.Add(-1)
+	if h.openRequests.Add(1) > h.maxRequests {
+		h.rejectOverLimit(x)
+		return
+	}
+	h.dispatcher.Submit(x.request)
+	h.awaitAnswer(x)
+}
+
+// closeUpload ends all use of a long body, whose request has ended.
+func (h *clientHandler) closeUpload(x *exchange) {
+	upload := x.upload()
+	upload.Close(http.NewResponseController(x.w))
+	if upload.Complete() {
+		h.metrics.RequestClosed()
+	}
+}
+
+// awaitAnswer answers a request that was submitted, or abandons it.
+func (h *clientHandler) awaitAnswer(x *exchange) {
+	var limit <-chan time.Time
+	if left, limited := h.drain.requestLimit(); limited {
+		limit = time.After(left)
+	}
+	select {
+	case a := <-x.request.Answered():
+		h.deliver(x, a, limit != nil)
+	case <-limit:
+		h.failRequest(x)
+	case <-h.failOpen:
+		h.failRequest(x)
+	case <-x.r.Context().Done():
+		h.dispatcher.Abandon(x.request)
+		// net/http answers 200 for a handler that returns without an answer, and a client that has closed only its own side
+		// would see that.
+		panic(http.ErrAbortHandler)
+	}
+}
+
+// deliver gives the client the dispatcher's answer. A download does not begin if the request is limited, because it may last
+// for any time and cannot be undone.
+func (h *clientHandler) deliver(x *exchange, a dispatch.Answer, limited bool) {
+	switch {
+	case a.Status == 0:
+		panic(http.ErrAbortHandler)
+	case a.Download == nil:
+		h.answer(x, a)
+	case limited || x.upload() != nil && h.drain.limitsRequests():
+		a.Download.Finish(stream.ErrNotRead)
+		h.answer(x, dispatch.Answer{Status: protocol.StatusFailed})
+	default:
+		h.passOn(x, a)
+	}
+}
+
+// failRequest abandons a request that can wait no longer and answers it as failed.
+func (h *clientHandler) failRequest(x *exchange) {
+	h.dispatcher.Abandon(x.request)
+	h.answer(x, dispatch.Answer{Status: protocol.StatusFailed})
+}
+
+// rejectOverLimit rejects a request because the agent itself is at its limit, with Retry-After if the settings allow it.
+func (h *clientHandler) rejectOverLimit(x *exchange) {
+	h.metrics.RequestOverLimit()
+	rejected := dispatch.Answer{Status: protocol.StatusRejected}
+	if set := &h.dispatcher.Settings().Balancer; set.AdviseRetryAfter {
+		rejected.RetryAfter = min(overLimitRetryAfter, cmp.Or(set.MaxRetryAfter, overLimitRetryAfter))
+	}
+	h.answer(x, rejected)
+}
