--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -25,8 +25,8 @@
 
 const tiny = "../../deploy/scale/tiny.toml"
 
-// programs are this program and the agent, built as they are deployed: with the race detector in them the hollow agents
-// would cost more than the real ones, which are built without.
+// programs are this program and the agent, built as they are deployed: with the race detector the simulated agents would
+// cost more than the real ones, which are built without.
 var programs = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "scale-test-")
 	if err != nil {
@@ -63,8 +63,8 @@
 	return exec.Command(filepath.Join(dir, "scale"), args...)
 }
 
-// alone leaves a test out where others run beside it: ./test.sh plays it by itself, as what it holds is held by the clock.
-func alone(t *testing.T) {
+// skipInShort skips a test where others run beside it: ./test.sh runs it alone, as it depends on the clock.
+func skipInShort(t *testing.T) {
 	if testing.Short() {
 		t.Skip("plays a fleet: ./test.sh runs it alone")
 	}
@@ -80,10 +80,11 @@
 	return append([]string{"run", tiny, "--agent-binary", filepath.Join(dir, "agent")}, args...)
 }
 
-// TestTiny plays the tiny scenario whole. It fails when a budget's line is missing or OVER, when a hollow figure is off the
-// real one by more than the factor stated beside it, and when the stand-in tells a change late by its own clock.
+// TestTiny plays the tiny scenario whole. It fails when a budget's line is missing or OVER, when a measurement of the
+// simulated agents is off the real ones' by more than the factor stated beside it, and when control notifies late by its
+// own clock.
 func TestTiny(t *testing.T) {
-	alone(t)
+	skipInShort(t)
 	file := filepath.Join(t.TempDir(), "run.json")
 	cmd := program(t, runTiny(t, "--json", file)...)
 	var out, said bytes.Buffer
@@ -103,7 +104,7 @@
 	for _, x := range r.Ratios {
 		held = append(held, x.Name)
 		if !x.OK || x.Ratio > x.Factor || x.Ratio < 1/x.Factor {
-			t.Errorf("%s: hollow %.4g, real %.4g: off by %.2f, may be by %.2f", x.Name, x.Simulated, x.Real, x.Ratio, x.Factor)
+			t.Errorf("%s: simulated %.4g, real %.4g: off by %.2f, may be by %.2f", x.Name, x.Simulated, x.Real, x.Ratio, x.Factor)
 		}
 	}
 	if want := []string{"bytes", "list_in_force", "config_in_force", "cpu"}; !slices.Equal(held, want) {
@@ -114,7 +115,7 @@
 		t.Errorf("%d agents asked for %d whole lists", r.Sizes.Agents, n)
 	}
 	if r.LateNotifications != 0 {
-		t.Errorf("the stand-in told %d changes late by its own clock", r.LateNotifications)
+		t.Errorf("control notified %d changes late by its own clock", r.LateNotifications)
 	}
 	if !strings.HasSuffix(text, "\nscale: ok\n") {
 		t.Error("the last line is not scale: ok")
@@ -139,7 +140,7 @@
 
 // TestEnds ends a run in its middle in each way, and looks for processes that are left and for what is written.
 func TestEnds(t *testing.T) {
-	alone(t)
+	skipInShort(t)
 	for _, c := range []struct {
 		name string
 		end  func(t *testing.T, program int, children map[int]string)
@@ -154,12 +155,14 @@
 			kill(t, program, syscall.SIGINT)
 		}, ""},
 		{"control dies", func(t *testing.T, _ int, children map[int]string) {
-			kill(t, part(t, children, "control"), syscall.SIGKILL)
+			kill(t, pidOfPart(t, children, "control"), syscall.SIGKILL)
 		}, "control died"},
-		{"hollow dies", func(t *testing.T, _ int, children map[int]string) {
-			kill(t, part(t, children, "hollow"), syscall.SIGKILL)
+		{"the simulated agents die", func(t *testing.T, _ int, children map[int]string) {
+			kill(t, pidOfPart(t, children, "hollow"), syscall.SIGKILL)
 		}, "hollow died"},
-		{"a real agent dies", func(t *testing.T, _ int, children map[int]string) { kill(t, part(t, children, ""), syscall.SIGKILL) }, "died in the run"},
+		{"a real agent dies", func(t *testing.T, _ int, children map[int]string) {
+			kill(t, pidOfPart(t, children, ""), syscall.SIGKILL)
+		}, "died in the run"},
 		{"killed", func(t *testing.T, program int, _ map[int]string) { kill(t, program, syscall.SIGKILL) }, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -250,8 +253,8 @@
 	return all
 }
 
-// part is the process of a part.
-func part(t *testing.T, children map[int]string, name string) int {
+// pidOfPart is the process of a part.
+func pidOfPart(t *testing.T, children map[int]string, name string) int {
 	t.Helper()
 	for pid, role := range children {
 		if role == name {
@@ -331,13 +334,13 @@
 	}
 }
 
-// TestBend plays nothing: it holds the sizes that come of some flags.
-func TestBend(t *testing.T) {
+// TestAdjustToFlags plays nothing: it checks the sizes that follow from some flags.
+func TestAdjustToFlags(t *testing.T) {
 	n := func(v int) *int { return &v }
 	f := func(v float64) *float64 { return &v }
 	for _, c := range []struct {
 		name                    string
-		z                       scenarioFlags
+		flags                   scenarioFlags
 		services, depth, events int
 		notes                   int
 	}{
@@ -349,9 +352,9 @@
 		{"shorter", scenarioFlags{Seconds: f(1)}, 4, 3, 1, 2},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			c.z.Scenario = tiny
+			c.flags.Scenario = tiny
 			var said bytes.Buffer
-			s, err := c.z.load(&console{errOut: &said})
+			s, err := c.flags.load(&console{errOut: &said})
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -363,22 +366,22 @@
 }
 
 // A shorter run of the target leaves out what comes after its end, the loss of a relay among it.
-func TestBendRelays(t *testing.T) {
+func TestAdjustRelaysToFlags(t *testing.T) {
 	seconds := 10.0
 	for _, c := range []struct {
-		z      scenarioFlags
+		flags  scenarioFlags
 		killAt float64
 	}{{scenarioFlags{}, 90}, {scenarioFlags{Seconds: &seconds}, 0}} {
-		c.z.Scenario = "../../deploy/scale/target.toml"
-		s, err := c.z.load(&console{errOut: &bytes.Buffer{}})
+		c.flags.Scenario = "../../deploy/scale/target.toml"
+		s, err := c.flags.load(&console{errOut: &bytes.Buffer{}})
 		if err != nil || s.Relays.Count != 5 || s.Relays.KillAt != c.killAt {
 			t.Errorf("%v, %+v", err, s)
 		}
 	}
 }
 
-// Figures of single runs join a figures file, in the place of those that it had under the same name.
-func TestFigures(t *testing.T) {
+// Metrics of single runs join a metrics file, in the place of those that it had under the same name.
+func TestMetricsCommand(t *testing.T) {
 	dir := t.TempDir()
 	file, run := filepath.Join(dir, "figures.json"), filepath.Join(dir, "run.json")
 	write := func(path, text string) {
