--- a/internal/scale/control/control.go
+++ b/internal/scale/control/control.go
@@ -8,10 +8,8 @@
 package control
 
 import (
-	"errors"
 	"fmt"
 	"net/http"
-	"sync"
 	"time"
 
 	"example.org/ryeloft/internal/lists"
@@ -34,21 +32,14 @@
 // Main is the program of the part "control": it serves a Service until its input ends.
 func Main() error { return role.Serve(ServiceName, new(Service)) }
 
-var (
-	errNotStarted     = errors.New("control has not been started")
-	errAlreadyStarted = errors.New("the part has been started before")
-)
-
 // Service holds the methods of the part. Its zero value is ready for Start; all other methods fail before that.
 type Service struct {
-	mu            sync.Mutex // one change, or change of state, at a time
+	machine
 	store         *lists.Store
 	http          *http.Server
 	lists         *lists.Server
 	queue         *workQueue
 	notifications *notificationLog
-	ports         *agentPorts
-	usageAtStart  usage // when the measured part began
 	down          bool
 }
 
@@ -56,7 +47,7 @@
 func (s *Service) Start(args StartArgs, reply *StartReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.store != nil {
+	if s.started {
 		return errAlreadyStarted
 	}
 	if len(args.Addrs) != len(args.Agents) {
@@ -66,35 +57,25 @@
 	if err != nil {
 		return err
 	}
-	store := lists.NewStore(args.Costs.Log)
-	store.Reset(args.Revision, args.Members)
+	s.store = lists.NewStore(args.Costs.Log)
+	s.store.Reset(args.Revision, args.Members)
 	s.usageAtStart = now
 	s.ports = newAgentPorts(args.Addrs, now.at)
 	s.queue = newWorkQueue(args.Costs, now.at)
 	s.notifications = newNotificationLog(len(args.Addrs))
 	s.lists = &lists.Server{
-		Store: store, Limiter: s.queue, OnAcknowledge: s.notifications.acknowledge, OnCallDone: s.notifications.callDone,
+		Store: s.store, Limiter: s.queue, OnAcknowledge: s.notifications.acknowledge, OnCallDone: s.notifications.callDone,
 	}
 	s.http = s.lists.HTTP()
 	if err := s.ports.serve(s.http, s.lists.Listener); err != nil {
 		s.ports.close()
 		return err
 	}
-	s.store = store
+	s.started = true
 	reply.Ready = len(args.Addrs)
 	return nil
 }
 
-// lockStarted locks the service if it has been started.
-func (s *Service) lockStarted() error {
-	s.mu.Lock()
-	if s.store == nil {
-		s.mu.Unlock()
-		return errNotStarted
-	}
-	return nil
-}
-
 // Change makes the next revision and notifies the watches. It does so while control is down as well; agents get it when
 // they can call again.
 func (s *Service) Change(args ChangeArgs, reply *ChangeReply) error {
@@ -135,27 +116,16 @@
 	return nil
 }
 
-// Cut partitions agents from control: their connections fall silent, new ones too. When that ends, these are reset.
-func (s *Service) Cut(args PartitionArgs, _ *struct{}) error {
-	if err := s.lockStarted(); err != nil {
-		return err
-	}
-	defer s.mu.Unlock()
-	return s.ports.setPartitioned(args.Agents, args.Cut)
-}
-
 // Begin starts all counts from 0, and forgets the changes before.
 func (s *Service) Begin(struct{}, *struct{}) error {
 	if err := s.lockStarted(); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	now, err := currentUsage()
+	now, err := s.beginMeasurement()
 	if err != nil {
 		return err
 	}
-	s.usageAtStart = now
-	s.ports.meter.Begin()
 	s.queue.reset(now.at)
 	s.notifications.reset()
 	return nil
@@ -167,16 +137,13 @@
 		return err
 	}
 	defer s.mu.Unlock()
-	now, err := currentUsage()
+	in, out, err := s.measure(role.Control, "control", &reply.Machine)
 	if err != nil {
 		return err
 	}
+	reply.In = in
+	reply.Out = out
 	s.notifications.fill(reply)
-	m := &reply.Machine
-	m.Role = "control"
-	m.Name = "control"
-	reply.In, reply.Out = s.ports.bytes(m)
-	now.fill(m, s.usageAtStart)
-	s.queue.stats(time.Now(), m)
+	s.queue.stats(time.Now(), &reply.Machine)
 	return nil
 }
--- a/internal/scale/control/relay.go
+++ b/internal/scale/control/relay.go
@@ -30,12 +30,10 @@
 
 // RelayService holds the methods of the part. Its zero value is ready for Start; all other methods fail before that.
 type RelayService struct {
-	mu            sync.Mutex // one method at a time
+	machine
 	name          string
 	relay         *relay.Relay
 	http          *http.Server
-	ports         *agentPorts
-	usageAtStart  usage // when the measured part began
 	countsAtStart relay.Metrics
 	cpuLoad       cpuLoad
 
@@ -46,14 +44,12 @@
 // relayCallsPerAgent bounds the calls that a relay of a run holds at a time, for each agent that can call it.
 const relayCallsPerAgent = 4
 
-var errRelayNotStarted = errors.New("the relay has not been started")
-
 // Start makes the relay, which reads the list that it had, and listens for all agents. The relay's goroutines end with
 // the process.
 func (s *RelayService) Start(args RelayArgs, reply *StartReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.relay != nil {
+	if s.started {
 		return errAlreadyStarted
 	}
 	now, err := currentUsage()
@@ -78,6 +74,7 @@
 	s.name = args.Name
 	s.usageAtStart = now
 	s.relay = r
+	s.started = true
 	s.cpuLoad.reset(now)
 	go r.Run(context.Background())
 	go s.cpuLoad.run()
@@ -95,38 +92,17 @@
 	}
 }
 
-// lockStarted locks the service if it has been started.
-func (s *RelayService) lockStarted() error {
-	s.mu.Lock()
-	if s.relay == nil {
-		s.mu.Unlock()
-		return errRelayNotStarted
-	}
-	return nil
-}
-
-// Cut partitions agents from the relay: their connections fall silent, new ones too. When that ends, these are reset.
-func (s *RelayService) Cut(args PartitionArgs, _ *struct{}) error {
-	if err := s.lockStarted(); err != nil {
-		return err
-	}
-	defer s.mu.Unlock()
-	return s.ports.setPartitioned(args.Agents, args.Cut)
-}
-
 // Begin starts all counts from 0. Acknowledgements from before stay.
 func (s *RelayService) Begin(struct{}, *struct{}) error {
 	if err := s.lockStarted(); err != nil {
 		return err
 	}
 	defer s.mu.Unlock()
-	now, err := currentUsage()
+	now, err := s.beginMeasurement()
 	if err != nil {
 		return err
 	}
-	s.usageAtStart = now
 	s.countsAtStart = s.relay.Metrics()
-	s.ports.meter.Begin()
 	s.cpuLoad.reset(now)
 	return nil
 }
@@ -137,24 +113,22 @@
 		return err
 	}
 	defer s.mu.Unlock()
-	now, err := currentUsage()
+	m := &reply.Machine
+	in, out, err := s.measure(role.Relay, s.name, m)
 	if err != nil {
 		return err
 	}
+	reply.In = in
+	reply.Out = out
 	s.acknowledgedMu.Lock()
 	for _, ofAgent := range s.acknowledged {
 		reply.Heard = append(reply.Heard, slices.Clone(ofAgent))
 	}
 	s.acknowledgedMu.Unlock()
-	m := &reply.Machine
-	m.Role = "relay"
-	m.Name = s.name
-	reply.In, reply.Out = s.ports.bytes(m)
 	counts := s.relay.Metrics()
 	m.Calls = counts.Calls - s.countsAtStart.Calls
 	m.WholeLists = counts.FullLists - s.countsAtStart.FullLists
 	m.Refused = counts.Rejected - s.countsAtStart.Rejected
-	now.fill(m, s.usageAtStart)
 	m.Busy = m.CPUPercent / 100
 	m.Worst6s = s.cpuLoad.worst6s()
 	return nil
--- a/internal/scale/control/relay_test.go
+++ b/internal/scale/control/relay_test.go
@@ -105,7 +105,7 @@
 	for name, err := range map[string]error{
 		"Begin": s.Begin(struct{}{}, nil), "Cut": s.Cut(PartitionArgs{}, nil), "Stats": s.Stats(struct{}{}, &RelayStats{}),
 	} {
-		if !errors.Is(err, errRelayNotStarted) {
+		if !errors.Is(err, errNotStarted) {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
--- a/internal/scale/realagent/addedlatency.go
+++ b/internal/scale/realagent/addedlatency.go
@@ -48,10 +48,16 @@
 	return summarize(clients), errors.Join(errs...)
 }
 
-// client makes one agent's calls.
+// The routes of a call.
+const (
+	throughAgent = iota
+	direct
+)
+
+// client makes the calls to one agent. It belongs to one goroutine.
 type client struct {
 	agent  *agent
-	routes [2]*route // through the agent, and directly
+	routes [2]*route // by throughAgent and direct
 	random *rand.Rand
 	prefix string // of call ids
 	calls  int
@@ -66,9 +72,13 @@
 	warmUpLeft int // pairs that are still to be left out
 }
 
-func newClient(a *agent, direct string, n int) *client {
+func newClient(a *agent, directAddr string, n int) *client {
 	return &client{
-		agent: a, routes: [2]*route{{addr: a.listen, warmUpLeft: warmUpPairs}, {addr: direct, warmUpLeft: warmUpPairs}},
+		agent: a,
+		routes: [2]*route{
+			throughAgent: {addr: a.listen, warmUpLeft: warmUpPairs},
+			direct:       {addr: directAddr, warmUpLeft: warmUpPairs},
+		},
 		random: rand.New(rand.NewPCG(uint64(n), 1)),
 		prefix: strconv.FormatUint(rand.Uint64(), 16) + "-",
 	}
@@ -77,9 +87,9 @@
 // run makes so many measured pairs, in at most twice as many tries and the warm-up where calls fail.
 func (c *client) run(ctx context.Context, pairs int, gap time.Duration) error {
 	defer c.close()
-	for tries := 0; len(c.pairs[0]) < pairs; tries++ {
+	for tries := 0; len(c.pairs[throughAgent]) < pairs; tries++ {
 		if tries == 2*pairs+2*warmUpPairs {
-			return c.agent.errorf("%d pairs of calls gave only %d to measure, %d calls failed", tries, len(c.pairs[0]), c.failed)
+			return c.agent.errorf("%d pairs of calls gave only %d to measure, %d calls failed", tries, len(c.pairs[throughAgent]), c.failed)
 		}
 		if err := c.pair(ctx, gap); err != nil {
 			return err
@@ -119,7 +129,7 @@
 
 // call makes a call by one route and returns how long it took, and whether it was sent once, on an open connection.
 func (c *client) call(ctx context.Context, way int) (took time.Duration, clean bool, err error) {
-	if way == 0 {
+	if way == throughAgent {
 		c.agent.processMu.RLock()
 		defer c.agent.processMu.RUnlock()
 		c.agent.calls.Add(1)
@@ -140,35 +150,36 @@
 }
 
 // call sends a request, on the open connection or a new one, and checks that the response is its own.
-func (e *route) call(ctx context.Context, request []byte, id string) (time.Duration, error) {
-	if e.conn == nil {
+func (r *route) call(ctx context.Context, request []byte, id string) (time.Duration, error) {
+	if r.conn == nil {
 		d := net.Dialer{Timeout: callTimeout}
-		c, err := d.DialContext(ctx, "tcp", e.addr)
+		c, err := d.DialContext(ctx, "tcp", r.addr)
 		if err != nil {
 			return 0, err
 		}
-		e.conn, e.warmUpLeft = newHTTPConn(c), warmUpPairs
+		r.conn = newHTTPConn(c)
+		r.warmUpLeft = warmUpPairs
 	}
 	begun := time.Now()
-	e.conn.SetDeadline(begun.Add(callTimeout))
-	r, err := e.conn.roundTrip(request)
+	r.conn.SetDeadline(begun.Add(callTimeout))
+	response, err := r.conn.roundTrip(request)
 	switch {
 	case err != nil:
-	case r.status != http.StatusOK:
-		err = fmt.Errorf("answered %d", r.status)
-	case string(r.body) != id:
-		err = fmt.Errorf("answered with %q, which is another call's", r.body)
+	case response.status != http.StatusOK:
+		err = fmt.Errorf("answered %d", response.status)
+	case string(response.body) != id:
+		err = fmt.Errorf("answered with %q, which is another call's", response.body)
 	}
-	if err != nil || r.close {
-		e.close()
+	if err != nil || response.close {
+		r.close()
 	}
-	return r.receivedAt.Sub(begun), err
+	return response.receivedAt.Sub(begun), err
 }
 
-func (e *route) close() {
-	if e.conn != nil {
-		e.conn.Close()
-		e.conn = nil
+func (r *route) close() {
+	if r.conn != nil {
+		r.conn.Close()
+		r.conn = nil
 	}
 }
 
@@ -185,14 +196,16 @@
 	var differences []time.Duration
 	for _, c := range clients {
 		sum.Failed += c.failed
-		for i, through := range c.pairs[0] {
-			direct := c.pairs[1][i]
-			hists[0].AddDuration(through)
-			hists[1].AddDuration(direct)
-			differences = append(differences, through-direct)
+		for i, through := range c.pairs[throughAgent] {
+			directly := c.pairs[direct][i]
+			hists[throughAgent].AddDuration(through)
+			hists[direct].AddDuration(directly)
+			differences = append(differences, through-directly)
 		}
 	}
-	sum.Through, sum.Direct, sum.CallsEach = hists[0].Distribution(), hists[1].Distribution(), len(differences)
+	sum.Through = hists[throughAgent].Distribution()
+	sum.Direct = hists[direct].Distribution()
+	sum.CallsEach = len(differences)
 	sum.P99MS = sum.Through.P99 - sum.Direct.P99
 	if len(differences) > 0 {
 		slices.Sort(differences)
--- a/internal/scale/realagent/agent.go
+++ b/internal/scale/realagent/agent.go
@@ -14,7 +14,7 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// The agent's log messages about a reload, which tell when a configuration is in force.
+// The agent's log messages about a reload, by which a configuration is known to be in force.
 const (
 	reloadedMessage       = "reloaded"
 	reloadRejectedMessage = "not reloaded" // a prefix
--- a/internal/scale/realagent/echo.go
+++ b/internal/scale/realagent/echo.go
@@ -149,7 +149,8 @@
 	case r.URL.Path == loadPath:
 		body = report
 	case body == "":
-		status, body = http.StatusNotFound, "no "+callIDHeader+"\n"
+		status = http.StatusNotFound
+		body = "no " + callIDHeader + "\n"
 	}
 	return fmt.Appendf(to, "HTTP/1.1 %d %s\r\nContent-Type: text/plain\r\nX-Load-Report: %s\r\nContent-Length: %d\r\n\r\n%s",
 		status, http.StatusText(status), report, len(body), body)
--- a/internal/scale/realagent/realagent_test.go
+++ b/internal/scale/realagent/realagent_test.go
@@ -154,7 +154,7 @@
 	}
 }
 
-// A fleet's whole life: up, calls, a configuration in force, a restart, figures of all that, and no process behind it.
+// A fleet from start to close: up, calls, a configuration in force, a restart, measurements of all that, and no process behind it.
 func TestFleet(t *testing.T) {
 	t.Parallel()
 	o := options(t, 20)
--- a/internal/scale/role/role.go
+++ b/internal/scale/role/role.go
@@ -1,4 +1,4 @@
-// Package role starts the parts of a scale run as processes of their own, so that the cost of each can be told apart, and
+// Package role starts the parts of a scale run as processes of their own, so that the cost of each can be measured, and
 // calls them by net/rpc over their standard input and output. All parts end with the process that started them. The
 // package knows nothing of what a part does.
 package role
--- a/internal/scale/simagent/shard.go
+++ b/internal/scale/simagent/shard.go
@@ -15,7 +15,7 @@
 	minRest = time.Millisecond
 	// maxRest bounds a rest where nothing is due.
 	maxRest = time.Second
-	// eventsPerPoll is after how many events a shard reads the clock and its inbox again.
+	// eventsPerPoll is how many events a shard handles between reading the clock and its inbox.
 	eventsPerPoll = 32
 	maxLagMillis  = 60e3 // longer lags count as this
 )
--- a/internal/scale/sweep/text.go
+++ b/internal/scale/sweep/text.go
@@ -76,7 +76,7 @@
 	return strings.Join(all, " ")
 }
 
-// formatSlope is the slope, or that there is none to tell.
+// formatSlope is the slope, or that the growth is flat.
 func (g *Growth) formatSlope() string {
 	if g.Flat {
 		return "level"
--- a/internal/scale/world/agentconfig.go
+++ b/internal/scale/world/agentconfig.go
@@ -146,7 +146,11 @@
 		PriorityWeight: class.Worth, Idempotency: class.Effect, DedupWindow: class.WindowMS, Kinds: []int{service},
 	}
 	if service == w.echoService() {
-		c.LatencyObjective, c.Deadline, c.PriorityWeight, c.Idempotency, c.DedupWindow = echoLatencyObjectiveMS, echoDeadlineMS, 1, "pure", 0
+		c.LatencyObjective = echoLatencyObjectiveMS
+		c.Deadline = echoDeadlineMS
+		c.PriorityWeight = 1
+		c.Idempotency = "pure"
+		c.DedupWindow = 0
 	}
 	c.Deadline = math.Round(c.Deadline*1000+float64(revision)) / 1000
 	return c
@@ -158,7 +162,7 @@
 	Console           string   // the same; empty: none
 	Relays            []string // likewise
 	Revision          int      // of the settings
-	CachedEndpoints   []byte   // a whole list in discovery's form; nil: none
+	CachedEndpoints   []byte   // a full list in discovery's form; nil: none
 	Echo              bool     // the agent may call the echo service, where there is one
 	Seed              uint64
 }
--- a/internal/scale/world/members.go
+++ b/internal/scale/world/members.go
@@ -13,7 +13,7 @@
 	stateGone        = "Gone"
 )
 
-// Members returns the whole list before any step: the servers whose processes had started at a time.
+// Members returns the full list before any step: the servers whose processes had started at a time.
 func (w *World) Members(at time.Time) []discovery.Member {
 	out := make([]discovery.Member, 0, len(w.Servers))
 	for i := range w.Servers {
--- a/internal/scale/world/steps.go
+++ b/internal/scale/world/steps.go
@@ -187,7 +187,8 @@
 	out := make([]discovery.Member, 0, len(servers))
 	for _, i := range servers {
 		m := s.member(i, phase)
-		m.ID, m.Address = s.serverID(i, s.generation[i]), serverAddr(i, s.generation[i])
+		m.ID = s.serverID(i, s.generation[i])
+		m.Address = serverAddr(i, s.generation[i])
 		m.StartedAtMillis = float64(s.startedAt[i].Milliseconds())
 		out = append(out, m)
 	}
