--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -23,11 +23,11 @@
 	ended  chan error
 	client *http.Client
 
-	reloads chan config.ReloadResult
-	requestCount   atomic.Int64 // requests made
+	reloads      chan config.ReloadResult
+	requestCount atomic.Int64 // requests made
 }
 
-// start runs an agent and waits until it is up, which it is once it has a list that names a backend.
+// start runs an agent and waits until it is up, which it is once it has a list that names a server.
 func start(t *testing.T, cfg *config.Config) *testAgent {
 	t.Helper()
 	listener, err := listen(t.Context(), cfg.Listen, true)
@@ -92,11 +92,11 @@
 	return resp.StatusCode, string(body)
 }
 
-// startWith starts an agent that knows the backends, each in a cell of its own number.
-func startWith(t *testing.T, settings string, backends ...*agenttest.Server) *testAgent {
+// startWith starts an agent that knows the servers, each in a cell of its own number.
+func startWith(t *testing.T, settings string, servers ...*agenttest.Server) *testAgent {
 	t.Helper()
 	var members []string
-	for i, b := range backends {
+	for i, b := range servers {
 		members = append(members, agenttest.Member(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
 	}
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, members...))
@@ -122,7 +122,7 @@
 	if got.Method != "POST" || got.RequestURI != "/keyed/7f%2F3a?x=1&y" || string(sent) != "body of keyed" ||
 		got.Header.Get(protocol.HeaderRequestID) != "call-1" || got.Header.Get(protocol.HeaderIdempotencyKey) != "key-1" ||
 		got.Header.Get("Traceparent") != "00-1-2-01" {
-		t.Errorf("the backend got %s %s %q %v", got.Method, got.RequestURI, sent, got.Header)
+		t.Errorf("the server got %s %s %q %v", got.Method, got.RequestURI, sent, got.Header)
 	}
 	if left, err := protocol.ParseBudget(got.Header.Get(protocol.HeaderBudget)); err != nil || left > 1500*time.Millisecond {
 		t.Errorf("budget %v, error %v", left, err)
--- a/internal/agent/connections_test.go
+++ b/internal/agent/connections_test.go
@@ -54,11 +54,11 @@
 		first <- status
 	}()
 	agenttest.Receive(t, "request", b.Requests)
-	silent := make([]net.Conn, 1024)
-	for i := range silent {
-		silent[i] = a.dial(t)
+	idle := make([]net.Conn, 1024)
+	for i := range idle {
+		idle[i] = a.dial(t)
 	}
-	silent[0].Read(make([]byte, 1)) // returns when it has been closed to make room
+	idle[0].Read(make([]byte, 1)) // returns when it was evicted
 	second := make(chan int, 1)
 	go func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(a.request("unsafe", "15000m"))
@@ -122,7 +122,7 @@
 }
 
 // A body that says where it ends in two ways can hide a second request, and headers that stand there twice mean
-// two things: neither goes on to a backend.
+// two things: neither goes on to a server.
 func TestAmbiguousRequests(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	a := startWith(t, agenttest.Settings, b)
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -28,12 +28,12 @@
 	return free.Addr().String()
 }
 
-// startWithConsole starts an agent that has a console and knows the backends.
-func startWithConsole(t *testing.T, backends ...*agenttest.Server) (*testAgent, string) {
+// startWithConsole starts an agent that has a console and knows the servers.
+func startWithConsole(t *testing.T, servers ...*agenttest.Server) (*testAgent, string) {
 	t.Helper()
 	t.Setenv("TMPDIR", t.TempDir()) // where processes of one agent would meet
 	var members []string
-	for i, b := range backends {
+	for i, b := range servers {
 		members = append(members, agenttest.Member(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
 	}
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, members...))
@@ -93,7 +93,7 @@
 	}
 }
 
-// While clients are sent away /up says no, answers close their connections, what is idle for long enough is closed,
+// While clients are drained /up says no, answers close their connections, what is idle for long enough is closed,
 // and what was taken is answered. Afterwards all is as before.
 func TestConsoleDrain(t *testing.T) {
 	goOn := make(chan struct{}, 2)
@@ -130,7 +130,7 @@
 		}
 	}
 	if status, said := up(), consoleCall(t, console, "check\n"); status == 200 || !strings.HasPrefix(said, "fail") {
-		t.Errorf("while clients are sent away /up answers %d, check %q", status, said)
+		t.Errorf("while clients are drained /up answers %d, check %q", status, said)
 	}
 	begun := time.Now()
 	unused.SetReadDeadline(begun.Add(agenttest.Timeout))
@@ -150,7 +150,7 @@
 	}
 }
 
-// A client that was slow to send while clients are sent away is gone 4 s after the operators' word: what it had sent by
+// A client that was slow to send while clients are drained is gone 4 s after a drain by the operators: what it had sent by
 // then is answered, and one that never ends is closed.
 func TestDrainEndsSlowClients(t *testing.T) {
 	goOn := make(chan struct{})
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -45,7 +45,7 @@
 	}
 }
 
-// A backend that drains gets nothing new once a watch has told so, and its list is followed without a gap.
+// A server that drains gets nothing new once a watch has told so, and its list is followed without a gap.
 func TestDrain(t *testing.T) {
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", x.Addr, "Ready", 0), agenttest.Member("y", y.Addr, "Ready", 0)))
@@ -95,7 +95,7 @@
 		}
 	}
 	if len(x.Requests) > 0 || len(y.Requests) != 5 {
-		t.Errorf("%d sent to the old list's backend, %d to the new one's", len(x.Requests), len(y.Requests))
+		t.Errorf("%d sent to the old list's server, %d to the new one's", len(x.Requests), len(y.Requests))
 	}
 	if n := len(old.Calls); n > 0 {
 		t.Errorf("the old discovery was asked %d more times", n)
@@ -130,7 +130,7 @@
 		}
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 || len(y.Requests) != 1 {
-		t.Errorf("with discovery back: answered %d, %d at the new backend", status, len(y.Requests))
+		t.Errorf("with discovery back: answered %d, %d at the new server", status, len(y.Requests))
 	}
 }
 
@@ -153,7 +153,7 @@
 	}
 }
 
-// Where the list must be asked for, the module hears of a failure and decides when to ask again.
+// Where the list must be asked for, the balancer hears of a failure and decides when to ask again.
 func TestPolledDiscovery(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	set := strings.Replace(agenttest.Settings, `"automatic"`, `"subscribe"`, 1)
--- a/internal/agent/dispatch_test.go
+++ b/internal/agent/dispatch_test.go
@@ -46,12 +46,12 @@
 	}
 }
 
-// A client that hangs up cancels its attempts, which closes their connections.
+// A client that closes its connection cancels its attempts, which closes their connections.
 func TestClientClosesConnection(t *testing.T) {
 	released := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := startWith(t, agenttest.Settings, b)
-	ctx, hangUp := context.WithCancel(context.Background())
+	ctx, closeConn := context.WithCancel(context.Background())
 	go func() {
 		defer close(released)
 		if resp, err := a.client.Do(a.request("unsafe", "15000m").WithContext(ctx)); err == nil {
@@ -60,12 +60,12 @@
 		}
 	}()
 	agenttest.Receive(t, "request", b.Requests)
-	hangUp()
+	closeConn()
 	agenttest.Receive(t, "hangup", released)
 	agenttest.Receive(t, "close of the connection", b.Closed)
 }
 
-// Rejections by a backend that tells how little it holds are no crowd: while they last, the others' room is used and
+// Rejections by a server that tells how little it holds do not count as overload: while they last, the others are used and
 // nothing is shed.
 func TestRejectionsShedNothing(t *testing.T) {
 	const asked, more = 16, 5
--- a/internal/agent/largelist_test.go
+++ b/internal/agent/largelist_test.go
@@ -12,7 +12,7 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// An agent of 1,024 follows lists of 1,024 backends with the longest ids, indented, whole and as changes, within the
+// An agent of 1,024 follows lists of 1,024 servers with the longest ids, indented, whole and as changes, within the
 // smallest limits; of a list that cannot be used nothing is taken, and the whole list is asked for.
 func TestLargeFleet(t *testing.T) {
 	const size, longestID = 1024, 256 // members, bytes
@@ -45,7 +45,7 @@
 	}
 	cfg.CachedEndpoints = known
 	a := start(t, cfg)
-	// served sends some requests and says how many each backend got.
+	// served sends some requests and says how many each server got.
 	served := func() (got [2]int) {
 		for range 20 {
 			if status, _ := a.do(t, a.request("safe", "15000m")); status != 200 {
@@ -63,7 +63,7 @@
 	agenttest.Receive(t, "first call", l.Calls)
 	agenttest.Receive(t, "watch", l.Calls)
 	if got := served(); got[0] == 0 || got[1] == 0 {
-		t.Errorf("of the known list: %v at the backends", got)
+		t.Errorf("of the known list: %v at the servers", got)
 	}
 	for i, c := range []struct {
 		text  []byte
@@ -88,7 +88,7 @@
 		}
 		time.Sleep(100 * time.Millisecond) // the loop has it
 		if got := served(); got[0] > 0 != c.x || got[1] > 0 != c.y {
-			t.Errorf("list %d: %v at the backends", i, got)
+			t.Errorf("list %d: %v at the servers", i, got)
 		}
 	}
 }
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -9,7 +9,7 @@
 	"example.org/ryeloft/internal/agenttest"
 )
 
-// The figures tell each end of a request by class, every class from 0, and the tries and servers behind them.
+// The metrics tell each end of a request by class, every class from 0, and the tries and servers behind them.
 func TestMetricsCountResults(t *testing.T) {
 	b := agenttest.NewServer(t, func(n int, _ *http.Request) (string, bool) {
 		if n == 0 {
@@ -31,7 +31,7 @@
 				return
 			}
 		}
-		t.Fatalf("the figures\n%swant\n%s", got, strings.Join(lines, "\n"))
+		t.Fatalf("the metrics\n%swant\n%s", got, strings.Join(lines, "\n"))
 	}
 	expect(`gw_responses_total{kind="celled",result="shed"} 0`, "gw_tries_total 0", "gw_active 0", "gw_pool_size 1",
 		"gw_pool_ejected 0", "gw_config_applied_total 0", "gw_config_rejected_total 0")
@@ -53,6 +53,6 @@
 	a.do(t, a.request("unsafe", "15000m"))
 	if got := consoleCall(t, cfg.AdminAddr, "vars\n"); !strings.Contains(got, `{kind="unsafe",result="shed"} 1`) ||
 		!strings.Contains(got, "gw_tries_total 0\n") {
-		t.Errorf("the figures\n%s", got)
+		t.Errorf("the metrics\n%s", got)
 	}
 }
--- a/internal/agent/outcomes_test.go
+++ b/internal/agent/outcomes_test.go
@@ -13,7 +13,7 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// Each row of the protocol's table of outcomes, first at one backend that then serves: a keyed request may go
+// Each row of the protocol's table of outcomes, first at one server that then serves: a keyed request may go
 // again whatever happened, an unsafe one only if it cannot have run.
 func TestOutcomes(t *testing.T) {
 	rejected := "HTTP/1.1 %d No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
@@ -46,7 +46,7 @@
 				return agenttest.OKAnswer, false
 			}
 			for _, class := range []string{"keyed", "unsafe"} {
-				// The other attempt goes to the second backend, so one script serves for both.
+				// The other attempt goes to the second server, so one script serves for both.
 				both := agenttest.NewServer(t, script)
 				other := agenttest.NewServer(t, agenttest.Serve)
 				a := startWith(t, agenttest.Settings, both, other)
@@ -87,7 +87,7 @@
 	}
 }
 
-// A keyed request that may have run is not sent to a backend that does not know its key.
+// A keyed request that may have run is not sent to a server that does not know its key.
 func TestKeyedStaysInItsCell(t *testing.T) {
 	breaks := func(int, *http.Request) (string, bool) { return "", true }
 	x, y := agenttest.NewServer(t, breaks), agenttest.NewServer(t, breaks)
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -27,7 +27,7 @@
 		t.Helper()
 		for begun := time.Now(); !strings.Contains(consoleCall(t, console, "vars\n"), line+"\n"); time.Sleep(time.Millisecond) {
 			if time.Since(begun) > agenttest.Timeout {
-				t.Fatalf("no %q in the figures", line)
+				t.Fatalf("no %q in the metrics", line)
 			}
 		}
 	}
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -64,7 +64,7 @@
 		}
 	}
 	if len(b.Requests) > 0 {
-		t.Errorf("%d reached the backend", len(b.Requests))
+		t.Errorf("%d reached the server", len(b.Requests))
 	}
 }
 
@@ -91,7 +91,7 @@
 	defer gone()
 	req := a.request("unsafe", "20000m").WithContext(ctx)
 	go func() {
-		if resp, err := a.client.Do(req); err == nil { // the backend never answers
+		if resp, err := a.client.Do(req); err == nil { // the server never answers
 			resp.Body.Close()
 		}
 	}()
--- a/internal/agent/reuse_test.go
+++ b/internal/agent/reuse_test.go
@@ -6,7 +6,7 @@
 	"example.org/ryeloft/internal/agenttest"
 )
 
-// An idle connection that the backend has closed is not written to: it would end as a reset, which an unsafe
+// An idle connection that the server has closed is not written to: it would end as a reset, which an unsafe
 // request does not survive.
 func TestStaleConnection(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
--- a/internal/agent/serverdraining_test.go
+++ b/internal/agent/serverdraining_test.go
@@ -8,7 +8,7 @@
 	"example.org/ryeloft/internal/agenttest"
 )
 
-// A request on its way to a backend that begins to leave before anything was sent goes on to another at once, whatever its
+// A request on its way to a server that begins to drain before anything was sent goes on to another at once, whatever its
 // class and however few attempts are allowed.
 func TestLeavingWhileConnecting(t *testing.T) {
 	x, y := agenttest.DeafAddr(t), agenttest.NewServer(t, agenttest.Serve)
--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -47,7 +47,7 @@
 	return endpointsNotified{discovery.WatchEvent{Update: update, Members: members}}
 }
 
-// idOf is the number of the backend with a name.
+// idOf is the number of the server with a name.
 func idOf(t *testing.T, l *Loop, name string) balancer.ServerID {
 	t.Helper()
 	for id := range l.endpoints {
@@ -55,11 +55,11 @@
 			return id
 		}
 	}
-	t.Fatalf("no backend %s", name)
+	t.Fatalf("no server %s", name)
 	return 0
 }
 
-// The loop keeps a repeat from being sent too late, and forgets backends that are gone.
+// The loop keeps a repeat from being sent too late, and forgets servers that are gone.
 func TestActionsAreCarriedOut(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
@@ -91,11 +91,11 @@
 	send.DispatchWithin = 0
 	l.act(ctx, &send)
 	if n := len(l.events); n != 1 || l.events[0].Outcome != balancer.OutcomeExpired {
-		t.Errorf("to a backend that is gone: %+v", l.events)
+		t.Errorf("to a server that is gone: %+v", l.events)
 	}
 }
 
-// A request is answered once: the outcome of an attempt that crosses the hangup of its client changes nothing.
+// A request is answered once: the outcome of an attempt that crosses the close of its client changes nothing.
 func TestLateOutcomeIsDropped(t *testing.T) {
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
@@ -114,7 +114,7 @@
 	}
 }
 
-// A backend that swallows a request while it lives is not waited for: another gets a copy, whose answer is served, and
+// A server that swallows a request while it lives is not waited for: another gets a copy, whose answer is served, and
 // the first is given up.
 func TestSwallowedRequestIsServed(t *testing.T) {
 	var got atomic.Int64
@@ -138,7 +138,7 @@
 	case <-time.After(agenttest.Timeout):
 		t.Fatal("no request")
 	}
-	for range 2 { // the module's looks at the silent attempt, due or not
+	for range 2 { // the balancer's looks at the attempt without an answer, due or not
 		look := heap.Pop(&l.timers).(timer)
 		l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: look.id})
 	}
@@ -148,18 +148,18 @@
 	if a := agenttest.Receive(t, "answer", c.answered); a.Status != http.StatusOK {
 		t.Errorf("answered %d", a.Status)
 	}
-	select { // a busy machine may have the two backends' scripts run the other way round
+	select { // a busy machine may have the two servers' scripts run the other way round
 	case <-x.Closed:
 	case <-y.Closed:
 	case <-time.After(agenttest.Timeout):
-		t.Error("the silent connection is not closed")
+		t.Error("the unanswered connection is not closed")
 	}
 	if n := got.Load(); n != 2 || len(l.requests) > 0 {
 		t.Errorf("%d attempts, %d requests left", n, len(l.requests))
 	}
 }
 
-// Whatever order a hangup and the ends of two attempts come in, a request gets one answer or none, and is forgotten.
+// Whatever order a close and the ends of two attempts come in, a request gets one answer or none, and is forgotten.
 func TestEveryOrderOfEnds(t *testing.T) {
 	orders := [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
 	for _, order := range orders {
@@ -173,7 +173,7 @@
 						discovery.Member{ID: "y", Address: "127.0.0.1:1", State: "Ready"}).handle(ctx, l)
 					c := newTestRequest(l, 0, "/keyed/1")
 					submitted{c}.handle(ctx, l)
-					for l.requests[c.number].inFlight < 2 { // the module's looks at the silent attempt, due or not
+					for l.requests[c.number].inFlight < 2 { // the balancer's looks at the attempt without an answer, due or not
 						look := heap.Pop(&l.timers).(timer)
 						l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: look.id})
 					}
@@ -202,7 +202,7 @@
 	}
 }
 
-// A backend at the address of one that has gone has connections of its own: those of the old one close, the one in
+// A server at the address of one that has gone has connections of its own: those of the old one close, the one in
 // use when it is back, and the new one's stay when the old one is forgotten.
 func TestNewServerAtOldAddress(t *testing.T) {
 	goOn := make(chan struct{}, 1)
@@ -233,7 +233,7 @@
 	go func() { inUse2 <- l.pool.Exchange(ctx, second, m, plain) }()
 	agenttest.Receive(t, "request", b.Requests)
 	if n := len(b.Accepted); n != 2 {
-		t.Errorf("%d connections to two backends", n)
+		t.Errorf("%d connections to two servers", n)
 	}
 	goOn <- struct{}{}
 	agenttest.Receive(t, "answer of the new one", inUse2)
@@ -242,7 +242,7 @@
 	if l.pool.IdleConns(first) != 0 || l.pool.IdleConns(second) != 1 || l.pool.OpenConns() != 1 {
 		t.Errorf("%d idle to the old one, %d to the new one, %d open", l.pool.IdleConns(first), l.pool.IdleConns(second), l.pool.OpenConns())
 	}
-	// A restart of the process at the same address is another target as well, and what comes back late closes.
+	// A restart of the process at the same address is another endpoint as well, and what comes back late closes.
 	go func() { inUse2 <- l.pool.Exchange(ctx, second, m, plain) }()
 	agenttest.Receive(t, "request", b.Requests)
 	next.StartedAtMillis = 5
--- a/internal/handover/quota_test.go
+++ b/internal/handover/quota_test.go
@@ -21,8 +21,8 @@
 
 func TestQuotaIsReleased(t *testing.T) {
 	alone := quota{total: 136, entitled: 136, limit: 136}
-	beside := alone
-	beside.split(68, 2)
+	shared := alone
+	shared.split(68, 2)
 	for name, c := range map[string]struct {
 		from         quota
 		needs        int
@@ -30,12 +30,12 @@
 		excess       int
 	}{
 		"alone, with all in use":          {alone, 136, 0, 136, 0},
-		"all in use":                      {beside, 136, 0, 136, 8},
-		"the first to go pay the excess":  {beside, 130, 0, 130, 2},
-		"all of it":                       {beside, 128, 0, 128, 0},
-		"then the next are passed on":     {beside, 127, 1, 127, 0},
-		"half in use":                     {beside, 68, 60, 68, 0},
-		"none needed":                     {beside, 0, 128, 0, 0},
+		"all in use":                      {shared, 136, 0, 136, 8},
+		"the first to go pay the excess":  {shared, 130, 0, 130, 2},
+		"all of it":                       {shared, 128, 0, 128, 0},
+		"then the next are passed on":     {shared, 127, 1, 127, 0},
+		"half in use":                     {shared, 68, 60, 68, 0},
+		"none needed":                     {shared, 0, 128, 0, 0},
 		"more in use than the bound says": {quota{total: 136, entitled: 68, limit: 60}, 70, 0, 60, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -45,7 +45,7 @@
 			}
 		})
 	}
-	r := beside
+	r := shared
 	r.add(1 << 16)
 	if r.add(-1); r.limit != r.total {
 		t.Errorf("%+v", r)
--- a/internal/inbound/admission_test.go
+++ b/internal/inbound/admission_test.go
@@ -47,7 +47,7 @@
 	if taken.ended {
 		t.Error("ended under a request")
 	}
-	// A connection that only waits for its client's end makes room for a newcomer.
+	// A connection that only waits for its client's end is evicted for a newcomer.
 	_, client := accept()
 	if open, _ := a.count(); open != 2 || a.closing.Len() != 0 {
 		t.Errorf("%d open, %d of them ended", open, a.closing.Len())
@@ -55,7 +55,7 @@
 	client.Close()
 }
 
-// Of the clients without a request those that are sending one make room last.
+// Of the clients without a request those that are sending one are evicted last.
 func TestSlowSendersMakeRoomLast(t *testing.T) {
 	a := &Listener{metrics: &metrics.Metrics{}, maxConns: 2, maxActive: 3}
 	conn := func(reading bool) *clientConn {
@@ -63,12 +63,12 @@
 		c.reading = reading
 		return c
 	}
-	sending, silent := conn(true), conn(false)
+	sending, idle := conn(true), conn(false)
 	a.admit(sending)
-	a.admit(silent)
-	silent.idleSince = silent.idleSince.Add(-newConnGrace)
-	if third := conn(true); !a.admit(third) || sending.removed || !silent.removed {
-		t.Errorf("sending closed: %v, silent closed: %v", sending.removed, silent.removed)
+	a.admit(idle)
+	idle.idleSince = idle.idleSince.Add(-newConnGrace)
+	if third := conn(true); !a.admit(third) || sending.removed || !idle.removed {
+		t.Errorf("sending closed: %v, idle closed: %v", sending.removed, idle.removed)
 	}
 	if !a.admit(conn(true)) || sending.removed || a.open != 3 {
 		t.Errorf("with room for one more that is busy: sending closed: %v, %d open", sending.removed, a.open)
@@ -78,7 +78,7 @@
 	}
 }
 
-// What has been closed to make room is not sent on, though its request has been read meanwhile.
+// What was evicted is not sent on, though its request has been read meanwhile.
 func TestNoRequestAfterEviction(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -101,10 +101,10 @@
 	x := accept()
 	y := accept()
 	if a.beginRequest(x) || !a.beginRequest(y) {
-		t.Error("the longest silent has not made room for the newcomer")
+		t.Error("the connection that was idle longest has not made room for the newcomer")
 	}
 	if z := (&clientConn{}); a.admit(z) {
-		t.Error("a connection with an open request made room")
+		t.Error("a connection with an open request was evicted")
 	}
 	a.maxActive = 2 // where all have a request there is room for some more
 	z := &clientConn{TCPConn: y.TCPConn}
@@ -116,11 +116,11 @@
 	a.connState(y, http.StateIdle)
 	a.connState(y, http.StateClosed)
 	if a.open != 0 || a.idle.Len() != 0 {
-		t.Errorf("%d open and %d silent are counted", a.open, a.idle.Len())
+		t.Errorf("%d open and %d idle are counted", a.open, a.idle.Len())
 	}
 }
 
-// A connection that has had an answer a moment ago, on which the next request may be there already, does not make room. Once
+// A connection that has had an answer a moment ago, on which the next request may be there already, is not evicted. Once
 // one was chosen to, nothing of it is read: its client sees a reset, by which it knows that its request did not run.
 func TestRoomIsMadeBetweenRequests(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -148,12 +148,12 @@
 	a.connState(used, http.StateIdle) // it has had an answer
 	io.WriteString(client, crossing)
 	if other := (&clientConn{reading: true}); !a.admit(other) || used.removed {
-		t.Error("a connection made room right behind its answer, with room for one more")
+		t.Error("a connection was evicted right after its answer, with room for one more")
 	}
 	used.idleSince = used.idleSince.Add(-IdleGrace)
 	newcomer := dial()
 	if _, err := a.Accept(); err != nil || !used.removed {
-		t.Fatalf("no room by a connection that rested for %v: %v", IdleGrace, err)
+		t.Fatalf("no eviction of a connection that rested for %v: %v", IdleGrace, err)
 	}
 	if n, err := used.Read(make([]byte, 100)); n > 0 || err == nil {
 		t.Errorf("%d bytes were read behind the end: %v", n, err)
--- a/internal/inbound/drain_test.go
+++ b/internal/inbound/drain_test.go
@@ -9,7 +9,7 @@
 	"example.org/ryeloft/internal/metrics"
 )
 
-// The operators' word and SIGTERM are one state: what the second has set the first does not take back.
+// A drain by the operators and SIGTERM are one state: what the second has set the first does not take back.
 func TestDrainStates(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -39,7 +39,7 @@
 	}
 }
 
-// How long a request may last depends on when it was taken beside the operators' word or SIGTERM.
+// How long a request may last depends on when it was taken beside a drain by the operators or SIGTERM.
 func TestLate(t *testing.T) {
 	ago := func(d time.Duration) time.Time { return time.Now().Add(-d) }
 	for _, c := range []struct {
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -86,7 +86,7 @@
 	}
 }
 
-// A backend that resets whatever comes on a connection idle for a while costs a few requests, not one in two.
+// A server that resets whatever comes on a connection idle for a while costs a few requests, not one in two.
 func TestEarlyClosesAreLearnt(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
@@ -116,7 +116,7 @@
 	}
 }
 
-// Nothing is written to a backend that has begun to leave, on no kind of connection, and its idle ones stay.
+// Nothing is written to a server that drains, on no kind of connection, and its idle ones stay.
 func TestNothingNewToLeaving(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
--- a/internal/upstream/idleage_test.go
+++ b/internal/upstream/idleage_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Connections that backends drop early and in silence are no longer used once a few requests were lost on them;
+// Connections that servers drop early and in silence are no longer used once a few requests were lost on them;
 // younger ones are, and after a while the old ones are tried again.
 func TestIdleLimitIsLearnt(t *testing.T) {
 	for _, c := range []struct {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -11,7 +11,7 @@
 	"example.org/ryeloft/internal/metrics"
 )
 
-// A pool that is given less room closes what is idle at once.
+// A pool that is given a lower limit closes what is idle at once.
 func TestPoolResize(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
@@ -37,7 +37,7 @@
 	}
 }
 
-// The pool keeps to its sockets: an idle connection makes room, one in use does not.
+// The pool keeps to its sockets: an idle connection is evicted, one in use is not.
 func TestPoolIsBounded(t *testing.T) {
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
@@ -49,16 +49,16 @@
 	if r := exchangeBy(p, ctx, toX, m, time.Time{}); r.Outcome != balancer.OutcomeOK {
 		t.Fatalf("outcome %d", r.Outcome)
 	}
-	silent := make(chan Result, 1)
+	cancelled := make(chan Result, 1)
 	held, giveUp := context.WithCancel(ctx)
-	go func() { silent <- exchangeBy(p, held, toY, m, time.Time{}) }()
+	go func() { cancelled <- exchangeBy(p, held, toY, m, time.Time{}) }()
 	agenttest.Receive(t, "close of the idle connection", x.Closed)
 	agenttest.Receive(t, "request", y.Requests)
 	if r := exchangeBy(p, ctx, toX, m, time.Time{}); r.Outcome != balancer.OutcomeExpired {
 		t.Errorf("with the only socket in use: outcome %d", r.Outcome)
 	}
 	giveUp()
-	if r := agenttest.Receive(t, "cancelled attempt", silent); r.Outcome != balancer.OutcomeCancelled {
+	if r := agenttest.Receive(t, "cancelled attempt", cancelled); r.Outcome != balancer.OutcomeCancelled {
 		t.Errorf("given up: outcome %d", r.Outcome)
 	}
 	if r := exchangeBy(p, ctx, toX, m, time.Time{}); r.Outcome != balancer.OutcomeOK {
@@ -66,7 +66,7 @@
 	}
 }
 
-// What may be closed by the backend before a request has crossed is not used, and is swept away; ActClose closes
+// What may be closed by the server before a request has crossed is not used, and is swept away; Retire closes
 // what is idle.
 func TestIdleConnectionsEnd(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
@@ -104,7 +104,7 @@
 	}
 }
 
-// The connection that was used last is the least likely to be closed by the backend.
+// The connection that was used last is the least likely to be closed by the server.
 func TestNewestConnectionFirst(t *testing.T) {
 	p := NewPool(&agenttest.Config(t, "127.0.0.1:1", agenttest.Settings).Settings, 4, &metrics.Metrics{})
 	x := p.AddEndpoint("x", 0)
