--- a/cmd/relay/main_test.go
+++ b/cmd/relay/main_test.go
@@ -72,14 +72,14 @@
 	return l.Addr().String()
 }
 
-func member(id, phase string) discovery.Member {
-	return discovery.Member{ID: id, Address: "127.0.0.1:9", State: phase, Weight: 1}
+func member(id, state string) discovery.Member {
+	return discovery.Member{ID: id, Address: "127.0.0.1:9", State: state, Weight: 1}
 }
 
 // program is the relay as a process.
 type program struct {
 	*exec.Cmd
-	addr, figures, config, state string
+	addr, metrics, config, state string
 	discovery                    string
 	log                          chan string
 	ended                        chan error
@@ -88,7 +88,7 @@
 func startProgram(t *testing.T, discovery string) *program {
 	dir := t.TempDir()
 	p := &program{
-		addr: freeAddr(t), figures: freeAddr(t), config: filepath.Join(dir, "relay.json"), state: filepath.Join(dir, "state"), discovery: discovery,
+		addr: freeAddr(t), metrics: freeAddr(t), config: filepath.Join(dir, "relay.json"), state: filepath.Join(dir, "state"), discovery: discovery,
 	}
 	p.configure(t, discovery, 1000)
 	p.start(t)
@@ -97,7 +97,7 @@
 
 func (p *program) configure(t *testing.T, discovery string, rate float64) {
 	text := fmt.Sprintf(`{"name":"r","listen":%q,"discovery":%q,"figures":%q,"state":%q,
-		"limits":{"lists_per_second":%v,"callers":1000,"memory_mb":64}}`, p.addr, discovery, p.figures, p.state, rate)
+		"limits":{"lists_per_second":%v,"callers":1000,"memory_mb":64}}`, p.addr, discovery, p.metrics, p.state, rate)
 	if err := os.WriteFile(p.config, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -124,20 +124,20 @@
 		ended <- cmd.Wait()
 	}()
 	t.Cleanup(func() { cmd.Process.Kill() })
-	for begun := time.Now(); ; time.Sleep(time.Millisecond) {
+	for began := time.Now(); ; time.Sleep(time.Millisecond) {
 		c, err := net.Dial("tcp", p.addr)
 		if err == nil {
 			c.Close()
 			return
 		}
-		if time.Since(begun) > wait {
+		if time.Since(began) > wait {
 			t.Fatal("the relay does not listen")
 		}
 	}
 }
 
-// says waits for a line of the log.
-func (p *program) says(t *testing.T, what string) {
+// awaitLog waits for a line of the log.
+func (p *program) awaitLog(t *testing.T, what string) {
 	t.Helper()
 	for late := time.After(wait); ; {
 		select {
@@ -178,33 +178,33 @@
 
 // agents follow the list through relays.
 type agents struct {
-	mu    sync.Mutex
-	heard []map[uint64]time.Time
-	whole []int
-	told  chan struct{} // at each news
+	mu        sync.Mutex
+	received  []map[uint64]time.Time
+	fullLists []int
+	notified  chan struct{} // at each watch event
 }
 
 func startAgents(t *testing.T, n int, addr string, relays []string) *agents {
-	a := &agents{heard: make([]map[uint64]time.Time, n), whole: make([]int, n), told: make(chan struct{}, 100_000)}
+	a := &agents{received: make([]map[uint64]time.Time, n), fullLists: make([]int, n), notified: make(chan struct{}, 100_000)}
 	ctx, stop := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
 	t.Cleanup(func() { stop(); ended.Wait() })
 	set := &settings.Settings{Balancer: balancer.Settings{Agents: 1}}
 	for i := range n {
-		a.heard[i] = map[uint64]time.Time{}
+		a.received[i] = map[uint64]time.Time{}
 		d := discovery.New(discovery.Options{
 			Addr: addr, Relays: relays, Name: fmt.Sprint("agent-", i), Settings: func() *settings.Settings { return set },
 			OnPoll: func(discovery.PollResult) {}, Log: slog.New(slog.DiscardHandler),
-			Notify: func(n discovery.WatchEvent) {
+			Notify: func(event discovery.WatchEvent) {
 				a.mu.Lock()
-				if _, ok := a.heard[i][n.Revision]; !ok {
-					a.heard[i][n.Revision] = time.Now()
+				if _, ok := a.received[i][event.Revision]; !ok {
+					a.received[i][event.Revision] = time.Now()
 				}
-				if n.Update == balancer.EndpointsReplaced {
-					a.whole[i]++
+				if event.Update == balancer.EndpointsReplaced {
+					a.fullLists[i]++
 				}
 				a.mu.Unlock()
-				a.told <- struct{}{}
+				a.notified <- struct{}{}
 			},
 		})
 		ended.Go(func() { d.Run(ctx, nil) })
@@ -212,13 +212,13 @@
 	return a
 }
 
-// all waits until all agents have heard a revision and returns when the last one did.
-func (a *agents) all(t *testing.T, revision uint64) (last time.Time) {
+// awaitAll waits until all agents have received a revision and returns when the last one did.
+func (a *agents) awaitAll(t *testing.T, revision uint64) (last time.Time) {
 	t.Helper()
 	for late := time.After(wait); ; {
 		missing := 0
 		a.mu.Lock()
-		for _, h := range a.heard {
+		for _, h := range a.received {
 			at, ok := h[revision]
 			if !ok {
 				missing++
@@ -231,25 +231,25 @@
 			return last
 		}
 		select {
-		case <-a.told:
+		case <-a.notified:
 		case <-late:
-			t.Fatalf("%d of %d agents do not hear of revision %d", missing, len(a.heard), revision)
+			t.Fatalf("%d of %d agents do not receive revision %d", missing, len(a.received), revision)
 		}
 	}
 }
 
-// A relay that is killed under the watches of its agents costs them no change: they go to the other one and hear of it
+// A relay that is killed under the watches of its agents costs them no change: they fail over to the other one and receive it
 // within what the platform allows, without another full list. Started again while discovery is down, it has its list.
 func TestKilledRelay(t *testing.T) {
 	s := newService(t, 7, member("x", "Ready"), member("y", "Ready"))
 	relays := []*program{startProgram(t, s.addr), startProgram(t, s.addr)}
 	a := startAgents(t, 40, s.addr, []string{relays[0].addr, relays[1].addr})
-	a.all(t, 7)
-	for begun := time.Now(); ; time.Sleep(time.Millisecond) { // until the list is stored
+	a.awaitAll(t, 7)
+	for began := time.Now(); ; time.Sleep(time.Millisecond) { // until the list is stored
 		if _, err := os.Stat(filepath.Join(relays[0].state, "list")); err == nil {
 			break
 		}
-		if time.Since(begun) > wait {
+		if time.Since(began) > wait {
 			t.Fatal("no list is stored")
 		}
 	}
@@ -259,17 +259,17 @@
 	if err := s.Apply(8, []discovery.Member{member("x", "Terminating")}); err != nil {
 		t.Fatal(err)
 	}
-	if took := a.all(t, 8).Sub(changed); took > balancer.NotifyBoundAfterFailure {
-		t.Errorf("the last agent hears %v after the change", took)
+	if took := a.awaitAll(t, 8).Sub(changed); took > balancer.NotifyBoundAfterFailure {
+		t.Errorf("the last agent receives it %v after the change", took)
 	}
-	for i, n := range a.whole {
+	for i, n := range a.fullLists {
 		if n != 1 {
-			t.Errorf("agent %d gets %d whole lists", i, n)
+			t.Errorf("agent %d gets %d full lists", i, n)
 		}
 	}
 	s.http.Close()
 	relays[0].start(t)
-	relays[0].says(t, "stored endpoint list loaded")
+	relays[0].awaitLog(t, "stored endpoint list loaded")
 	if status, text := get(relays[0].addr, "/discovery/hosts?after=7&wait_ms=0"); status != 200 || !strings.Contains(text, `"revision":7,"complete":false,"members":[]`) {
 		t.Errorf("who holds its list is answered %d %s", status, text)
 	}
@@ -277,40 +277,40 @@
 		t.Errorf("who holds none is answered %d %s", status, text)
 	}
 	s.up(t)
-	relays[0].says(t, `msg="endpoint list updated"`)
+	relays[0].awaitLog(t, `msg="endpoint list updated"`)
 	if status, text := get(relays[0].addr, "/discovery/hosts?after=7&wait_ms=1000"); status != 200 || !strings.Contains(text, `"revision":8,"complete":false`) {
 		t.Errorf("with discovery again: %d %s", status, text)
 	}
 }
 
-// SIGHUP takes another address and rate, or nothing of a file that is not whole; SIGTERM refuses who waits at once.
+// SIGHUP loads another address and rate, or nothing of a file that is not valid; SIGTERM rejects calls that wait at once.
 func TestSignals(t *testing.T) {
 	s, other := newService(t, 7, member("x", "Ready")), newService(t, 9, member("y", "Ready"))
 	p := startProgram(t, s.addr)
-	p.says(t, `msg="endpoint list updated"`)
+	p.awaitLog(t, `msg="endpoint list updated"`)
 	p.configure(t, other.addr, -1)
 	p.Process.Signal(syscall.SIGHUP)
-	p.says(t, "limits.lists_per_second")
+	p.awaitLog(t, "limits.lists_per_second")
 	if _, text := get(p.addr, "/discovery/hosts"); !strings.Contains(text, `"revision":7`) {
 		t.Errorf("after a broken file: %s", text)
 	}
 	p.configure(t, other.addr, 500)
 	p.Process.Signal(syscall.SIGHUP)
-	p.says(t, `msg="endpoint list updated"`)
+	p.awaitLog(t, `msg="endpoint list updated"`)
 	if _, text := get(p.addr, "/discovery/hosts"); !strings.Contains(text, `"revision":9`) {
-		t.Errorf("after a move: %s", text)
+		t.Errorf("after a migration: %s", text)
 	}
-	if status, text := get(p.figures, "/"); status != 200 || !strings.Contains(text, "relay_whole_lists_total 2\n") || !strings.Contains(text, "relay_revision 9\n") {
-		t.Errorf("the figures: %d %s", status, text)
+	if status, text := get(p.metrics, "/"); status != 200 || !strings.Contains(text, "relay_whole_lists_total 2\n") || !strings.Contains(text, "relay_revision 9\n") {
+		t.Errorf("the metrics: %d %s", status, text)
 	}
 	answered := make(chan time.Duration)
-	begun := time.Now()
+	began := time.Now()
 	go func() {
 		get(p.addr, "/discovery/hosts?after=9&wait_ms=60000")
-		answered <- time.Since(begun)
+		answered <- time.Since(began)
 	}()
 	for { // until the watch waits
-		if _, text := get(p.figures, "/"); strings.Contains(text, "relay_open_calls 1\n") {
+		if _, text := get(p.metrics, "/"); strings.Contains(text, "relay_open_calls 1\n") {
 			break
 		}
 	}
@@ -329,9 +329,9 @@
 func TestDoesNotStart(t *testing.T) {
 	s := newService(t, 7)
 	p := startProgram(t, s.addr)
-	second := &program{addr: p.addr, figures: freeAddr(t), config: filepath.Join(t.TempDir(), "relay.json"), state: t.TempDir()}
+	second := &program{addr: p.addr, metrics: freeAddr(t), config: filepath.Join(t.TempDir(), "relay.json"), state: t.TempDir()}
 	second.configure(t, s.addr, 1)
-	third := &program{addr: freeAddr(t), figures: p.figures, config: filepath.Join(t.TempDir(), "relay.json"), state: t.TempDir()}
+	third := &program{addr: freeAddr(t), metrics: p.metrics, config: filepath.Join(t.TempDir(), "relay.json"), state: t.TempDir()}
 	third.configure(t, s.addr, 1)
 	for what, config := range map[string]string{
 		"RELAY_CONFIG is not set": "", "no such file": "/none/relay.json", "listening: ": second.config, "figures: ": third.config,
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -10,7 +10,7 @@
 const configText = `{"name":"r1","listen":"127.0.0.1:9001","discovery":"127.0.0.1:1","figures":"127.0.0.1:9002","state":"/var/lib/relay",
  "limits":{"lists_per_second":60,"callers":1000,"memory_mb":64}}`
 
-// A configuration is taken whole, or turned down with the field that cannot be used.
+// A configuration is accepted as a whole, or rejected with the field that cannot be used.
 func TestBadConfig(t *testing.T) {
 	c, err := ParseConfig([]byte(configText))
 	want := Config{"r1", "127.0.0.1:9001", "127.0.0.1:1", "127.0.0.1:9002", "/var/lib/relay", Limits{60, 1000, 64}}
@@ -55,7 +55,7 @@
 	}
 }
 
-// A running relay takes another service's address and another rate, and names what it cannot take.
+// A running relay can reload another service's address and another rate, and names what it cannot.
 func TestFollows(t *testing.T) {
 	present, err := ParseConfig([]byte(configText))
 	if err != nil {
--- a/internal/relay/disk_test.go
+++ b/internal/relay/disk_test.go
@@ -13,21 +13,21 @@
 	"example.org/ryeloft/internal/lists"
 )
 
-func member(id, phase string, cell int) discovery.Member {
-	return discovery.Member{ID: id, Address: "10.0.0.1:80", Zone: "a", Kind: "m1", Cell: cell, State: phase, Weight: 1}
+func member(id, state string, cell int) discovery.Member {
+	return discovery.Member{ID: id, Address: "10.0.0.1:80", Zone: "a", Kind: "m1", Cell: cell, State: state, Weight: 1}
 }
 
 // A list on disk is read as it was written or not at all: cut anywhere, with any byte changed, with more behind it, or
 // replaced by something else, it is damaged, and a relay starts without it.
 func TestDamagedListIsPassedOver(t *testing.T) {
-	d := listFile{dir: t.TempDir()}
-	path := filepath.Join(d.dir, listFileName)
-	if _, err := d.load(); !errors.Is(err, fs.ErrNotExist) {
+	f := listFile{dir: t.TempDir()}
+	path := filepath.Join(f.dir, listFileName)
+	if _, err := f.load(); !errors.Is(err, fs.ErrNotExist) {
 		t.Fatalf("none: error %v", err)
 	}
 	members := []discovery.Member{member("x", "Ready", 3), member("y", "Terminating", 0)}
 	text := lists.Encode(41, true, members)
-	if err := d.save(text); err != nil {
+	if err := f.save(text); err != nil {
 		t.Fatal(err)
 	}
 	good, err := os.ReadFile(path)
@@ -39,7 +39,7 @@
 		if err := os.WriteFile(path, data, 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if l, err := d.load(); !errors.Is(err, errCorrupt) || l.Members != nil {
+		if l, err := f.load(); !errors.Is(err, errCorrupt) || l.Members != nil {
 			t.Fatalf("%s %d: %+v, error %v", what, n, l, err)
 		}
 	}
@@ -51,13 +51,13 @@
 	}
 	damaged("longer", 1, append(bytes.Clone(good), 0))
 	damaged("twice", 2, append(bytes.Clone(good), good...))
-	damaged("not whole", 0, encodeFile(lists.Encode(41, false, members)))
+	damaged("not a full list", 0, encodeFile(lists.Encode(41, false, members)))
 	damaged("no list", 0, encodeFile([]byte("[]")))
 
 	if err := os.WriteFile(path, good, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	l, err := d.load()
+	l, err := f.load()
 	if err != nil || *l.Revision != 41 || !l.Complete || !reflect.DeepEqual(l.Members, members) {
 		t.Errorf("%+v, error %v", l, err)
 	}
@@ -82,23 +82,23 @@
 
 // A crash while a list is stored leaves the old one, whatever of the new one is there already.
 func TestHalfStoredListIsPassedOver(t *testing.T) {
-	d := listFile{dir: t.TempDir()}
-	if err := d.save(lists.Encode(1, true, []discovery.Member{member("x", "Ready", 0)})); err != nil {
+	f := listFile{dir: t.TempDir()}
+	if err := f.save(lists.Encode(1, true, []discovery.Member{member("x", "Ready", 0)})); err != nil {
 		t.Fatal(err)
 	}
 	next := encodeFile(lists.Encode(2, true, nil))
 	for n := range next {
-		if err := os.WriteFile(filepath.Join(d.dir, tempFileName), next[:n], 0o600); err != nil {
+		if err := os.WriteFile(filepath.Join(f.dir, tempFileName), next[:n], 0o600); err != nil {
 			t.Fatal(err)
 		}
-		if l, err := d.load(); err != nil || *l.Revision != 1 {
+		if l, err := f.load(); err != nil || *l.Revision != 1 {
 			t.Fatalf("%d bytes of the next one: %+v, error %v", n, l, err)
 		}
 	}
-	if err := d.save(lists.Encode(3, true, nil)); err != nil {
+	if err := f.save(lists.Encode(3, true, nil)); err != nil {
 		t.Fatal(err)
 	}
-	if l, err := d.load(); err != nil || *l.Revision != 3 {
+	if l, err := f.load(); err != nil || *l.Revision != 3 {
 		t.Errorf("after it: %+v, error %v", l, err)
 	}
 }
@@ -109,11 +109,11 @@
 	if err := os.Mkdir(filepath.Join(dir, listFileName), 0o700); err != nil {
 		t.Fatal(err)
 	}
-	d := listFile{dir: dir}
-	if _, err := d.load(); !errors.Is(err, errCorrupt) {
+	f := listFile{dir: dir}
+	if _, err := f.load(); !errors.Is(err, errCorrupt) {
 		t.Errorf("a directory: error %v", err)
 	}
-	if err := d.save(lists.Encode(1, true, nil)); err == nil {
+	if err := f.save(lists.Encode(1, true, nil)); err == nil {
 		t.Error("a list replaces a directory")
 	}
 	if err := (listFile{dir: filepath.Join(dir, "none")}).save(lists.Encode(1, true, nil)); !errors.Is(err, fs.ErrNotExist) {
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,7 +18,7 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// ids are the members of a list by name and phase, in order.
+// ids are the members of a list by name and state, in order.
 func ids(l discovery.EndpointList) string {
 	var all []string
 	for _, m := range l.Members {
@@ -28,7 +28,7 @@
 	return strings.Join(all, " ")
 }
 
-// is checks an answer: its revision, whether it is the full list, and who is in it.
+// is checks a reply: its revision, whether it is the full list, and who is in it.
 func (got reply) is(t *testing.T, what string, revision uint64, complete bool, members string) {
 	t.Helper()
 	if got.status != http.StatusOK || *got.list.Revision != revision || got.list.Complete != complete || ids(got.list) != members {
@@ -36,19 +36,19 @@
 	}
 }
 
-// A relay answers as the service above does, and what changes there reaches who waits here at once.
+// A relay answers as its upstream does, and what changes there reaches its watches at once.
 func TestHandsOn(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		a := newUpstream(t, n, 7, member("x", "Ready", 0), member("y", "Ready", 0))
 		r := startRelay(t, n, "relay:1", t.TempDir())
-		call(t, n, r.addr, "").is(t, "the whole list", 7, true, "xR yR")
-		heard := make(chan reply)
-		go func() { heard <- call(t, n, r.addr, "?after=7&wait_ms=20000") }()
+		call(t, n, r.addr, "").is(t, "the full list", 7, true, "xR yR")
+		watched := make(chan reply)
+		go func() { watched <- call(t, n, r.addr, "?after=7&wait_ms=20000") }()
 		time.Sleep(3 * time.Second)
 		changed := time.Now()
 		a.apply(9, member("x", "Terminating", 0))
-		got := <-heard
+		got := <-watched
 		got.is(t, "a watch", 9, false, "xT")
 		if late := time.Since(changed); late > time.Millisecond {
 			t.Errorf("the change comes %v later", late)
@@ -56,15 +56,15 @@
 		a.apply(10, member("y", "Gone", 0))
 		time.Sleep(time.Millisecond)
 		call(t, n, r.addr, "?after=7&wait_ms=0").is(t, "who is behind", 10, false, "xT yG")
-		call(t, n, r.addr, "").is(t, "the whole list", 10, true, "xT")
+		call(t, n, r.addr, "").is(t, "the full list", 10, true, "xT")
 		got = call(t, n, r.addr, "?after=10&wait_ms=1500")
 		got.is(t, "nothing new", 10, false, "")
 		if got.took != 1500*time.Millisecond {
-			t.Errorf("nothing new is told after %v", got.took)
+			t.Errorf("nothing new is answered after %v", got.took)
 		}
 		a.apply(11) // a revision of no changes
 		time.Sleep(upstreamWatchWait)
-		synctest.Wait() // the watch above ends in this moment
+		synctest.Wait() // the watch of upstream ends in this moment
 		call(t, n, r.addr, "?after=10&wait_ms=0").is(t, "no changes", 11, false, "")
 		for _, query := range []string{"?after=x", "?after=1&wait_ms=-1", "?after=1&later=1", "?after=%zz"} {
 			if got := call(t, n, r.addr, query); got.status != http.StatusBadRequest {
@@ -78,8 +78,8 @@
 	})
 }
 
-// A restart needs nobody: who holds the list that was stored goes on by it, and nobody else is told of it before the
-// service above has answered.
+// A restart needs nobody: a caller that holds the list that was stored goes on with it, and no other is answered before upstream has
+// answered.
 func TestRestartsFromDisk(t *testing.T) {
 	for name, damage := range map[string]func(path string){
 		"stored": func(string) {},
@@ -101,7 +101,7 @@
 				a.down()
 				r = startRelay(t, n, "relay:1", state)
 				if got := call(t, n, r.addr, ""); got.status != http.StatusServiceUnavailable || got.took > discovery.RelayFullListTimeout {
-					t.Errorf("the whole list without news from above: %+v", got)
+					t.Errorf("the full list without an answer from upstream: %+v", got)
 				}
 				got := call(t, n, r.addr, "?after=8&wait_ms=500")
 				got.is(t, "who holds it", 8, false, "")
@@ -109,13 +109,13 @@
 					t.Errorf("who holds it is answered after %v", got.took)
 				}
 				if got := call(t, n, r.addr, "?after=7&wait_ms=0"); got.status == http.StatusOK && len(got.list.Members) > 0 {
-					t.Errorf("who is behind is told %s", ids(got.list))
+					t.Errorf("who is behind gets %s", ids(got.list))
 				}
 				a.apply(9, member("x", "Gone", 0))
 				a.up()
 				time.Sleep(time.Second)
 				call(t, n, r.addr, "?after=9&wait_ms=0").is(t, "then who is ahead", 9, false, "")
-				call(t, n, r.addr, "").is(t, "then the whole list", 9, true, "yR zR")
+				call(t, n, r.addr, "").is(t, "then the full list", 9, true, "yR zR")
 				if name == "stored" {
 					call(t, n, r.addr, "?after=8&wait_ms=0").is(t, "then who held it", 9, false, "xG")
 				} else {
@@ -126,7 +126,7 @@
 	}
 }
 
-// The service above has lost its log and sends the full list: who follows this relay is told the changes all the same.
+// Upstream has lost its log and sends the full list: callers that follow this relay get the changes all the same.
 func TestWholeListBecomesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -140,7 +140,7 @@
 	})
 }
 
-// Nobody is told an older list after a newer one. Who is ahead waits for an answer from above that was asked for later; if
+// Nobody gets an older list after a newer one. A caller that is ahead waits for an answer from upstream to a later call; if
 // that is no newer, the service counts anew, and the full list follows; without one, the caller goes on by its list.
 func TestNothingOlderAfterNewer(t *testing.T) {
 	for name, c := range map[string]struct {
@@ -211,8 +211,8 @@
 	}
 }
 
-// A relay that has not heard from above for staleAfter refuses, calls that wait too, so that its callers go elsewhere; when
-// it has heard again it answers again. A call that was answered before counts from when it was made.
+// A relay that has had no answer from upstream for staleAfter rejects calls, those that wait too, so that its callers fail over; once
+// it has one it answers again. A call that was answered before counts from when it was made.
 func TestStaleRelayRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -227,7 +227,7 @@
 			t.Errorf("a watch: %+v", got)
 		}
 		if after := time.Since(lost); after > staleAfter || after < staleAfter-2*upstreamWatchWait {
-			t.Errorf("the watch is refused %v after the loss", after)
+			t.Errorf("the watch is rejected %v after the loss", after)
 		}
 		time.Sleep(upstreamWatchWait)
 		for _, query := range []string{"", "?after=7&wait_ms=1000", "?after=9&wait_ms=1000", "?after=3&wait_ms=0"} {
@@ -246,7 +246,7 @@
 	})
 }
 
-// After a move the revisions are another service's: the full list of the new one replaces all, lower or higher.
+// After a migration the revisions are another service's: the full list of the new one replaces all, lower or higher.
 func TestMoves(t *testing.T) {
 	for _, revision := range []uint64{3, 7, 100} {
 		synctest.Test(t, func(t *testing.T) {
@@ -259,10 +259,10 @@
 			time.Sleep(time.Second)
 			r.Migrate(t.Context(), "upstream:1", 60)
 			time.Sleep(time.Second)
-			call(t, n, r.addr, "?after=7&wait_ms=0").is(t, "no move", 7, false, "")
+			call(t, n, r.addr, "?after=7&wait_ms=0").is(t, "no migration", 7, false, "")
 			r.Migrate(t.Context(), "other:1", 60)
 			time.Sleep(time.Second)
-			call(t, n, r.addr, "").is(t, "a move", revision, true, "yR")
+			call(t, n, r.addr, "").is(t, "a migration", revision, true, "yR")
 			if revision != 7 { // which the protocol cannot tell from the other seventh
 				call(t, n, r.addr, "?after=7&wait_ms=0").is(t, "who held the old list", revision, true, "yR")
 			}
@@ -270,7 +270,7 @@
 	}
 }
 
-// At its end a relay refuses those who wait at once, takes no connection more and stores what it has.
+// At its end a relay rejects calls that wait at once, accepts no more connections and stores what it has.
 func TestEndsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, state := newNetwork(), t.TempDir()
@@ -287,10 +287,10 @@
 		}
 		a.apply(8, member("x", "Terminating", 0))
 		time.Sleep(time.Second)
-		begun := time.Now()
+		began := time.Now()
 		r.stop()
 		waiting.Wait()
-		if took := time.Since(begun); took > shutdownGrace {
+		if took := time.Since(began); took > shutdownGrace {
 			t.Errorf("the end takes %v", took)
 		}
 		if got := call(t, n, r.addr, ""); got.status != 0 {
@@ -326,7 +326,7 @@
 	})
 }
 
-// More callers than stated are refused at once.
+// More callers than stated are rejected at once.
 func TestCallersAreBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -376,19 +376,19 @@
 		r := startRelay(t, n, "relay:1", t.TempDir())
 		time.Sleep(time.Second)
 		h := r.Handler(0)
-		heard := make([]*recorder, callers)
+		recorders := make([]*recorder, callers)
 		var waiting sync.WaitGroup
-		for i := range heard {
-			heard[i] = &recorder{header: http.Header{}}
+		for i := range recorders {
+			recorders[i] = &recorder{header: http.Header{}}
 			waiting.Go(func() {
-				h.ServeHTTP(heard[i], httptest.NewRequest("GET", "/discovery/hosts?after=7&wait_ms=20000", nil))
+				h.ServeHTTP(recorders[i], httptest.NewRequest("GET", "/discovery/hosts?after=7&wait_ms=20000", nil))
 			})
 		}
 		time.Sleep(time.Second)
 		a.apply(8, members[3], members[4])
 		waiting.Wait()
-		for i, c := range heard {
-			if len(c.at) != 1 || c.at[0] != heard[0].at[0] || c.n != heard[0].n || c.n == 0 {
+		for i, c := range recorders {
+			if len(c.at) != 1 || c.at[0] != recorders[0].at[0] || c.n != recorders[0].n || c.n == 0 {
 				t.Fatalf("caller %d is written %d bytes in %d parts, not those of the first", i, c.n, len(c.at))
 			}
 		}
@@ -399,9 +399,9 @@
 // stale has missed can still be had elsewhere.
 func TestBounds(t *testing.T) {
 	for what, ok := range map[string]bool{
-		"two watches above fit into the time for who is ahead":           2*upstreamWatchWait < aheadHold,
+		"two watches of upstream fit into the time for who is ahead": 2*upstreamWatchWait < aheadHold,
 		"that fits into a call":                                          aheadHold < discovery.RelayTimeout,
-		"news and a turn fit into a call for the whole list":             aheadHold+maxQueueDelay < discovery.RelayFullListTimeout,
+		"an answer and a slot fit into a call for the full list":         aheadHold+maxQueueDelay < discovery.RelayFullListTimeout,
 		"several watches and their pauses fit into the time to be stale": 3*(upstreamWatchWait+maxUpstreamBackoff) < staleAfter,
 		"a stale relay leaves time for others":                           staleAfter <= balancer.NotifyBoundAfterFailure/3,
 	} {
