--- a/internal/scale/control/control_test.go
+++ b/internal/scale/control/control_test.go
@@ -242,7 +242,7 @@
 }
 
 // A call that has waited too long is refused, and not before its turn.
-func TestRefusals(t *testing.T) {
+func TestRejections(t *testing.T) {
 	const agents, cost, refuse = 12, 20 * time.Millisecond, 50 * time.Millisecond
 	s, addrs := start(t, agents, scenario.Control{CallMS: 20, Parallel: 1, RefuseMS: 50})
 	began := time.Now()
@@ -327,7 +327,7 @@
 
 // Partitioned agents hear nothing at all, not even that control has gone; their connections are reset when the way
 // is back. The others do not notice.
-func TestCut(t *testing.T) {
+func TestPartition(t *testing.T) {
 	s, addrs := start(t, 2, scenario.Control{Parallel: 1, Log: 16})
 	partition := func(partitioned bool) {
 		t.Helper()
--- a/internal/scale/control/notifications_test.go
+++ b/internal/scale/control/notifications_test.go
@@ -8,7 +8,7 @@
 )
 
 // A change is late if a watch that waited for it was written later than its queue, its cost and the allowance explain.
-func TestLate(t *testing.T) {
+func TestLateNotifications(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		held    time.Duration // before the change; 0: the call did not wait
@@ -51,7 +51,7 @@
 }
 
 // The first sign of a revision, or of a newer one, counts; changes are bounded.
-func TestFirstSign(t *testing.T) {
+func TestFirstAcknowledgement(t *testing.T) {
 	log := newNotificationLog(1)
 	begin := time.Now()
 	for r := range uint64(3) {
--- a/internal/scale/control/relay_test.go
+++ b/internal/scale/control/relay_test.go
@@ -23,7 +23,7 @@
 
 // A change comes to agents through a relay, and the relay reports when they acknowledged it and what it cost; agents that
 // are partitioned get nothing, and are reset when the partition ends.
-func TestRelayRole(t *testing.T) {
+func TestRelayService(t *testing.T) {
 	const agents = 3
 	c, above := start(t, agents+1, scenario.Control{Log: 16})
 	s, addrs := startRelayAt(t, above[agents], t.TempDir(), agents)
@@ -100,7 +100,7 @@
 }
 
 // Before its start a relay says so, and one whose address is taken does not start.
-func TestRelayRoleFails(t *testing.T) {
+func TestRelayServiceFails(t *testing.T) {
 	s := new(RelayService)
 	for name, err := range map[string]error{
 		"Begin": s.Begin(struct{}{}, nil), "Cut": s.Cut(PartitionArgs{}, nil), "Stats": s.Stats(struct{}{}, &RelayStats{}),
@@ -119,7 +119,7 @@
 	}
 }
 
-func TestLoad(t *testing.T) {
+func TestCPULoad(t *testing.T) {
 	begun := time.Now()
 	at := func(second int, cpu float64) usage {
 		return usage{at: begun.Add(time.Duration(second) * time.Second), cpu: time.Duration(cpu * float64(time.Second))}
--- a/internal/scale/control/workqueue_test.go
+++ b/internal/scale/control/workqueue_test.go
@@ -17,25 +17,25 @@
 
 // entry is a piece of work that comes at a time and is through, or refused, at another.
 type entry struct {
-	at      time.Duration
-	work    lists.Work
-	end     time.Duration
-	refused bool
+	at       time.Duration
+	work     lists.Work
+	end      time.Duration
+	rejected bool
 }
 
-// call is a call that begins, with so many lines; goesOn is one that goes on.
+// call is a call that begins, with so many lines; continued is one that goes on.
 func call(at time.Duration, lines int, end time.Duration, refused bool) entry {
 	return entry{at, lists.Work{Entries: lines}, end, refused}
 }
 
-func goesOn(at time.Duration, lines int, end time.Duration, refused bool) entry {
+func continued(at time.Duration, lines int, end time.Duration, refused bool) entry {
 	return entry{at, lists.Work{Continues: true, Entries: lines}, end, refused}
 }
 
 func near(a, b float64) bool { return math.Abs(a-b) <= 0.002*math.Max(math.Abs(a), math.Abs(b)) }
 
 // Work is done in its turn, at its stated cost; what has waited too long is refused in its turn as well.
-func TestQueue(t *testing.T) {
+func TestWorkQueue(t *testing.T) {
 	costs := scenario.Control{CallMS: 10, LineUS: 1000, Parallel: 1, RefuseMS: 25}
 	two, free, patient := costs, costs, costs
 	two.Parallel = 2
@@ -52,8 +52,8 @@
 	}{
 		{"alone", costs, []entry{call(0, 0, 10*ms, false)}, 100 * ms, 0.1, 0, 0},
 		{"lines", costs, []entry{call(0, 5, 15*ms, false)}, 100 * ms, 0.15, 0, 0},
-		{"goes on", costs, []entry{goesOn(0, 5, 5*ms, false)}, 100 * ms, 0.05, 0, 0},
-		{"in turn", costs, []entry{call(0, 0, 10*ms, false), call(1*ms, 0, 20*ms, false), goesOn(2*ms, 1, 21*ms, false)}, 100 * ms, 0.21, 2, 18},
+		{"goes on", costs, []entry{continued(0, 5, 5*ms, false)}, 100 * ms, 0.05, 0, 0},
+		{"in turn", costs, []entry{call(0, 0, 10*ms, false), call(1*ms, 0, 20*ms, false), continued(2*ms, 1, 21*ms, false)}, 100 * ms, 0.21, 2, 18},
 		{"after a pause", costs, []entry{call(0, 0, 10*ms, false), call(50*ms, 0, 60*ms, false)}, 100 * ms, 0.2, 0, 0},
 		{"refused after its work", costs, []entry{call(0, 20, 30*ms, false), call(1*ms, 0, 40*ms, true), call(2*ms, 0, 50*ms, true),
 			call(30*ms, 0, 60*ms, false)}, 100 * ms, 0.6, 2, 38},
@@ -74,8 +74,8 @@
 						due, err := q.Admit(t.Context(), e.work)
 						end := time.Since(began)
 						var refused lists.RejectedError
-						if end != e.end || errors.As(err, &refused) != e.refused || due != e.end-e.at {
-							t.Errorf("entry %d ended at %v, due after %v, with %v; want %v, refused %v", i, end, due, err, e.end, e.refused)
+						if end != e.end || errors.As(err, &refused) != e.rejected || due != e.end-e.at {
+							t.Errorf("entry %d ended at %v, due after %v, with %v; want %v, refused %v", i, end, due, err, e.end, e.rejected)
 						}
 					}()
 				}
@@ -93,7 +93,7 @@
 }
 
 // Who leaves does so at once; its work is done all the same.
-func TestQueueLeft(t *testing.T) {
+func TestWorkQueueCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		q := newWorkQueue(scenario.Control{CallMS: 10, Parallel: 1}, began)
@@ -109,7 +109,7 @@
 }
 
 // What waits is forgotten when control goes down, and the worst span is the worst one, of whole seconds.
-func TestQueueDropAndWorst(t *testing.T) {
+func TestWorkQueueDropAndWorstWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newWorkQueue(scenario.Control{CallMS: 1000, Parallel: 1}, time.Now())
 		q.plan(time.Now(), 100*time.Second)
--- a/internal/scale/meter/meter_test.go
+++ b/internal/scale/meter/meter_test.go
@@ -89,7 +89,7 @@
 }
 
 // The meter keeps an hour; the bytes that come later are not lost. Begin forgets all.
-func TestBounded(t *testing.T) {
+func TestMaxBins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New(1, time.Now())
 		near, counted := connect(t, m, 0)
@@ -110,7 +110,7 @@
 }
 
 // Bytes before the meter begins count in its first second.
-func TestEarly(t *testing.T) {
+func TestBytesBeforeBegin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New(1, time.Now().Add(time.Minute))
 		near, counted := connect(t, m, 0)
@@ -122,7 +122,7 @@
 }
 
 // No byte is lost between many connections of many agents and those who look.
-func TestManyAtOnce(t *testing.T) {
+func TestConcurrentConnections(t *testing.T) {
 	const agents, conns, writes, size = 8, 4, 50, 100
 	m := New(agents, time.Now())
 	var all sync.WaitGroup
--- a/internal/scale/realagent/addedlatency_test.go
+++ b/internal/scale/realagent/addedlatency_test.go
@@ -14,7 +14,7 @@
 )
 
 // What the other side does to a call decides whether it fails, and whether its time counts.
-func TestCallsThatAreNotMeasured(t *testing.T) {
+func TestUnmeasuredCalls(t *testing.T) {
 	echo := func(id string) string {
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 	}
@@ -35,7 +35,7 @@
 		"half an answer":   {func(id string, n int) string { return echo(id)[:len(echo(id))-n] }, true, true},
 	} {
 		t.Run(what, func(t *testing.T) {
-			addr := answering(t, c.answer)
+			addr := respondingServer(t, c.answer)
 			k := newClient(&agent{listen: addr}, addr, 0)
 			defer k.close()
 			if _, clean, err := k.call(t.Context(), 0); clean || err != nil {
@@ -54,8 +54,8 @@
 	}
 }
 
-// answering serves connections until the test ends; half an answer is the end of one.
-func answering(t *testing.T, answer func(id string, n int) string) string {
+// respondingServer serves connections until the test ends; half an answer is the end of one.
+func respondingServer(t *testing.T, answer func(id string, n int) string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/scale/realagent/httpconn_test.go
+++ b/internal/scale/realagent/httpconn_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-func TestParseReply(t *testing.T) {
+func TestParseResponse(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 	for text, want := range map[string]struct {
 		whole, bad, close bool
--- a/internal/scale/realagent/realagent_test.go
+++ b/internal/scale/realagent/realagent_test.go
@@ -267,7 +267,7 @@
 	t.Parallel()
 	o := options(t, 40)
 	f := fleet(t, t.Context(), o)
-	mentions(t, f.Configure(t.Context(), 100, 0), "agent r40", "agent r42", "not reloaded", "MaxAttempts")
+	mentions(t, f.Configure(t.Context(), 100, 0), "agent r40", "agent r42", reloadRejectedMessage, "MaxAttempts")
 	if s := f.Stats(); s.ConfInForce.Distribution().N != 0 || f.Err() != nil {
 		t.Errorf("in force all the same: %+v, error %v", s.ConfInForce.Distribution(), f.Err())
 	}
--- a/internal/scale/simagent/configsource_test.go
+++ b/internal/scale/simagent/configsource_test.go
@@ -6,7 +6,7 @@
 )
 
 // An agent that is slow to take a configuration in does not hold up those that come after it at the source.
-func TestSourceWaitsForNobody(t *testing.T) {
+func TestConfigSourceWaitsForNoAgent(t *testing.T) {
 	w := tinyWorld(t, nil)
 	f, _ := started(t, w, func(o *Options) { o.Shards = 2 })
 	f.Begin()
--- a/internal/scale/simagent/discovery_test.go
+++ b/internal/scale/simagent/discovery_test.go
@@ -29,23 +29,23 @@
 	}
 }
 
-// control is a discovery service with an address for each agent.
-type control struct {
-	mu       sync.Mutex
-	revision uint64
-	members  []discovery.Member
-	log      map[uint64][]discovery.Member // changes by revision
-	changed  chan struct{}
-	addrs    []string
-	whole    []int // whole lists that each agent asked for
-	watches  []int // watches that each began
-	acked    []uint64
+// fakeDiscovery is a discovery service with an address for each agent.
+type fakeDiscovery struct {
+	mu                sync.Mutex
+	revision          uint64
+	members           []discovery.Member
+	changesByRevision map[uint64][]discovery.Member
+	changed           chan struct{}
+	addrs             []string
+	fullLists         []int // that each agent asked for
+	watches           []int // watches that each began
+	acknowledged      []uint64
 }
 
-func newControl(t *testing.T, w *world.World) *control {
-	c := &control{
-		revision: 1, members: w.Members(time.Now()), log: map[uint64][]discovery.Member{}, changed: make(chan struct{}),
-		whole: make([]int, len(w.Agents)), watches: make([]int, len(w.Agents)), acked: make([]uint64, len(w.Agents)),
+func newFakeDiscovery(t *testing.T, w *world.World) *fakeDiscovery {
+	c := &fakeDiscovery{
+		revision: 1, members: w.Members(time.Now()), changesByRevision: map[uint64][]discovery.Member{}, changed: make(chan struct{}),
+		fullLists: make([]int, len(w.Agents)), watches: make([]int, len(w.Agents)), acknowledged: make([]uint64, len(w.Agents)),
 	}
 	for i := range w.Agents {
 		s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { c.serve(i, w, r) }))
@@ -55,15 +55,15 @@
 	return c
 }
 
-func (c *control) serve(agent int, w http.ResponseWriter, r *http.Request) {
+func (c *fakeDiscovery) serve(agent int, w http.ResponseWriter, r *http.Request) {
 	text := r.URL.Query().Get("after")
 	after, _ := strconv.ParseUint(text, 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	over := time.After(time.Duration(ms) * time.Millisecond)
 	c.mu.Lock()
-	c.acked[agent] = max(c.acked[agent], after)
+	c.acknowledged[agent] = max(c.acknowledged[agent], after)
 	if text == "" {
-		c.whole[agent]++
+		c.fullLists[agent]++
 	} else if ms > 0 {
 		c.watches[agent]++
 	}
@@ -89,18 +89,18 @@
 	if text != "" {
 		l.Members = []discovery.Member{}
 		for rev := after + 1; rev <= c.revision; rev++ {
-			l.Members = append(l.Members, c.log[rev]...)
+			l.Members = append(l.Members, c.changesByRevision[rev]...)
 		}
 	}
 	json.NewEncoder(w).Encode(l)
 }
 
 // change makes a revision of one change.
-func (c *control) change(m discovery.Member) uint64 {
+func (c *fakeDiscovery) change(m discovery.Member) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.revision++
-	c.log[c.revision] = []discovery.Member{m}
+	c.changesByRevision[c.revision] = []discovery.Member{m}
 	for i := range c.members {
 		if c.members[i].ID == m.ID {
 			c.members[i] = m
@@ -111,18 +111,18 @@
 	return c.revision
 }
 
-// asked returns how many whole lists all agents have asked for.
-func (c *control) asked() (n int) {
+// fullListCount returns how many full lists all agents have asked for.
+func (c *fakeDiscovery) fullListCount() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, w := range c.whole {
+	for _, w := range c.fullLists {
 		n += w
 	}
 	return n
 }
 
 // afterWatches waits until each agent has begun so many more watches. Whatever else it wanted before, it has asked for.
-func (c *control) afterWatches(t *testing.T, agents []int, more int, do func()) {
+func (c *fakeDiscovery) afterWatches(t *testing.T, agents []int, more int, do func()) {
 	t.Helper()
 	c.mu.Lock()
 	before := append([]int(nil), c.watches...)
@@ -170,7 +170,7 @@
 	return w
 }
 
-// everyone returns the places of all agents.
+// everyone returns the positions of all agents.
 func everyone(w *world.World) (out []int) {
 	for i := range w.Agents {
 		out = append(out, i)
@@ -178,10 +178,10 @@
 	return out
 }
 
-// started starts a world's agents and its control.
-func started(t *testing.T, w *world.World, change func(*Options)) (*Fleet, *control) {
+// started starts a world's agents with a discovery service.
+func started(t *testing.T, w *world.World, change func(*Options)) (*Fleet, *fakeDiscovery) {
 	t.Helper()
-	c := newControl(t, w)
+	c := newFakeDiscovery(t, w)
 	o := Options{World: w, Agents: everyone(w), Discovery: c.addrs}
 	if change != nil {
 		change(&o)
@@ -197,8 +197,8 @@
 	return f, c
 }
 
-// tally adds up what the shards have counted.
-func (f *Fleet) tally() *shardCounts {
+// mergedCounts adds up what the shards have counted.
+func (f *Fleet) mergedCounts() *shardCounts {
 	all := new(shardCounts)
 	for _, s := range f.shards {
 		s.doSync(func() { all.merge(&s.counts) })
--- a/internal/scale/simagent/fleet_test.go
+++ b/internal/scale/simagent/fleet_test.go
@@ -21,7 +21,7 @@
 	w := tinyWorld(t, nil)
 	f, _ := started(t, w, nil)
 	f.Begin()
-	until(t, "1500 calls at the root", func() bool { return f.tally().roots[phaseHealthy] >= 1500 })
+	until(t, "1500 calls at the root", func() bool { return f.mergedCounts().roots[phaseHealthy] >= 1500 })
 	r := f.Stats()
 	want := w.LayerRates()
 	if expected := want[0] * r.Seconds; math.Abs(float64(r.Roots)-expected) > 5*math.Sqrt(expected)+1 {
@@ -57,7 +57,7 @@
 	w := tinyWorld(t, nil)
 	f, c := started(t, w, nil)
 	f.Begin()
-	asked := c.asked()
+	asked := c.fullListCount()
 	var made []time.Time
 	for i := range 3 {
 		m := w.Members(time.Now())[i]
@@ -83,22 +83,22 @@
 			}
 		})
 	}
-	if n := c.asked() - asked; n != 0 {
-		t.Errorf("%d whole lists were asked for", n)
+	if n := c.fullListCount() - asked; n != 0 {
+		t.Errorf("%d full lists were asked for", n)
 	}
 }
 
-// Agents that begin with a known list ask for its changes only.
-func TestKnown(t *testing.T) {
+// Agents that start with a cached list ask for its changes only.
+func TestCachedEndpoints(t *testing.T) {
 	w := tinyWorld(t, nil)
 	f, c := started(t, w, func(o *Options) { o.CachedEndpoints = lists.Encode(1, true, w.Members(time.Now())) })
 	until(t, "all hold the list", func() bool { return f.countReady() == len(w.Agents) })
-	if n := c.asked(); n != 0 {
-		t.Errorf("%d whole lists were asked for", n)
+	if n := c.fullListCount(); n != 0 {
+		t.Errorf("%d full lists were asked for", n)
 	}
 }
 
-// An agent that starts again with the list that it held asks for its changes only; one that forgot it asks for the whole
+// An agent that restarts with the list that it held asks for its changes only; one that forgot it asks for the whole
 // list once.
 func TestRestart(t *testing.T) {
 	for _, c := range []struct {
@@ -111,14 +111,14 @@
 			f, ctl := started(t, w, nil)
 			restart := []int{0, 3, 11}
 			ctl.afterWatches(t, everyone(w), 1, func() {})
-			asked := ctl.asked()
+			asked := ctl.fullListCount()
 			ctl.afterWatches(t, restart, 2, func() {
 				if err := f.Step(world.Step{Event: -1, Restart: restart, Forget: c.forget}); err != nil {
 					t.Error(err)
 				}
 			})
-			if n := ctl.asked() - asked; n != c.whole*len(restart) {
-				t.Errorf("%d whole lists were asked for", n)
+			if n := ctl.fullListCount() - asked; n != c.whole*len(restart) {
+				t.Errorf("%d full lists were asked for", n)
 			}
 			until(t, "all hold the list", func() bool { return f.countReady() == len(w.Agents) })
 			for _, a := range f.agents {
@@ -147,7 +147,7 @@
 		}
 	})
 	f.Begin()
-	asked := c.asked()
+	asked := c.fullListCount()
 	for _, revision := range []int{1, 2} {
 		f.Configure(revision, push)
 	}
@@ -183,8 +183,8 @@
 	if n := r.Control.ConfInForce.N; n != int64(2*len(w.Agents)-1) {
 		t.Errorf("%d times", n)
 	}
-	if n := c.asked() - asked; n > 2*len(w.Agents)-1 {
-		t.Errorf("%d whole lists were asked for, by %d agents for two revisions", n, len(w.Agents))
+	if n := c.fullListCount() - asked; n > 2*len(w.Agents)-1 {
+		t.Errorf("%d full lists were asked for, by %d agents for two revisions", n, len(w.Agents))
 	}
 }
 
@@ -198,17 +198,17 @@
 	})
 	f, _ := started(t, w, nil)
 	f.Begin()
-	until(t, "800 calls in peace", func() bool { return f.tally().roots[phaseHealthy] >= 800 })
+	until(t, "800 calls in peace", func() bool { return f.mergedCounts().roots[phaseHealthy] >= 800 })
 	yes, no := true, false
 	if err := f.Step(world.Step{Event: -1, Fail: &yes}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "800 calls meanwhile", func() bool { return f.tally().roots[phaseFailing] >= 800 })
+	until(t, "800 calls meanwhile", func() bool { return f.mergedCounts().roots[phaseFailing] >= 800 })
 	if err := f.Step(world.Step{Event: -1, Fail: &no}); err != nil {
 		t.Fatal(err)
 	}
-	before := f.tally().roots[phaseHealthy]
-	until(t, "300 calls after", func() bool { return f.tally().roots[phaseHealthy] >= before+300 })
+	before := f.mergedCounts().roots[phaseHealthy]
+	until(t, "300 calls after", func() bool { return f.mergedCounts().roots[phaseHealthy] >= before+300 })
 	r := f.Stats()
 	deepest := r.Depths[len(r.Depths)-1]
 	most := 1 + w.Scenario.Agent.RetryRatio + w.Scenario.Agent.RetryFloor // attempts for each call, however few they are
@@ -247,8 +247,8 @@
 					t.Errorf("its agent runs: %v", beside.isUp)
 				}
 			})
-			begun := f.tally().roots[phaseHealthy]
-			until(t, "1000 calls", func() bool { return f.tally().roots[phaseHealthy] >= begun+1000 })
+			begun := f.mergedCounts().roots[phaseHealthy]
+			until(t, "1000 calls", func() bool { return f.mergedCounts().roots[phaseHealthy] >= begun+1000 })
 			if err := f.Step(world.Step{Event: -1, Up: []int{down}, Cold: true, Restart: []int{beside.position}}); err != nil {
 				t.Fatal(err)
 			}
@@ -270,7 +270,7 @@
 // Nothing of a fleet runs on after its end, whatever its agents were doing.
 func TestCloseEndsAll(t *testing.T) {
 	w := tinyWorld(t, nil)
-	c := newControl(t, w)
+	c := newFakeDiscovery(t, w)
 	runtime.GC()
 	before := runtime.NumGoroutine()
 	f, err := Start(t.Context(), Options{World: w, Agents: everyone(w), Discovery: c.addrs})
--- a/internal/scale/simagent/model_test.go
+++ b/internal/scale/simagent/model_test.go
@@ -14,22 +14,22 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// jumping is a clock that stands still until somebody waits.
-type jumping struct{ now time.Duration }
+// manualClock is a clock that stands still until somebody waits.
+type manualClock struct{ now time.Duration }
 
-func (c *jumping) Now() time.Duration                          { return c.now }
-func (c *jumping) Wait(until time.Duration, _ <-chan struct{}) { c.now = max(c.now, until) }
+func (c *manualClock) Now() time.Duration                          { return c.now }
+func (c *manualClock) Wait(until time.Duration, _ <-chan struct{}) { c.now = max(c.now, until) }
 
 // model is a fleet of one shard in a test's hands, with a clock that jumps and no discovery.
 type model struct {
 	*Fleet
-	clock *jumping
+	clock *manualClock
 }
 
 func newModel(t *testing.T, change func(*scenario.Scenario)) *model {
 	t.Helper()
 	w := tinyWorld(t, change)
-	clock := &jumping{time.Duration(time.Now().UnixNano())}
+	clock := &manualClock{time.Duration(time.Now().UnixNano())}
 	addrs := slices.Repeat([]string{"127.0.0.1:1"}, len(w.Agents))
 	f, err := newFleet(Options{World: w, Agents: everyone(w), Discovery: addrs, Shards: 1, Clock: clock})
 	if err != nil {
@@ -43,8 +43,8 @@
 	return &model{f, clock}
 }
 
-// listed begins an agent as a process that holds the list.
-func (m *model) listed(t *testing.T, place int) *agent {
+// listedAgent begins an agent as a process that holds the list.
+func (m *model) listedAgent(t *testing.T, place int) *agent {
 	t.Helper()
 	a := m.agentsByPosition[place]
 	cfg, err := config.Parse(m.world.Config(place, world.ConfigOptions{Listen: listenNowhere, Discovery: "127.0.0.1:1"}))
@@ -80,7 +80,7 @@
 }
 
 // What is due comes in its order, and what is due at once in the order in which it was queued.
-func TestQueueOrder(t *testing.T) {
+func TestEventQueueOrder(t *testing.T) {
 	var q eventQueue
 	rng := rand.New(rand.NewPCG(1, 1))
 	for i := range 2000 {
@@ -104,9 +104,9 @@
 
 // A server works on as many requests as it has slots, lets as many wait as it has room for, and turns others away; those
 // that nobody waits for any more it does not begin.
-func TestServerHoldsItsBounds(t *testing.T) {
+func TestServerBounds(t *testing.T) {
 	m := newModel(t, func(s *scenario.Scenario) { s.Fleet.Slots, s.Fleet.QueueSlots = 2, 3 })
-	a, to := m.listed(t, 0), m.servers[m.world.Services[m.world.Deepest].Servers[0]]
+	a, to := m.listedAgent(t, 0), m.servers[m.world.Services[m.world.Deepest].Servers[0]]
 	begun := m.clock.now
 	var jobs []*attempt
 	for range 7 {
@@ -157,7 +157,7 @@
 			m := newModel(t, nil)
 			to := m.servers[m.world.Services[m.world.Deepest].Servers[0]]
 			from := slices.IndexFunc(m.servers, func(s *server) bool { return s.region != to.region && s.agent != nil })
-			a := m.listed(t, m.servers[from].agent.position)
+			a := m.listedAgent(t, m.servers[from].agent.position)
 			play := func(st world.Step) {
 				for i := range st.Down {
 					st.Down[i] = to.position
@@ -193,12 +193,12 @@
 
 // When a caller has gone, what waits for its server is dropped at once, and so is the call that it waits for; its slot is
 // free when its own part is done.
-func TestCancelled(t *testing.T) {
+func TestCancelledAttempts(t *testing.T) {
 	m := newModel(t, func(s *scenario.Scenario) { s.Fleet.Slots = 1 })
 	layer1 := m.world.Services[m.world.Servers[0].Service].Calls[0].Service
 	to := m.servers[m.world.Services[layer1].Servers[0]]
-	a := m.listed(t, 0)
-	m.listed(t, to.agent.position)
+	a := m.listedAgent(t, 0)
+	m.listedAgent(t, to.agent.position)
 	first, second := m.attempt(a, to, m.clock.now+time.Hour), m.attempt(a, to, m.clock.now+time.Hour)
 	to.receive(first)
 	to.receive(second)
@@ -236,7 +236,7 @@
 // An agent holds so many requests and no more; those that are over it forgets.
 func TestOpenRequestsAreBounded(t *testing.T) {
 	m := newModel(t, func(s *scenario.Scenario) { s.Fleet.Slots, s.Fleet.QueueSlots = 4096, 4096 })
-	a := m.listed(t, 0)
+	a := m.listedAgent(t, 0)
 	calls := m.world.Services[a.server.service].Calls
 	for range maxOpenRequests + 100 {
 		a.startCall(request{service: calls[0].Service, remaining: time.Second, phase: phaseHealthy, root: true})
--- a/internal/scale/simagent/service_test.go
+++ b/internal/scale/simagent/service_test.go
@@ -15,7 +15,7 @@
 // The part does over its pipes what a fleet does: it starts once, plays steps to the letter, and tells what it measured.
 func TestService(t *testing.T) {
 	w := tinyWorld(t, nil)
-	c := newControl(t, w)
+	c := newFakeDiscovery(t, w)
 	s, server := new(Service), rpc.NewServer()
 	if err := server.RegisterName("Hollow", s); err != nil {
 		t.Fatal(err)
@@ -70,7 +70,7 @@
 }
 
 // A step comes through the pipes as it was.
-func TestStepAsItWas(t *testing.T) {
+func TestStepRoundTrip(t *testing.T) {
 	no := false
 	want := StepArgs{world.Step{
 		At: time.Second, Event: 2, Changes: []discovery.Member{{ID: "x", Address: "127.0.0.1:1", State: "Gone", Weight: 0.5, StartedAtMillis: 7}},
--- a/internal/scale/world/steps_test.go
+++ b/internal/scale/world/steps_test.go
@@ -236,7 +236,7 @@
 				t.Fatalf("%d steps, want %d: %+v", len(got), len(c.want), got)
 			}
 			for i, step := range got {
-				if want := c.want[i]; !reflect.DeepEqual(outline(step), outline(want)) {
+				if want := c.want[i]; !reflect.DeepEqual(summary(step), summary(want)) {
 					t.Errorf("step %d: %+v, want %+v", i, step, want)
 				}
 			}
@@ -244,14 +244,14 @@
 	}
 }
 
-// outline is what TestKinds compares of a step.
-func outline(s world.Step) []any {
+// summary is what TestKinds compares of a step.
+func summary(s world.Step) []any {
 	return []any{s.At, s.Config, len(s.Changes), len(s.Down), s.Silent, len(s.Up), s.Cold, len(s.Restart), s.Forget,
 		s.PartitionRegions != nil, s.Fail != nil, s.ControlDown != nil}
 }
 
 // A whole rack or zone vanishes, and nothing beside it.
-func TestVanishTogether(t *testing.T) {
+func TestAgentsVanishWithTheirServers(t *testing.T) {
 	for name, e := range map[string]scenario.Event{
 		"rack": {Kind: "rack", AtS: 1, ForS: 2, Zone: 3, Count: 2},
 		"zone": {Kind: "zone", AtS: 1, ForS: 2, Zone: 3},
