--- a/internal/scale/scenario/adjust.go
+++ b/internal/scale/scenario/adjust.go
@@ -82,9 +82,9 @@
 		e := &a.scenario.Events[i]
 		field := fmt.Sprintf("events[%d].count", i)
 		switch e.Kind {
-		case "restart":
+		case EventRestart:
 			a.lower(field, &e.Count, nil, agents)
-		case "replace", "machine":
+		case EventReplace, EventMachine:
 			a.lower(field, &e.Count, nil, servers)
 		}
 	}
--- a/internal/scale/scenario/load.go
+++ b/internal/scale/scenario/load.go
@@ -33,9 +33,9 @@
 
 // defaultClasses are those of a file that has none.
 var defaultClasses = []Class{
-	{Name: "read", Share: 0.6, Effect: "pure", AimMS: 400, DeadlineMS: 2000, Worth: 1},
-	{Name: "keyed", Share: 0.3, Effect: "token", AimMS: 400, DeadlineMS: 2000, WindowMS: 30000, Worth: 2},
-	{Name: "once", Share: 0.1, Effect: "side_effect", AimMS: 400, DeadlineMS: 2000, Worth: 3},
+	{Name: "read", Share: 0.6, Effect: Idempotent, AimMS: 400, DeadlineMS: 2000, Worth: 1},
+	{Name: "keyed", Share: 0.3, Effect: IdempotentWithKey, AimMS: 400, DeadlineMS: 2000, WindowMS: 30000, Worth: 2},
+	{Name: "once", Share: 0.1, Effect: NonIdempotent, AimMS: 400, DeadlineMS: 2000, Worth: 3},
 }
 
 // Load reads and checks a file. Its errors name the file, and the field that cannot be used.
--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -75,6 +75,13 @@
 	RestartAfter float64 `toml:"restart_after_s"`
 }
 
+// The idempotency of calls, as files and settings name it.
+const (
+	Idempotent        = "pure"
+	IdempotentWithKey = "token"
+	NonIdempotent     = "side_effect"
+)
+
 // Class is a class of calls. Each service belongs to one, by its share.
 type Class struct {
 	Name       string  `toml:"name"`
@@ -98,19 +105,22 @@
 	AddedSamples int     `toml:"added_samples"`
 }
 
-// Event is something that happens in the run. What Count, Zone and ForS mean depends on Kind:
-//
-//	config        a new configuration for every agent
-//	restart       Count agents restart, spread over ForS
-//	replace       Count servers drain and are replaced by new ids, spread over ForS
-//	release       Share of the servers drain and come back as new processes, spread over ForS
-//	machine       Count servers vanish at once, and their agents with them, for ForS
-//	rack          the servers of rack Count of zone Zone vanish for ForS, and their agents with them
-//	zone          the servers of zone Zone vanish for ForS and come back cold, and their agents with them
-//	regions       the regions are partitioned for ForS; control is in region 0
-//	control-loss  control is down for ForS, and all agents come back to it
-//	agents-back   all agents restart at once, with no list
-//	fail          the deepest service answers errors for ForS
+// The kinds of events.
+const (
+	EventConfig      = "config"       // a new configuration for every agent
+	EventRestart     = "restart"      // Count agents restart, spread over ForS
+	EventReplace     = "replace"      // Count servers drain and are replaced by new ids, spread over ForS
+	EventRelease     = "release"      // Share of the servers drain and come back as new processes, spread over ForS
+	EventMachine     = "machine"      // Count servers vanish at once, and their agents with them, for ForS
+	EventRack        = "rack"         // the servers of rack Count of zone Zone vanish for ForS, and their agents with them
+	EventZone        = "zone"         // the servers of zone Zone vanish for ForS and come back cold, and their agents with them
+	EventRegions     = "regions"      // the regions are partitioned for ForS; control is in region 0
+	EventControlLoss = "control-loss" // control is down for ForS, and all agents come back to it
+	EventAgentsBack  = "agents-back"  // all agents restart at once, with no list
+	EventFail        = "fail"         // the deepest service answers errors for ForS
+)
+
+// Event is something that happens in the run. What Count, Zone, Share and ForS mean depends on Kind.
 type Event struct {
 	Kind  string  `toml:"kind"`
 	AtS   float64 `toml:"at_s"`
--- a/internal/scale/scenario/validate.go
+++ b/internal/scale/scenario/validate.go
@@ -138,7 +138,7 @@
 	v.floatInRange("relays.restart_after_s", r.RestartAfter, 0, maxSeconds)
 }
 
-var idempotencies = []string{"pure", "token", "side_effect"}
+var idempotencies = []string{Idempotent, IdempotentWithKey, NonIdempotent}
 
 func (s *Scenario) checkClasses(v *validator) {
 	shares := 0.0
@@ -157,7 +157,7 @@
 		v.floatAbove(at+"aim_ms", k.AimMS, 0, maxMS)
 		v.floatInRange(at+"deadline_ms", k.DeadlineMS, k.AimMS, maxMS)
 		v.floatInRange(at+"worth", k.Worth, 0, 1e6)
-		if k.Effect == "token" {
+		if k.Effect == IdempotentWithKey {
 			v.floatAbove(at+"window_ms", k.WindowMS, 0, 24*3600*1000)
 		} else if k.WindowMS != 0 {
 			v.fail(at+"window_ms", "only the effect token has one")
@@ -194,17 +194,17 @@
 
 // eventKeys are the keys of events by kind.
 var eventKeys = map[string]eventKeySet{
-	"config":       0,
-	"restart":      allowsDuration | allowsCount,
-	"replace":      allowsDuration | allowsCount,
-	"release":      allowsDuration | allowsShare,
-	"machine":      allowsDuration | requiresDuration | allowsCount,
-	"rack":         allowsDuration | requiresDuration | allowsCount | allowsZone,
-	"zone":         allowsDuration | requiresDuration | allowsZone,
-	"regions":      allowsDuration | requiresDuration,
-	"control-loss": allowsDuration | requiresDuration,
-	"agents-back":  0,
-	"fail":         allowsDuration | requiresDuration,
+	EventConfig:      0,
+	EventRestart:     allowsDuration | allowsCount,
+	EventReplace:     allowsDuration | allowsCount,
+	EventRelease:     allowsDuration | allowsShare,
+	EventMachine:     allowsDuration | requiresDuration | allowsCount,
+	EventRack:        allowsDuration | requiresDuration | allowsCount | allowsZone,
+	EventZone:        allowsDuration | requiresDuration | allowsZone,
+	EventRegions:     allowsDuration | requiresDuration,
+	EventControlLoss: allowsDuration | requiresDuration,
+	EventAgentsBack:  0,
+	EventFail:        allowsDuration | requiresDuration,
 }
 
 func (s *Scenario) checkEvents(v *validator) {
@@ -251,18 +251,18 @@
 func (s *Scenario) checkTargets(v *validator, at string, e Event) {
 	f := &s.Fleet
 	switch e.Kind {
-	case "restart":
+	case EventRestart:
 		v.intInRange(at+"count", e.Count, 1, s.Agents())
-	case "replace", "machine":
+	case EventReplace, EventMachine:
 		v.intInRange(at+"count", e.Count, 1, f.Servers)
-	case "release":
+	case EventRelease:
 		v.floatAbove(at+"share", e.Share, 0, 1)
-	case "rack":
+	case EventRack:
 		v.intInRange(at+"count", e.Count, 0, f.Racks-1)
 		v.intInRange(at+"zone", e.Zone, 0, f.Zones-1)
-	case "zone":
+	case EventZone:
 		v.intInRange(at+"zone", e.Zone, 0, f.Zones-1)
-	case "regions":
+	case EventRegions:
 		if f.Regions < 2 {
 			v.fail(at+"kind", "regions needs two of them, not %d (fleet.regions)", f.Regions)
 		}
@@ -274,9 +274,9 @@
 func (s *Scenario) EventEnd(e Event) float64 {
 	end := e.AtS + e.ForS
 	switch e.Kind {
-	case "replace", "release":
+	case EventReplace, EventRelease:
 		end += s.Fleet.DrainS + s.Fleet.BootS + s.Control.NoticeMS/1000
-	case "machine", "rack", "zone":
+	case EventMachine, EventRack, EventZone:
 		end += s.Control.NoticeMS / 1000
 	}
 	return end
--- a/internal/scale/world/agentconfig.go
+++ b/internal/scale/world/agentconfig.go
@@ -21,7 +21,7 @@
 // AddEcho adds an idempotent service of layer 0 whose servers are real sockets: one at each address, in the zones in turn.
 // Every process of a run has to add the same ones, or their worlds differ.
 func (w *World) AddEcho(addrs []string) {
-	class := max(0, slices.IndexFunc(w.Scenario.Classes, func(c scenario.Class) bool { return c.Effect == "pure" }))
+	class := max(0, slices.IndexFunc(w.Scenario.Classes, func(c scenario.Class) bool { return c.Effect == scenario.Idempotent }))
 	w.Services = append(w.Services, Service{Name: EchoService, Class: class})
 	for i, addr := range addrs {
 		w.addServer(len(w.Services)-1, i%len(w.Zones), 0, 1)
@@ -149,7 +149,7 @@
 		c.LatencyObjective = echoLatencyObjectiveMS
 		c.Deadline = echoDeadlineMS
 		c.PriorityWeight = 1
-		c.Idempotency = "pure"
+		c.Idempotency = scenario.Idempotent
 		c.DedupWindow = 0
 	}
 	c.Deadline = math.Round(c.Deadline*1000+float64(revision)) / 1000
--- a/internal/scale/world/agents.go
+++ b/internal/scale/world/agents.go
@@ -8,17 +8,17 @@
 // service keeps a simulated one.
 func (w *World) placeAgents() {
 	n := w.Scenario.Agents()
-	real := w.Scenario.Fleet.Real
+	realAgents := w.Scenario.Fleet.Real
 	simulated := make([]int, len(w.Services))
 	for i := range n {
 		server := i % len(w.Servers)
 		w.Agents = append(w.Agents, Agent{Name: fmt.Sprintf("n%d", i), Server: server})
 		simulated[w.Servers[server].Service]++
 	}
-	for k := range real {
-		i := w.nextSimulated(k*n/real, func(service int) bool { return simulated[service] > 1 })
+	for k := range realAgents {
+		i := w.nextSimulated(k*n/realAgents, func(service int) bool { return simulated[service] > 1 })
 		if i < 0 {
-			i = w.nextSimulated(k*n/real, func(int) bool { return true })
+			i = w.nextSimulated(k*n/realAgents, func(int) bool { return true })
 		}
 		w.Agents[i].Real = true
 		simulated[w.Servers[w.Agents[i].Server].Service]--
--- a/internal/scale/world/servers.go
+++ b/internal/scale/world/servers.go
@@ -47,6 +47,9 @@
 	serverPort    = 9000
 )
 
+// feistelRounds mix an id's halves.
+const feistelRounds uint64 = 4
+
 // serverAddr is unique to a server and generation, within 127.16 to 127.63; control and relays have the networks above.
 func serverAddr(position, generation int) string {
 	n := generation<<positionBits | position
@@ -57,7 +60,7 @@
 func (w *World) serverID(position, generation int) string {
 	n := uint32(generation<<positionBits | position)
 	left, right := uint16(n>>16), uint16(n)
-	for round := range uint64(4) {
+	for round := range feistelRounds {
 		left, right = right, left^w.mixRound(right, round)
 	}
 	return fmt.Sprintf("s-%04x%04x", left, right)
@@ -69,7 +72,7 @@
 	if n, err := fmt.Sscanf(id, "s-%04x%04x", &left, &right); n != 2 || err != nil || len(id) != len("s-01234567") {
 		return 0, false
 	}
-	for round := uint64(4); round > 0; round-- {
+	for round := feistelRounds; round > 0; round-- {
 		left, right = right^w.mixRound(left, round-1), left
 	}
 	n := uint32(left)<<16 | uint32(right)
--- a/internal/scale/world/steps.go
+++ b/internal/scale/world/steps.go
@@ -87,29 +87,29 @@
 	at, length := seconds(e.AtS), seconds(e.ForS)
 	s.steps = append(s.steps, Step{At: at, Begins: true})
 	switch e.Kind {
-	case "config":
+	case scenario.EventConfig:
 		s.add(Step{At: at, Config: 1})
-	case "restart":
+	case scenario.EventRestart:
 		for _, w := range waves(s.pickAgents(at, e.Count), length) {
 			s.add(Step{At: at + w.after, Restart: w.positions})
 		}
-	case "agents-back":
+	case scenario.EventAgentsBack:
 		s.add(Step{At: at, Restart: s.pickAgents(at, len(s.Agents)), Forget: true})
-	case "replace":
+	case scenario.EventReplace:
 		s.drain(at, length, s.pickServers(at, e.Count), true)
-	case "release":
+	case scenario.EventRelease:
 		s.drain(at, length, s.pickServers(at, int(math.Round(e.Share*float64(len(s.freeAt))))), false)
-	case "machine":
+	case scenario.EventMachine:
 		s.failMachines(at, length, s.pickServers(at, e.Count))
-	case "rack", "zone":
+	case scenario.EventRack, scenario.EventZone:
 		s.failMachines(at, length, s.freeServers(at, func(server *Server) bool {
-			return server.Zone == e.Zone && (e.Kind == "zone" || server.Rack == e.Count)
+			return server.Zone == e.Zone && (e.Kind == scenario.EventZone || server.Rack == e.Count)
 		}))
-	case "regions":
+	case scenario.EventRegions:
 		s.toggle(at, length, func(step *Step, on *bool) { step.PartitionRegions = on })
-	case "control-loss":
+	case scenario.EventControlLoss:
 		s.toggle(at, length, func(step *Step, on *bool) { step.ControlDown = on })
-	case "fail":
+	case scenario.EventFail:
 		s.toggle(at, length, func(step *Step, on *bool) { step.Fail = on })
 	}
 	own := s.steps[from:]
