--- a/internal/scale/realagent/realagent.go
+++ b/internal/scale/realagent/realagent.go
@@ -19,6 +19,7 @@
 	"sync"
 	"time"
 
+	"example.org/ryeloft/internal/scale/parallel"
 	"example.org/ryeloft/internal/scale/result"
 	"example.org/ryeloft/internal/scale/world"
 )
@@ -121,7 +122,7 @@
 		}
 		f.agents = append(f.agents, a)
 	}
-	return f.forEachAgent(f.agents, startConcurrency, func(a *agent) error {
+	return parallel.ForEach(f.agents, startConcurrency, func(a *agent) error {
 		took, err := f.run(ctx, a)
 		if err == nil {
 			f.options.Log.Debug("real agent up", "agent", a.name, "listen", a.listen, "took", took)
@@ -174,22 +175,6 @@
 	return a.awaitUp(ctx, p)
 }
 
-// forEachAgent calls do for agents, some at a time, and returns all errors when all calls have returned.
-func (f *Fleet) forEachAgent(agents []*agent, concurrency int, do func(*agent) error) error {
-	errs := make([]error, len(agents))
-	turns := make(chan struct{}, concurrency)
-	var all sync.WaitGroup
-	for i, a := range agents {
-		turns <- struct{}{}
-		all.Go(func() {
-			defer func() { <-turns }()
-			errs[i] = do(a)
-		})
-	}
-	all.Wait()
-	return errors.Join(errs...)
-}
-
 // onExit handles the end of a process. One whose end nobody requested makes the run fail.
 func (f *Fleet) onExit(a *agent, p *process) {
 	if p.stopRequested.Load() || f.ctx.Err() != nil {
@@ -224,7 +209,7 @@
 	f.mu.Lock()
 	f.closing = true
 	f.mu.Unlock()
-	err := f.forEachAgent(f.agents, maxAgents, func(a *agent) error {
+	err := parallel.ForEach(f.agents, maxAgents, func(a *agent) error {
 		a.processMu.Lock()
 		defer a.processMu.Unlock()
 		p := a.running()
--- a/internal/scale/realagent/restart.go
+++ b/internal/scale/realagent/restart.go
@@ -4,6 +4,8 @@
 	"context"
 	"slices"
 	"time"
+
+	"example.org/ryeloft/internal/scale/parallel"
 )
 
 // Restart restarts those of the world's agents that are of this fleet, all at once, as the platform does at a planned
@@ -17,7 +19,7 @@
 			own = append(own, a)
 		}
 	}
-	return f.forEachAgent(own, maxAgents, func(a *agent) error {
+	return parallel.ForEach(own, maxAgents, func(a *agent) error {
 		took, err := f.restart(ctx, a, cached)
 		if err != nil {
 			return err
--- a/internal/scale/simagent/fleet.go
+++ b/internal/scale/simagent/fleet.go
@@ -23,6 +23,7 @@
 
 	"example.org/ryeloft/internal/clock"
 	"example.org/ryeloft/internal/discovery"
+	"example.org/ryeloft/internal/scale/parallel"
 	"example.org/ryeloft/internal/scale/world"
 )
 
@@ -107,7 +108,7 @@
 	}
 	f.background.Go(f.configSource.run)
 	start := func(a *agent) error { return f.startAgent(a, o.CachedEndpoints) }
-	if err := f.forEachAgent(f.agents, start); err != nil {
+	if err := parallel.ForEach(f.agents, startConcurrency, start); err != nil {
 		return nil, errors.Join(err, f.Close())
 	}
 	timeout := time.NewTimer(readyTimeout)
@@ -220,23 +221,3 @@
 	default:
 	}
 }
-
-// forEachAgent calls do for agents, startConcurrency at a time, and returns when all calls have.
-func (f *Fleet) forEachAgent(agents []*agent, do func(*agent) error) error {
-	var workers sync.WaitGroup
-	next := make(chan *agent)
-	errs := make([]error, startConcurrency)
-	for i := range errs {
-		workers.Go(func() {
-			for a := range next {
-				errs[i] = errors.Join(errs[i], do(a))
-			}
-		})
-	}
-	for _, a := range agents {
-		next <- a
-	}
-	close(next)
-	workers.Wait()
-	return errors.Join(errs...)
-}
--- a/internal/scale/simagent/steps.go
+++ b/internal/scale/simagent/steps.go
@@ -3,6 +3,7 @@
 import (
 	"slices"
 
+	"example.org/ryeloft/internal/scale/parallel"
 	"example.org/ryeloft/internal/scale/world"
 )
 
@@ -23,7 +24,7 @@
 		s := f.servers[i]
 		s.shard.doSync(func() { s.restart(step.Cold) })
 	}
-	return f.forEachAgent(f.agentsAt(step.Restart), func(a *agent) error {
+	return parallel.ForEach(f.agentsAt(step.Restart), startConcurrency, func(a *agent) error {
 		if step.Forget {
 			return f.startAgent(a, nil)
 		}
