--- a/internal/scale/run/check_test.go
+++ b/internal/scale/run/check_test.go
@@ -25,3 +25,15 @@
 		}
 	}
 }
+
+// The causes of a failed run are printed.
+func TestCauses(t *testing.T) {
+	for want, err := range map[string]error{
+		"the part control died": PartDiedError{"control"},
+		"all processes together hold 11264 MB, they may hold 10240": MemoryError{HeldBytes: 11 << 30, LimitBytes: maxMemoryBytes},
+	} {
+		if err.Error() != want {
+			t.Errorf("%q, want %q", err, want)
+		}
+	}
+}
--- a/internal/scale/run/watchdog.go
+++ b/internal/scale/run/watchdog.go
@@ -12,6 +12,20 @@
 // memoryCheckInterval is how often the memory of all processes is summed up.
 const memoryCheckInterval = 500 * time.Millisecond
 
+// PartDiedError is the end of a part in the middle of a run.
+type PartDiedError struct{ Part string }
+
+// Error implements error.
+func (e PartDiedError) Error() string { return fmt.Sprintf("the part %s died", e.Part) }
+
+// MemoryError is a run whose processes together hold more memory than they may.
+type MemoryError struct{ HeldBytes, LimitBytes int64 }
+
+// Error implements error.
+func (e MemoryError) Error() string {
+	return fmt.Sprintf("all processes together hold %d MB, they may hold %d", e.HeldBytes>>20, e.LimitBytes>>20)
+}
+
 // watchProcesses makes the run fail when a part or a real agent dies, or when all processes together hold too much memory.
 // It ends with the run's context.
 func (r *runner) watchProcesses(ctx context.Context) {
@@ -26,17 +40,17 @@
 		case <-ctx.Done():
 			return
 		case <-r.controlPart.Done():
-			r.fail(fmt.Errorf("the part %s died", r.controlPart.Role))
+			r.fail(PartDiedError{r.controlPart.Role})
 			return
 		case <-r.simulatedPart.Done():
-			r.fail(fmt.Errorf("the part %s died", r.simulatedPart.Role))
+			r.fail(PartDiedError{r.simulatedPart.Role})
 			return
 		case <-realAgentDied:
 			r.fail(r.realAgents.Err())
 			return
 		case <-memoryCheck.C:
 			if held := procstat.TreeResidentBytes(os.Getpid()); held > maxMemoryBytes {
-				r.fail(fmt.Errorf("all processes together hold %d MB, they may hold %d", held>>20, maxMemoryBytes>>20))
+				r.fail(MemoryError{HeldBytes: held, LimitBytes: maxMemoryBytes})
 				return
 			}
 		}
