--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -400,7 +400,8 @@
 					notified := time.Now().Add(c.notified)
 					s.change()
 					time.Sleep(20 * time.Second)
-					late, worst := 0, time.Duration(0)
+					late := 0
+					worst := time.Duration(0)
 					for i, f := range all {
 						received, ok := f.RecordedAt(3)
 						if !ok {
--- a/internal/discovery/reloads_test.go
+++ b/internal/discovery/reloads_test.go
@@ -48,7 +48,8 @@
 		{200 * ms, false, true, true, 5}, {300 * ms, false, true, true, 50},
 	} {
 		t.Run(fmt.Sprintf("%v a call/early %v/paid %v/rejects %v", c.cost, c.early, c.paid, c.rejects), func(t *testing.T) {
-			late, worst := 0, time.Duration(0)
+			late := 0
+			worst := time.Duration(0)
 			for seed := range seeds {
 				synctest.Test(t, func(t *testing.T) {
 					s := newService(c.cost)
@@ -56,7 +57,8 @@
 					s.chargesWatches = c.paid
 					for _, by := range latenessAfterReloads(t, s, uint64(seed), c.rejects) {
 						if by > drainGrace {
-							late, worst = late+1, max(worst, by)
+							late++
+							worst = max(worst, by)
 						}
 					}
 				})
@@ -93,7 +95,12 @@
 	s.change()
 	notified := time.Now().Add(notifiesIn)
 	time.Sleep(notifiesIn + patience)
-	for _, f := range all {
+	return latenessOf(all, notified)
+}
+
+// latenessOf returns when each agent received revision 2 after it counted as notified; one that has not is late until now.
+func latenessOf(fleet []*follower, notified time.Time) (by []time.Duration) {
+	for _, f := range fleet {
 		received, ok := f.RecordedAt(2)
 		if !ok {
 			received = time.Now()
@@ -158,12 +165,5 @@
 	notified := time.Now().Add(notifiesIn)
 	migrating.Wait()
 	time.Sleep(notifiesIn)
-	for _, f := range all {
-		received, ok := f.RecordedAt(2)
-		if !ok {
-			received = time.Now()
-		}
-		by = append(by, received.Sub(notified))
-	}
-	return by
+	return latenessOf(all, notified)
 }
--- a/internal/discovery/route_test.go
+++ b/internal/discovery/route_test.go
@@ -107,7 +107,8 @@
 	defer cancel()
 	for first := true; ; first = false {
 		h.mu.Lock()
-		state, changed := h.state[r.URL.Host], h.stateChanged
+		state := h.state[r.URL.Host]
+		changed := h.stateChanged
 		if first && state != serving {
 			h.requests = append(h.requests, r.URL.Host+"?"+r.URL.RawQuery)
 		}
--- a/internal/lists/server_test.go
+++ b/internal/lists/server_test.go
@@ -80,7 +80,8 @@
 // A watch ends with the first change, or when its time is over, or at once if there is a change already.
 func TestWatch(t *testing.T) {
 	list := step{true, 10, "a:Ready b:Ready"}
-	drain, leave := step{false, 11, "b:Terminating"}, step{false, 12, "b:Gone c:Ready"}
+	drain := step{false, 11, "b:Terminating"}
+	leave := step{false, 12, "b:Gone c:Ready"}
 	for _, c := range []struct {
 		name    string
 		before  []step
@@ -178,7 +179,8 @@
 func (l *recordingLimiter) Admit(ctx context.Context, w Work) (time.Duration, error) {
 	l.mu.Lock()
 	l.works = append(l.works, w)
-	delay, err := l.delay, l.err
+	delay := l.delay
+	err := l.err
 	l.mu.Unlock()
 	select {
 	case <-time.After(delay):
@@ -331,7 +333,8 @@
 						held[m.ID] = m
 					}
 				}
-				after, known = *l.Revision, true
+				after = *l.Revision
+				known = true
 			}
 			ends[i] = held
 		})
--- a/internal/lists/store_test.go
+++ b/internal/lists/store_test.go
@@ -49,7 +49,8 @@
 
 func TestEncode(t *testing.T) {
 	odd := member("s-\"\\\n\u00e9<", "Terminating")
-	odd.Weight, odd.StartedAtMillis = 0, 0
+	odd.Weight = 0
+	odd.StartedAtMillis = 0
 	for _, c := range []struct {
 		name    string
 		members []discovery.Member
