--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -8,28 +8,14 @@
 	"log/slog"
 	"math"
 	"os"
-	"os/signal"
 	"runtime"
-	"sync"
-	"syscall"
 
 	"example.org/ryeloft/internal/agent"
 	"example.org/ryeloft/internal/config"
+	"example.org/ryeloft/internal/program"
 )
 
-func main() {
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	// SIGHUP is caught before anything else, because it would end the process by default.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	err := run(ctx, hangups, log)
-	stop()
-	if err != nil {
-		log.Error("agent failed", "error", err)
-		os.Exit(1)
-	}
-}
+func main() { program.Main("agent failed", run) }
 
 // run serves until the context ends and what was taken by then is answered.
 func run(ctx context.Context, hangups <-chan os.Signal, log *slog.Logger) error {
@@ -44,12 +30,11 @@
 	log = log.With("agent", cfg.Name)
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 
-	// The file is watched during the shutdown too: requests that are still taken then follow the new settings.
+	// The file is watched during the shutdown too: requests that are still accepted then follow the new settings. The watcher
+	// is not waited for, because a file that cannot be read to its end must not keep the process from ending.
 	watching, stopWatching := context.WithCancel(context.WithoutCancel(ctx))
-	reloads := make(chan config.ReloadResult)
-	var watcher sync.WaitGroup
-	watcher.Go(func() { config.Watch(watching, path, cfg, hangups, reloads) })
-	defer watcher.Wait()
 	defer stopWatching()
+	reloads := make(chan config.ReloadResult)
+	go config.Watch(watching, path, cfg, hangups, reloads)
 	return agent.Run(ctx, cfg, reloads, log)
 }
--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -10,31 +10,18 @@
 	"net"
 	"net/http"
 	"os"
-	"os/signal"
 	"runtime/debug"
 	"sync"
-	"syscall"
 	"time"
 
+	"example.org/ryeloft/internal/program"
 	"example.org/ryeloft/internal/relay"
 )
 
 // metricsTimeout is how long a reader of the metrics may take.
 const metricsTimeout = 2 * time.Second
 
-func main() {
-	log := slog.New(slog.NewTextHandler(os.Stderr, nil))
-	// Before the configuration is loaded, since a SIGHUP that nobody waits for ends the program.
-	hangups := make(chan os.Signal, 1)
-	signal.Notify(hangups, syscall.SIGHUP)
-	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
-	err := run(ctx, hangups, log)
-	stop()
-	if err != nil {
-		log.Error("relay ends", "error", err)
-		os.Exit(1)
-	}
-}
+func main() { program.Main("relay ends", run) }
 
 // run serves until the context ends. A reload is applied as a whole or not at all.
 func run(ctx context.Context, hangups <-chan os.Signal, log *slog.Logger) error {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -106,7 +106,8 @@
 	}
 }
 
-// Run follows the list until the context ends, from each migration on at its target.
+// Run follows the list until the context ends, from each migration on at its target. It returns once the last call of
+// Notify, OnPoll and OnAnswer has returned, so that none of these may wait for Run.
 func (c *Client) Run(ctx context.Context, migrations <-chan Target) {
 	for {
 		targetCtx, leaveTarget := context.WithCancel(ctx)
--- a/internal/discovery/route_test.go
+++ b/internal/discovery/route_test.go
@@ -43,7 +43,7 @@
 						t.Errorf("%s goes from %s to %s, its second is %s", name, lost, left[0], order[1])
 					}
 				case left[0] != order[0]:
-					t.Errorf("%s migrations from %s to %s though %s is lost", name, order[0], left[0], lost)
+					t.Errorf("%s fails over from %s to %s though %s is lost", name, order[0], left[0], lost)
 				}
 			}
 			for r, n := range first {
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -133,12 +133,12 @@
 // long that took: 0 if it held at once.
 func (r *Relay) awaitSync(ctx context.Context, longest time.Duration, holds func() bool) (time.Duration, error) {
 	began := time.Now()
+	timer := time.NewTimer(longest)
+	defer timer.Stop()
 	ok, synced := r.checkSync(holds)
 	if ok {
 		return 0, nil
 	}
-	timer := time.NewTimer(longest)
-	defer timer.Stop()
 	for {
 		select {
 		case <-synced:
