--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -52,6 +52,12 @@
 		defer a.pool.Resize(0)
 	}
 	a.start(work, reloads)
+	return a.serveClients(ctx, work, peers, listening)
+}
+
+// serveClients accepts clients until the context ends, and then shuts the agent down. The parts run with the context work;
+// peers is nil if the process has no others.
+func (a *agent) serveClients(ctx, work context.Context, peers *handover.Handover, listening func() (*net.TCPListener, error)) error {
 	if peers != nil {
 		a.loop.AwaitEndpoints(ctx)
 	}
@@ -63,7 +69,7 @@
 	served := a.clients.Serve(tcp)
 	if peers != nil { // before the console reports ready, on which operators end the other process
 		if err := peers.Announce(); err != nil {
-			log.Warn("handover socket unavailable", "error", err)
+			a.log.Warn("handover socket unavailable", "error", err)
 		}
 	}
 	a.clients.SetAccepting()
--- /dev/null
+++ b/internal/dispatch/timers.go
@@ -0,0 +1,33 @@
+package dispatch
+
+import (
+	"time"
+
+	"example.org/ryeloft/internal/balancer"
+)
+
+// timer is an ActionSetTimer that is to fall due.
+type timer struct {
+	due time.Duration
+	id  balancer.TimerID
+}
+
+// timers is a heap, the next one first.
+type timers []timer
+
+func (t timers) Len() int { return len(t) }
+
+func (t timers) Less(i, j int) bool { return t[i].due < t[j].due }
+
+func (t timers) Swap(i, j int) { t[i], t[j] = t[j], t[i] }
+
+// Push implements heap.Interface.
+func (t *timers) Push(x any) { *t = append(*t, x.(timer)) }
+
+// Pop implements heap.Interface.
+func (t *timers) Pop() any {
+	old := *t
+	last := old[len(old)-1]
+	*t = old[:len(old)-1]
+	return last
+}
--- a/internal/inbound/clientconn.go
+++ b/internal/inbound/clientconn.go
@@ -17,9 +17,9 @@
 )
 
 const (
-	// HeadTimeout is how long a client may take to send a request's head, from its first byte, or from when it connected:
+	// headTimeout is how long a client may take to send a request's head, from its first byte, or from when it connected:
 	// 2 s, and what a busy core may add.
-	HeadTimeout = 2600 * time.Millisecond
+	headTimeout = 2600 * time.Millisecond
 	// lingerTimeout and lingerBytes are how long a client may go on sending on a connection that the agent has ended, and
 	// how much.
 	lingerTimeout = 500 * time.Millisecond
@@ -75,12 +75,12 @@
 	return n, nil
 }
 
-// requestBegins notes that a request does, and gives its head HeadTimeout.
+// requestBegins notes that a request does, and gives its head headTimeout.
 func (c *clientConn) requestBegins() {
 	now := time.Now()
 	c.begun.Store(int64(clock.InstantOf(now)))
 	// It fails only on a connection that is closed, where the next read fails as well.
-	_ = c.SetReadDeadline(now.Add(HeadTimeout))
+	_ = c.SetReadDeadline(now.Add(headTimeout))
 }
 
 // requestBegun returns when the present request began.
--- a/internal/inbound/server.go
+++ b/internal/inbound/server.go
@@ -52,7 +52,7 @@
 	return &Server{
 		listener: listener, handler: handler, drain: drain,
 		http: &http.Server{
-			Handler: handler, ReadHeaderTimeout: HeadTimeout, IdleTimeout: IdleTimeout, MaxHeaderBytes: protocol.MaxHeadBytes,
+			Handler: handler, ReadHeaderTimeout: headTimeout, IdleTimeout: IdleTimeout, MaxHeaderBytes: protocol.MaxHeadBytes,
 			ConnContext: withConn, ConnState: listener.connState,
 			ErrorLog: slog.NewLogLogger(o.Log.Handler(), slog.LevelWarn),
 		},
