--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -117,12 +117,12 @@
 	_ = os.Remove(own)
 	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
 	if err != nil {
-		return fmt.Errorf("the link: %w", err)
+		return fmt.Errorf("listening on the handover socket: %w", err)
 	}
 	l.SetUnlinkOnClose(false) // the name may be the next process's by then
 	if err := os.Rename(own, h.path); err != nil {
 		l.Close()
-		return fmt.Errorf("the link: %w", err)
+		return fmt.Errorf("replacing the handover socket: %w", err)
 	}
 	if h.listener != nil {
 		h.listener.Close()
--- a/internal/stream/download.go
+++ b/internal/stream/download.go
@@ -64,7 +64,7 @@
 			return d.conn.SetReadDeadline(time.Time{})
 		}
 		if err != nil {
-			return fmt.Errorf("the answer breaks off: %w", err)
+			return fmt.Errorf("reading the rest of an answer: %w", err)
 		}
 	}
 }
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -21,9 +21,9 @@
 
 var (
 	// ErrNotRead says that a stream has ended because its client does not read it: the server is not to blame.
-	ErrNotRead = errors.New("the answer is not taken")
+	ErrNotRead = errors.New("answer not read by its client")
 	// ErrBodyIncomplete says that the rest of a body has not come: the request cannot have run, and the server is not to blame.
-	ErrBodyIncomplete = errors.New("the body does not come")
+	ErrBodyIncomplete = errors.New("request body incomplete")
 	// ErrClosed says that the request that a body belongs to has ended.
-	ErrClosed = errors.New("the request has ended")
+	ErrClosed = errors.New("upload closed")
 )
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -15,7 +15,7 @@
 var (
 	// errRepeatTooLate says that the servers no longer remember a request that was to be repeated.
 	errRepeatTooLate = errors.New("too late to repeat the request")
-	errAbandoned     = errors.New("the request is over")
+	errAbandoned     = errors.New("request abandoned")
 )
 
 // Answer is a server's answer with status 200.
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -23,8 +23,8 @@
 const idleMargin = 500 * time.Millisecond
 
 var (
-	errSocketLimit    = errors.New("no socket left for backends")
-	errServerDraining = errors.New("the backend leaves")
+	errSocketLimit    = errors.New("limit of connections to servers reached")
+	errServerDraining = errors.New("server is draining")
 )
 
 // isLocalShortage says whether an error is the agent's own want of sockets.
--- a/internal/upstream/readanswer.go
+++ b/internal/upstream/readanswer.go
@@ -25,8 +25,8 @@
 )
 
 var (
-	errOtherProtocol = errors.New("an answer in another protocol")
-	errAnswerTooLong = errors.New("an answer that is too long")
+	errOtherProtocol = errors.New("server switched protocols")
+	errAnswerTooLong = errors.New("answer too long to be held")
 )
 
 // serverAnswer is what was read of an answer: all of it, or the beginning of one that is too long to be held or slow to
@@ -45,7 +45,7 @@
 		return nil, err
 	}
 	if head.ContentLength > stream.MaxBytes {
-		return nil, fmt.Errorf("an answer of %d bytes", head.ContentLength)
+		return nil, fmt.Errorf("answer of %d bytes: over the limit of %d", head.ContentLength, stream.MaxBytes)
 	}
 	c.limit.N = math.MaxInt64
 	body, complete, err := c.readBody(head)
