--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -134,7 +134,7 @@
 	}
 	begun := time.Now()
 	unused.SetReadDeadline(begun.Add(agenttest.Timeout))
-	if _, err := unused.Read(make([]byte, 1)); !errors.Is(err, io.EOF) || time.Since(begun) > inbound.IdleGrace+time.Second {
+	if _, err := unused.Read(make([]byte, 1)); err != io.EOF || time.Since(begun) > inbound.IdleGrace+time.Second { //nolint:errorlint // a plain end is wanted
 		t.Errorf("an idle connection ends with %v after %v", err, time.Since(begun))
 	}
 	goOn <- struct{}{}
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"log/slog"
 
 	"example.org/ryeloft/internal/config"
@@ -35,7 +36,7 @@
 	err := next.Err
 	if err == nil {
 		err = r.loop.Adopt(ctx, &next.Config.Settings)
-		if ctx.Err() != nil {
+		if ended := ctx.Err(); ended != nil && errors.Is(err, ended) {
 			return
 		}
 	}
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -50,7 +50,8 @@
 	} else {
 		a.clients.CloseListener()
 	}
-	a.log.Debug("listener closed", "error", <-served) // and its queue is empty
+	err := <-served // once the listener is closed and its queue is empty
+	a.log.Debug("listener closed", "error", err)
 	a.clients.AwaitEmpty(end)
 	return nil
 }
--- a/internal/inbound/admission_test.go
+++ b/internal/inbound/admission_test.go
@@ -169,7 +169,7 @@
 	a.mu.Lock()
 	a.markEnded(resting)
 	a.mu.Unlock()
-	if n, err := resting.Read(make([]byte, 100)); n > 0 || !errors.Is(err, io.EOF) {
+	if n, err := resting.Read(make([]byte, 100)); n > 0 || err != io.EOF { //nolint:errorlint // net/http compares it so
 		t.Errorf("%d bytes were read behind the end: %v", n, err)
 	}
 	resting.Close()
--- a/internal/inbound/request.go
+++ b/internal/inbound/request.go
@@ -78,15 +78,13 @@
 	budget -= answerMargin(budget)
 	request.Deadline = h.dispatcher.Now() + budget
 	request.ClientClosed = conn.closedByClient
-	request.Upstream = upstream.NewRequest(r.Method, r.RequestURI, r.Host, r.Header, body, upload)
 	if upload != nil {
 		upload.Budget = budget
-		return request, nil
-	}
-	// From here on net/http watches the connection for its client's end, for as long as the answer takes.
-	if err := control.SetReadDeadline(time.Time{}); err != nil {
+	} else if err := control.SetReadDeadline(time.Time{}); err != nil {
+		// From here on net/http watches the connection for its client's end, for as long as the answer takes.
 		return nil, err
 	}
+	request.Upstream = upstream.NewRequest(r.Method, r.RequestURI, r.Host, r.Header, body, upload)
 	return request, nil
 }
 
--- a/internal/stream/upload.go
+++ b/internal/stream/upload.go
@@ -2,7 +2,6 @@
 
 import (
 	"bufio"
-	"errors"
 	"fmt"
 	"io"
 	"net/http/httputil"
@@ -135,7 +134,7 @@
 		if werr := out.write(u.part[:n]); werr != nil {
 			return werr
 		}
-		if errors.Is(err, io.EOF) {
+		if err == io.EOF { //nolint:errorlint // a wrapped end is that of a body that was cut
 			return out.close()
 		}
 		if err != nil {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net/http"
 	"testing"
 	"time"
@@ -37,6 +38,49 @@
 	}
 }
 
+// The limit follows what is open: it is decided by the count of open connections, idle and in use, and in force at once.
+func TestLimitFollowsOpenConnections(t *testing.T) {
+	server := agenttest.NewServer(t, agenttest.Serve)
+	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
+	pool := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
+	endpoint, other := pool.AddEndpoint(server.Addr, 0), pool.AddEndpoint(server.Addr, 1)
+	var inUse []*conn
+	for range 3 {
+		c, err := pool.get(t.Context(), endpoint)
+		if err != nil {
+			t.Fatal(err)
+		}
+		inUse = append(inUse, c)
+	}
+	pool.put(inUse[2])
+	for _, test := range []struct {
+		maxConns, wantOpen int
+		want               error
+	}{
+		{maxConns: 2, wantOpen: 3, want: nil},            // the idle one makes way
+		{maxConns: 3, wantOpen: 3, want: errSocketLimit}, // all are in use
+		{maxConns: 4, wantOpen: 3, want: nil},            // there is one more
+		{maxConns: 4, wantOpen: 4, want: errSocketLimit}, // and no other
+	} {
+		pool.UpdateLimit(func(open int) int {
+			if open != test.wantOpen {
+				t.Errorf("%d connections are open, want %d", open, test.wantOpen)
+			}
+			return test.maxConns
+		})
+		c, err := pool.get(t.Context(), other)
+		if !errors.Is(err, test.want) {
+			t.Errorf("limit %d with %d open: error %v, want %v", test.maxConns, test.wantOpen, err, test.want)
+		}
+		if c != nil {
+			inUse = append(inUse, c)
+		}
+	}
+	for _, c := range inUse {
+		c.Close()
+	}
+}
+
 // The pool keeps to its sockets: an idle connection is evicted, one in use is not.
 func TestPoolIsBounded(t *testing.T) {
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
