--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -27,7 +27,7 @@
 	var text strings.Builder
 	log := slog.New(slog.NewTextHandler(&text, nil)).With("agent", "a-name-of-20-letters")
 	m.AddClasses([]string{"class"})
-	m.count(func(i *intervalCounters) {
+	m.count(func(i *interval) {
 		i.lastBrokenAnswer = "read tcp 127.127.127.127:30000->127.127.127.127:30000: read: connection reset by peer"
 		i.lastBadRequest = "X-Call-Class is unknown"
 		const many = 1_000_000
