--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -1,7 +1,6 @@
 package agent
 
 import (
-	"errors"
 	"fmt"
 	"io"
 	"net"
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -51,10 +51,10 @@
 			i.outcomes[outcome] = many
 		}
 	})
-	for result := range m.counters.responses {
-		m.counters.responses[result] = 1_000_000
+	for result := range m.totals.responses {
+		m.totals.responses[result] = 1_000_000
 	}
-	m.counters.attempts = 1_000_000
+	m.totals.attempts = 1_000_000
 	m.Log(log, 1000, 1000)
 	lines := strings.Split(strings.TrimSpace(text.String()), "\n")
 	if len(lines) != 6 {
