--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -111,7 +111,7 @@
 		t.Errorf("held against real agents: %q, want %q", held, want)
 	}
 	// Each agent asks for one whole list, when its configuration changes. One for each change of the list would be more.
-	if n := r.Control[0].WholeLists; n > 2*int64(r.Sizes.Agents) {
+	if n := r.Control[0].FullLists; n > 2*int64(r.Sizes.Agents) {
 		t.Errorf("%d agents asked for %d whole lists", r.Sizes.Agents, n)
 	}
 	if r.LateNotifications != 0 {
--- a/internal/metrics/log.go
+++ b/internal/metrics/log.go
@@ -9,11 +9,11 @@
 // Log logs what was counted since the last call, if anything was, with how many endpoints are ready and draining.
 func (m *Metrics) Log(log *slog.Logger, ready, draining int) {
 	m.mu.Lock()
-	since, now, before := m.interval, m.totals, m.logged
-	m.interval = interval{}
+	since, now, before := m.interval, m.counters, m.logged
+	m.interval = intervalCounters{}
 	m.logged = now
 	m.mu.Unlock()
-	if since == (interval{}) && now == before {
+	if since == (intervalCounters{}) && now == before {
 		return
 	}
 	responses := func(r Result) int { return now.responses[r] - before.responses[r] }
@@ -29,7 +29,7 @@
 
 // logAttempts logs what became of attempts, connections and health checks. The lines are short because collectors may cut
 // a line at 400 bytes.
-func (i *interval) logAttempts(log *slog.Logger) {
+func (i *intervalCounters) logAttempts(log *slog.Logger) {
 	outcome := func(o balancer.Outcome) int { return i.outcomes[o] }
 	log.Info("attempts",
 		"ok", outcome(balancer.OutcomeOK), "error", outcome(balancer.OutcomeError), "rejected", outcome(balancer.OutcomeRejected),
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -16,9 +16,9 @@
 // goroutine may call its methods. The zero value is ready for use.
 type Metrics struct {
 	mu       sync.Mutex
-	interval interval
-	totals   totals
-	logged   totals // the totals when the last line was logged
+	interval intervalCounters
+	counters counters
+	logged   counters // the totals when the last line was logged
 	classes  map[string]*[resultCount]int
 
 	active           atomic.Int64 // requests accepted and not yet ended
@@ -51,16 +51,16 @@
 	return ResultErrors
 }
 
-// totals count since the start of the process and never fall.
-type totals struct {
+// counters count since the start of the process and never fall.
+type counters struct {
 	responses       [resultCount]int
 	attempts        int // those written to their last byte
 	configsApplied  int
 	configsRejected int
 }
 
-// interval counts since the last log line.
-type interval struct {
+// intervalCounters counts since the last log line.
+type intervalCounters struct {
 	requests          int
 	clientsClosed     int // requests whose client closed its connection
 	overLimit         int // requests rejected because the agent itself held too many
@@ -82,7 +82,7 @@
 }
 
 // count changes the interval's counters under the mutex.
-func (m *Metrics) count(change func(*interval)) {
+func (m *Metrics) count(change func(*intervalCounters)) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	change(&m.interval)
@@ -110,30 +110,30 @@
 
 // RequestDispatched counts a request that was handed to the balancer.
 func (m *Metrics) RequestDispatched() {
-	m.count(func(i *interval) { i.requests++ })
+	m.count(func(i *intervalCounters) { i.requests++ })
 }
 
 // RequestOverLimit counts a request that was rejected because the agent itself held too many.
 func (m *Metrics) RequestOverLimit() {
-	m.count(func(i *interval) { i.overLimit++ })
+	m.count(func(i *intervalCounters) { i.overLimit++ })
 }
 
 // RequestAnswered counts a request of a class by the answer that its client gets. The class must have been added.
 func (m *Metrics) RequestAnswered(class string, result Result) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.totals.responses[result]++
+	m.counters.responses[result]++
 	m.classes[class][result]++
 }
 
 // ClientClosed counts a request whose client closed its connection before the answer.
 func (m *Metrics) ClientClosed() {
-	m.count(func(i *interval) { i.clientsClosed++ })
+	m.count(func(i *intervalCounters) { i.clientsClosed++ })
 }
 
 // BadRequest counts a request that was not accepted, and keeps the reason of the last one.
 func (m *Metrics) BadRequest(reason string) {
-	m.count(func(i *interval) {
+	m.count(func(i *intervalCounters) {
 		i.badRequests++
 		i.lastBadRequest = reason
 	})
@@ -141,26 +141,26 @@
 
 // HeadIncomplete counts a connection that ended within a request's head.
 func (m *Metrics) HeadIncomplete() {
-	m.count(func(i *interval) { i.incompleteHeads++ })
+	m.count(func(i *intervalCounters) { i.incompleteHeads++ })
 }
 
 // AttemptSent counts an attempt that was written to its last byte.
 func (m *Metrics) AttemptSent() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.totals.attempts++
+	m.counters.attempts++
 }
 
 // AttemptsSent returns how many attempts were written to their last byte.
 func (m *Metrics) AttemptsSent() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.totals.attempts
+	return m.counters.attempts
 }
 
 // AttemptEnded counts an attempt by its outcome, and its load report if it brought one.
 func (m *Metrics) AttemptEnded(outcome balancer.Outcome, load balancer.LoadReport) {
-	m.count(func(i *interval) {
+	m.count(func(i *intervalCounters) {
 		i.outcomes[outcome]++
 		if load.Known {
 			i.loadReports++
@@ -170,7 +170,7 @@
 
 // HealthCheckEnded counts a health check, and its load report if it brought one.
 func (m *Metrics) HealthCheckEnded(outcome balancer.Outcome, load balancer.LoadReport) {
-	m.count(func(i *interval) {
+	m.count(func(i *intervalCounters) {
 		i.healthChecks++
 		if outcome != balancer.OutcomeOK {
 			i.healthCheckErrors++
@@ -183,17 +183,17 @@
 
 // ConnectionDialed counts a new connection to a server.
 func (m *Metrics) ConnectionDialed() {
-	m.count(func(i *interval) { i.dialed++ })
+	m.count(func(i *intervalCounters) { i.dialed++ })
 }
 
 // ConnectionReused counts an idle connection to a server that is used again.
 func (m *Metrics) ConnectionReused() {
-	m.count(func(i *interval) { i.reused++ })
+	m.count(func(i *intervalCounters) { i.reused++ })
 }
 
 // AnswerBroken counts an answer that did not come completely, and keeps the reason of the last one.
 func (m *Metrics) AnswerBroken(reusedConn bool, reason error) {
-	m.count(func(i *interval) {
+	m.count(func(i *intervalCounters) {
 		if reusedConn {
 			i.reusedBroken++
 		}
@@ -203,7 +203,7 @@
 
 // PollEnded counts a poll of discovery.
 func (m *Metrics) PollEnded(p discovery.PollResult) {
-	m.count(func(i *interval) {
+	m.count(func(i *intervalCounters) {
 		i.polls++
 		if p.Err != nil {
 			i.pollErrors++
@@ -216,19 +216,19 @@
 func (m *Metrics) ConfigApplied() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.totals.configsApplied++
+	m.counters.configsApplied++
 }
 
 // ConfigRejected counts a configuration that a reload rejected.
 func (m *Metrics) ConfigRejected() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.totals.configsRejected++
+	m.counters.configsRejected++
 }
 
 // LoopBusy notes for how long one input kept the event loop busy.
 func (m *Metrics) LoopBusy(d time.Duration) {
-	m.count(func(i *interval) { i.slowestLoop = max(i.slowestLoop, d) })
+	m.count(func(i *intervalCounters) { i.slowestLoop = max(i.slowestLoop, d) })
 }
 
 // SetEndpoints sets the gauges of listed endpoints and of those that are ejected for all classes.
--- a/internal/metrics/metrics_test.go
+++ b/internal/metrics/metrics_test.go
@@ -35,7 +35,7 @@
 	var text strings.Builder
 	log := slog.New(slog.NewTextHandler(&text, &slog.HandlerOptions{ReplaceAttr: inFarZone})).With("agent", "a-name-of-20-letters")
 	m.AddClasses([]string{"class"})
-	m.count(func(i *interval) {
+	m.count(func(i *intervalCounters) {
 		i.lastBrokenAnswer = "read tcp 127.127.127.127:30000->127.127.127.127:30000: read: connection reset by peer"
 		i.lastBadRequest = "X-Call-Class is unknown"
 		const many = 1_000_000
@@ -51,10 +51,10 @@
 			i.outcomes[outcome] = many
 		}
 	})
-	for result := range m.totals.responses {
-		m.totals.responses[result] = 1_000_000
+	for result := range m.counters.responses {
+		m.counters.responses[result] = 1_000_000
 	}
-	m.totals.attempts = 1_000_000
+	m.counters.attempts = 1_000_000
 	m.Log(log, 1000, 1000)
 	lines := strings.Split(strings.TrimSpace(text.String()), "\n")
 	if len(lines) != 6 {
--- a/internal/metrics/text.go
+++ b/internal/metrics/text.go
@@ -19,9 +19,9 @@
 		}
 	}
 	if _, err := fmt.Fprintf(w, "gw_tries_total %d\ngw_active %d\ngw_pool_size %d\ngw_pool_ejected %d\n",
-		m.totals.attempts, m.active.Load(), m.endpoints.Load(), m.ejectedEndpoints.Load()); err != nil {
+		m.counters.attempts, m.active.Load(), m.endpoints.Load(), m.ejectedEndpoints.Load()); err != nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "gw_config_applied_total %d\ngw_config_rejected_total %d\n", m.totals.configsApplied, m.totals.configsRejected)
+	_, err := fmt.Fprintf(w, "gw_config_applied_total %d\ngw_config_rejected_total %d\n", m.counters.configsApplied, m.counters.configsRejected)
 	return err
 }
--- a/internal/scale/control/control.go
+++ b/internal/scale/control/control.go
@@ -24,7 +24,7 @@
 	MethodStart     = ServiceName + ".Start"
 	MethodChange    = ServiceName + ".Change"
 	MethodDown      = ServiceName + ".Down"
-	MethodPartition = ServiceName + ".Cut"
+	MethodPartition = ServiceName + ".Partition"
 	MethodBegin     = ServiceName + ".Begin"
 	MethodStats     = ServiceName + ".Stats"
 )
--- a/internal/scale/control/control_test.go
+++ b/internal/scale/control/control_test.go
@@ -166,7 +166,7 @@
 // again; the bytes counted are those that agents see.
 func TestChange(t *testing.T) {
 	const agents, line = 12, 4 * time.Millisecond
-	s, addrs := start(t, agents, scenario.Control{CallMS: 0.1, LineUS: float64(line / time.Microsecond), Parallel: 1, Log: 16})
+	s, addrs := start(t, agents, scenario.Control{CallMS: 0.1, EntryUS: float64(line / time.Microsecond), Parallel: 1, Log: 16})
 	first := make([]*caller, agents)
 	for i, addr := range addrs {
 		first[i] = dial(t, addr)
@@ -201,23 +201,23 @@
 	}
 	until(func() bool { return stats(t, s).Machine.Calls == 3*agents-1 }) // the answer comes before it is noted
 	r := stats(t, s)
-	if len(r.Changes) != 1 || r.Changes[0].Revision != 42 || r.Changes[0].At != change.At || r.Changes[0].Lines != 1 {
+	if len(r.Changes) != 1 || r.Changes[0].Revision != 42 || r.Changes[0].At != change.At || r.Changes[0].Entries != 1 {
 		t.Fatalf("%+v", r.Changes)
 	}
 	notification := r.Changes[0]
 	for i := range agents {
-		if at := notification.Heard[i]; (at != 0) != (i < agents-1) || at != 0 && at < change.At {
+		if at := notification.AcknowledgedAt[i]; (at != 0) != (i < agents-1) || at != 0 && at < change.At {
 			t.Errorf("agent %d acknowledged at %d the change of %d", i, at, change.At)
 		}
 	}
-	written := slices.Clone(notification.Written)
+	written := slices.Clone(notification.WrittenAt)
 	slices.Sort(written)
 	for i, at := range written {
 		if least := change.At + int64(i+1)*int64(line); at < least {
 			t.Errorf("the %d. answer was written %v after the change, sooner than its cost", i+1, time.Duration(at-change.At))
 		}
 	}
-	if m := r.Machine; m.WholeLists != 1 || m.Refused != 0 || m.Busy <= 0 || m.Busy > 1 || m.CPUPercent <= 0 || m.RSSBytes < 1<<20 {
+	if m := r.Machine; m.FullLists != 1 || m.Rejected != 0 || m.Busy <= 0 || m.Busy > 1 || m.CPUPercent <= 0 || m.RSSBytes < 1<<20 {
 		t.Errorf("%+v", m)
 	}
 	var in, out int64
@@ -236,7 +236,7 @@
 	if err := s.Begin(struct{}{}, nil); err != nil {
 		t.Fatal(err)
 	}
-	if r := stats(t, s); r.Machine.Calls != 0 || r.Machine.BytesOut != 0 || len(r.Changes) != 0 || r.LateTold != 0 {
+	if r := stats(t, s); r.Machine.Calls != 0 || r.Machine.BytesOut != 0 || len(r.Changes) != 0 || r.LateNotifications != 0 {
 		t.Errorf("after Begin: %+v", r)
 	}
 }
@@ -244,7 +244,7 @@
 // A call that has waited too long is refused, and not before its turn.
 func TestRejections(t *testing.T) {
 	const agents, cost, refuse = 12, 20 * time.Millisecond, 50 * time.Millisecond
-	s, addrs := start(t, agents, scenario.Control{CallMS: 20, Parallel: 1, RefuseMS: 50})
+	s, addrs := start(t, agents, scenario.Control{CallMS: 20, Parallel: 1, RejectMS: 50})
 	began := time.Now()
 	var refused, served int64
 	var mu sync.Mutex
@@ -270,7 +270,7 @@
 	}
 	until(func() bool { return stats(t, s).Machine.Calls == agents })
 	m := stats(t, s).Machine
-	if m.Refused != refused || m.WholeLists != served || refused == 0 || served == 0 || m.QueueMS.Max < float64(refuse/time.Millisecond) || m.QueueMax == 0 {
+	if m.Rejected != refused || m.FullLists != served || refused == 0 || served == 0 || m.QueueMS.Max < float64(refuse/time.Millisecond) || m.QueueMax == 0 {
 		t.Errorf("%d served, %d refused: %+v", served, refused, m)
 	}
 }
@@ -331,7 +331,7 @@
 	s, addrs := start(t, 2, scenario.Control{Parallel: 1, Log: 16})
 	partition := func(partitioned bool) {
 		t.Helper()
-		if err := s.Cut(PartitionArgs{[]int{0}, partitioned}, nil); err != nil {
+		if err := s.Partition(PartitionArgs{[]int{0}, partitioned}, nil); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -413,8 +413,8 @@
 	if status, l, err := dial(t, addrs[0]).call("?after=41"); status != 200 || *l.Revision != 42 || err != nil {
 		t.Errorf("back again: %d %+v, %v", status, l, err)
 	}
-	if r := stats(t, s); r.LateTold != 0 {
-		t.Errorf("%d late notifications", r.LateTold)
+	if r := stats(t, s); r.LateNotifications != 0 {
+		t.Errorf("%d late notifications", r.LateNotifications)
 	}
 }
 
@@ -433,7 +433,7 @@
 	}{
 		{"change before start", func() error { return new(Service).Change(ChangeArgs{}, new(ChangeReply)) }, "not been started"},
 		{"down before start", func() error { return new(Service).Down(DownArgs{}, nil) }, "not been started"},
-		{"cut before start", func() error { return new(Service).Cut(PartitionArgs{}, nil) }, "not been started"},
+		{"cut before start", func() error { return new(Service).Partition(PartitionArgs{}, nil) }, "not been started"},
 		{"begin before start", func() error { return new(Service).Begin(struct{}{}, nil) }, "not been started"},
 		{"stats before start", func() error { return new(Service).Stats(struct{}{}, new(StatsReply)) }, "not been started"},
 		{"start twice", func() error { return started.Start(StartArgs{}, new(StartReply)) }, "started before"},
@@ -441,7 +441,7 @@
 		{"address taken", func() error {
 			return new(Service).Start(StartArgs{Agents: make([]string, 2), Addrs: []string{"127.0.0.1:0", taken.Addr().String()}}, new(StartReply))
 		}, "address already in use"},
-		{"no such agent", func() error { return started.Cut(PartitionArgs{[]int{0, 1}, true}, nil) }, "agent 1 of 1"},
+		{"no such agent", func() error { return started.Partition(PartitionArgs{[]int{0, 1}, true}, nil) }, "agent 1 of 1"},
 	} {
 		if err := c.do(); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
@@ -469,7 +469,7 @@
 			t.Fatal(err)
 		}
 	}
-	args := startArgs(t, agents, scenario.Control{CallMS: 0.05, LineUS: 1, Parallel: 4, RefuseMS: 2000, Log: 64})
+	args := startArgs(t, agents, scenario.Control{CallMS: 0.05, EntryUS: 1, Parallel: 4, RejectMS: 2000, Log: 64})
 	began := time.Now()
 	var ready StartReply
 	do("Start", args, &ready)
@@ -511,16 +511,16 @@
 	})
 	var last []float64
 	for _, c := range r.Changes {
-		last = append(last, float64(slices.Max(c.Written)-c.At)/1e6)
-		if slices.Contains(c.Written, 0) {
+		last = append(last, float64(slices.Max(c.WrittenAt)-c.At)/1e6)
+		if slices.Contains(c.WrittenAt, 0) {
 			t.Errorf("revision %d was not written to all", c.Revision)
 		}
 	}
 	slices.Sort(last)
 	t.Logf("%d changes: the last agent notified after %.1f ms, %.1f at worst; %d late; %.0f ms of processor a change (%.0f%% of a core for %v); %.0f bytes in and %.0f out a change and agent; %.0f MB held; queue %+v",
-		changes, last[len(last)/2], last[len(last)-1], r.LateTold, r.Machine.CPUPercent/100*float64(took/time.Millisecond)/float64(changes), r.Machine.CPUPercent, took,
+		changes, last[len(last)/2], last[len(last)-1], r.LateNotifications, r.Machine.CPUPercent/100*float64(took/time.Millisecond)/float64(changes), r.Machine.CPUPercent, took,
 		float64(r.Machine.BytesIn)/float64(agents*changes), float64(r.Machine.BytesOut)/float64(agents*changes), r.Machine.RSSBytes/1e6, r.Machine.QueueMS)
-	if len(r.Changes) != changes || r.Machine.WholeLists != 0 || r.Machine.Refused != 0 || len(r.In) != agents || len(r.Out) != agents {
+	if len(r.Changes) != changes || r.Machine.FullLists != 0 || r.Machine.Rejected != 0 || len(r.In) != agents || len(r.Out) != agents {
 		t.Errorf("%d changes, %+v", len(r.Changes), r.Machine)
 	}
 	if err := c.Close(); err != nil {
--- a/internal/scale/control/machine.go
+++ b/internal/scale/control/machine.go
@@ -31,13 +31,13 @@
 	return nil
 }
 
-// Cut partitions agents from the machine: their connections fall silent, new ones too. When that ends, these are reset.
-func (m *machine) Cut(args PartitionArgs, _ *struct{}) error {
+// Partition partitions agents from the machine: their connections fall silent, new ones too. When that ends, these are reset.
+func (m *machine) Partition(args PartitionArgs, _ *struct{}) error {
 	if err := m.lockStarted(); err != nil {
 		return err
 	}
 	defer m.mu.Unlock()
-	return m.ports.setPartitioned(args.Agents, args.Cut)
+	return m.ports.setPartitioned(args.Agents, args.Partitioned)
 }
 
 // beginMeasurement starts the counts of bytes and usage from 0. mu is held.
--- a/internal/scale/control/notifications.go
+++ b/internal/scale/control/notifications.go
@@ -59,8 +59,8 @@
 	}
 	now := time.Now()
 	n.changes = append(n.changes, ChangeNotification{
-		Revision: revision, At: now.UnixNano(), Lines: lines,
-		Heard: make([]int64, n.agents), Written: make([]int64, n.agents),
+		Revision: revision, At: now.UnixNano(), Entries: lines,
+		AcknowledgedAt: make([]int64, n.agents), WrittenAt: make([]int64, n.agents),
 	})
 	n.late = append(n.late, false)
 	return now, nil
@@ -76,7 +76,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for upTo := n.changesUpTo(revision); n.acknowledged[agent] < upTo; n.acknowledged[agent]++ {
-		n.changes[n.acknowledged[agent]].Heard[agent] = at.UnixNano()
+		n.changes[n.acknowledged[agent]].AcknowledgedAt[agent] = at.UnixNano()
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	upTo := n.changesUpTo(c.Revision)
 	for ; n.written[c.Agent] < upTo; n.written[c.Agent]++ {
-		n.changes[n.written[c.Agent]].Written[c.Agent] = c.WrittenAt.UnixNano()
+		n.changes[n.written[c.Agent]].WrittenAt[c.Agent] = c.WrittenAt.UnixNano()
 	}
 	if c.HeldAt.IsZero() {
 		return
@@ -116,14 +116,14 @@
 	defer n.mu.Unlock()
 	m := &r.Machine
 	m.Calls = n.calls
-	m.WholeLists = n.fullLists
-	m.Refused = n.rejected
+	m.FullLists = n.fullLists
+	m.Rejected = n.rejected
 	for i, c := range n.changes {
-		c.Heard = slices.Clone(c.Heard)
-		c.Written = slices.Clone(c.Written)
+		c.AcknowledgedAt = slices.Clone(c.AcknowledgedAt)
+		c.WrittenAt = slices.Clone(c.WrittenAt)
 		r.Changes = append(r.Changes, c)
 		if n.late[i] {
-			r.LateTold++
+			r.LateNotifications++
 		}
 	}
 }
--- a/internal/scale/control/notifications_test.go
+++ b/internal/scale/control/notifications_test.go
@@ -43,8 +43,8 @@
 			if c.status != 200 {
 				written = 0
 			}
-			if r.LateTold != c.late || r.Changes[0].Written[1] != written || r.Changes[0].Written[0] != 0 {
-				t.Errorf("%d late, %+v", r.LateTold, r.Changes)
+			if r.LateNotifications != c.late || r.Changes[0].WrittenAt[1] != written || r.Changes[0].WrittenAt[0] != 0 {
+				t.Errorf("%d late, %+v", r.LateNotifications, r.Changes)
 			}
 		})
 	}
@@ -67,11 +67,11 @@
 	log.fill(&r)
 	for i, want := range []int64{1, 1, 4} {
 		c := r.Changes[i]
-		if c.Heard[0] != begin.UnixNano()+want || c.Written[0] != begin.UnixNano()+10*want || c.Revision != uint64(10+i) {
+		if c.AcknowledgedAt[0] != begin.UnixNano()+want || c.WrittenAt[0] != begin.UnixNano()+10*want || c.Revision != uint64(10+i) {
 			t.Errorf("change %d: %+v, want %d after %d", i, c, want, begin.UnixNano())
 		}
 	}
-	if r.Machine.Calls != 5 || r.Machine.WholeLists != 1 || r.Machine.Refused != 0 {
+	if r.Machine.Calls != 5 || r.Machine.FullLists != 1 || r.Machine.Rejected != 0 {
 		t.Errorf("%+v", r.Machine)
 	}
 	for r := uint64(13); r < 10+maxChanges; r++ {
--- a/internal/scale/control/relay.go
+++ b/internal/scale/control/relay.go
@@ -20,7 +20,7 @@
 // The methods of RelayService, as role.Child calls them.
 const (
 	RelayMethodStart     = RelayServiceName + ".Start"
-	RelayMethodPartition = RelayServiceName + ".Cut"
+	RelayMethodPartition = RelayServiceName + ".Partition"
 	RelayMethodBegin     = RelayServiceName + ".Begin"
 	RelayMethodStats     = RelayServiceName + ".Stats"
 )
@@ -57,7 +57,7 @@
 		return err
 	}
 	r, err := relay.New(relay.Options{
-		Name: args.Name, Discovery: args.Discovery, State: args.State, FullListsPerSecond: args.Lists,
+		Name: args.Name, Discovery: args.Discovery, State: args.State, FullListsPerSecond: args.FullListsPerSecond,
 		MaxCallers:    relayCallsPerAgent * len(args.Addrs),
 		Log:           slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelError})),
 		OnAcknowledge: s.acknowledge,
@@ -122,13 +122,13 @@
 	reply.Out = out
 	s.acknowledgedMu.Lock()
 	for _, ofAgent := range s.acknowledged {
-		reply.Heard = append(reply.Heard, slices.Clone(ofAgent))
+		reply.Acknowledgements = append(reply.Acknowledgements, slices.Clone(ofAgent))
 	}
 	s.acknowledgedMu.Unlock()
 	counts := s.relay.Metrics()
 	m.Calls = counts.Calls - s.countsAtStart.Calls
-	m.WholeLists = counts.FullLists - s.countsAtStart.FullLists
-	m.Refused = counts.Rejected - s.countsAtStart.Rejected
+	m.FullLists = counts.FullLists - s.countsAtStart.FullLists
+	m.Rejected = counts.Rejected - s.countsAtStart.Rejected
 	m.Busy = m.CPUPercent / 100
 	m.Worst6s = s.cpuLoad.worst6s()
 	return nil
--- a/internal/scale/control/relay_test.go
+++ b/internal/scale/control/relay_test.go
@@ -15,7 +15,7 @@
 	t.Helper()
 	s, addrs := new(RelayService), addresses(t, agents)
 	var reply StartReply
-	if err := s.Start(RelayArgs{Name: "r", Discovery: above, State: state, Addrs: addrs, Lists: 1000}, &reply); err != nil || reply.Ready != agents {
+	if err := s.Start(RelayArgs{Name: "r", Discovery: above, State: state, Addrs: addrs, FullListsPerSecond: 1000}, &reply); err != nil || reply.Ready != agents {
 		t.Fatalf("%+v, %v", reply, err)
 	}
 	return s, addrs
@@ -69,29 +69,29 @@
 		t.Fatal(err)
 	}
 	m := stats.Machine
-	if m.Role != "relay" || m.Name != "r" || m.WholeLists != agents || m.Calls < 3*agents || m.BytesOut == 0 || m.CPUPercent <= 0 || m.RSSBytes == 0 {
+	if m.Role != "relay" || m.Name != "r" || m.FullLists != agents || m.Calls < 3*agents || m.BytesOut == 0 || m.CPUPercent <= 0 || m.RSSBytes == 0 {
 		t.Errorf("%+v", m)
 	}
-	for agent, marks := range stats.Heard {
+	for agent, marks := range stats.Acknowledgements {
 		last := marks[len(marks)-1]
 		if last.Revision != made.Revision || last.At < first || last.At > time.Now().UnixNano() {
 			t.Errorf("agent %d: %+v, made %+v", agent, marks, made)
 		}
 	}
-	if err := s.Cut(PartitionArgs{Agents: []int{agents}, Cut: true}, nil); err == nil {
+	if err := s.Partition(PartitionArgs{Agents: []int{agents}, Partitioned: true}, nil); err == nil {
 		t.Error("an agent that there is not can be partitioned")
 	}
 	silent := dial(t, addrs[1])
 	if _, _, err := silent.call("?after=42"); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Cut(PartitionArgs{Agents: []int{1}, Cut: true}, nil); err != nil {
+	if err := s.Partition(PartitionArgs{Agents: []int{1}, Partitioned: true}, nil); err != nil {
 		t.Fatal(err)
 	}
 	if err := silent.send("?after=42"); err != nil {
 		t.Fatal(err)
 	}
-	if err := s.Cut(PartitionArgs{Agents: []int{1}}, nil); err != nil {
+	if err := s.Partition(PartitionArgs{Agents: []int{1}}, nil); err != nil {
 		t.Fatal(err)
 	}
 	if _, _, err := silent.answer(); err == nil {
@@ -103,7 +103,7 @@
 func TestRelayServiceFails(t *testing.T) {
 	s := new(RelayService)
 	for name, err := range map[string]error{
-		"Begin": s.Begin(struct{}{}, nil), "Cut": s.Cut(PartitionArgs{}, nil), "Stats": s.Stats(struct{}{}, &RelayStats{}),
+		"Begin": s.Begin(struct{}{}, nil), "Partition": s.Partition(PartitionArgs{}, nil), "Stats": s.Stats(struct{}{}, &RelayStats{}),
 	} {
 		if !errors.Is(err, errNotStarted) {
 			t.Errorf("%s: %v", name, err)
@@ -114,7 +114,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	if err := s.Start(RelayArgs{State: t.TempDir(), Discovery: "127.0.0.1:1", Addrs: []string{l.Addr().String()}, Lists: 1}, &StartReply{}); err == nil {
+	if err := s.Start(RelayArgs{State: t.TempDir(), Discovery: "127.0.0.1:1", Addrs: []string{l.Addr().String()}, FullListsPerSecond: 1}, &StartReply{}); err == nil {
 		t.Error("it starts at an address that is taken")
 	}
 }
--- a/internal/scale/control/workqueue.go
+++ b/internal/scale/control/workqueue.go
@@ -68,7 +68,7 @@
 
 // cost is the stated time of a piece of work.
 func (q *workQueue) cost(w lists.Work) time.Duration {
-	us := q.costs.LineUS * float64(w.Entries)
+	us := q.costs.EntryUS * float64(w.Entries)
 	if !w.Continues {
 		us += q.costs.CallMS * 1000
 	}
@@ -88,7 +88,7 @@
 			return end.Sub(now), ctx.Err()
 		}
 	}
-	limit := time.Duration(q.costs.RefuseMS * float64(time.Millisecond))
+	limit := time.Duration(q.costs.RejectMS * float64(time.Millisecond))
 	if limit > 0 && start.Sub(now) >= limit {
 		return end.Sub(now), lists.RejectedError{Cause: "waited too long for its turn"}
 	}
--- a/internal/scale/control/workqueue_test.go
+++ b/internal/scale/control/workqueue_test.go
@@ -36,11 +36,11 @@
 
 // Work is done in its turn, at its stated cost; what has waited too long is refused in its turn as well.
 func TestWorkQueue(t *testing.T) {
-	costs := scenario.Control{CallMS: 10, LineUS: 1000, Parallel: 1, RefuseMS: 25}
+	costs := scenario.Control{CallMS: 10, EntryUS: 1000, Parallel: 1, RejectMS: 25}
 	two, free, patient := costs, costs, costs
 	two.Parallel = 2
-	free.CallMS, free.LineUS = 0, 0
-	patient.RefuseMS = 0
+	free.CallMS, free.EntryUS = 0, 0
+	patient.RejectMS = 0
 	for _, c := range []struct {
 		name    string
 		costs   scenario.Control
--- a/internal/scale/realagent/realagent_test.go
+++ b/internal/scale/realagent/realagent_test.go
@@ -180,7 +180,7 @@
 		t.Errorf("not agent 22 alone was restarted: %+v, before %v", s, before)
 	}
 	gone(t, before[1:])
-	if d := s.ConfInForce.Distribution(); d.N != 2 || d.Max < 20 || len(s.Configs) != 1 || s.Configs[0].Revision != 1 {
+	if d := s.ConfigInForce.Distribution(); d.N != 2 || d.Max < 20 || len(s.Configs) != 1 || s.Configs[0].Revision != 1 {
 		t.Errorf("in force after %+v ms: %+v", d, s.Configs)
 	}
 	for i, at := range s.Configs[0].InForce {
@@ -268,8 +268,8 @@
 	o := options(t, 40)
 	f := fleet(t, t.Context(), o)
 	mentions(t, f.Configure(t.Context(), 100, 0), "agent r40", "agent r42", reloadRejectedMessage, "MaxAttempts")
-	if s := f.Stats(); s.ConfInForce.Distribution().N != 0 || f.Err() != nil {
-		t.Errorf("in force all the same: %+v, error %v", s.ConfInForce.Distribution(), f.Err())
+	if s := f.Stats(); s.ConfigInForce.Distribution().N != 0 || f.Err() != nil {
+		t.Errorf("in force all the same: %+v, error %v", s.ConfigInForce.Distribution(), f.Err())
 	}
 	if err := f.Configure(t.Context(), 2, 0); err != nil {
 		t.Errorf("the next one: %v", err)
--- a/internal/scale/realagent/stats.go
+++ b/internal/scale/realagent/stats.go
@@ -20,13 +20,13 @@
 	CPUPercent float64 // of one core, an idle agent: mean
 	// CallCPUMS is what one call costs a busy agent in processor time, ms: all that it used, less what an idle one did.
 	// It is 0 without calls, and too large by control's part where no agent is idle.
-	CallCPUMS   float64
-	RSSBytes    result.Distribution // now
-	PeakBytes   result.Distribution // the largest each present process has had
-	ConfInForce *result.Histogram   // ms, from the beginning of the change: all agents and changes
-	Configs     []ConfigChange
-	StartupMS   result.Distribution // of restarted agents, from their process's beginning until they take clients
-	Each        []AgentStats
+	CallCPUMS     float64
+	RSSBytes      result.Distribution // now
+	PeakBytes     result.Distribution // the largest each present process has had
+	ConfigInForce *result.Histogram   // ms, from the beginning of the change: all agents and changes
+	Configs       []ConfigChange
+	StartupMS     result.Distribution // of restarted agents, from their process's beginning until they take clients
+	Each          []AgentStats
 }
 
 // AgentStats are the measurements of one agent; memory is 0 where none runs.
@@ -65,10 +65,10 @@
 	defer f.mu.Unlock()
 	wall := time.Since(f.startedAt)
 	s := Stats{
-		Agents: len(f.agents), ConfInForce: result.NewHistogram(maxInForceMillis), Configs: slices.Clone(f.changes),
+		Agents: len(f.agents), ConfigInForce: result.NewHistogram(maxInForceMillis), Configs: slices.Clone(f.changes),
 		StartupMS: f.startupTimes.Distribution(),
 	}
-	s.ConfInForce.Merge(f.configInForce)
+	s.ConfigInForce.Merge(f.configInForce)
 	for _, a := range f.agents {
 		s.Each = append(s.Each, a.stats(wall))
 	}
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -22,17 +22,17 @@
 
 // AgentControl is what control cost the agents of one sort, simulated or real. Parts send it by its fields' names.
 type AgentControl struct {
-	Agents      int          `json:"agents"`
-	BytesIn     Distribution `json:"bytes_in_per_s"`   // mean of each agent over the run, bytes a second
-	BytesOut    Distribution `json:"bytes_out_per_s"`  //
-	Worst6s     Distribution `json:"worst_6s_per_s"`   // of each agent: in and out, bytes a second over its worst 6 s
-	CPUPercent  float64      `json:"cpu_percent"`      // of one core, an agent, for control alone
-	HeapBytes   float64      `json:"heap_bytes"`       // live, an agent; simulated ones
-	RSSBytes    Distribution `json:"rss_bytes"`        // real ones
-	ListInForce Distribution `json:"list_in_force_ms"` // simulated ones by themselves, real ones as ListHeard
-	ListHeard   Distribution `json:"list_heard_ms"`    // as control sees it acknowledged, by the agent's next call; both sorts
-	ConfInForce Distribution `json:"config_in_force_ms"`
-	Unheard     int          `json:"unheard"` // undelivered: pairs of an agent and a change that was due and had not come when the run ended
+	Agents           int          `json:"agents"`
+	BytesIn          Distribution `json:"bytes_in_per_s"`   // mean of each agent over the run, bytes a second
+	BytesOut         Distribution `json:"bytes_out_per_s"`  //
+	Worst6s          Distribution `json:"worst_6s_per_s"`   // of each agent: in and out, bytes a second over its worst 6 s
+	CPUPercent       float64      `json:"cpu_percent"`      // of one core, an agent, for control alone
+	HeapBytes        float64      `json:"heap_bytes"`       // live, an agent; simulated ones
+	RSSBytes         Distribution `json:"rss_bytes"`        // real ones
+	ListInForce      Distribution `json:"list_in_force_ms"` // simulated ones by themselves, real ones as ListAcknowledged
+	ListAcknowledged Distribution `json:"list_heard_ms"`    // as control sees it acknowledged, by the agent's next call; both sorts
+	ConfigInForce    Distribution `json:"config_in_force_ms"`
+	Undelivered      int          `json:"unheard"` // undelivered: pairs of an agent and a change that was due and had not come when the run ended
 }
 
 // ControlMachine is what one machine of the control side did: control itself, a relay, or the source of configuration.
@@ -41,8 +41,8 @@
 	Role       string       `json:"role"`
 	Name       string       `json:"name"`
 	Calls      int64        `json:"calls"`
-	WholeLists int64        `json:"whole_lists"`
-	Refused    int64        `json:"refused"`
+	FullLists  int64        `json:"whole_lists"`
+	Rejected   int64        `json:"refused"`
 	BytesIn    int64        `json:"bytes_in"`
 	BytesOut   int64        `json:"bytes_out"`
 	CPUPercent float64      `json:"cpu_percent"` // of one core, real processor time
@@ -60,7 +60,7 @@
 	Attempts          int64   `json:"attempts"`
 	OK                int64   `json:"ok"`
 	Failed            int64   `json:"failed"`
-	Refused           int64   `json:"refused"`
+	Rejected          int64   `json:"refused"`
 	FailCalls         int64   `json:"fail_calls"` // the same while a deep service failed
 	FailAttempts      int64   `json:"fail_attempts"`
 	FailOK            int64   `json:"fail_ok"`
@@ -92,7 +92,7 @@
 	ServedBeforePercent   float64      `json:"before_percent"`  // in the 5 s before
 	RecoveredAfterSeconds float64      `json:"back_after_s"`    // from its end until nine tenths of ServedBeforePercent are served; -1: not within the run
 	FullLists             int64        `json:"whole_lists"`     // written by control and relays meanwhile
-	Refused               int64        `json:"control_refused"` // calls rejected by control and relays meanwhile
+	Rejected              int64        `json:"control_refused"` // calls rejected by control and relays meanwhile
 }
 
 // Added is the time that a real agent adds to a call, against the same call made directly, in turn in one run.
--- a/internal/scale/run/budgets.go
+++ b/internal/scale/run/budgets.go
@@ -47,7 +47,7 @@
 		}},
 	{"in_force_config", "s", func(b scenario.Budgets) float64 { return b.InForceS }, anyConfig,
 		func(r *result.Run) (float64, bool) {
-			return inForce(r, func(a result.AgentControl) result.Distribution { return a.ConfInForce })
+			return inForce(r, func(a result.AgentControl) result.Distribution { return a.ConfigInForce })
 		}},
 	{"control_machines", "machines", func(b scenario.Budgets) float64 { return b.ControlBusy }, nil,
 		func(r *result.Run) (float64, bool) {
@@ -83,7 +83,7 @@
 func inForce(r *result.Run, of func(result.AgentControl) result.Distribution) (float64, bool) {
 	ok := of(r.Simulated).N+of(r.Real).N > 0
 	for _, a := range []result.AgentControl{r.Simulated, r.Real} {
-		if a.Agents > 0 && (of(a).N == 0 || a.Unheard > 0) {
+		if a.Agents > 0 && (of(a).N == 0 || a.Undelivered > 0) {
 			ok = false
 		}
 	}
--- a/internal/scale/run/collect.go
+++ b/internal/scale/run/collect.go
@@ -55,8 +55,8 @@
 		r.result.Events = append(r.result.Events, r.summarizeEvent(i, m))
 	}
 	r.result.ModelLagMS = m.simulated.LagMS
-	r.result.ModelKeptTime = m.simulated.KeptUp
-	r.result.LateNotifications = m.control.LateTold
+	r.result.ModelKeptTime = m.simulated.KeptTime
+	r.result.LateNotifications = m.control.LateNotifications
 	return errors.Join(controlErr, simulatedErr)
 }
 
@@ -89,10 +89,10 @@
 	// What control sends is what agents receive.
 	cost.BytesIn, cost.BytesOut, cost.Worst6s = rates(m.control.Out, m.control.In, agents, wholeSeconds)
 	var undeliveredLists, undeliveredConfigs int
-	cost.ListHeard, _ = summarize(acknowledged)
+	cost.ListAcknowledged, _ = summarize(acknowledged)
 	cost.ListInForce, undeliveredLists = summarize(inForce)
-	cost.ConfInForce, undeliveredConfigs = summarize(r.configDeliveries(m, anyEvent))
-	cost.Unheard = undeliveredLists + undeliveredConfigs
+	cost.ConfigInForce, undeliveredConfigs = summarize(r.configDeliveries(m, anyEvent))
+	cost.Undelivered = undeliveredLists + undeliveredConfigs
 }
 
 // anyEvent selects the changes of all events, and of none.
@@ -110,7 +110,7 @@
 			continue
 		}
 		notification := m.control.Changes[i]
-		acknowledged = append(acknowledged, delivery{madeAt: notification.At, receivedAt: notification.Heard})
+		acknowledged = append(acknowledged, delivery{madeAt: notification.At, receivedAt: notification.AcknowledgedAt})
 		own := delivery{madeAt: notification.At}
 		j := slices.IndexFunc(m.simulated.Lists, func(l simagent.ListChange) bool { return l.Revision == c.revision })
 		if j >= 0 {
@@ -245,10 +245,10 @@
 		case snapshot.event != i:
 		case snapshot.atEnd:
 			out.FullLists += snapshot.fullLists
-			out.Refused += snapshot.rejected
+			out.Rejected += snapshot.rejected
 		default:
 			out.FullLists -= snapshot.fullLists
-			out.Refused -= snapshot.rejected
+			out.Rejected -= snapshot.rejected
 		}
 	}
 	return out
--- a/internal/scale/run/messages_test.go
+++ b/internal/scale/run/messages_test.go
@@ -25,23 +25,23 @@
 		{"Control", new(control.Service), []string{
 			"Begin() ()",
 			"Change(Members) (Revision At)",
-			"Cut(Agents Cut) ()",
 			"Down(Down) ()",
+			"Partition(Agents Partitioned) ()",
 			"Start(Costs Agents Addrs Members Revision) (Ready)",
-			"Stats() (Machine In Out Changes LateTold)",
+			"Stats() (Machine In Out Changes LateNotifications)",
 		}},
 		{"Relay", new(control.RelayService), []string{
 			"Begin() ()",
-			"Cut(Agents Cut) ()",
-			"Start(Name Discovery State Addrs Lists) (Ready)",
-			"Stats() (Machine In Out Heard)",
+			"Partition(Agents Partitioned) ()",
+			"Start(Name Discovery State Addrs FullListsPerSecond) (Ready)",
+			"Stats() (Machine In Out Acknowledgements)",
 		}},
 		{"Hollow", new(simagent.Service), []string{
 			"Begin() ()",
 			"Config(Revision PushMS) ()",
-			"Start(Scenario Echo Agents Discovery Relays Begin Known) (Ready)",
-			"Stats() (Agents Ready Seconds Roots FailRoots Depths Windows Doubled Again Lists Configs Control ListCalls ListFails WholeLists Logged " +
-				"CPU ModelCPU SourceCPU CollectorCPU ControlCPU Heap Stacks Goroutines LagMS KeptUp)",
+			"Start(Scenario Echo Agents Discovery Relays Begin CachedEndpoints) (Ready)",
+			"Stats() (Agents Ready Seconds Roots FailRoots Depths Windows Duplicates Retries Lists Configs Control Polls PollFailures FullLists Logged " +
+				"CPU ModelCPU SourceCPU CollectorCPU ControlCPU Heap Stacks Goroutines LagMS KeptTime)",
 			"Step(Step) ()",
 		}},
 	} {
@@ -57,7 +57,7 @@
 	}
 }
 
-// Steps are sent as JSON, by the same keys as ever.
+// Steps are sent as JSON, by these keys.
 func TestStepMessageStays(t *testing.T) {
 	yes, no := true, false
 	step := world.Step{
@@ -73,13 +73,13 @@
 		t.Fatal(err)
 	}
 	want := []string{
-		"At", "Begins", "Changes", "Cold", "Config", "ControlDown", "CutRegions", "Down", "Ends", "Event", "Fail", "Forget", "KillRelay", "Restart",
+		"At", "Begins", "Changes", "Cold", "Config", "ControlDown", "Down", "Ends", "Event", "Fail", "Forget", "KillRelay", "PartitionRegions", "Restart",
 		"Silent", "StartRelay", "Up",
 	}
 	if got := slices.Sorted(maps.Keys(keys)); !slices.Equal(got, want) {
 		t.Errorf("keys %q, want %q", got, want)
 	}
-	if string(keys["CutRegions"]) != "true" || string(keys["Fail"]) != "false" || string(keys["ControlDown"]) != "null" {
+	if string(keys["PartitionRegions"]) != "true" || string(keys["Fail"]) != "false" || string(keys["ControlDown"]) != "null" {
 		t.Errorf("%s", text)
 	}
 }
--- a/internal/scale/run/output_test.go
+++ b/internal/scale/run/output_test.go
@@ -21,7 +21,7 @@
 	r.Windows = []result.Window{{Second: 0, Roots: 20, Served: 19, Percent: 95}}
 	r.Events = []result.EventResult{{
 		Kind: "fail", AtSeconds: 3, LengthSeconds: 1.5, Affects: 4, Bytes: 12345, InForceMS: result.Distribution{N: 2, Mean: 8, P50: 7, P99: 9, Max: 10},
-		Undelivered: 1, ServedPercent: 61.5, ServedBeforePercent: 99.25, RecoveredAfterSeconds: 2, FullLists: 6, Refused: 7,
+		Undelivered: 1, ServedPercent: 61.5, ServedBeforePercent: 99.25, RecoveredAfterSeconds: 2, FullLists: 6, Rejected: 7,
 	}}
 	return evaluate(r, limits)
 }
--- a/internal/scale/run/relays.go
+++ b/internal/scale/run/relays.go
@@ -47,7 +47,7 @@
 	for k := range r.scenario.Relays.Count {
 		relay := &relayProcess{region: k % r.scenario.Fleet.Regions, args: control.RelayArgs{
 			Name: relayName(k), Discovery: r.discoveryAddrs[agents+k], State: filepath.Join(dir, fmt.Sprint(k)),
-			Lists: r.scenario.Relays.AdmitPerS,
+			FullListsPerSecond: r.scenario.Relays.FullListsPerS,
 		}}
 		r.relays = append(r.relays, relay)
 		if err := r.startRelayAtFreePort(ctx, relay, 1+k); err != nil {
@@ -131,7 +131,7 @@
 // partitionRelays partitions regions, or ends that, as far as relays are concerned: agents and relays of one region reach
 // each other, and control is in region 0.
 func (r *runner) partitionRelays(ctx context.Context, partitioned bool) error {
-	fromControl := control.PartitionArgs{Cut: partitioned}
+	fromControl := control.PartitionArgs{Partitioned: partitioned}
 	for k, relay := range r.relays {
 		if relay.region != 0 {
 			fromControl.Agents = append(fromControl.Agents, len(r.world.Agents)+k)
@@ -139,7 +139,7 @@
 		if relay.process == nil {
 			continue
 		}
-		fromRelay := control.PartitionArgs{Cut: partitioned}
+		fromRelay := control.PartitionArgs{Partitioned: partitioned}
 		for i, a := range r.world.Agents {
 			if r.world.Servers[a.Server].Region != relay.region {
 				fromRelay.Agents = append(fromRelay.Agents, i)
@@ -178,7 +178,7 @@
 			}
 			all.In = addShifted(all.In, counts.stats.In, firstSecond)
 			all.Out = addShifted(all.Out, counts.stats.Out, firstSecond)
-			addAcknowledgements(all.Changes, counts.stats.Heard)
+			addAcknowledgements(all.Changes, counts.stats.Acknowledgements)
 		}
 	}
 	return &all, machines, nil
@@ -206,8 +206,8 @@
 			continue
 		}
 		sum.Calls += m.Calls
-		sum.WholeLists += m.WholeLists
-		sum.Refused += m.Refused
+		sum.FullLists += m.FullLists
+		sum.Rejected += m.Rejected
 		sum.BytesIn += m.BytesIn
 		sum.BytesOut += m.BytesOut
 		sum.CPUPercent = max(sum.CPUPercent, m.CPUPercent)
@@ -242,7 +242,7 @@
 func addAcknowledgements(changes []control.ChangeNotification, byAgent [][]control.Acknowledgement) {
 	for _, c := range changes {
 		for agent, acknowledged := range byAgent {
-			if agent >= len(c.Heard) {
+			if agent >= len(c.AcknowledgedAt) {
 				break
 			}
 			i, _ := slices.BinarySearchFunc(acknowledged, c.Revision, func(a control.Acknowledgement, revision uint64) int {
@@ -251,8 +251,8 @@
 			if i == len(acknowledged) {
 				continue
 			}
-			if c.Heard[agent] == 0 || acknowledged[i].At < c.Heard[agent] {
-				c.Heard[agent] = acknowledged[i].At
+			if c.AcknowledgedAt[agent] == 0 || acknowledged[i].At < c.AcknowledgedAt[agent] {
+				c.AcknowledgedAt[agent] = acknowledged[i].At
 			}
 		}
 	}
--- a/internal/scale/run/relays_test.go
+++ b/internal/scale/run/relays_test.go
@@ -28,7 +28,7 @@
 
 // What an agent acknowledged anywhere counts from when it did first.
 func TestAddAcknowledgements(t *testing.T) {
-	changes := []control.ChangeNotification{{Revision: 5, Heard: []int64{100, 0, 0, 7}}, {Revision: 6, Heard: []int64{0, 0, 0, 7}}}
+	changes := []control.ChangeNotification{{Revision: 5, AcknowledgedAt: []int64{100, 0, 0, 7}}, {Revision: 6, AcknowledgedAt: []int64{0, 0, 0, 7}}}
 	mark := func(revision uint64, at int64) control.Acknowledgement {
 		return control.Acknowledgement{Revision: revision, At: at}
 	}
@@ -39,7 +39,7 @@
 		{mark(6, 9)},
 		{mark(6, 9)}, // no agent of control's
 	})
-	want := []control.ChangeNotification{{Revision: 5, Heard: []int64{50, 20, 0, 7}}, {Revision: 6, Heard: []int64{50, 0, 0, 7}}}
+	want := []control.ChangeNotification{{Revision: 5, AcknowledgedAt: []int64{50, 20, 0, 7}}, {Revision: 6, AcknowledgedAt: []int64{50, 0, 0, 7}}}
 	if !reflect.DeepEqual(changes, want) {
 		t.Errorf("%+v, want %+v", changes, want)
 	}
@@ -48,10 +48,10 @@
 // The incarnations of a relay count together; rates are the worst of them.
 func TestSumRelayCounts(t *testing.T) {
 	incarnation := func(calls int64, worst float64) relayCounts {
-		return relayCounts{stats: control.RelayStats{Machine: result.ControlMachine{Role: "relay", Name: "r", Calls: calls, WholeLists: 1, Worst6s: worst}}}
+		return relayCounts{stats: control.RelayStats{Machine: result.ControlMachine{Role: "relay", Name: "r", Calls: calls, FullLists: 1, Worst6s: worst}}}
 	}
 	got := sumRelayCounts([]relayCounts{incarnation(10, 0.5), incarnation(5, 0.2)})
-	if got.Name != "r" || got.Calls != 15 || got.WholeLists != 2 || got.Worst6s != 0.5 {
+	if got.Name != "r" || got.Calls != 15 || got.FullLists != 2 || got.Worst6s != 0.5 {
 		t.Errorf("%+v", got)
 	}
 	if got := sumRelayCounts(nil); got != (result.ControlMachine{}) {
--- a/internal/scale/run/start.go
+++ b/internal/scale/run/start.go
@@ -105,7 +105,7 @@
 	}
 	args := simagent.StartArgs{
 		Scenario: *r.scenario, Agents: r.simulatedPositions, Discovery: r.discoveryAddrs, Relays: r.relayAddrs(),
-		Known: r.cachedEndpoints(false),
+		CachedEndpoints: r.cachedEndpoints(false),
 	}
 	if r.echo != nil {
 		args.Echo = r.echo.Addrs()
@@ -186,7 +186,7 @@
 // agentsWithoutFirstList names the agents that have not acknowledged the revision that awaitFirstList makes.
 func (r *runner) agentsWithoutFirstList(stats *control.StatsReply) (names []string) {
 	for i, a := range r.world.Agents {
-		if len(stats.Changes) == 0 || timeAt(stats.Changes[0].Heard, i) == 0 {
+		if len(stats.Changes) == 0 || timeAt(stats.Changes[0].AcknowledgedAt, i) == 0 {
 			names = append(names, a.Name)
 		}
 	}
--- a/internal/scale/run/steps.go
+++ b/internal/scale/run/steps.go
@@ -95,7 +95,7 @@
 
 // partitionRegions partitions the regions from each other, or ends that.
 func (r *runner) partitionRegions(ctx context.Context, partitioned bool) error {
-	args := control.PartitionArgs{Agents: r.agentsOutsideControlRegion(), Cut: partitioned}
+	args := control.PartitionArgs{Agents: r.agentsOutsideControlRegion(), Partitioned: partitioned}
 	if err := r.controlPart.Call(ctx, control.MethodPartition, args, &struct{}{}); err != nil {
 		return err
 	}
@@ -175,8 +175,8 @@
 	}
 	snapshot := countersSnapshot{event: event, atEnd: atEnd}
 	for _, m := range machines {
-		snapshot.fullLists += m.WholeLists
-		snapshot.rejected += m.Refused
+		snapshot.fullLists += m.FullLists
+		snapshot.rejected += m.Rejected
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/scale/run/text.go
+++ b/internal/scale/run/text.go
@@ -78,7 +78,7 @@
 		}{{role.SimulatedAgents, r.Simulated}, {"real", r.Real}} {
 			t.Printf("%s\t%d\t%.0f\t%.0f\t%s\t%.3f\t%.2f\t%.1f\t%s\t%.1f/%.1f\t%s\t%d\n", row.name, row.Agents, row.BytesIn.Mean, row.BytesOut.Mean,
 				quantiles(row.Worst6s), row.CPUPercent, row.HeapBytes/bytesPerMB, row.RSSBytes.Max/bytesPerMB, quantiles(row.ListInForce),
-				row.ListHeard.P50, row.ListHeard.P99, quantiles(row.ConfInForce), row.Unheard)
+				row.ListAcknowledged.P50, row.ListAcknowledged.P99, quantiles(row.ConfigInForce), row.Undelivered)
 		}
 	})
 }
@@ -96,7 +96,7 @@
 	out.Table(func(t *textwriter.Writer) {
 		t.Println("role\tname\tcalls\twhole lists\trefused\tin kB\tout kB\tcpu %\tbusy\tworst 6 s\tqueue ms p50/p99/max\tqueue max\trss MB")
 		for _, m := range machines {
-			t.Printf("%s\t%s\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t%.3f\t%.3f\t%s\t%d\t%.1f\n", m.Role, m.Name, m.Calls, m.WholeLists, m.Refused,
+			t.Printf("%s\t%s\t%d\t%d\t%d\t%.1f\t%.1f\t%.2f\t%.3f\t%.3f\t%s\t%d\t%.1f\n", m.Role, m.Name, m.Calls, m.FullLists, m.Rejected,
 				float64(m.BytesIn)/bytesPerKB, float64(m.BytesOut)/bytesPerKB, m.CPUPercent, m.Busy, m.Worst6s, quantiles(m.QueueMS), m.QueueMax,
 				m.RSSBytes/bytesPerMB)
 		}
@@ -111,7 +111,7 @@
 	out.Table(func(t *textwriter.Writer) {
 		t.Println("depth\tcalls\tattempts\tok\tfailed\trefused\tserved %\tattempts/root\twhile failing\ttimes")
 		for _, d := range depths {
-			t.Printf("%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.3f\t%.3f\t%.2f\n", d.Depth, d.Calls, d.Attempts, d.OK, d.Failed, d.Refused,
+			t.Printf("%d\t%d\t%d\t%d\t%d\t%d\t%.2f\t%.3f\t%.3f\t%.2f\n", d.Depth, d.Calls, d.Attempts, d.OK, d.Failed, d.Rejected,
 				d.ServedMeanPercent, d.PerRoot, d.FailPerRoot, d.Amplification)
 		}
 	})
@@ -127,7 +127,7 @@
 		for _, e := range events {
 			t.Printf("%s\t%.1f\t%.1f\t%d\t%.1f\t%s\t%d\t%.2f\t%.2f\t%.1f\t%d\t%d\n", e.Kind, e.AtSeconds, e.LengthSeconds, e.Affects,
 				float64(e.Bytes)/bytesPerKB, quantiles(e.InForceMS), e.Undelivered, e.ServedPercent, e.ServedBeforePercent,
-				e.RecoveredAfterSeconds, e.FullLists, e.Refused)
+				e.RecoveredAfterSeconds, e.FullLists, e.Rejected)
 		}
 	})
 }
--- a/internal/scale/run/verdict_test.go
+++ b/internal/scale/run/verdict_test.go
@@ -21,10 +21,10 @@
 	}
 	a := result.AgentControl{
 		Agents: 10, BytesIn: d(900), BytesOut: d(300), Worst6s: d(2000), CPUPercent: 0.5, HeapBytes: 2 * bytesPerMB,
-		ListInForce: d(300), ListHeard: d(320), ConfInForce: d(900),
+		ListInForce: d(300), ListAcknowledged: d(320), ConfigInForce: d(900),
 	}
 	b := a
-	b.HeapBytes, b.RSSBytes, b.ListInForce = 0, d(20*bytesPerMB), b.ListHeard
+	b.HeapBytes, b.RSSBytes, b.ListInForce = 0, d(20*bytesPerMB), b.ListAcknowledged
 	return &result.Run{
 		Scenario: "fine", Sizes: result.Sizes{Servers: 20, Agents: 20, Real: 10, Depth: 2, Seconds: 8, ListChanges: 3, Configs: 2, Failures: 1},
 		Simulated: a, Real: b,
@@ -57,8 +57,8 @@
 		{"simulated memory", func(r *result.Run) { r.Simulated.HeapBytes = 33 * bytesPerMB }, []string{"agent_memory"}},
 		{"bytes of one agent's worst 6 s", func(r *result.Run) { r.Real.Worst6s.Max = 23_001 }, []string{"agent_bytes"}},
 		{"last agent's list", func(r *result.Run) { r.Simulated.ListInForce.Max = 6001 }, []string{"in_force_list"}},
-		{"last agent's configuration", func(r *result.Run) { r.Real.ConfInForce.Max = 6001 }, []string{"in_force_config"}},
-		{"a change that never came", func(r *result.Run) { r.Simulated.Unheard = 1 }, []string{"in_force_list", "in_force_config"}},
+		{"last agent's configuration", func(r *result.Run) { r.Real.ConfigInForce.Max = 6001 }, []string{"in_force_config"}},
+		{"a change that never came", func(r *result.Run) { r.Simulated.Undelivered = 1 }, []string{"in_force_list", "in_force_config"}},
 		{"lists of one sort not measured", func(r *result.Run) { r.Real.ListInForce = result.Distribution{} }, []string{"in_force_list"}},
 		{"stated work of two machines", func(r *result.Run) { r.Control[0].Worst6s, r.Control[1].Worst6s = 3, 2.5 }, []string{"control_machines"}},
 		{"real work of one", func(r *result.Run) { r.Control[0].CPUPercent = 510 }, []string{"control_machines"}},
@@ -66,9 +66,9 @@
 		{"attempts above it", func(r *result.Run) { r.Depths[0].Amplification = 2.1 }, nil},
 		{"simulated bytes too many", func(r *result.Run) { r.Simulated.BytesIn.Mean = 2000 }, []string{"ratio:bytes"}},
 		{"simulated bytes too few", func(r *result.Run) { r.Simulated.BytesIn.Mean = 400 }, []string{"ratio:bytes"}},
-		{"simulated lists late", func(r *result.Run) { r.Simulated.ListHeard.Mean = 1300 }, []string{"ratio:list_in_force"}},
-		{"both below the floor", func(r *result.Run) { r.Simulated.ListHeard.Mean, r.Real.ListHeard.Mean = 49, 0.4 }, nil},
-		{"simulated configurations late", func(r *result.Run) { r.Simulated.ConfInForce.P50 = 3700 }, []string{"ratio:config_in_force"}},
+		{"simulated lists late", func(r *result.Run) { r.Simulated.ListAcknowledged.Mean = 1300 }, []string{"ratio:list_in_force"}},
+		{"both below the floor", func(r *result.Run) { r.Simulated.ListAcknowledged.Mean, r.Real.ListAcknowledged.Mean = 49, 0.4 }, nil},
+		{"simulated configurations late", func(r *result.Run) { r.Simulated.ConfigInForce.P50 = 3700 }, []string{"ratio:config_in_force"}},
 		{"simulated cpu off", func(r *result.Run) { r.Real.CPUPercent, r.Simulated.CPUPercent = 1.1, 0.2 }, []string{"ratio:cpu"}},
 		{"notified late", func(r *result.Run) { r.LateNotifications = 1 }, []string{"late_told"}},
 		{"nothing was started", func(r *result.Run) { r.Simulated, r.Real = result.AgentControl{}, result.AgentControl{} },
@@ -79,7 +79,7 @@
 		{"nothing changed or failed", func(r *result.Run) {
 			r.Sizes.ListChanges, r.Sizes.Configs, r.Sizes.Failures = 0, 0, 0
 			for _, a := range []*result.AgentControl{&r.Simulated, &r.Real} {
-				a.ListInForce, a.ListHeard, a.ConfInForce = result.Distribution{}, result.Distribution{}, result.Distribution{}
+				a.ListInForce, a.ListAcknowledged, a.ConfigInForce = result.Distribution{}, result.Distribution{}, result.Distribution{}
 			}
 			r.Depths[1].Amplification = 0
 		}, nil},
--- a/internal/scale/scenario/load.go
+++ b/internal/scale/scenario/load.go
@@ -18,24 +18,24 @@
 			Regions: 1, Zones: 1, Racks: 1,
 			ServiceMS: 8, Slots: 2, QueueSlots: 16,
 			NetworkMS: 0.15, CrossMS: 0.6, RegionMS: 3,
-			ColdFrom: 0.4, WarmS: 8,
+			SlowStartMinWeight: 0.4, SlowStartS: 8,
 			DrainS: 6, BootS: 1,
 		},
 		Agent: Agent{
 			MemoryMB: 192, Sockets: 1024, MaxAttempts: 3,
-			RetryRatio: 0.1, RetryFloor: 3, RetryWindow: 10,
-			MustAskInS: 10,
+			RetryBudgetRatio: 0.1, RetryBudgetMin: 3, RetryBudgetWindowS: 10,
+			MaxPollIntervalS: 10,
 		},
-		Control: Control{Machines: 1, Parallel: 1, RefuseMS: 1000, Log: 256, NoticeMS: 500},
+		Control: Control{Machines: 1, Parallel: 1, RejectMS: 1000, Log: 256, NoticeMS: 500},
 		Budgets: Budgets{AddedSamples: 1000},
 	}
 }
 
 // defaultClasses are those of a file that has none.
 var defaultClasses = []Class{
-	{Name: "read", Share: 0.6, Effect: Idempotent, AimMS: 400, DeadlineMS: 2000, Worth: 1},
-	{Name: "keyed", Share: 0.3, Effect: IdempotentWithKey, AimMS: 400, DeadlineMS: 2000, WindowMS: 30000, Worth: 2},
-	{Name: "once", Share: 0.1, Effect: NonIdempotent, AimMS: 400, DeadlineMS: 2000, Worth: 3},
+	{Name: "read", Share: 0.6, Idempotency: Idempotent, LatencyObjectiveMS: 400, DeadlineMS: 2000, PriorityWeight: 1},
+	{Name: "keyed", Share: 0.3, Idempotency: IdempotentWithKey, LatencyObjectiveMS: 400, DeadlineMS: 2000, DedupWindowMS: 30000, PriorityWeight: 2},
+	{Name: "once", Share: 0.1, Idempotency: NonIdempotent, LatencyObjectiveMS: 400, DeadlineMS: 2000, PriorityWeight: 3},
 }
 
 // Load reads and checks a file. Its errors name the file, and the field that cannot be used.
--- a/internal/scale/scenario/overrides.go
+++ b/internal/scale/scenario/overrides.go
@@ -40,8 +40,8 @@
 	r.Count = count
 	if count == 0 {
 		*r = Relays{}
-	} else if r.AdmitPerS == 0 {
-		r.AdmitPerS = defaultFullListsPerSecond
+	} else if r.FullListsPerS == 0 {
+		r.FullListsPerS = defaultFullListsPerSecond
 	}
 }
 
--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -20,46 +20,46 @@
 
 // Fleet is the size and shape of the world.
 type Fleet struct {
-	Servers        int     `toml:"servers"`
-	Services       int     `toml:"services"`
-	Agents         int     `toml:"agents"` // 0: one beside each server, see Scenario.Agents
-	Real           int     `toml:"real"`   // of the agents are processes of bin/agent
-	Depth          int     `toml:"depth"`
-	CallsPerSecond float64 `toml:"calls_per_second"` // of all simulated agents, at all depths
-	Regions        int     `toml:"regions"`
-	Zones          int     `toml:"zones"`       // in all
-	Racks          int     `toml:"racks"`       // in each zone
-	Uneven         float64 `toml:"uneven"`      // exponent of the services' sizes by rank; 0: all equal
-	ServiceMS      float64 `toml:"service_ms"`  // mean time of work of one call at speed 1
-	Slots          int     `toml:"slots"`       // requests that a server works on at once
-	QueueSlots     int     `toml:"queue_slots"` // requests that may wait at a server
-	NetworkMS      float64 `toml:"network_ms"`  // one way within a zone
-	CrossMS        float64 `toml:"cross_ms"`    // one way between zones
-	RegionMS       float64 `toml:"region_ms"`   // one way between regions
-	ColdFrom       float64 `toml:"cold_from"`   // share of its speed that a server starts with
-	WarmS          float64 `toml:"warm_s"`
-	DrainS         float64 `toml:"drain_s"` // from when the list says that a server drains to the end of its process
-	BootS          float64 `toml:"boot_s"`  // from there to the next process
+	Servers            int     `toml:"servers"`
+	Services           int     `toml:"services"`
+	Agents             int     `toml:"agents"` // 0: one beside each server, see Scenario.Agents
+	Real               int     `toml:"real"`   // of the agents are processes of bin/agent
+	Depth              int     `toml:"depth"`
+	CallsPerSecond     float64 `toml:"calls_per_second"` // of all simulated agents, at all depths
+	Regions            int     `toml:"regions"`
+	Zones              int     `toml:"zones"`       // in all
+	Racks              int     `toml:"racks"`       // in each zone
+	Uneven             float64 `toml:"uneven"`      // exponent of the services' sizes by rank; 0: all equal
+	ServiceMS          float64 `toml:"service_ms"`  // mean time of work of one call at speed 1
+	Slots              int     `toml:"slots"`       // requests that a server works on at once
+	QueueSlots         int     `toml:"queue_slots"` // requests that may wait at a server
+	NetworkMS          float64 `toml:"network_ms"`  // one way within a zone
+	CrossMS            float64 `toml:"cross_ms"`    // one way between zones
+	RegionMS           float64 `toml:"region_ms"`   // one way between regions
+	SlowStartMinWeight float64 `toml:"cold_from"`   // share of its speed that a server starts with
+	SlowStartS         float64 `toml:"warm_s"`
+	DrainS             float64 `toml:"drain_s"` // from when the list says that a server drains to the end of its process
+	BootS              float64 `toml:"boot_s"`  // from there to the next process
 }
 
 // Agent is what each agent's configuration grants and sets.
 type Agent struct {
-	MemoryMB    int     `toml:"memory_mb"`
-	Sockets     int     `toml:"sockets"`
-	MaxAttempts int     `toml:"max_attempts"`
-	RetryRatio  float64 `toml:"retry_ratio"`
-	RetryFloor  float64 `toml:"retry_floor"`
-	RetryWindow float64 `toml:"retry_window_s"`
-	MustAskInS  float64 `toml:"must_ask_in_s"`
+	MemoryMB           int     `toml:"memory_mb"`
+	Sockets            int     `toml:"sockets"`
+	MaxAttempts        int     `toml:"max_attempts"`
+	RetryBudgetRatio   float64 `toml:"retry_ratio"`
+	RetryBudgetMin     float64 `toml:"retry_floor"`
+	RetryBudgetWindowS float64 `toml:"retry_window_s"`
+	MaxPollIntervalS   float64 `toml:"must_ask_in_s"`
 }
 
 // Control describes the stand-in for the platform's discovery and source of configuration.
 type Control struct {
 	Machines   int     `toml:"machines"`       // set aside for control
 	CallMS     float64 `toml:"call_ms"`        // stated cost of a call that does not continue a watch
-	LineUS     float64 `toml:"line_us"`        // stated cost of each line of an answer
+	EntryUS    float64 `toml:"line_us"`        // stated cost of each line of an answer
 	Parallel   int     `toml:"parallel"`       // calls that it works on at once
-	RefuseMS   float64 `toml:"refuse_ms"`      // a call that has waited so long is rejected
+	RejectMS   float64 `toml:"refuse_ms"`      // a call that has waited so long is rejected
 	Log        int     `toml:"log"`            // revisions whose changes it keeps; agents with older ones get the full list
 	NoticeMS   float64 `toml:"notice_ms"`      // from a change in the world to its revision
 	PushMS     float64 `toml:"push_ms"`        // stated cost of handing a configuration to one agent
@@ -69,10 +69,10 @@
 
 // Relays stand between control and the agents; none where Count is 0.
 type Relays struct {
-	Count        int     `toml:"count"`
-	AdmitPerS    float64 `toml:"admit_per_s"` // full lists that each hands out a second at most
-	KillAt       float64 `toml:"kill_at_s"`   // one relay is killed then; 0: none
-	RestartAfter float64 `toml:"restart_after_s"`
+	Count         int     `toml:"count"`
+	FullListsPerS float64 `toml:"admit_per_s"` // full lists that each hands out a second at most
+	KillAt        float64 `toml:"kill_at_s"`   // one relay is killed then; 0: none
+	RestartAfter  float64 `toml:"restart_after_s"`
 }
 
 // The idempotency of calls, as files and settings name it.
@@ -84,13 +84,13 @@
 
 // Class is a class of calls. Each service belongs to one, by its share.
 type Class struct {
-	Name       string  `toml:"name"`
-	Share      float64 `toml:"share"`  // of the services
-	Effect     string  `toml:"effect"` // pure, token or side_effect
-	AimMS      float64 `toml:"aim_ms"`
-	DeadlineMS float64 `toml:"deadline_ms"`
-	WindowMS   float64 `toml:"window_ms"` // token: how long repeated calls are deduplicated
-	Worth      float64 `toml:"worth"`
+	Name               string  `toml:"name"`
+	Share              float64 `toml:"share"`  // of the services
+	Idempotency        string  `toml:"effect"` // pure, token or side_effect
+	LatencyObjectiveMS float64 `toml:"aim_ms"`
+	DeadlineMS         float64 `toml:"deadline_ms"`
+	DedupWindowMS      float64 `toml:"window_ms"` // token: how long repeated calls are deduplicated
+	PriorityWeight     float64 `toml:"worth"`
 }
 
 // Budgets are the operators' limits; 0 leaves one out.
--- a/internal/scale/scenario/validate.go
+++ b/internal/scale/scenario/validate.go
@@ -95,8 +95,8 @@
 	v.floatInRange("fleet.network_ms", f.NetworkMS, 0, maxMS)
 	v.floatInRange("fleet.cross_ms", f.CrossMS, 0, maxMS)
 	v.floatInRange("fleet.region_ms", f.RegionMS, 0, maxMS)
-	v.floatAbove("fleet.cold_from", f.ColdFrom, 0, 1)
-	v.floatInRange("fleet.warm_s", f.WarmS, 0, maxSeconds)
+	v.floatAbove("fleet.cold_from", f.SlowStartMinWeight, 0, 1)
+	v.floatInRange("fleet.warm_s", f.SlowStartS, 0, maxSeconds)
 	v.floatInRange("fleet.drain_s", f.DrainS, 0, maxSeconds)
 	v.floatInRange("fleet.boot_s", f.BootS, 0, maxSeconds)
 }
@@ -106,19 +106,19 @@
 	v.intInRange("agent.memory_mb", a.MemoryMB, 16, maxCount)
 	v.intInRange("agent.sockets", a.Sockets, 128, maxCount)
 	v.intInRange("agent.max_attempts", a.MaxAttempts, 1, 100)
-	v.floatInRange("agent.retry_ratio", a.RetryRatio, 0, 100)
-	v.floatInRange("agent.retry_floor", a.RetryFloor, 0, 1e6)
-	v.floatAbove("agent.retry_window_s", a.RetryWindow, 0, maxSeconds)
-	v.floatAbove("agent.must_ask_in_s", a.MustAskInS, 0, maxSeconds)
+	v.floatInRange("agent.retry_ratio", a.RetryBudgetRatio, 0, 100)
+	v.floatInRange("agent.retry_floor", a.RetryBudgetMin, 0, 1e6)
+	v.floatAbove("agent.retry_window_s", a.RetryBudgetWindowS, 0, maxSeconds)
+	v.floatAbove("agent.must_ask_in_s", a.MaxPollIntervalS, 0, maxSeconds)
 }
 
 func (s *Scenario) checkControl(v *validator) {
 	k := &s.Control
 	v.intInRange("control.machines", k.Machines, 1, 1000)
 	v.floatInRange("control.call_ms", k.CallMS, 0, maxMS)
-	v.floatInRange("control.line_us", k.LineUS, 0, 1000*maxMS)
+	v.floatInRange("control.line_us", k.EntryUS, 0, 1000*maxMS)
 	v.intInRange("control.parallel", k.Parallel, 1, 1000)
-	v.floatAbove("control.refuse_ms", k.RefuseMS, 0, maxMS)
+	v.floatAbove("control.refuse_ms", k.RejectMS, 0, maxMS)
 	v.intInRange("control.log", k.Log, 0, maxCount)
 	v.floatInRange("control.notice_ms", k.NoticeMS, 0, maxMS)
 	v.floatInRange("control.push_ms", k.PushMS, 0, maxMS)
@@ -133,7 +133,7 @@
 		}
 		return
 	}
-	v.floatAbove("relays.admit_per_s", r.AdmitPerS, 0, 1e6)
+	v.floatAbove("relays.admit_per_s", r.FullListsPerS, 0, 1e6)
 	v.floatInRange("relays.kill_at_s", r.KillAt, 0, s.Seconds)
 	v.floatInRange("relays.restart_after_s", r.RestartAfter, 0, maxSeconds)
 }
@@ -150,16 +150,16 @@
 		if k.Name == "" || slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == k.Name }) {
 			v.fail(at+"name", "%q is empty or taken", k.Name)
 		}
-		if !slices.Contains(idempotencies, k.Effect) {
-			v.fail(at+"effect", "%q is none of %s", k.Effect, strings.Join(idempotencies, ", "))
+		if !slices.Contains(idempotencies, k.Idempotency) {
+			v.fail(at+"effect", "%q is none of %s", k.Idempotency, strings.Join(idempotencies, ", "))
 		}
 		v.floatInRange(at+"share", k.Share, 0, 1)
-		v.floatAbove(at+"aim_ms", k.AimMS, 0, maxMS)
-		v.floatInRange(at+"deadline_ms", k.DeadlineMS, k.AimMS, maxMS)
-		v.floatInRange(at+"worth", k.Worth, 0, 1e6)
-		if k.Effect == IdempotentWithKey {
-			v.floatAbove(at+"window_ms", k.WindowMS, 0, 24*3600*1000)
-		} else if k.WindowMS != 0 {
+		v.floatAbove(at+"aim_ms", k.LatencyObjectiveMS, 0, maxMS)
+		v.floatInRange(at+"deadline_ms", k.DeadlineMS, k.LatencyObjectiveMS, maxMS)
+		v.floatInRange(at+"worth", k.PriorityWeight, 0, 1e6)
+		if k.Idempotency == IdempotentWithKey {
+			v.floatAbove(at+"window_ms", k.DedupWindowMS, 0, 24*3600*1000)
+		} else if k.DedupWindowMS != 0 {
 			v.fail(at+"window_ms", "only the effect token has one")
 		}
 		shares += k.Share
--- a/internal/scale/simagent/configsource_test.go
+++ b/internal/scale/simagent/configsource_test.go
@@ -37,7 +37,7 @@
 		t.Error("the slow agent has it too")
 	}
 	close(goesOn)
-	until(t, "all agents have it", func() bool { return f.Stats().Control.ConfInForce.N == int64(len(w.Agents)) })
+	until(t, "all agents have it", func() bool { return f.Stats().Control.ConfigInForce.N == int64(len(w.Agents)) })
 }
 
 // A configuration that an agent takes in after a newer one does not replace that, and has been in force with it.
--- a/internal/scale/simagent/counts.go
+++ b/internal/scale/simagent/counts.go
@@ -123,7 +123,7 @@
 			continue
 		}
 		d := result.Depth{
-			Depth: layer, Calls: healthy.Calls, Attempts: healthy.Attempts, OK: healthy.OK, Failed: healthy.Failed, Refused: healthy.Rejected,
+			Depth: layer, Calls: healthy.Calls, Attempts: healthy.Attempts, OK: healthy.OK, Failed: healthy.Failed, Rejected: healthy.Rejected,
 			FailCalls: failing.Calls, FailAttempts: failing.Attempts, FailOK: failing.OK,
 			PerRoot: ratio(healthy.Attempts, c.roots[phaseHealthy]), FailPerRoot: ratio(failing.Attempts, c.roots[phaseFailing]),
 			ServedMeanPercent: 100 * ratio(healthy.OK, healthy.Calls),
--- a/internal/scale/simagent/fleet_test.go
+++ b/internal/scale/simagent/fleet_test.go
@@ -46,7 +46,7 @@
 	if roots != r.Roots || served != r.Depths[0].OK {
 		t.Errorf("windows: %d roots and %d served, want %d and %d", roots, served, r.Roots, r.Depths[0].OK)
 	}
-	if r.Doubled != 0 || r.ModelCPU <= 0 || r.ControlCPU <= 0 || r.Heap <= 0 || r.LagMS.N == 0 {
+	if r.Duplicates != 0 || r.ModelCPU <= 0 || r.ControlCPU <= 0 || r.Heap <= 0 || r.LagMS.N == 0 {
 		t.Errorf("%+v", r)
 	}
 }
@@ -180,7 +180,7 @@
 			t.Errorf("agent %d: deadline %v, want %v", a.position, got, deadline)
 		}
 	}
-	if n := r.Control.ConfInForce.N; n != int64(2*len(w.Agents)-1) {
+	if n := r.Control.ConfigInForce.N; n != int64(2*len(w.Agents)-1) {
 		t.Errorf("%d times", n)
 	}
 	if n := c.fullListCount() - asked; n > 2*len(w.Agents)-1 {
@@ -211,17 +211,17 @@
 	until(t, "300 calls after", func() bool { return f.mergedCounts().roots[phaseHealthy] >= before+300 })
 	r := f.Stats()
 	deepest := r.Depths[len(r.Depths)-1]
-	most := 1 + w.Scenario.Agent.RetryRatio + w.Scenario.Agent.RetryFloor // attempts for each call, however few they are
+	most := 1 + w.Scenario.Agent.RetryBudgetRatio + w.Scenario.Agent.RetryBudgetMin // attempts for each call, however few they are
 	if deepest.Amplification <= 1 || deepest.Amplification > most {
 		t.Errorf("amplified by %.2f: %+v", deepest.Amplification, deepest)
 	}
 	if deepest.FailOK >= deepest.FailCalls*9/10 || deepest.FailAttempts <= deepest.FailCalls*11/10 {
 		t.Errorf("%+v", deepest)
 	}
-	if r.FailRoots < 800 || r.Doubled != 0 {
-		t.Errorf("%d roots meanwhile, %d calls doubled", r.FailRoots, r.Doubled)
+	if r.FailRoots < 800 || r.Duplicates != 0 {
+		t.Errorf("%d roots meanwhile, %d calls doubled", r.FailRoots, r.Duplicates)
 	}
-	if r.Again[balancer.Idempotent] == 0 {
+	if r.Retries[balancer.Idempotent] == 0 {
 		t.Error("no pure call was tried again")
 	}
 }
@@ -260,8 +260,8 @@
 				}
 			})
 			r := f.Stats()
-			if served := float64(r.Depths[0].OK) / float64(r.Roots); served < 0.9 || r.Doubled != 0 {
-				t.Errorf("%.2f served, %d doubled", served, r.Doubled)
+			if served := float64(r.Depths[0].OK) / float64(r.Roots); served < 0.9 || r.Duplicates != 0 {
+				t.Errorf("%.2f served, %d doubled", served, r.Duplicates)
 			}
 		})
 	}
--- a/internal/scale/simagent/server.go
+++ b/internal/scale/simagent/server.go
@@ -89,10 +89,10 @@
 func (s *server) warmUpFactor() float64 {
 	fleet := &s.shard.fleet.world.Scenario.Fleet
 	age := (s.shard.now - s.startedAt).Seconds()
-	if s.startedAt == 0 || age >= fleet.WarmS || fleet.WarmS <= 0 {
+	if s.startedAt == 0 || age >= fleet.SlowStartS || fleet.SlowStartS <= 0 {
 		return 1
 	}
-	return fleet.ColdFrom + (1-fleet.ColdFrom)*max(0, age)/fleet.WarmS
+	return fleet.SlowStartMinWeight + (1-fleet.SlowStartMinWeight)*max(0, age)/fleet.SlowStartS
 }
 
 // onWorkDone ends the server's own work on an attempt, and begins its calls.
--- a/internal/scale/simagent/service.go
+++ b/internal/scale/simagent/service.go
@@ -28,13 +28,13 @@
 
 // StartArgs say what the part runs. The world is drawn from the scenario, as in every other part.
 type StartArgs struct {
-	Scenario  scenario.Scenario
-	Echo      []string // addresses of the echo servers
-	Agents    []int    // positions in the world of the simulated agents
-	Discovery []string // host and port, by agent of the world
-	Relays    [][]string
-	Begin     int64  // Unix ns before which no root call begins; 0: as soon as its agent has the list
-	Known     []byte // the list that the agents start with, in discovery's form; nil: none
+	Scenario        scenario.Scenario
+	Echo            []string // addresses of the echo servers
+	Agents          []int    // positions in the world of the simulated agents
+	Discovery       []string // host and port, by agent of the world
+	Relays          [][]string
+	Begin           int64  // Unix ns before which no root call begins; 0: as soon as its agent has the list
+	CachedEndpoints []byte // the list that the agents start with, in discovery's form; nil: none
 }
 
 // StartReply says how many agents hold the list.
@@ -105,7 +105,7 @@
 	}
 	s.fleet, err = Start(context.Background(), Options{
 		World: w, Agents: args.Agents, Discovery: args.Discovery, Relays: args.Relays, RootCallsFrom: args.Begin,
-		CachedEndpoints: args.Known,
+		CachedEndpoints: args.CachedEndpoints,
 	})
 	if err != nil {
 		return err
--- a/internal/scale/simagent/service_test.go
+++ b/internal/scale/simagent/service_test.go
@@ -62,7 +62,7 @@
 		if err := call("Stats", StatsArgs{}, &r); err != nil {
 			t.Fatal(err)
 		}
-		return len(r.Configs) == 1 && r.Control.ConfInForce.N == int64(r.Ready)
+		return len(r.Configs) == 1 && r.Control.ConfigInForce.N == int64(r.Ready)
 	})
 	if r.Agents != 20 || len(r.Configs[0].At) != len(w.Agents) || r.Seconds <= 0 || r.CPU <= 0 {
 		t.Errorf("%+v", r)
--- a/internal/scale/simagent/stats.go
+++ b/internal/scale/simagent/stats.go
@@ -28,15 +28,15 @@
 	Roots, FailRoots int64 // root calls, and those made while the deepest service failed
 	Depths           []result.Depth
 	Windows          []result.Window
-	Doubled          int64    // attempts of non-idempotent calls that may have executed before: must be 0
-	Again            [3]int64 // such attempts by idempotency: idempotent, with a key, not
+	Duplicates       int64    // attempts of non-idempotent calls that may have executed before: must be 0
+	Retries          [3]int64 // such attempts by idempotency: idempotent, with a key, not
 
 	Lists   []ListChange   // every revision from the first after Begin to the newest that an agent got
 	Configs []ConfigChange // every revision whose rollout began after Begin
 	Control result.AgentControl
 
-	ListCalls, ListFails, WholeLists int64 // polls of discovery, failed ones, full lists that came
-	Logged                           int64 // log lines of the balancers
+	Polls, PollFailures, FullLists int64 // polls of discovery, failed ones, full lists that came
+	Logged                         int64 // log lines of the balancers
 
 	// Processor time in seconds: of the process; of the modelled calls; of making configurations, which is the platform's;
 	// of the garbage collector by the runtime's estimate; and what of the first is neither the second nor the third.
@@ -45,7 +45,7 @@
 	Heap, Stacks float64 // bytes: live after a collection, less what the empty model takes; of the goroutines
 	Goroutines   int
 	LagMS        result.Distribution // how late the model handled events
-	KeptUp       bool                // LagMS was within maxLagP99Millis for 99 in 100
+	KeptTime     bool                // LagMS was within maxLagP99Millis for 99 in 100
 }
 
 // measurement is the state at the beginning of the measured part.
@@ -124,7 +124,7 @@
 		Agents: len(f.agents), Ready: f.countReady(), Seconds: (f.clock.Now() - m.startedAt).Seconds(),
 		CPU: (cpu - m.cpuAtStart).Seconds(), CollectorCPU: gcCPU - m.gcCPUAtStart,
 		SourceCPU: time.Duration(f.configSource.cpu.spent.Load() - m.sourceCPUAtStart).Seconds(),
-		ListCalls: f.polls.total.Load(), ListFails: f.polls.failed.Load(), WholeLists: f.polls.fullLists.Load(),
+		Polls:     f.polls.total.Load(), PollFailures: f.polls.failed.Load(), FullLists: f.polls.fullLists.Load(),
 		Configs: f.configSource.changesSince(m.startedAt), Goroutines: runtime.NumGoroutine(),
 	}
 	counts := shardCounts{}
@@ -146,7 +146,7 @@
 	r.ControlCPU = r.CPU - r.ModelCPU - r.SourceCPU
 	r.Lists = f.listChanges(times)
 	r.LagMS = lag.Distribution()
-	r.KeptUp = r.LagMS.P99 <= maxLagP99Millis
+	r.KeptTime = r.LagMS.P99 <= maxLagP99Millis
 	r.Heap, r.Stacks = liveHeap()
 	r.Heap = max(0, r.Heap-m.baselineHeapBytes)
 	r.Control = f.controlCost(&r)
@@ -159,8 +159,8 @@
 	r.FailRoots = c.roots[phaseFailing]
 	r.Depths = c.depthResults()
 	r.Windows = c.windowResults()
-	r.Again = c.repeats
-	r.Doubled = c.repeats[balancer.NonIdempotent]
+	r.Retries = c.repeats
+	r.Duplicates = c.repeats[balancer.NonIdempotent]
 	r.Logged = c.logLines
 }
 
@@ -181,7 +181,7 @@
 			}
 		}
 	}
-	cost.ConfInForce = inForce.Distribution()
+	cost.ConfigInForce = inForce.Distribution()
 	return cost
 }
 
--- a/internal/scale/sweep/metrics.go
+++ b/internal/scale/sweep/metrics.go
@@ -126,7 +126,7 @@
 	if a.RSSBytes.N > 0 {
 		all[sort+"_rss"] = measurement{a.RSSBytes.Max, "B"}
 	}
-	for key, d := range map[string]result.Distribution{"_list_in_force": a.ListInForce, "_config_in_force": a.ConfInForce} {
+	for key, d := range map[string]result.Distribution{"_list_in_force": a.ListInForce, "_config_in_force": a.ConfigInForce} {
 		if d.N == 0 {
 			continue
 		}
@@ -146,7 +146,7 @@
 	for _, m := range r.Control {
 		add(m.Role+"_calls", float64(m.Calls)/seconds, "calls/s")
 		add(m.Role+"_bytes", float64(m.BytesIn+m.BytesOut)/seconds, "B/s")
-		add(m.Role+"_whole_lists", float64(m.WholeLists), "lists")
+		add(m.Role+"_whole_lists", float64(m.FullLists), "lists")
 		add(m.Role+"_cpu", m.CPUPercent, "% of a core")
 		add(m.Role+"_busy", m.Busy, "machines")
 		add(m.Role+"_worst6s", m.Worst6s, "machines")
--- a/internal/scale/sweep/output_test.go
+++ b/internal/scale/sweep/output_test.go
@@ -54,8 +54,8 @@
 	agents := float64(s.Agents())
 	r.Sizes = result.Sizes{Servers: s.Fleet.Servers, Services: s.Fleet.Services, Agents: s.Agents(), Real: s.Fleet.Real, Depth: s.Fleet.Depth, Seconds: s.Seconds, Seed: s.Seed}
 	r.Real = result.AgentControl{Agents: s.Fleet.Real, CPUPercent: agents * agents / 100, RSSBytes: result.Distribution{N: 1, Max: 1e6 + 1e3*agents}}
-	r.Control = append(r.Control, result.ControlMachine{Role: "relay", Name: "relay1", Calls: int64(agents), Busy: 0.97, Refused: 3})
-	r.Simulated.Unheard = 2
+	r.Control = append(r.Control, result.ControlMachine{Role: "relay", Name: "relay1", Calls: int64(agents), Busy: 0.97, Rejected: 3})
+	r.Simulated.Undelivered = 2
 	r.Events = []result.EventResult{{Kind: "fail", Bytes: 10 * int64(agents), InForceMS: result.Distribution{N: 1, Max: agents}, ServedPercent: 90, FullLists: 4}}
 	r.Added = result.Added{Through: result.Distribution{N: 4}, MedianMS: 0.2, P99MS: 0.4}
 	r.Budgets = []result.Budget{{Name: "agent_cpu", Measured: 0.5, Limit: 1.6, Unit: "% of a core", OK: true}}
--- a/internal/scale/sweep/sweep.go
+++ b/internal/scale/sweep/sweep.go
@@ -97,11 +97,11 @@
 		if m.Busy >= saturatedBusy {
 			all = append(all, fmt.Sprintf("%s: the queue of %s %s does not drain: busy %.2f of the run", name, m.Role, m.Name, m.Busy))
 		}
-		if m.Refused > 0 {
-			all = append(all, fmt.Sprintf("%s: %s %s refused %d calls", name, m.Role, m.Name, m.Refused))
+		if m.Rejected > 0 {
+			all = append(all, fmt.Sprintf("%s: %s %s refused %d calls", name, m.Role, m.Name, m.Rejected))
 		}
 	}
-	if n := r.Simulated.Unheard + r.Real.Unheard; n > 0 {
+	if n := r.Simulated.Undelivered + r.Real.Undelivered; n > 0 {
 		all = append(all, fmt.Sprintf("%s: %d changes had not come to an agent when the run ended", name, n))
 	}
 	return all
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -91,7 +91,7 @@
 	r.Simulated = result.AgentControl{Agents: int(n), BytesIn: result.Distribution{N: 1, Mean: 100 * c}}
 	m := result.ControlMachine{Role: "control", BytesOut: int64(100 * n * c * s.Seconds), Busy: 0.1}
 	if n > 100 {
-		m.Refused, m.Busy = 3, 0.99
+		m.Rejected, m.Busy = 3, 0.99
 	}
 	r.Control = []result.ControlMachine{m}
 	return r, nil
--- a/internal/scale/world/agentconfig.go
+++ b/internal/scale/world/agentconfig.go
@@ -21,7 +21,7 @@
 // AddEcho adds an idempotent service of layer 0 whose servers are real sockets: one at each address, in the zones in turn.
 // Every process of a run has to add the same ones, or their worlds differ.
 func (w *World) AddEcho(addrs []string) {
-	class := max(0, slices.IndexFunc(w.Scenario.Classes, func(c scenario.Class) bool { return c.Effect == scenario.Idempotent }))
+	class := max(0, slices.IndexFunc(w.Scenario.Classes, func(c scenario.Class) bool { return c.Idempotency == scenario.Idempotent }))
 	w.Services = append(w.Services, Service{Name: EchoService, Class: class})
 	for i, addr := range addrs {
 		w.addServer(len(w.Services)-1, i%len(w.Zones), 0, 1)
@@ -106,9 +106,9 @@
 			ConnectTimeout: 250, IdleClose: 30000,
 		},
 		Rules: rulesText{
-			SlowStartMinWeight: s.Fleet.ColdFrom, OverloadFactor: 2, SlowStartDuration: s.Fleet.WarmS * 1000, DrainGrace: 300,
-			MaxPollInterval:  s.Agent.MustAskInS * 1000,
-			RetryBudgetRatio: s.Agent.RetryRatio, RetryBudgetMin: s.Agent.RetryFloor, RetryBudgetWindow: s.Agent.RetryWindow * 1000,
+			SlowStartMinWeight: s.Fleet.SlowStartMinWeight, OverloadFactor: 2, SlowStartDuration: s.Fleet.SlowStartS * 1000, DrainGrace: 300,
+			MaxPollInterval:  s.Agent.MaxPollIntervalS * 1000,
+			RetryBudgetRatio: s.Agent.RetryBudgetRatio, RetryBudgetMin: s.Agent.RetryBudgetMin, RetryBudgetWindow: s.Agent.RetryBudgetWindowS * 1000,
 		},
 	}
 	for _, service := range w.Services {
@@ -142,8 +142,8 @@
 	s := &w.Services[service]
 	class := &w.Scenario.Classes[s.Class]
 	c := classText{
-		Name: s.Name, LatencyObjective: class.AimMS, Deadline: class.DeadlineMS,
-		PriorityWeight: class.Worth, Idempotency: class.Effect, DedupWindow: class.WindowMS, Kinds: []int{service},
+		Name: s.Name, LatencyObjective: class.LatencyObjectiveMS, Deadline: class.DeadlineMS,
+		PriorityWeight: class.PriorityWeight, Idempotency: class.Idempotency, DedupWindow: class.DedupWindowMS, Kinds: []int{service},
 	}
 	if service == w.echoService() {
 		c.LatencyObjective = echoLatencyObjectiveMS
--- a/internal/scale/world/steps.go
+++ b/internal/scale/world/steps.go
@@ -27,7 +27,7 @@
 	Restart []int              // agents that restart with nothing but their configuration
 	Forget  bool               // those of Restart have no cached list in it
 
-	PartitionRegions *bool `json:"CutRegions"` // whether the regions are partitioned from each other
+	PartitionRegions *bool // whether the regions are partitioned from each other
 	Fail             *bool // whether the deepest service answers errors
 	ControlDown      *bool
 
--- a/internal/scale/world/steps_test.go
+++ b/internal/scale/world/steps_test.go
@@ -25,7 +25,7 @@
 	all["none"] = fleet(t, nil)
 	all["on top of each other"] = fleet(t, func(s *scenario.Scenario) {
 		s.Fleet.BootS = 0
-		s.Relays = scenario.Relays{Count: 2, AdmitPerS: 10, KillAt: 20, RestartAfter: 5}
+		s.Relays = scenario.Relays{Count: 2, FullListsPerS: 10, KillAt: 20, RestartAfter: 5}
 		s.Events = []scenario.Event{
 			{Kind: "config", AtS: 11},
 			{Kind: "replace", AtS: 10, ForS: 30, Count: 830},
