--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -29,13 +29,13 @@
 
 // attempt is a request that was sent to a server.
 type attempt struct {
-	server        *server
-	sentAt        time.Duration
-	queueDepth    float64 // requests that its server held, with this one
-	silenceWeight float64 // what its silence has counted against its server
-	silenceChecks int     // expiries of its silence timer
-	inFlight      bool
-	mayHaveRun    bool
+	server          *server
+	sentAt          time.Duration
+	queueDepth      float64 // requests that its server held, with this one
+	silenceWeight   float64 // what its silence has counted against its server
+	silenceExpiries int     // expiries of its silence timer
+	inFlight        bool
+	mayHaveRun      bool
 }
 
 // sentAttempts counts the attempts that were sent.
@@ -72,7 +72,7 @@
 	b.requests[r.id] = r
 	b.requestTimes.add(b.now)
 	if b.now >= r.objective || b.shouldShed(r) || !b.dispatch(r) {
-		b.giveUp(r)
+		b.rejectOrFail(r)
 	}
 }
 
@@ -84,8 +84,8 @@
 		return objective
 	}
 	passed := max(0, c.Deadline-ev.Remaining)
-	hasAllRemaining := (ev.Remaining - c.firstRequestTimeout).Abs() > 2*b.settings.Tick
-	if hasAllRemaining {
+	usesRemainingDeadline := (ev.Remaining - c.firstRequestTimeout).Abs() > 2*b.settings.Tick
+	if usesRemainingDeadline {
 		return objective - passed
 	}
 	// A retry with the timeout of a first request came soon after a rejection. Half of what may have passed is the mean;
@@ -185,15 +185,15 @@
 	}
 	return !slices.ContainsFunc(r.attempts, func(a attempt) bool {
 		// The client's retry may reach any server, and is dropped only within the window.
-		isDropped := r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
+		isDeduplicated := r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
 			b.now < a.sentAt+r.class.DedupWindow
-		return a.mayHaveRun && !isDropped
+		return a.mayHaveRun && !isDeduplicated
 	})
 }
 
 // send sends a request to a server if it may. It is the only way to a server. It reports whether the request was sent.
 func (b *Balancer) send(r *request, s *server) bool {
-	if !b.canSend(r, s) || b.withholdSlowStart(r.class, s) {
+	if !b.canSend(r, s) || b.withholdForSlowStart(r.class, s) {
 		return false
 	}
 	if r.sentAttempts() > 0 {
@@ -207,10 +207,10 @@
 	r.inFlight++
 	s.inFlight++
 	s.sentSinceReport++
-	b.act(Action{
+	b.emit(Action{
 		Kind: ActionSend, Request: r.id, Server: s.ID, Timeout: r.deadline - b.now, DispatchWithin: dispatchWithin,
 	})
-	b.act(Action{Kind: ActionSetTimer, TimerID: newSilenceTimerID(r.id, position), Delay: r.class.silenceTimeout()})
+	b.emit(Action{Kind: ActionSetTimer, TimerID: newSilenceTimerID(r.id, position), Delay: r.class.silenceTimeout()})
 	return true
 }
 
@@ -239,9 +239,9 @@
 	if r.inFlight > 0 {
 		return // the other attempt may still serve it
 	}
-	isWorthRetry := ev.Outcome != OutcomeTimeout && b.now < r.objective
-	if !isWorthRetry || !b.dispatch(r) {
-		b.giveUp(r)
+	worthRetrying := ev.Outcome != OutcomeTimeout && b.now < r.objective
+	if !worthRetrying || !b.dispatch(r) {
+		b.rejectOrFail(r)
 	}
 }
 
@@ -254,7 +254,7 @@
 	}
 	r.inFlight--
 	a.server.inFlight--
-	if a.silenceChecks > 0 {
+	if a.silenceExpiries > 0 {
 		a.server.silentAttempts--
 	}
 }
@@ -272,15 +272,15 @@
 	b.dispatch(r)
 }
 
-// giveUp answers a request that no server has answered, unless an attempt in flight may still serve it.
-func (b *Balancer) giveUp(r *request) {
+// rejectOrFail answers a request that no server has answered, unless an attempt in flight may still serve it.
+func (b *Balancer) rejectOrFail(r *request) {
 	if r.inFlight > 0 {
 		return
 	}
 	if b.canReject(r) {
-		b.act(Action{Kind: ActionReject, Request: r.id, RetryAfter: b.retryAfter(r.class)})
+		b.emit(Action{Kind: ActionReject, Request: r.id, RetryAfter: b.retryAfter(r.class)})
 	} else {
-		b.act(Action{Kind: ActionFail, Request: r.id})
+		b.emit(Action{Kind: ActionFail, Request: r.id})
 	}
 	b.finish(r)
 }
@@ -303,7 +303,7 @@
 	}
 	for i := range r.attempts {
 		if r.attempts[i].inFlight {
-			b.act(Action{Kind: ActionCancel, Request: r.id, Attempt: i})
+			b.emit(Action{Kind: ActionCancel, Request: r.id, Attempt: i})
 		}
 	}
 }
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -11,7 +11,7 @@
 // maxLogLinesPerMinute bounds the log lines of one agent, so that it does not drown those of the others.
 const maxLogLinesPerMinute = 20
 
-// Balancer makes all decisions of one agent. It owns what the agent has learnt about its servers, and the attempts of
+// Balancer makes all decisions of one agent. It owns what the agent has learned about its servers, and the attempts of
 // the open requests. It starts no goroutine, reads no clock and does no I/O. It is not safe for concurrent use: one
 // goroutine calls all methods.
 type Balancer struct {
@@ -31,7 +31,7 @@
 	candidateEpoch int
 
 	machineKinds   map[int]*machineKind
-	kindAnswers    float64                   // answers that the latency ratios of the kinds were learnt from
+	kindResponses  float64                   // answers that the latency ratios of the kinds were learned from
 	latencySeconds movingAverage             // latency of an answer
 	queueDepth     movingAverage             // requests on the server when one was sent, with that one
 	queueLength    [localities]movingAverage // reported number of waiting requests
@@ -55,7 +55,7 @@
 	logWindowStart time.Duration
 }
 
-// class is a Class with what has been learnt about its requests.
+// class is a Class with what has been learned about its requests.
 type class struct {
 	Class
 	index               int           // position in classNames and in a server's health
@@ -79,7 +79,7 @@
 }
 
 // Adopt replaces all settings, or none if one of them is invalid; the error then wraps a *SettingError. What has been
-// learnt of servers stays, and of classes that keep their names; an open request keeps the class that it came with.
+// learned of servers stays, and of classes that keep their names; an open request keeps the class that it came with.
 func (b *Balancer) Adopt(s Settings) error {
 	if err := s.check(); err != nil {
 		return fmt.Errorf("balancer: %w", err)
@@ -92,13 +92,13 @@
 	kindsStay := slices.Equal(b.settings.Kinds, s.Kinds)
 	if b.machineKinds == nil || !kindsStay { // kinds are known by their positions in the settings
 		b.machineKinds = map[int]*machineKind{}
-		b.kindAnswers = 0
+		b.kindResponses = 0
 	}
 	b.settings = s
 	b.candidateEpoch++
 	// What other agents send to a server between its report and a request is unknown, and grows with their number.
 	b.overloadQueue = manyAgentsOverloadQueue +
-		(loneAgentOverloadQueue-manyAgentsOverloadQueue)/math.Sqrt(float64(s.Agents))
+		(singleAgentOverloadQueue-manyAgentsOverloadQueue)/math.Sqrt(float64(s.Agents))
 	b.adoptClasses(s.Classes)
 	b.adoptTenants(s.Tenants)
 	for _, server := range b.servers {
@@ -157,8 +157,8 @@
 	return out
 }
 
-// act appends an action to those of the present event.
-func (b *Balancer) act(a Action) { b.actions = append(b.actions, a) }
+// emit appends an action to those of the present event.
+func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
 // log writes a line for the operators, unless there have been too many in this minute.
 func (b *Balancer) log(format string, args ...any) {
@@ -168,7 +168,7 @@
 	}
 	b.logLines++
 	if b.logLines <= maxLogLinesPerMinute {
-		b.act(Action{Kind: ActionLog, Text: fmt.Sprintf(format, args...)})
+		b.emit(Action{Kind: ActionLog, Text: fmt.Sprintf(format, args...)})
 	}
 }
 
--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -174,7 +174,7 @@
 	noAction(t, h.handle(Event{Kind: EventRequest, Request: 1, Class: 77, Remaining: ms}), ActionSend)
 	h.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{readyEndpoint(9, math.NaN()), readyEndpoint(10, -3), readyEndpoint(11, math.Inf(1))}})
 	h.pickPair()
-	if sum := h.candidates().weightSums.span(0, 99); math.Abs(sum-6) > 1e-9 {
+	if sum := h.candidates().weightSums.rangeSum(0, 99); math.Abs(sum-6) > 1e-9 {
 		t.Errorf("six servers of weight 1 sum to %v", sum)
 	}
 }
@@ -229,7 +229,7 @@
 	}
 }
 
-// New settings find classes by their names: what was learnt of them and of servers stays, an open request keeps its class,
+// New settings find classes by their names: what was learned of them and of servers stays, an open request keeps its class,
 // and a lower MaxAttempts counts at once. Invalid settings change nothing.
 func TestAdopt(t *testing.T) {
 	s := testSettings()
@@ -255,7 +255,7 @@
 	}
 	c := h.b.classes[1]
 	if c.latencySeconds.value != 0.123 || h.b.serversByID[1].health[c.index].failures != 0.5 || h.b.serversByID[1].health[h.b.classes[0].index].failures != 0 {
-		t.Errorf("what was learnt has not stayed with its class: %+v", h.b.serversByID[1].health)
+		t.Errorf("what was learned has not stayed with its class: %+v", h.b.serversByID[1].health)
 	}
 	noAction(t, h.endAttempt(1, 0, OutcomeConnectFailed), ActionSend) // MaxAttempts is 1
 	if actions := h.endAttempt(2, 0, OutcomeOK); len(h.b.requests) > 0 {
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -31,15 +31,15 @@
 // candidateSet holds the servers that one class picks from, and the sums that picks use. It follows the line variant of
 // the policy for unequal speeds by He and Down: a pair is two neighbours in the order of the set.
 type candidateSet struct {
-	servers      []*server  // remote ones first, then by listed speed
-	weights      []float64  // present speeds, those of remote servers reduced by remoteWeight
-	weightSums   prefixSums // of weights
-	pairSums     prefixSums // of the weights of pairs
-	sendChances  []float64  // chance that a send is not withheld from a server that is warming up
-	remoteWeight float64
-	peakSpeed    float64       // speed of all eligible servers once they are warm, the highest of late
-	epoch        int           // Balancer.candidateEpoch when it was built
-	expiresAt    time.Duration // when it is out of date though nothing has happened
+	servers           []*server  // remote ones first, then by listed speed
+	weights           []float64  // present speeds, those of remote servers reduced by remoteWeight
+	weightSums        prefixSums // of weights
+	pairSums          prefixSums // of the weights of pairs
+	sendProbabilities []float64  // chance that a send is not withheld from a server that is warming up
+	remoteWeight      float64
+	peakSpeed         float64       // speed of all eligible servers once they are warm, the highest of late
+	epoch             int           // Balancer.candidateEpoch when it was built
+	expiresAt         time.Duration // when it is out of date though nothing has happened
 }
 
 // selection counts what selectCandidates saw.
@@ -109,14 +109,14 @@
 	set.weights = set.weights[:0]
 	set.weightSums = set.weightSums[:0]
 	for _, s := range set.servers {
-		s.candidateSpeed = b.speed(s) * b.expectedWarmth(s)
+		s.candidateSpeed = b.speed(s) * b.expectedWarmupFactor(s)
 		weight := s.candidateSpeed
 		if b.localityOf(s) == remote && selected.chosen[local] > 0 {
 			weight *= set.remoteWeight
 		}
 		set.weights = append(set.weights, weight)
 		set.weightSums = set.weightSums.add(weight)
-		if b.minWarmth(s) < 1 {
+		if b.minWarmupFactor(s) < 1 {
 			warmingWeight += weight
 			set.expiresAt = min(set.expiresAt, b.now+b.settings.SlowStartDuration/slowStartSteps)
 		}
--- a/internal/balancer/candidates_test.go
+++ b/internal/balancer/candidates_test.go
@@ -25,7 +25,7 @@
 		for j, w := range c.want {
 			sum += w
 			if math.Abs(got[j]-sum) > 1e-12 {
-				t.Errorf("speeds %v: pair %d weighs %v, want %v", c.speeds, j, got.span(j, j+1), w)
+				t.Errorf("speeds %v: pair %d weighs %v, want %v", c.speeds, j, got.rangeSum(j, j+1), w)
 			}
 		}
 	}
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -12,7 +12,7 @@
 // must not run backwards. Random numbers come from the seed alone, so that the same events lead to the same actions.
 // A change of the order in which they are drawn, or of floating-point operations, is a change of decisions.
 //
-// A Balancer owns all that the agent has learnt about servers, and the attempts of the open requests. It is not safe
+// A Balancer owns all that the agent has learned about servers, and the attempts of the open requests. It is not safe
 // for concurrent use: each agent has one Balancer and one goroutine that calls it.
 //
 // # The way of a request
@@ -32,7 +32,7 @@
 //   - events.go, actions.go, settings.go: the vocabulary, and the validation of settings
 //   - endpoints.go: the endpoint list, and servers that restart
 //   - loadreports.go: servers' reports of their load, and health checks that ask for them
-//   - speed.go: learnt speeds of servers and kinds of machine
+//   - speed.go: learned speeds of servers and kinds of machine
 //   - sums.go: weighted picks, moving averages and histories
 //   - candidates.go: the servers that a class picks from, and the weights of pairs
 //   - locality.go: how much servers in other zones are used
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -44,7 +44,7 @@
 	Endpoint
 	hashKey        float64 // place among this agent's servers
 	listedSpeed    float64 // speed by the weight that the endpoint list gave when the process was first listed
-	slowdown       float64 // learnt: how many times slower it is than others of its kind
+	slowdown       float64 // learned: how many times slower it is than others of its kind
 	candidateSpeed float64 // present speed, when a candidate set was last built with it
 
 	inFlight        int // attempts of this agent
@@ -54,18 +54,18 @@
 	reportedAt      time.Duration
 
 	healthCheckPending bool
-	lastAnswer         time.Duration // 0 if it has not answered yet
+	lastResponse       time.Duration // 0 if it has not answered yet
 	skippedUntil       time.Duration // its capacity was exhausted a moment ago
 	resetsInRow        int           // connections that were reset since the last answer
 	health             []classHealth // by class.index
 }
 
-// restart forgets what was learnt of the server's previous process.
-func (s *server) restart(e *Endpoint) {
+// resetLearnedState forgets what was learned of the server's previous process.
+func (s *server) resetLearnedState(e *Endpoint) {
 	s.slowdown = 1
 	s.skippedUntil = 0
 	s.resetsInRow = 0
-	s.lastAnswer = 0
+	s.lastResponse = 0
 	s.lastReport.Known = false
 	clear(s.health)
 	s.listedSpeed = 1
@@ -94,7 +94,7 @@
 	for i := range ev.Endpoints {
 		b.updateEndpoint(&ev.Endpoints[i])
 	}
-	b.forgetRemoved()
+	b.deleteRemoved()
 	b.sortServers()
 }
 
@@ -106,7 +106,7 @@
 	}
 	isNew := s.listedSpeed == 0
 	if isNew || s.Start != e.Start {
-		s.restart(e)
+		s.resetLearnedState(e)
 	}
 	s.Endpoint = *e
 }
@@ -123,8 +123,8 @@
 	return s
 }
 
-// forgetRemoved drops the servers that were removed, once none of their attempts is in flight.
-func (b *Balancer) forgetRemoved() {
+// deleteRemoved drops the servers that were removed, once none of their attempts is in flight.
+func (b *Balancer) deleteRemoved() {
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
 		if s.State != Removed || s.inFlight > 0 {
 			return false
--- a/internal/balancer/loadreports.go
+++ b/internal/balancer/loadreports.go
@@ -59,7 +59,7 @@
 		return
 	}
 	s.healthCheckPending = true
-	b.act(Action{Kind: ActionHealthCheck, Server: s.ID})
+	b.emit(Action{Kind: ActionHealthCheck, Server: s.ID})
 }
 
 // onHealthCheck takes in the end of a health check.
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -15,8 +15,8 @@
 	ejectionObjectives = 4.0
 	// maxEjectionDoublings is how many times that doubles while the server goes on failing.
 	maxEjectionDoublings = 3
-	// ejectedFailures is what an ejection leaves of the failures: the server is readmitted on trial.
-	ejectedFailures = 0.5
+	// failuresAfterEjection is what an ejection leaves of the failures: the server is readmitted on trial.
+	failuresAfterEjection = 0.5
 	// singleFailureWeight is the weight of a failure soon after an answer: three in a row eject.
 	singleFailureWeight = 0.34
 	// fullFailureWeight is the weight that ejects at once.
@@ -28,8 +28,8 @@
 	silenceLatencies = 6.0
 	// silenceFailureStep is the weight that each expiry of the silence timer adds, in failure weights.
 	silenceFailureStep = 0.5
-	// healthyFailures is below which failures a server that falls silent counts as having been healthy.
-	healthyFailures = 0.25
+	// maxHealthyFailures is below which failures a server that falls silent counts as having been healthy.
+	maxHealthyFailures = 0.25
 	// silenceUtilizationFactor scales objectiveUsage to the utilization that the silence of a healthy server stands for.
 	silenceUtilizationFactor = 4.0
 )
@@ -50,7 +50,7 @@
 	failures     float64 // weighted failures of late, halved by each success
 	ejectedUntil time.Duration
 	ejections    int           // in a row
-	lastAnswer   time.Duration // 0 if it has not answered yet
+	lastResponse time.Duration // 0 if it has not answered yet
 }
 
 // recordOutcome draws the conclusions from the outcome of an attempt; objectiveUsage is its latency over the latency
@@ -62,7 +62,7 @@
 		b.recordSuccess(c, s, objectiveUsage)
 	case OutcomeTimeout:
 		b.recordSlowdown(s, maxSlowdown/2, sampleWeight)
-		if s.health[c.index].lastAnswer <= a.sentAt { // it may have answered other classes
+		if s.health[c.index].lastResponse <= a.sentAt { // it may have answered other classes
 			b.recordSilence(c, a, fullFailureWeight)
 		}
 	case OutcomeRejected:
@@ -93,12 +93,12 @@
 
 // recordSuccess takes in an answer.
 func (b *Balancer) recordSuccess(c *class, s *server, objectiveUsage float64) {
-	s.lastAnswer = b.now
+	s.lastResponse = b.now
 	s.resetsInRow = 0
 	h := &s.health[c.index]
 	h.failures /= 2
 	h.ejections = 0
-	h.lastAnswer = b.now
+	h.lastResponse = b.now
 	b.objectiveUsage.add(min(objectiveUsage, 1), sampleWeight)
 	if !s.reportsQueue() { // a reported queue tells more than one costly request
 		b.recordUtilization(objectiveUsage)
@@ -122,7 +122,7 @@
 // failureWeight returns the weight of a failure that does not show by itself that the server has died. It is less soon
 // after an answer: busy agents meet single failures all the time.
 func (b *Balancer) failureWeight(c *class, s *server) float64 {
-	if s.lastAnswer > 0 && b.now-s.lastAnswer < c.LatencyObjective {
+	if s.lastResponse > 0 && b.now-s.lastResponse < c.LatencyObjective {
 		return singleFailureWeight
 	}
 	return fullFailureWeight
@@ -176,7 +176,7 @@
 	jitter := 0.75 + b.rng.Float64()/2 // agents do not all readmit it at once
 	h.ejectedUntil = b.now + seconds(durationSeconds*jitter)
 	h.ejections++
-	h.failures = ejectedFailures
+	h.failures = failuresAfterEjection
 	b.candidateEpoch++
 	b.log("server %d ejected for class %d for %.1f s: %s", s.ID, c.index, durationSeconds, reason)
 }
@@ -195,20 +195,20 @@
 	}
 	a := &r.attempts[position]
 	// A server that answers others meanwhile is not silent: the request is costly, or its connection is dead.
-	serverAnswers := a.server.lastAnswer > a.sentAt
+	serverResponds := a.server.lastResponse > a.sentAt
 	weight := a.silenceWeight
-	if !serverAnswers {
+	if !serverResponds {
 		weight = min(weight+silenceFailureStep*b.failureWeight(r.class, a.server), fullFailureWeight)
 	}
 	b.recordSilence(r.class, a, weight)
-	if a.silenceChecks == 0 {
+	if a.silenceExpiries == 0 {
 		a.server.silentAttempts++
 	}
-	a.silenceChecks++
-	if a.silenceWeight < fullFailureWeight && (!serverAnswers || a.silenceChecks < 2) {
-		b.act(Action{Kind: ActionSetTimer, TimerID: id, Delay: r.class.silenceTimeout()})
+	a.silenceExpiries++
+	if a.silenceWeight < fullFailureWeight && (!serverResponds || a.silenceExpiries < 2) {
+		b.emit(Action{Kind: ActionSetTimer, TimerID: id, Delay: r.class.silenceTimeout()})
 	}
-	if a.silenceChecks > 1 || a.isLost() {
+	if a.silenceExpiries > 1 || a.isLost() {
 		b.hedge(r)
 	}
 }
@@ -216,7 +216,7 @@
 // recordSilence raises what the silence of an attempt counts against its server to a weight. Overloaded servers fall
 // silent too: where other answers are late, the silence of a server that was healthy counts as utilization.
 func (b *Balancer) recordSilence(c *class, a *attempt, weight float64) {
-	if a.server.health[c.index].failures < healthyFailures && !a.server.reportsQueue() {
+	if a.server.health[c.index].failures < maxHealthyFailures && !a.server.reportsQueue() {
 		b.recordUtilization(silenceUtilizationFactor * b.objectiveUsage.value)
 	}
 	b.recordFailure(c, a.server, weight-a.silenceWeight, reasonSilence)
--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -150,7 +150,7 @@
 			if s.skippedUntil <= h.b.now {
 				t.Errorf("outcome %d: not skipped", outcome)
 			}
-			h.b.now, s.lastAnswer = s.skippedUntil, s.skippedUntil // it has answered others
+			h.b.now, s.lastResponse = s.skippedUntil, s.skippedUntil // it has answered others
 		}
 		if s.health[idempotent].ejectedUntil > h.b.now || h.b.overload > 0 {
 			t.Errorf("outcome %d: ejected until %v, overload %v", outcome, s.health[idempotent].ejectedUntil, h.b.overload)
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -8,8 +8,8 @@
 	// manyAgentsOverloadQueue is the queue on a server beyond which it counts as overloaded where many agents send to
 	// it, in requests over the root of those that are served at once.
 	manyAgentsOverloadQueue = 1.4
-	// loneAgentOverloadQueue is the same for a single agent, which knows all that is sent.
-	loneAgentOverloadQueue = 3.0
+	// singleAgentOverloadQueue is the same for a single agent, which knows all that is sent.
+	singleAgentOverloadQueue = 3.0
 	// reportHalfLifeServiceTimes is after how many service times half of a report is out of date, times the number of
 	// agents: the others go on sending.
 	reportHalfLifeServiceTimes = 24.0
--- a/internal/balancer/polling.go
+++ b/internal/balancer/polling.go
@@ -36,7 +36,7 @@
 		}
 	}
 	b.pollTimers++
-	b.act(Action{Kind: ActionSetTimer, TimerID: newPollTimerID(b.pollTimers), Delay: delay})
+	b.emit(Action{Kind: ActionSetTimer, TimerID: newPollTimerID(b.pollTimers), Delay: delay})
 }
 
 // countPollFailure counts a failed poll. A migration counts as the first failure, since the service at the new place
@@ -58,7 +58,7 @@
 // onPollTimer polls the endpoint list if the timer is the latest one.
 func (b *Balancer) onPollTimer(id TimerID) {
 	if id == newPollTimerID(b.pollTimers) {
-		b.act(Action{Kind: ActionPollEndpoints})
+		b.emit(Action{Kind: ActionPollEndpoints})
 	}
 }
 
--- a/internal/balancer/speed.go
+++ b/internal/balancer/speed.go
@@ -12,8 +12,8 @@
 	fleetSampleWeight = sampleWeight / 4
 	// slowdownSampleWeight is the weight of an answer in the slowdown of its server.
 	slowdownSampleWeight = sampleWeight / 3
-	// kindPriorAnswers is after how many answers the learnt speed of a kind counts as much as the listed weights.
-	kindPriorAnswers = 8.0
+	// kindPriorResponses is after how many answers the learned speed of a kind counts as much as the listed weights.
+	kindPriorResponses = 8.0
 	// maxSlowdown bounds the slowdown of a server; a slower one is up to outlier detection.
 	maxSlowdown = 8.0
 	// maxLatencyRatio bounds a latency sample, in mean latencies.
@@ -22,10 +22,10 @@
 	minLatencyRatio = 1e-3
 )
 
-// machineKind is what has been learnt about the servers of one kind of machine.
+// machineKind is what has been learned about the servers of one kind of machine.
 type machineKind struct {
 	latencyRatio movingAverage // latency of an answer over the mean of its class
-	answers      float64       // answers that latencyRatio was learnt from
+	responses    float64       // answers that latencyRatio was learned from
 }
 
 // kindOf returns the kind of machine of a server.
@@ -50,19 +50,19 @@
 	ratio := latencySeconds / c.latencySeconds.value * b.queueDepth.value / a.queueDepth
 	c.latencySeconds.add(min(latencySeconds, maxLatencyRatio*c.latencySeconds.value), fleetSampleWeight)
 	b.latencySeconds.add(latencySeconds, fleetSampleWeight)
-	if b.minWarmth(s) == 1 || kind.answers == 0 { // a server that warms up is no example of its kind
-		kind.answers++
-		b.kindAnswers++
-		weight := max(fleetSampleWeight, 1/(kind.answers+kindPriorAnswers/2))
+	if b.minWarmupFactor(s) == 1 || kind.responses == 0 { // a server that warms up is no example of its kind
+		kind.responses++
+		b.kindResponses++
+		weight := max(fleetSampleWeight, 1/(kind.responses+kindPriorResponses/2))
 		kind.latencyRatio.add(min(ratio, maxLatencyRatio), weight)
 	}
-	b.recordSlowdown(s, ratio*b.expectedWarmth(s)/kind.latencyRatio.value, slowdownSampleWeight)
+	b.recordSlowdown(s, ratio*b.expectedWarmupFactor(s)/kind.latencyRatio.value, slowdownSampleWeight)
 }
 
 // recordSlowdown takes in a sample of how many times slower a server is than others of its kind.
 func (b *Balancer) recordSlowdown(s *server, slowdown, weight float64) {
 	s.slowdown += weight * (min(max(slowdown, 1/maxSlowdown), maxSlowdown) - s.slowdown)
-	change := b.speed(s)*b.expectedWarmth(s) - s.candidateSpeed
+	change := b.speed(s)*b.expectedWarmupFactor(s) - s.candidateSpeed
 	if math.Abs(change) > speedTolerance*s.candidateSpeed {
 		b.candidateEpoch++
 	}
@@ -73,10 +73,10 @@
 // flight have no part in it: a server that is sent more would look faster and be sent more still.
 func (b *Balancer) speed(s *server) float64 {
 	kind := b.kindOf(s)
-	confidence := b.kindAnswers / (b.kindAnswers + kindPriorAnswers)
+	confidence := b.kindResponses / (b.kindResponses + kindPriorResponses)
 	listed := math.Pow(s.listedSpeed, 1-confidence)
-	learnt := math.Pow(max(kind.latencyRatio.value, minLatencyRatio), -confidence)
-	return listed * learnt / s.slowdown
+	learned := math.Pow(max(kind.latencyRatio.value, minLatencyRatio), -confidence)
+	return listed * learned / s.slowdown
 }
 
 // serviceSeconds returns how long a server takes for an average request, without waiting.
--- a/internal/balancer/speed_test.go
+++ b/internal/balancer/speed_test.go
@@ -106,7 +106,7 @@
 	}
 }
 
-// The latency of a server that warms up is expected. Were it learnt as slowdown too, the server would be sent too little,
+// The latency of a server that warms up is expected. Were it learned as slowdown too, the server would be sent too little,
 // even for long after it is warm.
 func TestSlowStartIsNotSlowdown(t *testing.T) {
 	list := readyEndpoints(2)
@@ -115,7 +115,7 @@
 	warm, warming := h.b.serversByID[1], h.b.serversByID[2]
 	for range 200 {
 		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: warm, queueDepth: 1}, 0.05)
-		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: warming, queueDepth: 1}, 0.05/h.b.expectedWarmth(warming))
+		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: warming, queueDepth: 1}, 0.05/h.b.expectedWarmupFactor(warming))
 	}
 	if r := warming.slowdown / warm.slowdown; r < 0.8 || r > 1.25 {
 		t.Errorf("a server that warms up counts as %v times slower than a warm one of its kind", r)
@@ -136,7 +136,7 @@
 	}
 }
 
-// What was learnt of the kinds of machine stays when the settings change, and is forgotten when their positions change.
+// What was learned of the kinds of machine stays when the settings change, and is forgotten when their positions change.
 func TestAdoptKinds(t *testing.T) {
 	list := readyEndpoints(8)
 	for i := range list {
--- a/internal/balancer/sums.go
+++ b/internal/balancer/sums.go
@@ -13,13 +13,13 @@
 type prefixSums []float64
 
 // add appends a weight.
-func (s prefixSums) add(weight float64) prefixSums { return append(s, s.span(0, len(s))+weight) }
+func (s prefixSums) add(weight float64) prefixSums { return append(s, s.rangeSum(0, len(s))+weight) }
 
-// span returns the sum of the weights i to j-1; positions that do not exist count as 0.
-func (s prefixSums) span(i, j int) float64 { return s.upTo(j) - s.upTo(i) }
+// rangeSum returns the sum of the weights i to j-1; positions that do not exist count as 0.
+func (s prefixSums) rangeSum(i, j int) float64 { return s.prefixSum(j) - s.prefixSum(i) }
 
-// upTo returns the sum of the first n weights.
-func (s prefixSums) upTo(n int) float64 {
+// prefixSum returns the sum of the first n weights.
+func (s prefixSums) prefixSum(n int) float64 {
 	n = min(n, len(s))
 	if n <= 0 {
 		return 0
--- a/internal/balancer/trace_amd64_test.go
+++ b/internal/balancer/trace_amd64_test.go
@@ -292,7 +292,7 @@
 	d.handle(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsChanged, Endpoints: []balancer.Endpoint{d.servers[i]}})
 }
 
-// reload adopts new settings; every other time the kinds change places, and what was learnt of them is dropped.
+// reload adopts new settings; every other time the kinds change places, and what was learned of them is dropped.
 func (d *traceDriver) reload() {
 	d.settings = traceSettings(d.rng)
 	if d.rng.IntN(2) == 0 {
