--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// The retry budget where the settings have none.
+// The default retry budget, used if Settings.RetryBudgetWindow is 0.
 const (
 	defaultRetryBudgetWindow = 5 * time.Second
 	defaultRetryBudgetMin    = 3.0
@@ -18,42 +18,43 @@
 	class          *class
 	tenant         int
 	deadline       time.Duration // when the client gives up
-	objective      time.Duration // when an answer begins to be late
+	objective      time.Duration // time after which a response is late
 	attempts       []attempt
-	unsentAttempts int  // attempts that ended as OutcomeServerDraining
+	unsentAttempts int  // attempts that ended with OutcomeServerDraining
 	inFlight       int  // attempts without an outcome
 	picks          int  // picks since the last outcome
-	finished       bool // the client is owed nothing more
-	streaming      bool // its body or answer flows, so that it cannot be retried
+	finished       bool // the client needs no further response
+	streaming      bool // the body or response is streaming, so the request cannot be retried
 }
 
-// attempt is a request that was sent to a server.
+// attempt is one attempt of a request on a server.
 type attempt struct {
 	server          *server
 	sentAt          time.Duration
-	queueDepth      float64 // requests that its server held, with this one
-	silenceWeight   float64 // what its silence has counted against its server
-	silenceExpiries int     // expiries of its silence timer
+	queueDepth      float64 // requests on the server, including this one
+	silenceWeight   float64 // failure weight recorded for its silence
+	silenceExpiries int     // how often its silence timer has expired
 	inFlight        bool
 	mayHaveRun      bool
 }
 
-// sentAttempts counts the attempts that were sent.
+// sentAttempts returns the number of attempts that were sent.
 func (r *request) sentAttempts() int { return len(r.attempts) - r.unsentAttempts }
 
-// isInFlight reports whether the attempt at a position is in flight.
-func (r *request) isInFlight(position int) bool {
-	return position >= 0 && position < len(r.attempts) && r.attempts[position].inFlight
+// isInFlight reports whether the attempt at the given index is in flight.
+func (r *request) isInFlight(index int) bool {
+	return index >= 0 && index < len(r.attempts) && r.attempts[index].inFlight
 }
 
-// isLost reports whether the server has reported since the attempt and holds less than this agent alone has sent it.
+// isLost reports whether the server has sent a report since the attempt began that counts fewer requests than this
+// agent alone has in flight there.
 func (a *attempt) isLost() bool {
 	s := a.server
 	reportedSince := s.lastReport.Known && s.reportedAt > a.sentAt && s.lastReport.InFlight >= 0
 	return reportedSince && s.lastReport.InFlight < float64(s.inFlight)
 }
 
-// onRequest admits a request and sends it, or rejects it.
+// onRequest sends a request to a server, or rejects it.
 func (b *Balancer) onRequest(ev *Event) {
 	if ev.Class < 0 || ev.Class >= len(b.classes) || b.requests[ev.Request] != nil {
 		return
@@ -67,7 +68,7 @@
 		deadline: b.now + ev.Remaining, objective: b.objective(c, ev),
 	}
 	if b.now >= r.objective && c.LateWeight > 0 {
-		r.objective = r.deadline // a late answer is still worth something
+		r.objective = r.deadline // a late response still has some value
 	}
 	b.requests[r.id] = r
 	b.requestTimes.add(b.now)
@@ -76,31 +77,32 @@
 	}
 }
 
-// objective returns when an answer to a request begins to be late. The time before a retry counts, as far as it is
-// known.
+// objective returns the time after which a response to a request is late. For a retry, the estimated time since the
+// client's first attempt counts against the objective.
 func (b *Balancer) objective(c *class, ev *Event) time.Duration {
 	objective := b.now + c.LatencyObjective
 	if !ev.Retry {
 		return objective
 	}
-	passed := max(0, c.Deadline-ev.Remaining)
+	elapsed := max(0, c.Deadline-ev.Remaining)
+	// A timeout that differs from that of a first request is all that remains of the client's deadline.
 	usesRemainingDeadline := (ev.Remaining - c.firstRequestTimeout).Abs() > 2*b.settings.Tick
 	if usesRemainingDeadline {
-		return objective - passed
+		return objective - elapsed
 	}
-	// A retry with the timeout of a first request came soon after a rejection. Half of what may have passed is the mean;
-	// all of it would have every such retry rejected as late.
-	return objective - passed/2
+	// A retry with the timeout of a first request came soon after a rejection. On average half of the possible time has
+	// elapsed; subtracting all of it would reject every such retry as late.
+	return objective - elapsed/2
 }
 
-// onStreaming notes that a request cannot be retried any more.
+// onStreaming marks a request as streaming, so that it is not retried.
 func (b *Balancer) onStreaming(ev *Event) {
 	if r := b.requests[ev.Request]; r != nil {
 		r.streaming = true
 	}
 }
 
-// onClientClosed ends a request that nobody waits for any more.
+// onClientClosed finishes a request whose client has closed its connection.
 func (b *Balancer) onClientClosed(ev *Event) {
 	if r := b.requests[ev.Request]; r != nil {
 		b.finish(r)
@@ -108,7 +110,7 @@
 }
 
 // canSend reports whether a request may be sent to a server now. It is the only place that checks placement, draining,
-// idempotency, deduplication, the number of attempts and the retry budget.
+// idempotency, deduplication, MaxAttempts and the retry budget.
 func (b *Balancer) canSend(r *request, s *server) bool {
 	if r.finished || r.streaming || b.now >= r.deadline {
 		return false
@@ -130,10 +132,10 @@
 	return true
 }
 
-// canFollow reports whether an earlier attempt leaves the request free to be sent to a server.
+// canFollow reports whether an earlier attempt allows another one on a server.
 func (b *Balancer) canFollow(earlier *attempt, c *class, s *server) bool {
 	if earlier.inFlight && earlier.server == s {
-		return false // a fault that loses one attempt would lose the other
+		return false // a fault that loses one attempt would also lose the other
 	}
 	if !earlier.mayHaveRun {
 		return true
@@ -158,8 +160,8 @@
 	return true
 }
 
-// dedupRemaining returns for how long the servers will go on to drop a repeat of the request, 0 if they need not. A
-// repeat that waits for a connection could reach its server too late.
+// dedupRemaining returns the remaining time in which servers deduplicate a retry of the request, or 0 if no
+// deduplication is needed. A retry that waits for a connection could reach its server after that time.
 func (r *request) dedupRemaining(now time.Duration) time.Duration {
 	first := slices.IndexFunc(r.attempts, func(a attempt) bool { return a.mayHaveRun })
 	if first < 0 || r.class.Idempotency != IdempotentWithKey {
@@ -171,7 +173,7 @@
 // withinRetryBudget reports whether the retry budget has room for one more retry.
 func (b *Balancer) withinRetryBudget() bool {
 	start := b.now - b.settings.RetryBudgetWindow
-	// Whichever way the platform counts the edge of the window, the budget holds.
+	// The budget holds whether or not the platform counts the edge of the window.
 	requests := b.requestTimes.countSince(start + 1)
 	retries := b.retryTimes.countSince(start)
 	allowed := b.settings.RetryBudgetMin + b.settings.RetryBudgetRatio*float64(requests)
@@ -184,14 +186,15 @@
 		return true
 	}
 	return !slices.ContainsFunc(r.attempts, func(a attempt) bool {
-		// The client's retry may reach any server, and is dropped only within the window.
+		// The client's retry may reach any server, and is deduplicated only within the window.
 		isDeduplicated := r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
 			b.now < a.sentAt+r.class.DedupWindow
 		return a.mayHaveRun && !isDeduplicated
 	})
 }
 
-// send sends a request to a server if it may. It is the only way to a server. It reports whether the request was sent.
+// send sends a request to a server if canSend and slow start allow it, and reports whether it did. All requests to
+// servers go through send.
 func (b *Balancer) send(r *request, s *server) bool {
 	if !b.canSend(r, s) || b.withholdForSlowStart(r.class, s) {
 		return false
@@ -200,7 +203,7 @@
 		b.retryTimes.add(b.now)
 	}
 	dispatchWithin := r.dedupRemaining(b.now)
-	position := len(r.attempts)
+	index := len(r.attempts)
 	r.attempts = append(r.attempts, attempt{
 		server: s, sentAt: b.now, queueDepth: b.inFlightEstimate(s) + 1, inFlight: true, mayHaveRun: true,
 	})
@@ -210,11 +213,11 @@
 	b.emit(Action{
 		Kind: ActionSend, Request: r.id, Server: s.ID, Timeout: r.deadline - b.now, DispatchWithin: dispatchWithin,
 	})
-	b.emit(Action{Kind: ActionSetTimer, TimerID: newSilenceTimerID(r.id, position), Delay: r.class.silenceTimeout()})
+	b.emit(Action{Kind: ActionSetTimer, TimerID: newSilenceTimerID(r.id, index), Delay: r.class.silenceTimeout()})
 	return true
 }
 
-// onOutcome takes in the end of an attempt, and answers or retries its request.
+// onOutcome applies the outcome of an attempt, and finishes or retries its request.
 func (b *Balancer) onOutcome(ev *Event) {
 	r := b.requests[ev.Request]
 	if r == nil || !r.isInFlight(ev.Attempt) {
@@ -224,7 +227,7 @@
 	b.endAttempt(r, a, ev.Outcome)
 	b.recordReport(a.server, ev.Load)
 	latencySeconds := (b.now - a.sentAt).Seconds()
-	if r.streaming { // the client took a part of it
+	if r.streaming { // the latency includes time that the client took
 		latencySeconds = 0
 	}
 	b.recordOutcome(r.class, a, ev.Outcome, latencySeconds/r.class.LatencyObjective.Seconds())
@@ -237,7 +240,7 @@
 		return
 	}
 	if r.inFlight > 0 {
-		return // the other attempt may still serve it
+		return // the other attempt may still succeed
 	}
 	worthRetrying := ev.Outcome != OutcomeTimeout && b.now < r.objective
 	if !worthRetrying || !b.dispatch(r) {
@@ -245,7 +248,7 @@
 	}
 }
 
-// endAttempt counts an attempt as no longer in flight.
+// endAttempt marks an attempt as no longer in flight.
 func (b *Balancer) endAttempt(r *request, a *attempt, outcome Outcome) {
 	a.inFlight = false
 	a.mayHaveRun = !outcome.neverRan()
@@ -259,9 +262,9 @@
 	}
 }
 
-// hedge sends a second attempt of a request whose only attempt is silent, while an answer can still be in time:
-// servers may lose single requests, and connections may be dead, which only silence shows. Under overload hedging
-// ends by itself, since the silence timeout exceeds the objective, servers are overloaded and the retry budget is
+// hedge sends a second attempt of a request whose only attempt is silent, if a response can still arrive in time.
+// Servers may lose single requests, and connections may be dead, which only shows as silence. Overload limits hedging
+// without a special case: the silence timeout exceeds the objective, servers are overloaded and the retry budget is
 // spent.
 func (b *Balancer) hedge(r *request) {
 	inTime := b.now+seconds(r.class.latencySeconds.value) < r.objective
@@ -272,7 +275,7 @@
 	b.dispatch(r)
 }
 
-// rejectOrFail answers a request that no server has answered, unless an attempt in flight may still serve it.
+// rejectOrFail finishes a request without a server's response, unless an attempt is still in flight.
 func (b *Balancer) rejectOrFail(r *request) {
 	if r.inFlight > 0 {
 		return
@@ -285,7 +288,8 @@
 	b.finish(r)
 }
 
-// finish ends a request that is owed nothing more. It stays known until its attempts in flight have ended.
+// finish marks a request as finished and cancels its attempts in flight. The request is deleted once all its attempts
+// have ended.
 func (b *Balancer) finish(r *request) {
 	if !r.finished {
 		r.finished = true
@@ -296,7 +300,7 @@
 	}
 }
 
-// cancelAttempts cancels the attempts of a request that are in flight.
+// cancelAttempts cancels the in-flight attempts of a request if the settings allow it.
 func (b *Balancer) cancelAttempts(r *request) {
 	if !b.settings.CancelAttempts {
 		return
--- a/internal/balancer/balancer.go
+++ b/internal/balancer/balancer.go
@@ -8,64 +8,64 @@
 	"time"
 )
 
-// maxLogLinesPerMinute bounds the log lines of one agent, so that it does not drown those of the others.
+// maxLogLinesPerMinute limits the log lines of one agent, so that they do not crowd out those of other agents.
 const maxLogLinesPerMinute = 20
 
-// Balancer makes all decisions of one agent. It owns what the agent has learned about its servers, and the attempts of
-// the open requests. It starts no goroutine, reads no clock and does no I/O. It is not safe for concurrent use: one
-// goroutine calls all methods.
+// Balancer makes all load-balancing decisions of one agent. It owns everything the agent has learned about its servers,
+// and the attempts of the open requests. It starts no goroutine, reads no clock and does no I/O. It is not safe for
+// concurrent use: one goroutine calls all methods.
 type Balancer struct {
 	settings   Settings
 	classes    []*class
-	classNames []string // names of all classes adopted so far, by index
+	classNames []string // names of all classes ever adopted, by class.index
 	rng        *rand.Rand
 
 	now     time.Duration // time of the latest event
-	actions []Action      // actions of the event that is being handled
+	actions []Action      // actions of the current event
 
 	serversByID map[ServerID]*server
-	servers     []*server // the same servers in the order of their hash keys
+	servers     []*server // the same servers, ordered by hash key
 	requests    map[RequestID]*request
 
-	// Candidate sets that were built at an earlier epoch are out of date.
+	// candidateEpoch invalidates the candidate sets that were built at an earlier epoch.
 	candidateEpoch int
 
 	machineKinds   map[int]*machineKind
-	kindResponses  float64                   // answers that the latency ratios of the kinds were learned from
-	latencySeconds movingAverage             // latency of an answer
-	queueDepth     movingAverage             // requests on the server when one was sent, with that one
-	queueLength    [localities]movingAverage // reported number of waiting requests
-	typicalWait    movingAverage             // in-flight estimate over speed of the less loaded server of a pair
-	overloadQueue  float64                   // limit of the waiting requests on one server
-
-	overload           float64 // 0 is none; what exceeds toleratedOverload is the share of requests to shed
+	kindResponses  float64                   // responses from which the kinds' latency ratios were learned
+	latencySeconds movingAverage             // response latency
+	queueDepth     movingAverage             // requests on a server when one was sent, including that one
+	queueLength    [localities]movingAverage // reported number of queued requests
+	typicalWait    movingAverage             // in-flight estimate divided by speed, of the less loaded server of a pair
+	overloadQueue  float64                   // limit of queued requests on one server
+
+	overload           float64 // 0 means none; the excess over toleratedOverload is the share of requests to shed
 	overloadDecayedAt  time.Duration
-	objectiveUsage     movingAverage // latency of an answer over the latency objective
-	meanPriorityWeight float64       // mean PriorityWeight of the classes
-	tenantShares       []float64     // shares of the recent requests, by tenant
+	objectiveUsage     movingAverage // response latency divided by the latency objective
+	meanPriorityWeight float64       // mean PriorityWeight over the classes
+	tenantShares       []float64     // share of the recent requests, by tenant
 
 	requestTimes history
-	retryTimes   history // when attempts after a request's first were made
+	retryTimes   history // of all attempts after the first of a request
 
-	pollFailures   int    // failed polls in a row
-	pollRejections int    // rejected polls in a row
-	pollTimers     uint64 // poll timers set so far; only the latest counts
+	pollFailures   int    // consecutive failed polls
+	pollRejections int    // consecutive rejected polls
+	pollTimers     uint64 // number of poll timers set; only the latest one triggers a poll
 
 	logLines       int // log lines since logWindowStart
 	logWindowStart time.Duration
 }
 
-// class is a Class with what has been learned about its requests.
+// class is a Class with what the agent has learned about its requests.
 type class struct {
 	Class
-	index               int           // position in classNames and in a server's health
-	firstRequestTimeout time.Duration // how long a client waits for the answer to a request that is no retry
-	latencySeconds      movingAverage // latency of an answer
+	index               int           // index into classNames and server.health
+	firstRequestTimeout time.Duration // client timeout of a request that is not a retry
+	latencySeconds      movingAverage // response latency
 	candidates          candidateSet
 }
 
-// New returns a Balancer that knows no server yet. Its random numbers depend on the seed only. An error wraps a
-// *SettingError that names the invalid setting.
+// New returns a Balancer with an empty endpoint list. Its random numbers depend only on the seed. If a setting is
+// invalid, the error wraps a *SettingError.
 func New(s Settings, seed uint64) (*Balancer, error) {
 	b := &Balancer{
 		rng:         rand.New(rand.NewPCG(seed, 0)),
@@ -78,8 +78,9 @@
 	return b, nil
 }
 
-// Adopt replaces all settings, or none if one of them is invalid; the error then wraps a *SettingError. What has been
-// learned of servers stays, and of classes that keep their names; an open request keeps the class that it came with.
+// Adopt replaces all settings, or none if one of them is invalid; the error then wraps a *SettingError. The Balancer
+// keeps what it has learned about servers, about machine kinds if Settings.Kinds does not change, and about classes
+// whose names do not change. An open request keeps the class with which it arrived.
 func (b *Balancer) Adopt(s Settings) error {
 	if err := s.check(); err != nil {
 		return fmt.Errorf("balancer: %w", err)
@@ -89,14 +90,15 @@
 		s.RetryBudgetMin = defaultRetryBudgetMin
 		s.RetryBudgetRatio = defaultRetryBudgetRatio
 	}
-	kindsStay := slices.Equal(b.settings.Kinds, s.Kinds)
-	if b.machineKinds == nil || !kindsStay { // kinds are known by their positions in the settings
+	kindsUnchanged := slices.Equal(b.settings.Kinds, s.Kinds)
+	if b.machineKinds == nil || !kindsUnchanged { // kinds are identified by their index in the settings
 		b.machineKinds = map[int]*machineKind{}
 		b.kindResponses = 0
 	}
 	b.settings = s
 	b.candidateEpoch++
-	// What other agents send to a server between its report and a request is unknown, and grows with their number.
+	// The number of requests that other agents send to a server after its last report is unknown and grows with the
+	// number of agents.
 	b.overloadQueue = manyAgentsOverloadQueue +
 		(singleAgentOverloadQueue-manyAgentsOverloadQueue)/math.Sqrt(float64(s.Agents))
 	b.adoptClasses(s.Classes)
@@ -110,15 +112,15 @@
 	return nil
 }
 
-// adoptClasses replaces the classes. Open requests refer to the old ones until they are finished.
+// adoptClasses replaces the classes. Open requests refer to the old classes until they are finished.
 func (b *Balancer) adoptClasses(classes []Class) {
 	old := b.classes
 	b.classes = nil
 	b.meanPriorityWeight = 0
 	for _, adopted := range classes {
 		c := &class{Class: adopted, index: slices.Index(b.classNames, adopted.Name)}
-		guess := adopted.LatencyObjective.Seconds() / 3 // until answers show better
-		c.latencySeconds = movingAverage{value: guess, known: true}
+		initial := adopted.LatencyObjective.Seconds() / 3 // until responses arrive
+		c.latencySeconds = movingAverage{value: initial, known: true}
 		if i := slices.IndexFunc(old, func(o *class) bool { return o.Name == adopted.Name }); i >= 0 {
 			c.latencySeconds = old[i].latencySeconds
 			c.firstRequestTimeout = old[i].firstRequestTimeout
@@ -132,7 +134,8 @@
 	}
 }
 
-// Handle takes one event that happened at now, and appends to out what the caller must do about it.
+// Handle processes an event that happened at now. It appends the resulting actions to out and returns the extended
+// slice.
 func (b *Balancer) Handle(now time.Duration, ev Event, out []Action) []Action {
 	b.now = max(now, b.now)
 	b.actions = out
@@ -153,14 +156,14 @@
 		b.onHealthCheck(&ev)
 	}
 	out = b.actions
-	b.actions = nil // they are the caller's from here on
+	b.actions = nil // the caller owns them now
 	return out
 }
 
-// emit appends an action to those of the present event.
+// emit appends an action to those of the current event.
 func (b *Balancer) emit(a Action) { b.actions = append(b.actions, a) }
 
-// log writes a line for the operators, unless there have been too many in this minute.
+// log emits a log line for the operators, unless maxLogLinesPerMinute is exceeded.
 func (b *Balancer) log(format string, args ...any) {
 	if b.now-b.logWindowStart >= time.Minute {
 		b.logWindowStart = b.now
@@ -172,5 +175,5 @@
 	}
 }
 
-// seconds turns a number of seconds into a Duration.
+// seconds converts a number of seconds to a Duration.
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/balancer/candidates.go
+++ b/internal/balancer/candidates.go
@@ -8,67 +8,69 @@
 )
 
 const (
-	// agentsPerServer is how many agents share a server. Fewer spread the requests unevenly, with more each of them
-	// hears of its servers too seldom, and the servers hold too many connections.
+	// agentsPerServer is how many agents use a server as a candidate. With fewer, requests spread unevenly. With more,
+	// each agent gets responses from its servers too rarely, and servers have too many connections.
 	agentsPerServer = 12
-	// requestsPerCandidate is how many requests within candidateWindow warrant one more candidate.
+	// requestsPerCandidate is the number of requests within candidateWindow per candidate.
 	requestsPerCandidate = 10
 	candidateWindow      = 5 * time.Second
-	// minCandidates leaves different pairs while two of them are ejected.
+	// minCandidates leaves several pairs to pick from while two candidates are ejected.
 	minCandidates = 6
-	// singleServerShare is the share of requests that get a server picked by weight alone, rather than the better of a
+	// singleServerShare is the share of picks that select one server by weight alone instead of the less loaded of a
 	// pair, so that agents with the same reports do not all prefer the same servers. It is p in He and Down.
 	singleServerShare = 0.1
-	// epsilonShare is the part of epsilon's upper bound that is used: half is farthest from both ends of its range, at
-	// which single pairs can get too few requests.
+	// epsilonShare is the fraction of epsilon's upper bound that is used. Single pairs can get too few requests near
+	// either end of the range, so the middle is used.
 	epsilonShare = 0.5
-	// speedTolerance is the relative change of a speed that warrants a rebuild; less is noise.
+	// speedTolerance is the relative change of a speed or of remoteWeight that triggers a rebuild; less is noise.
 	speedTolerance = 0.1
-	// peakSpeedDecay is what each rebuild leaves of a peak speed that is no longer reached.
+	// peakSpeedDecay is the factor by which each rebuild reduces a peak speed that is no longer reached.
 	peakSpeedDecay = 0.99
 )
 
-// candidateSet holds the servers that one class picks from, and the sums that picks use. It follows the line variant of
-// the policy for unequal speeds by He and Down: a pair is two neighbours in the order of the set.
+// candidateSet contains the servers that one class picks from, and the prefix sums for weighted picks. It follows the
+// line variant of the policy for unequal speeds by He and Down: a pair consists of two adjacent servers of the set.
 type candidateSet struct {
-	servers           []*server  // remote ones first, then by listed speed
-	weights           []float64  // present speeds, those of remote servers reduced by remoteWeight
+	servers           []*server  // remote servers first, then by listed speed
+	weights           []float64  // current speeds, those of remote servers multiplied by remoteWeight
 	weightSums        prefixSums // of weights
 	pairSums          prefixSums // of the weights of pairs
-	sendProbabilities []float64  // chance that a send is not withheld from a server that is warming up
+	sendProbabilities []float64  // probability that a request is not withheld by slow start
 	remoteWeight      float64
-	peakSpeed         float64       // speed of all eligible servers once they are warm, the highest of late
+	peakSpeed         float64       // recent maximum of selection.warmSpeed
 	epoch             int           // Balancer.candidateEpoch when it was built
-	expiresAt         time.Duration // when it is out of date though nothing has happened
+	expiresAt         time.Duration // when the set is out of date even without a new epoch
 }
 
-// selection counts what selectCandidates saw.
+// selection is the result of selectCandidates.
 type selection struct {
-	warmSpeed float64         // speed of all eligible servers once they are warm
-	eligible  [localities]int // ready servers that the class may be sent to
-	chosen    [localities]int // candidates
+	warmSpeed float64         // total speed of all eligible servers once warmed up
+	eligible  [localities]int // number of ready servers that the class may be sent to
+	chosen    [localities]int // number of candidates
 }
 
-// eligible reports whether the class may ever be sent to a server.
+// eligible reports whether the class's placement allows a server.
 func (c *class) eligible(s *server) bool {
 	return (c.Zones == nil || slices.Contains(c.Zones, s.Zone)) &&
 		(c.Kinds == nil || slices.Contains(c.Kinds, s.Kind))
 }
 
-// candidatesOutdated reports whether a candidate set has to be rebuilt.
+// candidatesOutdated reports whether a candidate set must be rebuilt.
 func (b *Balancer) candidatesOutdated(set *candidateSet) bool {
 	return set.epoch != b.candidateEpoch || b.now >= set.expiresAt ||
 		math.Abs(set.remoteWeight-b.remoteWeight()) > speedTolerance*set.remoteWeight
 }
 
-// rebuildCandidates makes a class's candidate set: of either locality the first eligible servers in this agent's order.
+// rebuildCandidates rebuilds a class's candidate set from the first eligible servers of each locality in this agent's
+// order.
 func (b *Balancer) rebuildCandidates(c *class) {
 	set := &c.candidates
 	set.epoch = b.candidateEpoch
 	set.expiresAt = math.MaxInt64
 	set.remoteWeight = b.remoteWeight()
 	selected := b.selectCandidates(c)
-	// Neighbours have similar speeds: ties between them are broken evenly, which would even out unlike speeds.
+	// Adjacent servers need similar speeds: ties in a pair are broken evenly, which would give servers of unequal speeds
+	// equal traffic.
 	slices.SortStableFunc(set.servers, func(x, y *server) int {
 		return cmp.Or(cmp.Compare(b.localityOf(x), b.localityOf(y)), cmp.Compare(x.listedSpeed, y.listedSpeed))
 	})
@@ -104,7 +106,7 @@
 	return selected
 }
 
-// weighCandidates sets the weights of the candidates and returns the sum of those that are warming up.
+// weighCandidates sets the weights of the candidates and returns the total weight of those that are warming up.
 func (b *Balancer) weighCandidates(set *candidateSet, selected selection) (warmingWeight float64) {
 	set.weights = set.weights[:0]
 	set.weightSums = set.weightSums[:0]
@@ -124,8 +126,8 @@
 	return warmingWeight
 }
 
-// appendPairSums appends to pairs the running sums of the weights of pairs. A pair weighs the speed of its first server
-// plus epsilon; the last pair weighs what its two servers lack.
+// appendPairSums appends the prefix sums of the pair weights to pairs. The weight of a pair is the speed of its first
+// server plus epsilon; the last pair has the remaining weight of its two servers.
 func appendPairSums(speeds []float64, pairs prefixSums) prefixSums {
 	n := len(speeds)
 	if n < 2 {
@@ -142,6 +144,6 @@
 	for _, speed := range speeds[:n-2] {
 		pairs = pairs.add(speed + epsilon)
 	}
-	rest := speeds[n-1] - float64(n-2)*epsilon
-	return pairs.add(speeds[n-2] + rest)
+	remainder := speeds[n-1] - float64(n-2)*epsilon
+	return pairs.add(speeds[n-2] + remainder)
 }
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -16,51 +16,51 @@
 
 // The values of EndpointState. Only servers that are Ready are sent requests.
 const (
-	// Removed says that the server has left the endpoint list.
+	// Removed means that the server is no longer in the endpoint list.
 	Removed EndpointState = iota
-	// Ready says that the server takes requests.
+	// Ready means that the server accepts requests.
 	Ready
-	// Draining says that the server only completes the requests that it holds.
+	// Draining means that the server only completes its current requests.
 	Draining
 )
 
 // Endpoint is one entry of the endpoint list.
 type Endpoint struct {
 	ID ServerID
-	// Zone and Cell are groups of servers; agents prefer the servers of their zone.
+	// Zone and Cell identify groups of servers; agents prefer servers in their own zone.
 	Zone int
 	Cell int
-	// Kind is the kind of machine, a position in Settings.Kinds.
+	// Kind is the machine kind, an index into Settings.Kinds.
 	Kind  int
 	State EndpointState
-	// Weight is the server's relative capacity; a weight that is not above 0 is unknown.
+	// Weight is the server's relative capacity. It is unknown unless it is above 0.
 	Weight float64
-	// Start is when the server's process started; 0 is long ago.
+	// Start is when the server's process started; 0 means long ago.
 	Start time.Duration
 }
 
-// server is an endpoint with what this agent knows about it.
+// server is an endpoint with this agent's knowledge of it.
 type server struct {
 	Endpoint
-	hashKey        float64 // place among this agent's servers
-	listedSpeed    float64 // speed by the weight that the endpoint list gave when the process was first listed
-	slowdown       float64 // learned: how many times slower it is than others of its kind
-	candidateSpeed float64 // present speed, when a candidate set was last built with it
+	hashKey        float64 // position in the order of this agent's servers
+	listedSpeed    float64 // relative speed, from the Weight with which the process was first listed
+	slowdown       float64 // learned factor by which it is slower than others of its kind
+	candidateSpeed float64 // speed when a candidate set was last built with it
 
-	inFlight        int // attempts of this agent
-	silentAttempts  int // of these, those that have been silent for the class's silence timeout
+	inFlight        int // attempts of this agent that are in flight
+	silentAttempts  int // those of them that have reached the class's silence timeout
 	sentSinceReport int // attempts sent since lastReport
 	lastReport      LoadReport
 	reportedAt      time.Duration
 
 	healthCheckPending bool
-	lastResponse       time.Duration // 0 if it has not answered yet
-	skippedUntil       time.Duration // its capacity was exhausted a moment ago
-	resetsInRow        int           // connections that were reset since the last answer
+	lastResponse       time.Duration // 0 if there is none
+	skippedUntil       time.Duration // it recently had no capacity
+	resetsInRow        int           // connection resets since the last response
 	health             []classHealth // by class.index
 }
 
-// resetLearnedState forgets what was learned of the server's previous process.
+// resetLearnedState discards what was learned about the server's previous process.
 func (s *server) resetLearnedState(e *Endpoint) {
 	s.slowdown = 1
 	s.skippedUntil = 0
@@ -74,7 +74,7 @@
 	}
 }
 
-// onDiscovery takes in a change of the endpoint list, or schedules a poll where the update brings none.
+// onDiscovery applies an endpoint list update, or schedules a poll if the update carries no endpoints.
 func (b *Balancer) onDiscovery(ev *Event) {
 	if ev.Update.KeepsEndpoints() {
 		b.schedulePoll(ev)
@@ -98,7 +98,7 @@
 	b.sortServers()
 }
 
-// updateEndpoint takes in one entry of the endpoint list.
+// updateEndpoint applies one entry of the endpoint list.
 func (b *Balancer) updateEndpoint(e *Endpoint) {
 	s := b.findOrAdd(e)
 	if s == nil {
@@ -111,8 +111,8 @@
 	s.Endpoint = *e
 }
 
-// findOrAdd returns the server of an entry, and adds one that is not known. It returns nil for a server that was
-// removed before it was known.
+// findOrAdd returns the server of an entry and adds it if it is unknown. It returns nil for an unknown server that is
+// already removed.
 func (b *Balancer) findOrAdd(e *Endpoint) *server {
 	s := b.serversByID[e.ID]
 	if s == nil && e.State != Removed {
@@ -123,7 +123,7 @@
 	return s
 }
 
-// deleteRemoved drops the servers that were removed, once none of their attempts is in flight.
+// deleteRemoved deletes the removed servers that have no attempts in flight.
 func (b *Balancer) deleteRemoved() {
 	b.servers = slices.DeleteFunc(b.servers, func(s *server) bool {
 		if s.State != Removed || s.inFlight > 0 {
@@ -134,8 +134,8 @@
 	})
 }
 
-// hashKey gives a server its place among this agent's servers by rendezvous hashing: a server that comes or goes does
-// not move the others.
+// hashKey returns the sort key of a server among this agent's servers. It uses rendezvous hashing: adding or removing a
+// server does not reorder the others.
 func (b *Balancer) hashKey(id ServerID) float64 {
 	return -float64(rand.NewPCG(uint64(id), uint64(b.settings.Rank)).Uint64())
 }
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -2,35 +2,36 @@
 
 import "time"
 
-// RequestID identifies one request of a client. Ids are not reused while a request is open.
+// RequestID identifies one request of a client. An id is not reused while its request is open.
 type RequestID uint32
 
-// TimerID identifies a timer. The Balancer chooses it; the caller hands it back when the timer fires.
+// TimerID identifies a timer. The Balancer chooses it; the caller returns it in the EventTimer when the timer fires.
 type TimerID uint64
 
-// Outcome says how an attempt or a health check ended.
+// Outcome is the result of an attempt, a health check or a poll.
 type Outcome uint8
 
 // The values of Outcome. OutcomeRejected, OutcomeConnectFailed, OutcomeExpired and OutcomeServerDraining prove that the
 // attempt never ran.
 const (
-	// OutcomeOK is an answer.
+	// OutcomeOK means that the server responded.
 	OutcomeOK Outcome = iota
-	// OutcomeError is an answer that says that the request failed.
+	// OutcomeError means that the server responded that the request failed.
 	OutcomeError
-	// OutcomeRejected says that the server has refused the request for lack of capacity.
+	// OutcomeRejected means that the server rejected the request for lack of capacity.
 	OutcomeRejected
-	// OutcomeTimeout says that no answer came within Action.Timeout.
+	// OutcomeTimeout means that no response arrived within Action.Timeout.
 	OutcomeTimeout
-	// OutcomeConnectFailed says that no connection could be made.
+	// OutcomeConnectFailed means that no connection could be established.
 	OutcomeConnectFailed
-	// OutcomeReset says that the connection broke before the answer was complete.
+	// OutcomeReset means that the connection broke before the response was complete.
 	OutcomeReset
-	// OutcomeCancelled says that the agent cancelled the attempt.
+	// OutcomeCancelled means that the agent cancelled the attempt.
 	OutcomeCancelled
-	// OutcomeExpired says that the attempt was no longer wanted before anything was sent.
+	// OutcomeExpired means that the agent abandoned the attempt before anything was sent.
 	OutcomeExpired
-	// OutcomeServerDraining says that the server had begun to drain before anything was sent. It counts as no attempt.
+	// OutcomeServerDraining means that the server began to drain before anything was sent. It does not count as an
+	// attempt.
 	OutcomeServerDraining
 )
 
@@ -43,58 +44,63 @@
 	return false
 }
 
-// After these times the platform treats an agent as notified of a change of the endpoint list, whether or not the
-// change has arrived.
+// After these times the platform treats an agent as notified of an endpoint list change, whether or not the change has
+// arrived.
 const (
-	// NotifyBoundAfterFailure counts from when a failed poll or a silent watch could first have brought the change.
+	// NotifyBoundAfterFailure counts from the earliest time at which a failed poll or an unresponsive watch could have
+	// delivered the change.
 	NotifyBoundAfterFailure = 6 * time.Second
-	// NotifyBoundAfterMigration counts from a reload that moves discovery.
+	// NotifyBoundAfterMigration counts from a configuration reload that moves discovery to another address.
 	NotifyBoundAfterMigration = 4 * time.Second
 )
 
-// DiscoveryUpdate says what discovery brought.
+// DiscoveryUpdate is the kind of an EventDiscovery.
 type DiscoveryUpdate uint8
 
 // The values of DiscoveryUpdate.
 const (
-	// EndpointsChanged brings the entries that have changed.
+	// EndpointsChanged carries the changed entries.
 	EndpointsChanged DiscoveryUpdate = iota
-	// EndpointsReplaced brings the complete list: servers that are not in it are removed.
+	// EndpointsReplaced carries the complete list: servers that are absent from it are removed.
 	EndpointsReplaced
-	// EndpointsCached brings the complete list as it was last known; it may be stale.
+	// EndpointsCached carries the complete list as last known; it may be stale.
 	EndpointsCached
-	// PollFailed says that a poll brought no list; the endpoints stay [Remaining, PollLatency, PollElapsed, Outcome].
+	// PollFailed means that a poll returned no list; the endpoints are kept
+	// [Remaining, PollLatency, PollElapsed, Outcome].
 	PollFailed
-	// DiscoveryMigrated says that the list has to be polled anew elsewhere; the endpoints stay [Remaining, PollLatency].
+	// DiscoveryMigrated means that the list must be polled again from another discovery service; the endpoints are kept
+	// [Remaining, PollLatency].
 	DiscoveryMigrated
 )
 
-// KeepsEndpoints reports whether an update brings no endpoints, so that those known stay.
+// KeepsEndpoints reports whether an update carries no endpoints, so that the known ones are kept.
 func (u DiscoveryUpdate) KeepsEndpoints() bool { return u >= PollFailed }
 
-// EventKind tells which fields of an Event count.
+// EventKind is the kind of an Event. It determines which fields of the Event are set.
 type EventKind uint8
 
-// The values of EventKind. The fields that count stand in brackets.
+// The values of EventKind. Brackets list the fields that are set.
 const (
-	// EventDiscovery brings a change of the endpoint list or the failure of a poll [Update, Endpoints, and as the
-	// update says].
+	// EventDiscovery reports an endpoint list change, a failed poll or a discovery migration [Update, Endpoints, and
+	// the fields listed at the DiscoveryUpdate].
 	EventDiscovery EventKind = iota
-	// EventRequest brings a request, which is owed one answer [Request, Class, Tenant, Remaining, Retry].
+	// EventRequest reports a new request, which gets exactly one final response
+	// [Request, Class, Tenant, Remaining, Retry].
 	EventRequest
-	// EventStreaming says that the request's body or answer flows, so that it cannot be retried [Request].
+	// EventStreaming reports that the request's body or response has started to stream, so that the request cannot be
+	// retried [Request].
 	EventStreaming
-	// EventOutcome says how an attempt ended [Request, Attempt, Server, Outcome, Answered, Load].
+	// EventOutcome reports the end of an attempt [Request, Attempt, Server, Outcome, Answered, Load].
 	EventOutcome
-	// EventClientClosed says that the client has closed its connection and is owed nothing more [Request].
+	// EventClientClosed reports that the client closed its connection and needs no response [Request].
 	EventClientClosed
-	// EventTimer says that a timer fired [TimerID].
+	// EventTimer reports that a timer fired [TimerID].
 	EventTimer
-	// EventHealthCheck says how a health check ended [Server, Outcome, Load].
+	// EventHealthCheck reports the end of a health check [Server, Outcome, Load].
 	EventHealthCheck
 )
 
-// Event is one thing that happened to the agent. The Balancer keeps no slice of it after Handle returns.
+// Event is an input to Handle. The Balancer does not retain any slice of it after Handle returns.
 type Event struct {
 	Kind    EventKind
 	Request RequestID
@@ -102,27 +108,27 @@
 	Server ServerID
 	// Attempt counts the attempts of a request from 0.
 	Attempt int
-	// Class and Tenant are positions in the settings.
+	// Class and Tenant are indexes into Settings.Classes and Settings.Tenants.
 	Class  int
 	Tenant int
-	// Remaining is the time until the client gives up, or until the platform treats the agent as notified of what a poll
-	// missed; there 0 stands for all of NotifyBoundAfterFailure.
+	// Remaining is the time until the client gives up (EventRequest), or until the platform treats the agent as notified
+	// of the changes that a poll missed (EventDiscovery); there 0 means all of NotifyBoundAfterFailure.
 	Remaining time.Duration
-	// PollLatency is the time that discovery takes for a poll; 0 if that is not known.
+	// PollLatency is the time that the discovery service needs for a poll; 0 if unknown.
 	PollLatency time.Duration
-	// PollElapsed is how long ago the failed poll began if that counts towards the wait for the next one, else 0.
+	// PollElapsed is the time since the failed poll began if it counts towards the delay of the next one, otherwise 0.
 	PollElapsed time.Duration
-	// Retry says that the client marks the request as a retry.
+	// Retry means that the client marked the request as a retry.
 	Retry bool
-	// Outcome is that of an attempt, a health check or a poll.
+	// Outcome is the result of an attempt, a health check or a poll.
 	Outcome Outcome
-	// Answered says that the request has its final answer, by this outcome or before.
+	// Answered means that the client has its final response, from this attempt or from an earlier one.
 	Answered bool
-	// Load is what the server reported with its answer.
+	// Load is the server's report from its response or health check.
 	Load LoadReport
-	// TimerID is that of the ActionSetTimer.
+	// TimerID is the id from the ActionSetTimer.
 	TimerID TimerID
 	Update  DiscoveryUpdate
-	// Endpoints are the entries that have changed, or all of them, as Update says.
+	// Endpoints are the changed entries or the complete list, depending on Update.
 	Endpoints []Endpoint
 }
--- a/internal/balancer/locality.go
+++ b/internal/balancer/locality.go
@@ -3,23 +3,22 @@
 import "math"
 
 const (
-	// minRemoteWeight is the least part of its speed that a remote server is weighted by, so that some answers still
-	// tell how it does.
+	// minRemoteWeight is the minimum of remoteWeight, so that some responses still show how remote servers perform.
 	minRemoteWeight = 0.05
-	// remoteQueueMargin is by how many waiting requests local servers must exceed remote ones until remote servers are
-	// weighted by their full speed.
+	// remoteQueueMargin is the difference in mean queue length, local minus remote, from which remoteWeight is 1.
 	remoteQueueMargin = 0.5
-	// remoteQueueSlope is how fast that weight falls below the margin: one request less divides it by e to this power.
+	// remoteQueueSlope is how steeply remoteWeight falls below the margin: each request less divides it by e to this
+	// power.
 	remoteQueueSlope = 2.0
 )
 
-// locality says whether a server is in this agent's zone.
+// locality is whether a server is in this agent's zone.
 type locality uint8
 
 const (
 	remote locality = iota
 	local
-	localities // how many there are
+	localities // number of localities
 )
 
 // localityOf returns the locality of a server.
@@ -30,8 +29,8 @@
 	return remote
 }
 
-// remoteWeight returns the part of their speed that remote servers are weighted by. It is all of it while local servers
-// have longer queues, since a zone may have more traffic than its servers can carry.
+// remoteWeight returns the factor by which the weights of remote servers are multiplied, from minRemoteWeight to 1. It
+// is 1 while local servers have longer queues, since a zone may have more traffic than its servers can handle.
 func (b *Balancer) remoteWeight() float64 {
 	if b.settings.Zone < 0 || !b.queueLength[local].known || !b.queueLength[remote].known {
 		return 1
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -6,35 +6,37 @@
 )
 
 const (
-	// skipLatencies is how long a server without capacity is skipped, in mean latencies.
+	// skipLatencies is how long a server without capacity is skipped, in mean response latencies.
 	skipLatencies = 3.0
-	// maxEjectedShare bounds the ejected part of the servers of a class. When more look bad, the cause is overload or
-	// this agent's own network.
+	// maxEjectedShare limits the ejected share of a class's servers. When more of them seem to fail, the cause is
+	// overload or this agent's own network.
 	maxEjectedShare = 0.3
-	// ejectionObjectives is how long a first ejection lasts, in latency objectives.
+	// ejectionObjectives is the duration of a first ejection, in latency objectives.
 	ejectionObjectives = 4.0
-	// maxEjectionDoublings is how many times that doubles while the server goes on failing.
+	// maxEjectionDoublings is how often the duration doubles while the server keeps failing.
 	maxEjectionDoublings = 3
-	// failuresAfterEjection is what an ejection leaves of the failures: the server is readmitted on trial.
+	// failuresAfterEjection is the failure weight after an ejection: a readmitted server is ejected again sooner.
 	failuresAfterEjection = 0.5
-	// singleFailureWeight is the weight of a failure soon after an answer: three in a row eject.
+	// singleFailureWeight is the weight of a failure soon after a response: three in a row eject the server.
 	singleFailureWeight = 0.34
-	// fullFailureWeight is the weight that ejects at once.
+	// fullFailureWeight is the total weight that ejects a server.
 	fullFailureWeight = 1.0
-	// maxResetsInRow is how many connection resets without an answer between them show that the server has died.
+	// maxResetsInRow is the number of connection resets without a response in between that shows that the server has
+	// died.
 	maxResetsInRow = 3
-	// silenceLatencies is after how many mean latencies an attempt counts as silent; it is the latency objective at
-	// least.
+	// silenceLatencies is the silence timeout in mean latencies of the class. The timeout is at least the latency
+	// objective.
 	silenceLatencies = 6.0
-	// silenceFailureStep is the weight that each expiry of the silence timer adds, in failure weights.
+	// silenceFailureStep is the weight that each expiry of the silence timer adds, as a multiple of failureWeight.
 	silenceFailureStep = 0.5
-	// maxHealthyFailures is below which failures a server that falls silent counts as having been healthy.
+	// maxHealthyFailures is the failure weight below which a server counts as healthy when it stops responding.
 	maxHealthyFailures = 0.25
-	// silenceUtilizationFactor scales objectiveUsage to the utilization that the silence of a healthy server stands for.
+	// silenceUtilizationFactor converts the mean objectiveUsage to the utilization sample that the silence of a healthy
+	// server records.
 	silenceUtilizationFactor = 4.0
 )
 
-// failureReason says in the log why a server was ejected.
+// failureReason is the reason for an ejection, as logged.
 type failureReason string
 
 const (
@@ -45,16 +47,16 @@
 	reasonSeveralClasses failureReason = "several classes"
 )
 
-// classHealth is how a server has answered one class.
+// classHealth is the health of a server for one class.
 type classHealth struct {
-	failures     float64 // weighted failures of late, halved by each success
+	failures     float64 // total weight of recent failures, halved by each success
 	ejectedUntil time.Duration
-	ejections    int           // in a row
-	lastResponse time.Duration // 0 if it has not answered yet
+	ejections    int           // consecutive ejections without a success
+	lastResponse time.Duration // 0 if there is none
 }
 
-// recordOutcome draws the conclusions from the outcome of an attempt; objectiveUsage is its latency over the latency
-// objective.
+// recordOutcome updates the health of a server and the overload from the outcome of an attempt. objectiveUsage is the
+// latency of the attempt divided by the latency objective.
 func (b *Balancer) recordOutcome(c *class, a *attempt, outcome Outcome, objectiveUsage float64) {
 	s := a.server
 	switch outcome {
@@ -68,14 +70,14 @@
 	case OutcomeRejected:
 		b.recordRejection(s)
 	case OutcomeError:
-		// Errors return early, so their latency would overstate the server's speed and is not recorded.
+		// Errors return early. Their latency would overstate the server's speed and is not recorded.
 		if b.failureWeight(c, s) == fullFailureWeight {
 			b.recordFailureForAllClasses(s, reasonErrors)
 		} else {
 			b.recordFailure(c, s, singleFailureWeight, reasonErrors)
 		}
 	case OutcomeReset:
-		// Networks reset connections to healthy servers; a server that has died resets all, or refuses the next.
+		// Networks also reset connections to healthy servers. A dead server resets all connections or refuses new ones.
 		s.resetsInRow++
 		if s.resetsInRow < maxResetsInRow {
 			b.recordFailure(c, s, singleFailureWeight, reasonResets)
@@ -86,12 +88,12 @@
 		if s.resetsInRow > 0 || b.failureWeight(c, s) == fullFailureWeight {
 			b.recordFailureForAllClasses(s, reasonConnections)
 		} else {
-			b.skip(s) // it answers over other connections: its backlog is full
+			b.skip(s) // it responds on other connections: its backlog is full
 		}
 	}
 }
 
-// recordSuccess takes in an answer.
+// recordSuccess records a successful response.
 func (b *Balancer) recordSuccess(c *class, s *server, objectiveUsage float64) {
 	s.lastResponse = b.now
 	s.resetsInRow = 0
@@ -100,7 +102,7 @@
 	h.ejections = 0
 	h.lastResponse = b.now
 	b.objectiveUsage.add(min(objectiveUsage, 1), sampleWeight)
-	if !s.reportsQueue() { // a reported queue tells more than one costly request
+	if !s.reportsQueue() { // a reported queue is more accurate than the latency of one request
 		b.recordUtilization(objectiveUsage)
 	}
 }
@@ -108,19 +110,20 @@
 // recordRejection skips a server that has rejected an attempt: it has few requests in flight and would win every pair.
 func (b *Balancer) recordRejection(s *server) {
 	b.skip(s)
-	// A server that reports its load may reject for reasons of its own. Its load is judged whenever it is picked.
+	// A server that reports its load may reject requests for other reasons than load. Its reported load is checked at
+	// every pick.
 	if !s.lastReport.Known {
 		b.recordUtilization(maxUtilization)
 	}
 }
 
-// skip keeps requests from a server without capacity for a while.
+// skip stops sending requests to a server without capacity for skipLatencies mean latencies.
 func (b *Balancer) skip(s *server) {
 	s.skippedUntil = b.now + seconds(skipLatencies*b.latencySeconds.value)
 }
 
-// failureWeight returns the weight of a failure that does not show by itself that the server has died. It is less soon
-// after an answer: busy agents meet single failures all the time.
+// failureWeight returns the weight of a failure that does not prove that the server has died. The weight is lower soon
+// after a response: single failures are common at high traffic.
 func (b *Balancer) failureWeight(c *class, s *server) float64 {
 	if s.lastResponse > 0 && b.now-s.lastResponse < c.LatencyObjective {
 		return singleFailureWeight
@@ -128,15 +131,16 @@
 	return fullFailureWeight
 }
 
-// recordFailureForAllClasses ejects a server for all classes.
+// recordFailureForAllClasses records a failure that ejects the server for all classes.
 func (b *Balancer) recordFailureForAllClasses(s *server, reason failureReason) {
 	for _, c := range b.classes {
 		b.recordFailure(c, s, fullFailureWeight, reason)
 	}
 }
 
-// recordFailure counts a failure of one class against a server and ejects it for that class when there are too many:
-// a server may fail one class and serve the others well. One that is ejected for two classes is ejected for all.
+// recordFailure records a failure of a server for one class and ejects the server for that class when the total weight
+// reaches fullFailureWeight: a server may fail one class and serve the others well. A server that is ejected for two
+// classes is ejected for all.
 func (b *Balancer) recordFailure(c *class, s *server, weight float64, reason failureReason) {
 	h := &s.health[c.index]
 	h.failures += weight
@@ -152,7 +156,8 @@
 	}
 }
 
-// mayEjectAnother reports whether a class has enough servers left to eject one more.
+// mayEjectAnother reports whether one more server of a class may be ejected under maxEjectedShare. One server may
+// always be ejected unless it is the only one.
 func (b *Balancer) mayEjectAnother(c *class) bool {
 	ejected, eligible := 0, 0
 	for _, s := range b.servers {
@@ -168,12 +173,12 @@
 	return float64(ejected+1) <= allowed
 }
 
-// eject takes a server out of the candidate set of a class, for longer the more often in a row.
+// eject removes a server from the candidate set of a class. Consecutive ejections last longer.
 func (b *Balancer) eject(c *class, s *server, reason failureReason) {
 	h := &s.health[c.index]
 	doublings := min(h.ejections, maxEjectionDoublings)
 	durationSeconds := ejectionObjectives * c.LatencyObjective.Seconds() * float64(int(1)<<doublings)
-	jitter := 0.75 + b.rng.Float64()/2 // agents do not all readmit it at once
+	jitter := 0.75 + b.rng.Float64()/2 // so that agents do not all readmit it at the same time
 	h.ejectedUntil = b.now + seconds(durationSeconds*jitter)
 	h.ejections++
 	h.failures = failuresAfterEjection
@@ -181,20 +186,22 @@
 	b.log("server %d ejected for class %d for %.1f s: %s", s.ID, c.index, durationSeconds, reason)
 }
 
-// silenceTimeout returns after how long without an answer an attempt counts as silent.
+// silenceTimeout returns the time without a response after which an attempt counts as silent.
 func (c *class) silenceTimeout() time.Duration {
 	return max(seconds(silenceLatencies*c.latencySeconds.value), c.LatencyObjective)
 }
 
-// onSilenceTimer looks at an attempt that has been in flight for another silence timeout.
+// onSilenceTimer handles an attempt that has been in flight for another silence timeout. It records the silence, sets
+// the timer again if needed, and hedges the request if the attempt is lost or silent for the second time.
 func (b *Balancer) onSilenceTimer(id TimerID) {
-	requestID, position := id.attempt()
+	requestID, index := id.attempt()
 	r := b.requests[requestID]
-	if r == nil || r.streaming || !r.isInFlight(position) {
+	if r == nil || r.streaming || !r.isInFlight(index) {
 		return
 	}
-	a := &r.attempts[position]
-	// A server that answers others meanwhile is not silent: the request is costly, or its connection is dead.
+	a := &r.attempts[index]
+	// A server that has responded to other requests in the meantime is not silent: the request is slow, or its connection
+	// is dead.
 	serverResponds := a.server.lastResponse > a.sentAt
 	weight := a.silenceWeight
 	if !serverResponds {
@@ -213,8 +220,8 @@
 	}
 }
 
-// recordSilence raises what the silence of an attempt counts against its server to a weight. Overloaded servers fall
-// silent too: where other answers are late, the silence of a server that was healthy counts as utilization.
+// recordSilence raises the failure weight of a silent attempt to the given weight. Overloaded servers stop responding
+// too: if other responses are late, the silence of a healthy server raises the overload.
 func (b *Balancer) recordSilence(c *class, a *attempt, weight float64) {
 	if a.server.health[c.index].failures < maxHealthyFailures && !a.server.reportsQueue() {
 		b.recordUtilization(silenceUtilizationFactor * b.objectiveUsage.value)
@@ -223,11 +230,11 @@
 	a.silenceWeight = weight
 }
 
-// EjectedEndpoints counts the listed servers that are ejected for every class.
+// EjectedEndpoints returns the number of listed servers that are ejected for every class at the given time.
 func (b *Balancer) EjectedEndpoints(now time.Duration) (count int) {
 	for _, s := range b.servers {
-		isAdmitted := slices.ContainsFunc(b.classes, func(c *class) bool { return s.health[c.index].ejectedUntil <= now })
-		if !isAdmitted && s.State != Removed {
+		isUsable := slices.ContainsFunc(b.classes, func(c *class) bool { return s.health[c.index].ejectedUntil <= now })
+		if !isUsable && s.State != Removed {
 			count++
 		}
 	}
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	// maxPicks is how many times a request picks servers before it is given up.
+	// maxPicks is how often a request picks servers before it is rejected or failed.
 	maxPicks = 3
-	// manyAgentsOverloadQueue is the queue on a server beyond which it counts as overloaded where many agents send to
-	// it, in requests over the root of those that are served at once.
+	// manyAgentsOverloadQueue is the queue length beyond which a server counts as overloaded if many agents send to it,
+	// in requests divided by the square root of the requests processed concurrently.
 	manyAgentsOverloadQueue = 1.4
-	// singleAgentOverloadQueue is the same for a single agent, which knows all that is sent.
+	// singleAgentOverloadQueue is the same for a single agent, which knows all requests sent to the server.
 	singleAgentOverloadQueue = 3.0
-	// reportHalfLifeServiceTimes is after how many service times half of a report is out of date, times the number of
-	// agents: the others go on sending.
+	// reportHalfLifeServiceTimes is the half-life of a load report in service times, multiplied by the number of agents:
+	// reports age faster with more agents, since each of them keeps sending.
 	reportHalfLifeServiceTimes = 24.0
 )
 
@@ -33,7 +33,7 @@
 	return false
 }
 
-// pickPair picks two neighbours of the candidate set, or one server alone; then second is nil. Both are nil when there
+// pickPair picks two adjacent servers of the candidate set, or a single server, with second nil. Both are nil if there
 // is no candidate.
 func (b *Balancer) pickPair(c *class) (first, second *server) {
 	set := &c.candidates
@@ -50,7 +50,8 @@
 	return set.servers[j], set.servers[j+1]
 }
 
-// lessLoaded orders a pair by expected wait, requests in flight over speed, shortest first. Ties are broken at random.
+// lessLoaded orders a pair by expected wait (requests in flight divided by speed), shortest first. Ties are broken at
+// random.
 func (b *Balancer) lessLoaded(x, y *server) (first, second *server) {
 	if y == nil {
 		return x, nil
@@ -67,8 +68,8 @@
 	return y, x
 }
 
-// sendToPair sends a request to the less loaded server of a pair, or to the other if that one cannot take it. It
-// reports whether the request was sent.
+// sendToPair sends a request to the less loaded server of a pair, or else to the other one. It reports whether the
+// request was sent.
 func (b *Balancer) sendToPair(r *request, x, y *server) bool {
 	first, second := b.lessLoaded(x, y)
 	firstOverloaded := b.isOverloaded(r, first)
@@ -81,8 +82,8 @@
 			return false // another pair is probably less loaded
 		}
 	}
-	// A server that is skipped has had its rejection counted; were it counted at every pick, rejections would sustain
-	// themselves.
+	// The rejection by a skipped server is already recorded. Recording it again at every pick would let rejections
+	// sustain themselves.
 	if firstOverloaded && secondOverloaded && b.now >= first.skippedUntil {
 		b.recordUtilization(1)
 	}
@@ -92,7 +93,8 @@
 	return !secondOverloaded && b.send(r, second)
 }
 
-// inFlightEstimate returns how many requests a server holds: the attempts of this agent, or more if a report says so.
+// inFlightEstimate estimates the number of requests on a server: the attempts of this agent, or more if a load report
+// shows more.
 func (b *Balancer) inFlightEstimate(s *server) float64 {
 	reported := 0.0
 	own := float64(s.inFlight)
@@ -100,18 +102,19 @@
 		halfLife := reportHalfLifeServiceTimes / float64(b.settings.Agents) * b.serviceSeconds(s)
 		freshness := math.Exp2(-(b.now - s.reportedAt).Seconds() / halfLife)
 		reported = s.lastReport.InFlight*freshness + float64(s.sentSinceReport)
-		// Lost attempts stay in flight until they time out, and a fresh report does not count them.
+		// Lost attempts stay in flight here until they time out, but a fresh report does not include them.
 		own -= freshness * float64(s.silentAttempts)
 	}
 	if s.reportsQueue() {
-		reported = (reported + own) / 2 // the queue is out of date, and how many are being served is not reported
+		// The queue is out of date, and the number of requests being processed is not reported.
+		reported = (reported + own) / 2
 	}
 	return max(reported, own)
 }
 
-// isOverloaded reports whether a server has no capacity for a request: it was skipped, its queue is too long, or the
-// answer would miss the request's objective. A server that holds nothing is not overloaded, or nothing would be sent
-// to it and its last report would stay for good.
+// isOverloaded reports whether a server has no capacity for a request: it is skipped, its queue is too long, or the
+// response would miss the request's objective. An idle server is overloaded only while it is skipped: otherwise it
+// would get no requests, and its last report would never be replaced.
 func (b *Balancer) isOverloaded(r *request, s *server) bool {
 	if b.now < s.skippedUntil {
 		return true
--- a/internal/balancer/polling.go
+++ b/internal/balancer/polling.go
@@ -5,28 +5,28 @@
 	"time"
 )
 
-// When the agent polls the endpoint list. All agents share one discovery service, which answers polls in turn, and each
-// agent has to hear of a change within the time that the platform allows.
+// This file decides when the agent polls the endpoint list. All agents share one discovery service, which processes
+// polls one after the other, and each agent must learn of a change within the time that the platform allows.
 
 const (
-	// minPollInterval is the least time between two polls of an agent. It is also the turn of each agent in a first
-	// poll where the latency of the service is not known.
+	// minPollInterval is the minimum time between two polls of an agent. It is also the time slot of each agent in a
+	// round of first polls if the latency of the service is unknown.
 	minPollInterval = 300 * time.Millisecond
-	// startPollWindow is the time in which all agents poll once that start together. No client is served before, so it is
-	// no longer than a service needs that can answer all agents in time.
+	// startPollWindow is the time within which all agents that start together poll once. An agent serves no client
+	// before its first poll, so the window is no longer than needed by a service that can respond to all agents in time.
 	startPollWindow = NotifyBoundAfterFailure / 2
-	// pollReserve is the part of the remaining time that is kept for a poll that is lost and for another one.
+	// pollReserve is the part of the remaining time that is reserved for a lost poll and one more poll.
 	pollReserve = 1500 * time.Millisecond
-	// maxQuickPolls is how many rejected polls in a row are followed by another one soon. A service that is down
-	// rejects as well, and has to find its callers spread when it is back.
+	// maxQuickPolls is how many consecutive rejected polls are followed by an early poll. A service that is down also
+	// rejects polls, and the agents' polls must be spread out when it recovers.
 	maxQuickPolls = 2
 )
 
-// schedulePoll sets the timer for the next poll, after a poll that failed, a migration, or a start with a cached
-// list. It replaces the timer that was set before.
+// schedulePoll sets the timer for the next poll after a failed poll, a migration, or a start with a cached list. It
+// replaces any earlier poll timer.
 func (b *Balancer) schedulePoll(ev *Event) {
 	b.countPollFailure(ev)
-	// The first delay is computed in any case: it consumes a random number, and decisions follow their sequence.
+	// firstPollDelay is always called: it draws a random number, and decisions depend on the sequence of draws.
 	delay := b.firstPollDelay(ev)
 	if b.pollFailures > 1 {
 		if ev.PollLatency > 0 {
@@ -39,7 +39,7 @@
 	b.emit(Action{Kind: ActionSetTimer, TimerID: newPollTimerID(b.pollTimers), Delay: delay})
 }
 
-// countPollFailure counts a failed poll. A migration counts as the first failure, since the service at the new place
+// countPollFailure counts a failed poll. A migration resets the count to one failure, since the new discovery service
 // has not failed yet.
 func (b *Balancer) countPollFailure(ev *Event) {
 	switch ev.Update {
@@ -62,31 +62,31 @@
 	}
 }
 
-// firstPollDelay returns the wait for the first poll after a start, a migration or a success. Agents that start or fail
-// together take turns by rank, or their polls would fail together again; the turns are short, since until then requests
-// are sent to servers that may have been removed.
+// firstPollDelay returns the delay of the next poll after a start, a migration or a first failure. Agents that start or
+// fail together poll in time slots by rank, or their polls would fail together again. The slots are short, since
+// requests may go to removed servers until the poll succeeds.
 func (b *Balancer) firstPollDelay(ev *Event) time.Duration {
-	allTurns := max(minPollInterval, ev.PollLatency).Seconds() * float64(b.settings.Agents)
-	turn := (float64(b.settings.Rank) + b.rng.Float64()) / float64(b.settings.Agents)
+	roundSeconds := max(minPollInterval, ev.PollLatency).Seconds() * float64(b.settings.Agents)
+	slot := (float64(b.settings.Rank) + b.rng.Float64()) / float64(b.settings.Agents)
 	window := b.pollWindow(ev.Remaining)
-	if ev.Update == EndpointsCached { // nothing tells the age of the list, and clients wait
+	if ev.Update == EndpointsCached { // the age of the list is unknown, and clients wait
 		window = min(window, startPollWindow)
 	}
-	return seconds(min(window.Seconds(), allTurns) * turn)
+	return seconds(min(window.Seconds(), roundSeconds) * slot)
 }
 
-// nextPollDelay returns the wait for a further poll where the latency of the service is not known: a third of the
-// remaining time at least.
+// nextPollDelay returns the delay of a further poll if the latency of the service is unknown: a random time between a
+// third and all of pollWindow.
 func (b *Balancer) nextPollDelay(ev *Event) time.Duration {
 	delay := b.pollWindow(ev.Remaining).Seconds() * (1 + 2*b.rng.Float64()) / 3
 	return max(minPollInterval, seconds(delay))
 }
 
-// pacedPollDelay returns the wait for a further poll where the latency of the service is known: half of a round to
-// one and a half, a round being the time in which the service answers each agent once. Polls that came much faster
-// would keep it busy with polls that are given up. A poll that leaves time for another one comes sooner, and sooner
-// still after one or two rejections, which have cost the service nothing. The bound may count from the begin of the
-// failed poll: one that hangs and a full wait would outlast it together.
+// pacedPollDelay returns the delay of a further poll if the latency of the service is known: 0.5 to 1.5 rounds, where a
+// round is the time in which the service responds to each agent once. Much faster polls would keep the service busy
+// with polls that the agents have already abandoned. The delay is shorter if time remains for another poll afterwards,
+// and shorter still after one or two rejections, which cost the service nothing. The bound may count from the start of
+// the failed poll, so PollElapsed is subtracted: a poll that hangs plus a full delay would exceed the bound.
 func (b *Balancer) pacedPollDelay(ev *Event) time.Duration {
 	round := ev.PollLatency * time.Duration(b.settings.Agents)
 	delay := seconds(round.Seconds() * (0.5 + b.rng.Float64()))
@@ -94,20 +94,20 @@
 	if b.pollRejections > 0 && b.pollRejections <= maxQuickPolls {
 		divisor = 4
 	}
-	unused := b.pollBound(ev.Remaining) - 2*ev.PollLatency
-	if unused > 0 {
-		delay = min(delay, max(unused/divisor, round/divisor))
+	slack := b.pollBound(ev.Remaining) - 2*ev.PollLatency
+	if slack > 0 {
+		delay = min(delay, max(slack/divisor, round/divisor))
 	}
 	return max(minPollInterval, min(delay, b.pollWindow(0)-ev.PollElapsed))
 }
 
-// pollBound returns how long the agent may go without an answer when so much time remains; 0 stands for all of
-// NotifyBoundAfterFailure.
+// pollBound returns how long the agent may go without a response, given the remaining time until it counts as notified;
+// 0 means all of NotifyBoundAfterFailure. MaxPollInterval limits the result.
 func (b *Balancer) pollBound(remaining time.Duration) time.Duration {
 	return min(cmp.Or(remaining, NotifyBoundAfterFailure), b.settings.MaxPollInterval)
 }
 
-// pollWindow returns the part of pollBound within which the next poll has to start.
+// pollWindow returns the time within which the next poll must start: pollBound less pollReserve.
 func (b *Balancer) pollWindow(remaining time.Duration) time.Duration {
 	return max(0, b.pollBound(remaining)-pollReserve)
 }
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// Idempotency says whether a request may run more than once.
+// Idempotency is whether a request may run more than once.
 type Idempotency uint8
 
 // The values of Idempotency.
 const (
 	// Idempotent requests may be repeated on any server.
 	Idempotent Idempotency = iota
-	// IdempotentWithKey requests carry a key by which the servers of one DedupScope drop a repeat during DedupWindow.
+	// IdempotentWithKey requests carry an idempotency key. Within DedupWindow, the servers of one DedupScope drop
+	// repeats of the same key.
 	IdempotentWithKey
 	// NonIdempotent requests must never run twice.
 	NonIdempotent
@@ -34,26 +35,26 @@
 
 // Class describes one kind of request.
 type Class struct {
-	// Name identifies the class when the settings change.
+	// Name identifies the class across changes of the settings.
 	Name string
-	// LatencyObjective is the time within which an answer earns all of PriorityWeight.
+	// LatencyObjective is the latency up to which a response has the full value PriorityWeight.
 	LatencyObjective time.Duration
-	// Deadline is how long a client waits over all its retries.
+	// Deadline is how long a client waits in total, including its retries.
 	Deadline time.Duration
-	// PriorityWeight is what an answer earns; requests of little weight are shed first.
+	// PriorityWeight is the value of a response; requests with low weights are shed first.
 	PriorityWeight float64
-	// LateWeight is the share of PriorityWeight that an answer earns between LatencyObjective and Deadline.
+	// LateWeight is the share of PriorityWeight that a response has between LatencyObjective and Deadline.
 	LateWeight float64
-	// Idempotency says whether a request may run more than once.
+	// Idempotency is whether a request may run more than once.
 	Idempotency Idempotency
-	// DedupScope and DedupWindow count for IdempotentWithKey only.
+	// DedupScope is the group of servers that drop repeats. It applies only to IdempotentWithKey.
 	DedupScope DedupScope
-	// DedupWindow is how long repeats of an IdempotentWithKey request are dropped, counted from the first attempt that
-	// may have run.
+	// DedupWindow is how long repeats are dropped, counted from the first attempt that may have run. It applies only to
+	// IdempotentWithKey.
 	DedupWindow time.Duration
-	// Zones are the only zones that the class may be sent to; nil allows any, an empty slice none.
+	// Zones restricts the class to servers in these zones; nil allows all zones, an empty slice none.
 	Zones []int
-	// Kinds are the only kinds of machine that the class may be sent to, likewise.
+	// Kinds restricts the class to these machine kinds; nil allows all kinds, an empty slice none.
 	Kinds []int
 }
 
@@ -63,61 +64,61 @@
 	Quota float64
 }
 
-// ReportMode says where servers report their load.
+// ReportMode is how servers report their load.
 type ReportMode uint8
 
 // The values of ReportMode.
 const (
-	// ReportsOff says that servers report nothing.
+	// ReportsOff means that servers do not report their load.
 	ReportsOff ReportMode = iota
-	// ReportsInline says that reports come with answers.
+	// ReportsInline means that responses carry load reports.
 	ReportsInline
-	// ReportsOnHealthCheck says that reports come with health checks.
+	// ReportsOnHealthCheck means that health checks return load reports.
 	ReportsOnHealthCheck
 )
 
-// Settings configure a Balancer. New and Adopt check them.
+// Settings configures a Balancer. New and Adopt validate it.
 type Settings struct {
-	// Rank is the number of this agent among all Agents, from 0.
+	// Rank is the index of this agent among all agents, from 0 to Agents-1.
 	Rank int
-	// Agents is how many agents there are.
+	// Agents is the number of agents in the fleet.
 	Agents int
-	// Zone is this agent's zone; below 0 it is not known.
+	// Zone is this agent's zone; a negative value means unknown.
 	Zone int
-	// Classes are the kinds of requests, at least one; Event.Class is a position in them.
+	// Classes are the request classes, at least one; Event.Class is an index into them.
 	Classes []Class
-	// Tenants share the fleet, if there are any; Event.Tenant is a position in them.
+	// Tenants are the customers that share the fleet; may be empty. Event.Tenant is an index into them.
 	Tenants []Tenant
-	// Kinds are the names of the kinds of machine, if there are any; Endpoint.Kind is a position in them.
+	// Kinds are the names of the machine kinds; may be empty. Endpoint.Kind is an index into them.
 	Kinds []string
-	// Reports says where servers report their load.
+	// Reports is how servers report their load.
 	Reports ReportMode
-	// PollEndpoints says that the endpoint list comes only after ActionPollEndpoints.
+	// PollEndpoints means that the endpoint list arrives only in response to ActionPollEndpoints.
 	PollEndpoints bool
-	// MaxPollInterval is the longest that an agent may go without polling the endpoint list.
+	// MaxPollInterval is the maximum time that an agent may go without polling the endpoint list.
 	MaxPollInterval time.Duration
-	// Tick is the shortest time between two batches of events.
+	// Tick is the minimum time between two batches of events.
 	Tick time.Duration
-	// MaxAttempts bounds the attempts of one request.
+	// MaxAttempts is the maximum number of attempts per request.
 	MaxAttempts int
 	// HealthChecks allows ActionHealthCheck.
 	HealthChecks bool
 	// CancelAttempts allows ActionCancel.
 	CancelAttempts bool
-	// Hedging allows a request to have two attempts in flight.
+	// Hedging allows a request to have more than one attempt in flight.
 	Hedging bool
-	// AdviseRetryAfter says that rejected clients are told when to retry.
+	// AdviseRetryAfter sets Action.RetryAfter in rejections.
 	AdviseRetryAfter bool
-	// MaxRetryAfter bounds Action.RetryAfter; 0 is no bound.
+	// MaxRetryAfter limits Action.RetryAfter; 0 means no limit.
 	MaxRetryAfter time.Duration
-	// SlowStartMinWeight is the least share of its capacity that a server has at its start. It has all of it after
-	// SlowStartDuration at the latest.
+	// SlowStartMinWeight is the minimum share of its capacity that a server has when it starts.
 	SlowStartMinWeight float64
-	SlowStartDuration  time.Duration
-	// OverloadFactor is the multiple of its present capacity at which a server that warms up breaks down.
+	// SlowStartDuration is the time after which a started server has its full capacity at the latest.
+	SlowStartDuration time.Duration
+	// OverloadFactor is the multiple of its current capacity at which a server that is warming up breaks down.
 	OverloadFactor float64
-	// RetryBudgetWindow is the sliding window of the retry budget; 0 stands for the default budget. In any window an
-	// agent makes at most RetryBudgetMin retries, and RetryBudgetRatio more for each request that came in it.
+	// RetryBudgetWindow is the sliding window of the retry budget; 0 selects the default budget. In any window an agent
+	// makes at most RetryBudgetMin retries plus RetryBudgetRatio retries per request that arrived in the window.
 	RetryBudgetWindow time.Duration
 	RetryBudgetMin    float64
 	RetryBudgetRatio  float64
@@ -135,19 +136,19 @@
 	return fmt.Sprintf("setting %s cannot be %v", e.Field, e.Value)
 }
 
-// validation keeps the first invalid setting that it is told of.
+// validation records the first invalid setting.
 type validation struct {
 	err *SettingError
 }
 
-// reject keeps a setting as invalid if it is the first one.
+// reject records a setting if it is invalid and no other one is recorded.
 func (v *validation) reject(field string, value any, invalid bool) {
 	if invalid && v.err == nil {
 		v.err = &SettingError{Field: field, Value: value}
 	}
 }
 
-// check returns a *SettingError of the first invalid setting. Comparisons are negated where NaN has to be rejected too.
+// check returns a *SettingError for the first invalid setting. Comparisons are negated where NaN must also be rejected.
 func (s *Settings) check() error {
 	var v validation
 	v.reject("Agents", s.Agents, s.Agents < 1)
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// check tells v of the invalid settings of a class; path is that of the class.
+// check reports the invalid settings of a class to v; path is the prefix of the field names.
 func (c *Class) check(v *validation, path string) {
 	v.reject(path+"LatencyObjective", c.LatencyObjective, c.LatencyObjective <= 0)
 	v.reject(path+"Deadline", c.Deadline, c.Deadline < c.LatencyObjective)
--- a/internal/balancer/speed.go
+++ b/internal/balancer/speed.go
@@ -6,29 +6,29 @@
 )
 
 const (
-	// sampleWeight is the weight of a sample of a single server: a dozen settle a mean.
+	// sampleWeight is the weight of a sample from a single server: a mean settles after a dozen samples.
 	sampleWeight = 0.15
 	// fleetSampleWeight is the weight of a sample in a mean over all servers.
 	fleetSampleWeight = sampleWeight / 4
-	// slowdownSampleWeight is the weight of an answer in the slowdown of its server.
+	// slowdownSampleWeight is the weight of a response in the slowdown of its server.
 	slowdownSampleWeight = sampleWeight / 3
-	// kindPriorResponses is after how many answers the learned speed of a kind counts as much as the listed weights.
+	// kindPriorResponses is the number of responses after which learned speeds count as much as the listed weights.
 	kindPriorResponses = 8.0
-	// maxSlowdown bounds the slowdown of a server; a slower one is up to outlier detection.
+	// maxSlowdown limits the slowdown of a server; outlier detection handles slower servers.
 	maxSlowdown = 8.0
-	// maxLatencyRatio bounds a latency sample, in mean latencies.
+	// maxLatencyRatio limits a latency sample, in mean latencies.
 	maxLatencyRatio = 4.0
 	// minLatencyRatio keeps the speed of a kind finite.
 	minLatencyRatio = 1e-3
 )
 
-// machineKind is what has been learned about the servers of one kind of machine.
+// machineKind is what has been learned about the servers of one machine kind.
 type machineKind struct {
-	latencyRatio movingAverage // latency of an answer over the mean of its class
-	responses    float64       // answers that latencyRatio was learned from
+	latencyRatio movingAverage // response latency divided by the mean of its class
+	responses    float64       // number of responses from which latencyRatio was learned
 }
 
-// kindOf returns the kind of machine of a server.
+// kindOf returns the machine kind of a server and adds it if it is unknown.
 func (b *Balancer) kindOf(s *server) *machineKind {
 	k := b.machineKinds[s.Kind]
 	if k == nil {
@@ -38,8 +38,8 @@
 	return k
 }
 
-// recordLatency learns the speed of a server from an answer: its latency over the mean of the class, per request that
-// the server held. Reported service times are not used, since they cover only the last request or two.
+// recordLatency updates the speed of a server from a response: its latency divided by the mean of the class, per
+// request on the server. Reported service times are not used, since they cover only the last one or two requests.
 func (b *Balancer) recordLatency(c *class, a *attempt, latencySeconds float64) {
 	if latencySeconds <= 0 {
 		return // shorter than a tick
@@ -50,7 +50,7 @@
 	ratio := latencySeconds / c.latencySeconds.value * b.queueDepth.value / a.queueDepth
 	c.latencySeconds.add(min(latencySeconds, maxLatencyRatio*c.latencySeconds.value), fleetSampleWeight)
 	b.latencySeconds.add(latencySeconds, fleetSampleWeight)
-	if b.minWarmupFactor(s) == 1 || kind.responses == 0 { // a server that warms up is no example of its kind
+	if b.minWarmupFactor(s) == 1 || kind.responses == 0 { // a server that is warming up is slower than its kind
 		kind.responses++
 		b.kindResponses++
 		weight := max(fleetSampleWeight, 1/(kind.responses+kindPriorResponses/2))
@@ -59,7 +59,8 @@
 	b.recordSlowdown(s, ratio*b.expectedWarmupFactor(s)/kind.latencyRatio.value, slowdownSampleWeight)
 }
 
-// recordSlowdown takes in a sample of how many times slower a server is than others of its kind.
+// recordSlowdown adds a sample of the factor by which a server is slower than others of its kind. It invalidates the
+// candidate sets if the speed has changed by more than speedTolerance since the last rebuild.
 func (b *Balancer) recordSlowdown(s *server, slowdown, weight float64) {
 	s.slowdown += weight * (min(max(slowdown, 1/maxSlowdown), maxSlowdown) - s.slowdown)
 	change := b.speed(s)*b.expectedWarmupFactor(s) - s.candidateSpeed
@@ -68,9 +69,10 @@
 	}
 }
 
-// speed returns the relative speed of a server once it is warm. Listed weights alone would overload kinds with slow
-// cores, and single servers are seen too seldom to correct that, so a kind's latency takes their place. The requests in
-// flight have no part in it: a server that is sent more would look faster and be sent more still.
+// speed returns the relative speed of a server once warmed up. Listed weights alone would overload kinds with slow
+// cores, and single servers give too few samples to correct that, so the learned speed of the kind gradually replaces
+// the weights. The number of requests in flight is not used: a server that gets more requests would look faster and get
+// even more.
 func (b *Balancer) speed(s *server) float64 {
 	kind := b.kindOf(s)
 	confidence := b.kindResponses / (b.kindResponses + kindPriorResponses)
@@ -79,7 +81,7 @@
 	return listed * learned / s.slowdown
 }
 
-// serviceSeconds returns how long a server takes for an average request, without waiting.
+// serviceSeconds returns the estimated processing time of an average request on a server, without queueing.
 func (b *Balancer) serviceSeconds(s *server) float64 {
 	if !b.queueDepth.known {
 		return cmp.Or(max(0, s.lastReport.ServiceTime.Seconds()), b.classes[0].latencySeconds.value)
--- a/internal/balancer/timers.go
+++ b/internal/balancer/timers.go
@@ -1,14 +1,14 @@
 package balancer
 
-// A TimerID holds the purpose of the timer in its upper byte. Below that a poll timer holds its number, and a silence
-// timer the position of an attempt and the id of its request.
+// A TimerID has the purpose of the timer in its upper byte. The bits below are a sequence number for a poll timer, and
+// the attempt's index (8 bits) and the request id (32 bits) for a silence timer.
 const (
 	timerPurposeShift = 56
 	timerAttemptShift = 32
 	timerAttemptMask  = 0xff
 )
 
-// timerPurpose says what a timer is for.
+// timerPurpose is the purpose of a timer.
 type timerPurpose uint8
 
 const (
@@ -19,20 +19,20 @@
 // newPollTimerID returns the id of the n-th poll timer.
 func newPollTimerID(n uint64) TimerID { return TimerID(timerPoll)<<timerPurposeShift | TimerID(n) }
 
-// newSilenceTimerID returns the id of the silence timer of an attempt, which is given by its position in the request.
+// newSilenceTimerID returns the id of the silence timer of an attempt, given by its index in the request.
 func newSilenceTimerID(request RequestID, attempt int) TimerID {
 	return TimerID(timerSilence)<<timerPurposeShift | TimerID(attempt)<<timerAttemptShift | TimerID(request)
 }
 
-// purpose returns what the timer is for.
+// purpose returns the purpose of the timer.
 func (id TimerID) purpose() timerPurpose { return timerPurpose(id >> timerPurposeShift) }
 
-// attempt returns the request of a silence timer and the position of the attempt.
+// attempt returns the request of a silence timer and the index of the attempt.
 func (id TimerID) attempt() (request RequestID, attempt int) {
 	return RequestID(id), int(id >> timerAttemptShift & timerAttemptMask)
 }
 
-// onTimer hands a timer that has fired to the concern that set it.
+// onTimer dispatches an expired timer by its purpose.
 func (b *Balancer) onTimer(id TimerID) {
 	switch id.purpose() {
 	case timerPoll:
