--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -12,7 +12,7 @@
 
 const ms = time.Millisecond
 
-// testSettings returns the settings of a small site with one class for each kind of idempotency, at the indexes below.
+// testSettings returns settings for a small fleet with one class per idempotency and dedup scope, at the indexes below.
 func testSettings() Settings {
 	class := func(e Idempotency, s DedupScope, w time.Duration) Class {
 		return Class{LatencyObjective: 400 * ms, Deadline: 1000 * ms, PriorityWeight: 1, Idempotency: e, DedupScope: s, DedupWindow: w}
@@ -37,7 +37,7 @@
 	keyedByZone
 )
 
-// harness drives one Balancer with literal events.
+// harness passes literal events to one Balancer.
 type harness struct {
 	t   *testing.T
 	b   *Balancer
@@ -49,7 +49,7 @@
 	return newSeededHarness(t, s, 7, servers...)
 }
 
-// newSeededHarness seeds the Balancer's random numbers.
+// newSeededHarness returns a harness whose Balancer uses the given random seed and knows the given servers.
 func newSeededHarness(t *testing.T, s Settings, seed uint64, servers ...Endpoint) *harness {
 	t.Helper()
 	b, err := New(s, seed)
@@ -71,7 +71,7 @@
 	return h.handle(Event{Kind: EventOutcome, Request: request, Attempt: attempt, Outcome: outcome, Answered: outcome == OutcomeOK})
 }
 
-// pickPair and candidates are those of the first class.
+// pickPair and candidates apply to the first class.
 func (h *harness) pickPair() (first, second *server) { return h.b.pickPair(h.b.classes[0]) }
 func (h *harness) candidates() *candidateSet         { return &h.b.classes[0].candidates }
 
@@ -86,7 +86,7 @@
 	return list
 }
 
-// onlyAction returns the only action of a kind.
+// onlyAction returns the only action of a kind, and fails the test if there is not exactly one.
 func onlyAction(t *testing.T, actions []Action, kind ActionKind) Action {
 	t.Helper()
 	var found []Action
@@ -96,22 +96,23 @@
 		}
 	}
 	if len(found) != 1 {
-		t.Fatalf("%d actions of kind %d in %+v, want 1", len(found), kind, actions)
+		t.Fatalf("got %d actions of kind %d, want 1: %+v", len(found), kind, actions)
 	}
 	return found[0]
 }
 
+// noAction fails the test if there is an action of any of the given kinds.
 func noAction(t *testing.T, actions []Action, kinds ...ActionKind) {
 	t.Helper()
 	for _, a := range actions {
 		if slices.Contains(kinds, a.Kind) {
-			t.Fatalf("unwanted action %+v", a)
+			t.Fatalf("got action %+v, want none of the kinds %v", a, kinds)
 		}
 	}
 }
 
-// Each product file stays short enough to be read in one go, and its lines fit on a screen.
-func TestModuleSize(t *testing.T) {
+// Product files must stay short enough to read in one go, with lines that fit on a screen.
+func TestFileSize(t *testing.T) {
 	const maxLines, maxLineLength = 700, 120
 	for _, name := range policyFiles(t) {
 		text, err := os.ReadFile(name)
@@ -124,16 +125,17 @@
 				lines++
 			}
 			if length := len([]rune(line)); length > maxLineLength {
-				t.Errorf("%s: line %d is %d characters long", name, i+1, length)
+				t.Errorf("%s:%d: got %d characters, want at most %d", name, i+1, length, maxLineLength)
 			}
 		}
 		if lines > maxLines {
-			t.Errorf("%s: %d lines that are not blank, %d is the limit", name, lines, maxLines)
+			t.Errorf("%s: got %d lines that are not blank, want at most %d", name, lines, maxLines)
 		}
 	}
 }
 
-// policyFiles returns the files that balancer.toml names as policy, which have to be all product files of this package.
+// policyFiles returns the files that balancer.toml lists as policy, and checks that these are all product files of this
+// package.
 func policyFiles(t *testing.T) []string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -153,13 +155,13 @@
 	all = slices.DeleteFunc(all, func(name string) bool { return strings.HasSuffix(name, "_test.go") })
 	slices.Sort(named)
 	if !slices.Equal(named, all) {
-		t.Fatalf("policy in balancer.toml names %q, the package has %q", named, all)
+		t.Fatalf("policy in balancer.toml: got %q, want the package's files %q", named, all)
 	}
 	return named
 }
 
-// Events with unknown ids, and weights that are no capacity, change nothing.
-func TestStrayEvents(t *testing.T) {
+// Events with unknown ids or classes must have no effect, and invalid weights must not distort the candidate weights.
+func TestInvalidEventsAreIgnored(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(3)...)
 	for kind := EventDiscovery; kind <= EventHealthCheck+1; kind++ {
 		if kind == EventRequest || kind == EventDiscovery {
@@ -168,18 +170,18 @@
 		actions := h.handle(Event{Kind: kind, Request: 99, Server: 99, Attempt: 200, TimerID: math.MaxUint64,
 			Class: -1})
 		if len(actions) != 0 {
-			t.Errorf("event kind %d: %+v", kind, actions)
+			t.Errorf("event kind %d: got actions %+v, want none", kind, actions)
 		}
 	}
 	noAction(t, h.handle(Event{Kind: EventRequest, Request: 1, Class: 77, Remaining: ms}), ActionSend)
 	h.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{readyEndpoint(9, math.NaN()), readyEndpoint(10, -3), readyEndpoint(11, math.Inf(1))}})
 	h.pickPair()
 	if sum := h.candidates().weightSums.rangeSum(0, 99); math.Abs(sum-6) > 1e-9 {
-		t.Errorf("six servers of weight 1 sum to %v", sum)
+		t.Errorf("six servers of weight 1: got a total weight of %v, want 6", sum)
 	}
 }
 
-// Neither requests nor servers that have come and gone leave state behind.
+// Finished requests and removed servers must leave no state behind, or memory would grow without limit.
 func TestStateIsBounded(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(5)...)
 	for id := range RequestID(5000) {
@@ -190,7 +192,7 @@
 			readyEndpoint(ServerID(id+10), 1), {ID: ServerID(id + 9), State: Removed}}})
 	}
 	if len(h.b.requests) != 0 || len(h.b.serversByID) > 7 || len(h.b.servers) > 7 {
-		t.Errorf("%d requests, %d servers left", len(h.b.requests), len(h.b.serversByID))
+		t.Errorf("got %d requests and %d servers left, want 0 and at most 7", len(h.b.requests), len(h.b.serversByID))
 	}
 }
 
@@ -200,12 +202,13 @@
 	return h.b.Handle(h.now, Event{Kind: EventOutcome, Request: id, Outcome: OutcomeOK, Answered: true}, out[:0])
 }
 
+// Handle must not allocate more per request than the request and its first attempt.
 func TestHandleAllocations(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(50)...)
 	out, id := make([]Action, 0, 16), RequestID(0)
 	n := testing.AllocsPerRun(2000, func() { id++; out = sendAndAnswer(h, id, out) })
-	if n > 2 { // the request and its first attempt
-		t.Errorf("%v allocations a request", n)
+	if n > 2 {
+		t.Errorf("got %v allocations per request, want at most 2", n)
 	}
 }
 
@@ -229,8 +232,8 @@
 	}
 }
 
-// New settings find classes by their names: what was learned of them and of servers stays, an open request keeps its class,
-// and a lower MaxAttempts counts at once. Invalid settings change nothing.
+// Adopt matches classes by name: what was learned about them and about servers must be kept, an open request keeps its
+// class, and a lower MaxAttempts applies immediately. Invalid settings must change nothing.
 func TestAdopt(t *testing.T) {
 	s := testSettings()
 	h := newHarness(t, s, readyEndpoints(3)...)
@@ -242,7 +245,7 @@
 	invalid := testSettings()
 	invalid.MaxAttempts = 0
 	if err := h.b.Adopt(invalid); err == nil || h.b.settings.MaxAttempts != s.MaxAttempts {
-		t.Fatalf("broken settings: error %v, %d attempts", err, h.b.settings.MaxAttempts)
+		t.Fatalf("invalid settings: got error %v and MaxAttempts %d, want an error and %d", err, h.b.settings.MaxAttempts, s.MaxAttempts)
 	}
 
 	next := testSettings()
@@ -255,15 +258,15 @@
 	}
 	c := h.b.classes[1]
 	if c.latencySeconds.value != 0.123 || h.b.serversByID[1].health[c.index].failures != 0.5 || h.b.serversByID[1].health[h.b.classes[0].index].failures != 0 {
-		t.Errorf("what was learned has not stayed with its class: %+v", h.b.serversByID[1].health)
+		t.Errorf("got mean latency %v and health %+v, want what was learned to stay with its class", c.latencySeconds, h.b.serversByID[1].health)
 	}
 	noAction(t, h.endAttempt(1, 0, OutcomeConnectFailed), ActionSend) // MaxAttempts is 1
 	if actions := h.endAttempt(2, 0, OutcomeOK); len(h.b.requests) > 0 {
-		t.Errorf("open requests are still known after %+v", actions)
+		t.Errorf("got %d open requests, want 0, after actions %+v", len(h.b.requests), actions)
 	}
 	send := onlyAction(t, h.request(3, 0), ActionSend)
 	noAction(t, h.endAttempt(3, 0, OutcomeReset), ActionSend, ActionReject) // it may have run, and must not run twice
 	if send.Request != 3 || h.b.requests[3] != nil {
-		t.Errorf("a request of the new class: %+v", send)
+		t.Errorf("request 3 of the new class: got action %+v, still open %v, want request 3 and not open", send, h.b.requests[3] != nil)
 	}
 }
--- a/internal/balancer/candidates_test.go
+++ b/internal/balancer/candidates_test.go
@@ -7,6 +7,8 @@
 	"time"
 )
 
+// A pair must weigh the speed of its first server plus epsilon, and the last pair the remainder. Wrong pair weights
+// give servers a share of the traffic that does not match their speed.
 func TestPairWeights(t *testing.T) {
 	for _, c := range []struct {
 		speeds, want []float64
@@ -20,18 +22,19 @@
 		got := appendPairSums(c.speeds, nil)
 		sum := 0.0
 		if len(got) != len(c.want) {
-			t.Fatalf("speeds %v: %d pairs", c.speeds, len(got))
+			t.Fatalf("speeds %v: got %d pairs, want %d", c.speeds, len(got), len(c.want))
 		}
 		for j, w := range c.want {
 			sum += w
 			if math.Abs(got[j]-sum) > 1e-12 {
-				t.Errorf("speeds %v: pair %d weighs %v, want %v", c.speeds, j, got.rangeSum(j, j+1), w)
+				t.Errorf("speeds %v: pair %d: got weight %v, want %v", c.speeds, j, got.rangeSum(j, j+1), w)
 			}
 		}
 	}
 }
 
-// Among many agents each has a few candidates, which it hears of often; among few each uses all servers.
+// With many agents each uses few candidates, so that it gets responses from them often. With few agents each uses all
+// servers.
 func TestCandidateSetSize(t *testing.T) {
 	for _, c := range []struct{ agents, servers, want int }{{80, 60, 9}, {40, 60, 18}, {3, 15, 15}, {80, 15, minCandidates}} {
 		s := testSettings()
@@ -39,12 +42,12 @@
 		h := newHarness(t, s, readyEndpoints(c.servers)...)
 		h.pickPair()
 		if len(h.candidates().servers) != c.want {
-			t.Errorf("%d agents and %d servers: %d candidates, want %d", c.agents, c.servers, len(h.candidates().servers), c.want)
+			t.Errorf("%d agents and %d servers: got %d candidates, want %d", c.agents, c.servers, len(h.candidates().servers), c.want)
 		}
 	}
 }
 
-// A server that comes or goes changes one place in a candidate set.
+// A server that is added or removed must change only its own place in a candidate set.
 func TestCandidateSetIsStable(t *testing.T) {
 	for rank := range 20 {
 		s := testSettings()
@@ -61,12 +64,12 @@
 			}
 		}
 		if kept < len(before)-2 {
-			t.Errorf("rank %d: %d of %d servers kept", rank, kept, len(before))
+			t.Errorf("rank %d: got %d of %d servers kept, want at least %d", rank, kept, len(before), len(before)-2)
 		}
 	}
 }
 
-// A class with placement is sent to eligible servers and to no other, at every attempt, whatever their state.
+// A class with placement must only be sent to eligible servers, at every attempt and whatever their state.
 func TestPlacement(t *testing.T) {
 	list := readyEndpoints(40)
 	for i := range list {
@@ -74,7 +77,7 @@
 	}
 	for name, placement := range map[string]struct {
 		zones, kinds []int
-		open         func(Endpoint) bool
+		eligible     func(Endpoint) bool
 	}{
 		"zones":     {[]int{1, 3}, nil, func(e Endpoint) bool { return e.Zone%2 == 1 }},
 		"kinds":     {nil, []int{1}, func(e Endpoint) bool { return e.Kind == 1 }},
@@ -86,14 +89,14 @@
 		s.Agents, s.Rank = 50, 7 // a small candidate set
 		s.Classes[idempotent].Zones, s.Classes[idempotent].Kinds = placement.zones, placement.kinds
 		h := newHarness(t, s, list...)
-		hasEligible := slices.ContainsFunc(list, placement.open)
+		hasEligible := slices.ContainsFunc(list, placement.eligible)
 		sent := 0
 		check := func(actions []Action) {
 			for _, a := range actions {
 				if a.Kind == ActionSend {
 					sent++
-					if !placement.open(list[a.Server-1]) {
-						t.Fatalf("%s: sent to %+v", name, list[a.Server-1])
+					if !placement.eligible(list[a.Server-1]) {
+						t.Fatalf("%s: got a request on %+v, want an eligible server", name, list[a.Server-1])
 					}
 				}
 			}
@@ -110,10 +113,10 @@
 			for n, outcome := range []Outcome{OutcomeConnectFailed, OutcomeRejected, OutcomeError, OutcomeReset} {
 				check(h.endAttempt(id, n, outcome))
 			}
-			h.now += time.Minute // ejections are over
+			h.now += time.Minute // ejections have ended
 		}
-		for _, e := range list { // without an eligible server nothing is sent
-			if placement.open(e) {
+		for _, e := range list { // without a ready eligible server nothing is sent
+			if placement.eligible(e) {
 				e.State = Draining
 				h.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{e}})
 			}
@@ -121,13 +124,14 @@
 		before := sent
 		check(h.request(1000, idempotent))
 		if sent != before || hasEligible && before < 60 {
-			t.Errorf("%s: %d sent, then %d", name, before, sent)
+			t.Errorf("%s: got %d attempts and %d without ready eligible servers, want at least 60 if any is eligible, and 0", name, before, sent-before)
 		}
 	}
 }
 
-// A candidate set holds servers for a class with placement as long as there are any, whatever else is listed.
-func TestSmallCandidateSetHoldsPlacedServers(t *testing.T) {
+// The candidate set of a class with placement must include its eligible servers even if they are few among many: the
+// size limit applies to eligible servers only.
+func TestSmallCandidateSetIncludesEligibleServer(t *testing.T) {
 	for rank := range 50 {
 		list := readyEndpoints(100)
 		for i := range list {
@@ -138,7 +142,7 @@
 		s.Classes[nonIdempotent].Zones = []int{0}
 		h := newHarness(t, s, list...)
 		if a := onlyAction(t, h.request(1, nonIdempotent), ActionSend); a.Server != 1 {
-			t.Fatalf("rank %d: sent to %d", rank, a.Server)
+			t.Fatalf("rank %d: got a request on server %d, want 1", rank, a.Server)
 		}
 	}
 }
--- a/internal/balancer/endpoints_test.go
+++ b/internal/balancer/endpoints_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The order of the other servers does not change when a server comes or goes.
+// Adding or removing a server must not reorder the other servers.
 func TestServerOrderIsStable(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(9)...)
 	h.pickPair()
@@ -21,13 +21,13 @@
 	h.handle(Event{Kind: EventDiscovery, Endpoints: []Endpoint{{ID: 5, State: Removed}, readyEndpoint(50, 1)}})
 	h.pickPair()
 	if after := order(); !slices.Equal(before, after) || len(after) != 8 {
-		t.Errorf("order %v became %v", before, after)
+		t.Errorf("got order %v, want %v", after, before)
 	}
 }
 
-// Whichever update says that a server drains or is removed, nothing more is sent to it.
+// No request may be sent to a server after any kind of discovery update has removed it or marked it as draining.
 func TestRemovedAndDrainingServersAreNotUsed(t *testing.T) {
-	for name, list := range map[string]Event{
+	for name, update := range map[string]Event{
 		"change":   {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Draining, Weight: 1}}},
 		"removed":  {Kind: EventDiscovery, Update: EndpointsChanged, Endpoints: []Endpoint{{ID: 1, State: Removed}}},
 		"draining": {Kind: EventDiscovery, Update: EndpointsReplaced, Endpoints: []Endpoint{{ID: 1, State: Draining}, readyEndpoint(2, 1)}},
@@ -40,12 +40,12 @@
 			used[onlyAction(t, h.request(id, idempotent), ActionSend).Server] = true
 		}
 		if !used[1] || !used[2] {
-			t.Fatalf("%s: before the drain only %v were used", name, used)
+			t.Fatalf("%s: before the update: got requests on %v only, want servers 1 and 2", name, used)
 		}
-		h.handle(list)
+		h.handle(update)
 		for id := range RequestID(40) {
 			if a := onlyAction(t, h.request(100+id, idempotent), ActionSend); a.Server != 2 {
-				t.Fatalf("%s: sent to server %d", name, a.Server)
+				t.Fatalf("%s: got a request on server %d, want 2", name, a.Server)
 			}
 		}
 	}
--- a/internal/balancer/example_test.go
+++ b/internal/balancer/example_test.go
@@ -7,7 +7,7 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// One agent, two servers, one request: from the list to the answer.
+// Example runs one agent with two servers and one request, from the endpoint list to the response.
 func Example() {
 	b, err := balancer.New(balancer.Settings{
 		Agents: 1, MaxAttempts: 3, SlowStartMinWeight: 0.3, SlowStartDuration: 10 * time.Second, OverloadFactor: 2.5,
@@ -26,7 +26,7 @@
 			case balancer.ActionSend:
 				fmt.Println("send request", a.Request, "with a timeout of about", a.Timeout.Round(time.Second))
 			case balancer.ActionReject, balancer.ActionFail:
-				fmt.Println("answer request", a.Request)
+				fmt.Println("respond to request", a.Request)
 			case balancer.ActionSetTimer:
 				// deliver EventTimer with a.TimerID after a.Delay
 			}
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// trackedRequest is what the checker knows of a request: its attempts, and whether it has its final answer.
+// trackedRequest is the checker's record of a request: its attempts, and whether it has its final response.
 type trackedRequest struct {
 	class    Class
 	deadline time.Duration
@@ -18,14 +18,14 @@
 	server               Endpoint
 	sentAt               time.Duration
 	inFlight, mayHaveRun bool
-	unsent               bool // it ended as OutcomeServerDraining, and counts as no attempt
+	unsent               bool // it ended with OutcomeServerDraining and does not count as an attempt
 }
 
-// ruleChecker checks from outside that a Balancer keeps the rules on final answers, idempotency, draining, placement and
-// the retry budget.
+// ruleChecker checks the actions of a Balancer against the rules on final responses, idempotency, draining, placement
+// and the retry budget. It computes each rule itself.
 type ruleChecker struct {
-	requestTimes []time.Duration // when requests came
-	retryTimes   []time.Duration // when attempts after a request's first were made
+	requestTimes []time.Duration // when requests arrived
+	retryTimes   []time.Duration // when attempts after the first of a request were sent
 	t            *testing.T
 	b            *Balancer
 	settings     Settings
@@ -34,7 +34,7 @@
 	endpoints    map[ServerID]Endpoint
 	timers       []Action
 	healthChecks []ServerID
-	pending      []Action // sends without an outcome
+	pending      []Action // ActionSends without an outcome
 }
 
 func (c *ruleChecker) handle(ev Event) {
@@ -45,14 +45,14 @@
 			c.checkSend(r, a)
 		case ActionReject, ActionFail:
 			if r == nil || r.answered {
-				c.t.Fatalf("a second final answer: %+v", a)
+				c.t.Fatalf("got a final response to an unknown or finished request: %+v", a)
 			}
 			r.answered = true
 			for _, s := range r.attempts {
-				harmless := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
+				safeToRetry := r.class.Idempotency == Idempotent || r.class.Idempotency == IdempotentWithKey && r.class.DedupScope == DedupScopeFleet &&
 					c.now < s.sentAt+r.class.DedupWindow
-				if a.Kind == ActionReject && (s.mayHaveRun || s.inFlight) && !harmless {
-					c.t.Fatalf("rejected a request that may have run")
+				if a.Kind == ActionReject && (s.mayHaveRun || s.inFlight) && !safeToRetry {
+					c.t.Fatalf("got a rejection of a request that may have run: %+v", a)
 				}
 			}
 		case ActionSetTimer:
@@ -76,39 +76,39 @@
 	}
 	switch {
 	case r == nil || r.answered:
-		c.t.Fatalf("sent for a request that is answered: %+v", send)
+		c.t.Fatalf("got an attempt of an unknown or finished request: %+v", send)
 	case !known || server.State != Ready:
-		c.t.Fatalf("sent to a server that is not ready: %+v", send)
+		c.t.Fatalf("got an attempt on a server that is not ready: %+v", send)
 	case attempts >= c.settings.MaxAttempts:
-		c.t.Fatalf("attempt %d of %d", attempts+1, c.settings.MaxAttempts)
+		c.t.Fatalf("got attempt %d, want at most %d", attempts+1, c.settings.MaxAttempts)
 	case c.now+send.Timeout > r.deadline || send.Timeout <= 0:
-		c.t.Fatalf("timeout %v with %v left", send.Timeout, r.deadline-c.now)
+		c.t.Fatalf("got timeout %v, want above 0 and at most %v", send.Timeout, r.deadline-c.now)
 	}
 	if r.class.Zones != nil && !slices.Contains(r.class.Zones, server.Zone) ||
 		r.class.Kinds != nil && !slices.Contains(r.class.Kinds, server.Kind) {
-		c.t.Fatalf("a class with placement sent to %+v", server)
+		c.t.Fatalf("got an attempt outside the placement of its class, on %+v", server)
 	}
 	if attempts > 0 {
 		c.retryTimes = append(c.retryTimes, c.now)
 		allowed := c.settings.RetryBudgetMin + c.settings.RetryBudgetRatio*c.countInWindow(c.requestTimes, false)
 		if n := c.countInWindow(c.retryTimes, true); c.settings.RetryBudgetWindow > 0 && n > allowed {
-			c.t.Fatalf("%v retries in the window, %v allowed", n, allowed)
+			c.t.Fatalf("got %v retries in the window, want at most %v", n, allowed)
 		}
 	}
 	for _, earlier := range r.attempts {
 		if earlier.inFlight && !c.settings.Hedging {
-			c.t.Fatal("two attempts in flight at once")
+			c.t.Fatal("got two attempts in flight without hedging")
 		}
 		if !earlier.mayHaveRun && !earlier.inFlight {
 			continue
 		}
 		if r.class.Idempotency == NonIdempotent {
-			c.t.Fatal("a request that is not idempotent sent again")
+			c.t.Fatal("got a retry of a request that is not idempotent and may have run")
 		}
 		if r.class.Idempotency == IdempotentWithKey && (c.now >= earlier.sentAt+r.class.DedupWindow ||
 			r.class.DedupScope == DedupScopeCell && earlier.server.Cell != server.Cell ||
 			r.class.DedupScope == DedupScopeZone && earlier.server.Zone != server.Zone) {
-			c.t.Fatal("a request sent again where its idempotency key is not known")
+			c.t.Fatal("got a retry outside the dedup scope or window of its idempotency key")
 		}
 	}
 	send.Attempt = len(r.attempts)
@@ -116,17 +116,18 @@
 	c.pending = append(c.pending, send)
 }
 
-// countInWindow counts the times within the retry budget's window; edge says whether its far edge belongs to it.
-func (c *ruleChecker) countInWindow(times []time.Duration, edge bool) (n float64) {
+// countInWindow counts the times within the retry budget's window. If includeEdge is set, the window includes its older
+// edge.
+func (c *ruleChecker) countInWindow(times []time.Duration, includeEdge bool) (n float64) {
 	for _, at := range times {
-		if from := c.now - c.settings.RetryBudgetWindow; at > from || edge && at == from {
+		if from := c.now - c.settings.RetryBudgetWindow; at > from || includeEdge && at == from {
 			n++
 		}
 	}
 	return n
 }
 
-// endAttempt ends the attempt at position i of the pending ones.
+// endAttempt ends the pending attempt with index i.
 func (c *ruleChecker) endAttempt(i int, outcome Outcome) {
 	a := c.pending[i]
 	c.pending = append(c.pending[:i:i], c.pending[i+1:]...)
@@ -143,7 +144,7 @@
 		Answered: r.answered, Load: LoadReport{Known: true, InFlight: float64(i % 9), Queue: float64(i % 5)}})
 }
 
-// advance passes time; timers and timeouts that are due happen on the way.
+// advance moves the time forward in steps of 5 ms, and handles the timers and timeouts that become due.
 func (c *ruleChecker) advance(by time.Duration) {
 	for end := c.now + by; c.now < end; {
 		c.now = min(end, c.now+5*time.Millisecond)
@@ -165,6 +166,8 @@
 	}
 }
 
+// FuzzRules checks that no sequence of legal events makes a Balancer break a rule of ruleChecker, leave a request
+// without a response, or keep state of a finished request.
 func FuzzRules(f *testing.F) {
 	f.Add([]byte{0})
 	f.Add([]byte("\x01\x10\x10\x11\x12\x13\x14\x20\x31\x42\x53\x64\x75\x86\x97\x10\x21\x32\x43\x54"))
@@ -206,16 +209,16 @@
 		c.advance(2 * time.Second)
 		for id, r := range c.requests {
 			if !r.answered {
-				t.Fatalf("request %d was lost", id)
+				t.Fatalf("request %d: got no response, want one", id)
 			}
 		}
 		if len(b.requests) != 0 {
-			t.Fatalf("%d requests left in the table", len(b.requests))
+			t.Fatalf("got %d open requests, want 0", len(b.requests))
 		}
 	})
 }
 
-// step lets one legal thing happen; kind chooses it and detail is a parameter of it.
+// step handles one legal event, or advances the time. The kind selects the event and detail is its parameter.
 func (c *ruleChecker) step(id RequestID, kind byte, detail int) {
 	switch {
 	case kind < 5:
--- a/internal/balancer/loadreports_test.go
+++ b/internal/balancer/loadreports_test.go
@@ -5,14 +5,15 @@
 	"time"
 )
 
-// No request waits for a health check, and a server whose health check is pending is neither checked again nor skipped.
-func TestHealthChecksDelayNothing(t *testing.T) {
+// No request may wait for a health check, and a server with a pending health check is neither checked again nor
+// skipped.
+func TestHealthChecksDoNotDelayRequests(t *testing.T) {
 	s := testSettings()
 	s.HealthChecks, s.Reports = true, ReportsOnHealthCheck
 	h := newHarness(t, s, readyEndpoints(2)...)
 	checked := map[ServerID]int{}
 	id := RequestID(0)
-	ask := func() Action {
+	request := func() Action {
 		id++
 		actions := h.request(id, idempotent)
 		for _, a := range actions {
@@ -22,12 +23,12 @@
 		}
 		return onlyAction(t, actions, ActionSend)
 	}
-	for range 40 { // no health check is answered
-		ask()
+	for range 40 { // no health check gets a response
+		request()
 		h.endAttempt(id, 0, OutcomeOK)
 	}
 	if checked[1] != 1 || checked[2] != 1 {
-		t.Errorf("pending health checks: %v, want one of each server", checked)
+		t.Errorf("got health checks %v, want one per server", checked)
 	}
 	for server, inFlight := range map[ServerID]float64{1: 60, 2: 0} {
 		h.handle(Event{Kind: EventHealthCheck, Server: server, Outcome: OutcomeOK,
@@ -35,21 +36,21 @@
 	}
 	sentTo := map[ServerID]int{}
 	for range 2 {
-		sentTo[ask().Server]++
+		sentTo[request().Server]++
 	}
 	if sentTo[2] != 2 || checked[1] != 1 || checked[2] != 1 {
-		t.Errorf("sent to %v, 1 holding 60 and 2 nothing; checked %v though the reports are fresh", sentTo, checked)
+		t.Errorf("got requests on %v and health checks %v, want both requests on idle server 2 and no new health check", sentTo, checked)
 	}
 	h.now += time.Minute
-	ask()
+	request()
 	if checked[1]+checked[2] < 3 {
-		t.Error("old reports lead to no health check")
+		t.Errorf("after a minute: got health checks %v, want a new one", checked)
 	}
 }
 
-// Where answers carry reports there are no health checks, however old the last report is: among many agents that see few
-// requests each every report is old, and all of them together would check more often than they send.
-func TestInlineReportsNeedNoHealthChecks(t *testing.T) {
+// If responses carry load reports there must be no health checks, however old the last report is. With many agents and
+// few requests per agent every report is old, and there would be more health checks than requests.
+func TestInlineReportsPreventHealthChecks(t *testing.T) {
 	s := testSettings()
 	s.HealthChecks = true
 	s.Reports = ReportsInline
--- a/internal/balancer/locality_test.go
+++ b/internal/balancer/locality_test.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// trafficShares returns the parts of 4000 requests that go to zone 1, whose servers report a queue, and to other zones,
-// whose servers report none.
-func (h *harness) trafficShares(waiting float64) (local, remote float64) {
+// trafficShares returns the shares of 4000 requests that are sent to zone 1, whose servers report the given queue
+// length, and to other zones, whose servers report an empty queue.
+func (h *harness) trafficShares(queue float64) (local, remote float64) {
 	for id := range RequestID(4000) {
 		for _, a := range h.request(id, idempotent) {
 			if a.Kind != ActionSend {
 				continue
 			}
-			load := LoadReport{Known: true, InFlight: -1, Queue: waiting, ServiceTime: 10 * ms}
+			load := LoadReport{Known: true, InFlight: -1, Queue: queue, ServiceTime: 10 * ms}
 			if h.b.serversByID[a.Server].Zone != 1 {
 				remote += 1.0 / 4000
 				load.Queue = 0
@@ -26,12 +26,12 @@
 	return local, remote
 }
 
-// Servers in the agent's own zone are preferred until they have longer queues than others. An agent that does not know its
-// zone prefers none.
+// An agent must prefer servers in its own zone only until they have longer queues than others: a zone may have more
+// traffic than its servers can handle. An agent that does not know its zone prefers none.
 func TestLocalServersArePreferred(t *testing.T) {
 	for _, c := range []struct {
 		zone        int
-		local       float64 // reported queue of the servers of zone 1; the others have none
+		queue       float64 // reported by the servers of zone 1; the others report 0
 		least, most float64
 	}{{1, 0, 0.02, 0.4}, {1, 6, 0.45, 1}, {-1, 0, 0.4, 0.6}, {0, 0, 0.6, 0.98}} {
 		s := testSettings()
@@ -41,13 +41,13 @@
 			list[i].Zone = i % 2
 		}
 		h := newHarness(t, s, list...)
-		if _, got := h.trafficShares(c.local); got < c.least || got > c.most {
-			t.Errorf("zone %d with a queue of %v in zone 1: %v went elsewhere, want %v to %v", c.zone, c.local, got, c.least, c.most)
+		if _, got := h.trafficShares(c.queue); got < c.least || got > c.most {
+			t.Errorf("agent in zone %d, queue of %v in zone 1: got a share of %v in other zones, want %v to %v", c.zone, c.queue, got, c.least, c.most)
 		}
 	}
 }
 
-// Agents that prefer the servers of their zone keep the slow-start budget, which all agents share.
+// Agents that prefer the servers of their zone must still keep the slow-start budget, which all agents share.
 func TestLocalServerKeepsSlowStartBudget(t *testing.T) {
 	s := testSettings()
 	s.Zone = 1
@@ -58,6 +58,6 @@
 	h := newHarness(t, s, list...)
 	budget := slowStartMargin * s.OverloadFactor * s.SlowStartMinWeight / 8
 	if got, _ := h.trafficShares(0); got > 1.2*budget || got < 0.2*budget {
-		t.Errorf("a local server that warms up got %v of the traffic, its budget is %v", got, budget)
+		t.Errorf("local server that is warming up: got a traffic share of %v, want %v to %v", got, 0.2*budget, 1.2*budget)
 	}
 }
--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Errors return early: they eject a server, and their latency teaches no speed.
-func TestErrorsEjectAndTeachNoSpeed(t *testing.T) {
+// Errors return early: a failing server must be ejected, and the latency of errors must not make it look fast.
+func TestErrorsEjectWithoutChangingSpeed(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(6)...)
 	h.b.retryTimes = slices.Repeat(history{h.now}, 9) // the retry budget is spent
 	bad := onlyAction(t, h.request(1, nonIdempotent), ActionSend).Server
 	h.now += ms
 	h.endAttempt(1, 0, OutcomeError)
 	if s := h.b.serversByID[bad]; s.slowdown != 1 {
-		t.Errorf("an error taught that the server is %v times slower", s.slowdown)
+		t.Errorf("after an error: got slowdown %v, want 1", s.slowdown)
 	}
 	for id := range RequestID(60) {
 		if a := onlyAction(t, h.request(10+id, nonIdempotent), ActionSend); a.Server == bad {
-			t.Fatal("sent to the ejected server")
+			t.Fatalf("got a request on the ejected server %d, want another server", bad)
 		}
 	}
 	h.now += 6 * time.Second
@@ -27,30 +27,30 @@
 		readmitted = readmitted || onlyAction(t, h.request(100+id, nonIdempotent), ActionSend).Server == bad
 	}
 	if !readmitted {
-		t.Error("never readmitted")
+		t.Errorf("got no request on server %d after its ejection, want it readmitted", bad)
 	}
 }
 
-// An error of a server that has answered nothing of late ejects it for all classes: each class would have to fail there
-// otherwise. One amid answers counts for its class alone, and little.
-func TestErrorWithoutAnswersEjectsForAllClasses(t *testing.T) {
-	for _, answered := range []bool{false, true} {
+// An error from a server without a recent response must eject it for all classes, or each class would have to fail
+// there first. An error between other responses has a low weight, for its class only.
+func TestErrorWithoutRecentResponseEjectsForAllClasses(t *testing.T) {
+	for _, responded := range []bool{false, true} {
 		h := newHarness(t, testSettings(), readyEndpoints(6)...)
 		s, c := h.b.servers[0], h.b.classes[idempotent]
 		h.b.recordOutcome(c, &attempt{server: s}, OutcomeOK, 0.1)
-		if !answered {
+		if !responded {
 			h.b.now += c.LatencyObjective
 		}
 		h.b.recordOutcome(c, &attempt{server: s}, OutcomeError, 0.1)
 		for i := range s.health {
-			if out := s.health[i].ejectedUntil > h.b.now; out == answered {
-				t.Errorf("answered a moment ago: %v, class %d ejected: %v", answered, i, out)
+			if ejected := s.health[i].ejectedUntil > h.b.now; ejected == responded {
+				t.Errorf("recent response %v, class %d: got ejected %v, want %v", responded, i, ejected, !responded)
 			}
 		}
 	}
 }
 
-// When all servers look bad the cause is overload or this agent's own network; most must stay in use.
+// When all servers seem to fail, the cause is overload or this agent's own network. Most servers must then stay in use.
 func TestEjectionIsCapped(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(9)...)
 	for _, s := range slices.Clone(h.b.servers) {
@@ -59,14 +59,15 @@
 	}
 	h.pickPair()
 	if n := len(h.candidates().servers); n != 7 {
-		t.Errorf("%d of 9 servers are candidates, want 7", n)
+		t.Errorf("got %d of 9 servers as candidates, want 7", n)
 	}
 }
 
-// Incident i4fd1b4: a server that rejects requests at once had few in flight and won every pair.
+// Incident i4fd1b4: a server that rejected requests immediately had few in flight and won every pair. It must be
+// skipped for a while, and used again later.
 func TestRejectingServerIsSkipped(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(2)...)
-	for id := range RequestID(10) { // teach the mean latency
+	for id := range RequestID(10) { // sets the mean latency
 		h.request(id, idempotent)
 		h.now += 100 * ms
 		h.endAttempt(id, 0, OutcomeOK)
@@ -76,23 +77,23 @@
 	for id := range RequestID(20) {
 		for _, a := range h.request(200+id, idempotent) {
 			if a.Kind == ActionSend && a.Server == rejecting {
-				t.Fatal("sent to the server that rejects")
+				t.Fatalf("got a request on the rejecting server %d, want it skipped", rejecting)
 			}
 		}
 	}
 	h.now += time.Second
 	h.b.overload = 0
-	for id := range RequestID(20) { // the other has all the rest in flight
+	for id := range RequestID(20) { // all other requests are in flight on the other server
 		if a := onlyAction(t, h.request(300+id, idempotent), ActionSend); a.Server == rejecting {
 			return
 		}
 	}
-	t.Error("never used again")
+	t.Errorf("got no request on server %d after a second, want it used again", rejecting)
 }
 
-// A server that answers in between is not ejected for single failures, nor for one costly request. Three failures in a row
-// eject it, and so does silence towards all requests.
-func TestBusyServerSurvivesSingleFailures(t *testing.T) {
+// A server that responds in between must not be ejected for single failures, nor for one slow request. Three failures
+// in a row eject it, and so does silence on all requests.
+func TestSingleFailuresDoNotEject(t *testing.T) {
 	for _, outcome := range []Outcome{OutcomeError, OutcomeReset} {
 		h := newHarness(t, testSettings(), readyEndpoints(3)...)
 		s, c := h.b.serversByID[1], h.b.classes[idempotent]
@@ -101,43 +102,43 @@
 			h.b.recordOutcome(c, &attempt{server: s}, outcome, 0.1)
 		}
 		if s.health[idempotent].ejectedUntil > h.b.now {
-			t.Errorf("outcome %d: ejected for single failures", outcome)
+			t.Errorf("outcome %d, single failures: got ejected, want not ejected", outcome)
 		}
 		for range 2 {
 			h.b.recordOutcome(c, &attempt{server: s}, outcome, 0.1)
 		}
 		if s.health[idempotent].ejectedUntil <= h.b.now {
-			t.Errorf("outcome %d: three failures in a row did not eject", outcome)
+			t.Errorf("outcome %d, three failures in a row: got not ejected, want ejected", outcome)
 		}
 	}
 	h := newHarness(t, testSettings(), readyEndpoints(3)...)
 	sent := h.request(1, idempotent)
-	s, check := h.b.serversByID[onlyAction(t, sent, ActionSend).Server], onlyAction(t, sent, ActionSetTimer)
-	h.now += check.Delay / 2
-	h.handle(Event{Kind: EventTimer}) // brings the Balancer's time up to date
+	s, timer := h.b.serversByID[onlyAction(t, sent, ActionSend).Server], onlyAction(t, sent, ActionSetTimer)
+	h.now += timer.Delay / 2
+	h.handle(Event{Kind: EventTimer}) // advances the Balancer's time
 	h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: s}, OutcomeOK, 0.1)
-	h.now += check.Delay / 2
-	h.handle(Event{Kind: EventTimer, TimerID: check.TimerID})
+	h.now += timer.Delay / 2
+	h.handle(Event{Kind: EventTimer, TimerID: timer.TimerID})
 	if s.health[idempotent].failures > 0 {
-		t.Errorf("failures %v for a costly request", s.health[idempotent].failures)
+		t.Errorf("one slow request: got failures %v, want 0", s.health[idempotent].failures)
 	}
 	h.now += time.Second
-	for s.inFlight < 2 { // one request that it does not answer, and nothing else
+	for s.inFlight < 2 { // one more request without a response, and no other traffic
 		id := RequestID(len(h.b.requests) + 2)
 		sent = h.request(id, idempotent)
 	}
-	check = onlyAction(t, sent, ActionSetTimer)
+	timer = onlyAction(t, sent, ActionSetTimer)
 	for range 3 {
-		h.now += check.Delay
-		h.handle(Event{Kind: EventTimer, TimerID: check.TimerID})
+		h.now += timer.Delay
+		h.handle(Event{Kind: EventTimer, TimerID: timer.TimerID})
 	}
 	if s.health[idempotent].ejectedUntil <= h.now {
-		t.Error("a server that has fallen silent was not ejected")
+		t.Error("silent on all requests: got not ejected, want ejected")
 	}
 }
 
-// A server that refuses connections while it answers over others, or rejects requests, is skipped for a while and not
-// ejected. If it reports its load, that is no overload either.
+// A server that refuses connections while it responds on others, or that rejects requests, lacks capacity. It must be
+// skipped for a while but not ejected, and if it reports its load this must not raise the overload.
 func TestServerWithoutCapacityIsSkipped(t *testing.T) {
 	for _, outcome := range []Outcome{OutcomeConnectFailed, OutcomeRejected} {
 		h := newHarness(t, testSettings(), readyEndpoints(3)...)
@@ -148,19 +149,20 @@
 		for range 5 {
 			h.b.recordOutcome(c, &attempt{server: s, sentAt: h.b.now}, outcome, 0.1)
 			if s.skippedUntil <= h.b.now {
-				t.Errorf("outcome %d: not skipped", outcome)
+				t.Errorf("outcome %d: got not skipped, want skipped", outcome)
 			}
-			h.b.now, s.lastResponse = s.skippedUntil, s.skippedUntil // it has answered others
+			h.b.now, s.lastResponse = s.skippedUntil, s.skippedUntil // it has responded to others
 		}
 		if s.health[idempotent].ejectedUntil > h.b.now || h.b.overload > 0 {
-			t.Errorf("outcome %d: ejected until %v, overload %v", outcome, s.health[idempotent].ejectedUntil, h.b.overload)
+			t.Errorf("outcome %d: got ejectedUntil %v at %v and overload %v, want no ejection and overload 0", outcome,
+				s.health[idempotent].ejectedUntil, h.b.now, h.b.overload)
 		}
 	}
 }
 
-// A server that fails one class and serves the others well is ejected for that class alone, and answers to the others do
-// not readmit it. Once it fails two, or its connections break, it is ejected for all.
-func TestHealthIsByClass(t *testing.T) {
+// A server that fails one class and serves the others well must be ejected for that class only, and responses to the
+// others must not readmit it. Once it fails two classes or refuses connections, it is ejected for all.
+func TestHealthIsPerClass(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(8)...)
 	isCandidate := func(class int, id ServerID) bool {
 		c := h.b.classes[class]
@@ -171,19 +173,20 @@
 	h.now += 900 * ms
 	h.endAttempt(1, 0, OutcomeTimeout)
 	if isCandidate(nonIdempotent, bad) || !isCandidate(idempotent, bad) {
-		t.Fatalf("after a silent request: ejected for its class %v, for another class %v", !isCandidate(nonIdempotent, bad), !isCandidate(idempotent, bad))
+		t.Fatalf("after a silent request: got ejected %v for its class and %v for another class, want true and false",
+			!isCandidate(nonIdempotent, bad), !isCandidate(idempotent, bad))
 	}
 	for range 20 {
 		h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: h.b.serversByID[bad]}, OutcomeOK, 0.1)
 	}
 	if isCandidate(nonIdempotent, bad) {
-		t.Error("answers to another class readmitted it")
+		t.Error("after responses to another class: got readmitted, want still ejected")
 	}
-	h.b.now += 500 * ms // and it has not answered for a while
+	h.b.now += 500 * ms // no response for a while
 	h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: h.b.serversByID[bad]}, OutcomeError, 0.1)
 	for class := range h.b.classes {
 		if isCandidate(class, bad) {
-			t.Errorf("failed two classes, but serves class %d", class)
+			t.Errorf("after failures of two classes: got a candidate for class %d, want ejected", class)
 		}
 	}
 	other := h.b.servers[0].ID
@@ -192,12 +195,12 @@
 	}
 	h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: h.b.serversByID[other]}, OutcomeConnectFailed, 0.1)
 	if isCandidate(nonIdempotent, other) {
-		t.Error("it takes no connections, but is still a candidate")
+		t.Error("after a refused connection: got a candidate, want ejected for all classes")
 	}
 }
 
-// A single reset does not eject, however long ago the server answered last: networks reset connections to healthy servers.
-// Several in a row do.
+// A single reset must not eject a server, however old its last response is: networks also reset connections to healthy
+// servers. Several in a row eject it.
 func TestSingleResetDoesNotEject(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(8)...)
 	s := h.b.servers[0]
@@ -207,7 +210,7 @@
 		h.b.recordOutcome(h.b.classes[idempotent], &attempt{server: s}, OutcomeReset, 0.1)
 		for class := range h.b.classes {
 			if s.health[class].ejectedUntil > h.b.now {
-				t.Errorf("ejected for class %d by one reset, %v after an answer", class, quiet)
+				t.Errorf("one reset %v after a response: got ejected for class %d, want not ejected", quiet, class)
 			}
 		}
 	}
@@ -218,30 +221,31 @@
 	}
 	for _, s := range []*server{s, dead} {
 		if s.health[nonIdempotent].ejectedUntil <= h.b.now {
-			t.Error("not ejected by three resets in a row, or one and a refused connection")
+			t.Errorf("server %d, three resets in a row or one and a refused connection: got not ejected, want ejected", s.ID)
 		}
 	}
 }
 
-// A server that is busy with one costly request, and answers nothing until its objective, is not ejected for it.
-func TestCostlyRequestDoesNotEject(t *testing.T) {
+// A server must not be ejected for one slow request on which it is silent up to the latency objective.
+func TestSlowRequestDoesNotEject(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(8)...)
 	for i := range h.b.classes {
 		h.b.classes[i].latencySeconds = movingAverage{0.02, true} // other requests are quick
 	}
 	sent := h.request(1, idempotent)
-	s, check := h.b.serversByID[onlyAction(t, sent, ActionSend).Server], onlyAction(t, sent, ActionSetTimer)
+	s, timer := h.b.serversByID[onlyAction(t, sent, ActionSend).Server], onlyAction(t, sent, ActionSetTimer)
 	objective := h.b.classes[idempotent].LatencyObjective
-	for h.now += check.Delay; h.now <= time.Hour+objective; h.now += check.Delay {
-		h.handle(Event{Kind: EventTimer, TimerID: check.TimerID})
+	for h.now += timer.Delay; h.now <= time.Hour+objective; h.now += timer.Delay {
+		h.handle(Event{Kind: EventTimer, TimerID: timer.TimerID})
 	}
 	if s.health[idempotent].ejectedUntil > h.now {
-		t.Error("ejected within the objective")
+		t.Error("within the objective: got ejected, want not ejected")
 	}
 }
 
-// A silent attempt counts half when its timer first fires and fully the second time; its timeout adds nothing.
-func TestSilenceIsCountedOnce(t *testing.T) {
+// The failure weight of a silent attempt must be 0.5 after the first expiry of its timer and 1 after the second. Its
+// timeout must add nothing, or one attempt would count twice.
+func TestTimeoutAfterSilenceAddsNoFailure(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(6)...)
 	actions := h.request(1, nonIdempotent)
 	s := h.b.serversByID[onlyAction(t, actions, ActionSend).Server]
@@ -252,17 +256,17 @@
 		before := health.ejectedUntil
 		actions = h.handle(Event{Kind: EventTimer, TimerID: a.TimerID})
 		if ejected := health.ejectedUntil > before; ejected != (want == 1) {
-			t.Fatalf("after silence of weight %v: ejected %v", want, ejected)
+			t.Fatalf("silence of weight %v: got ejected %v, want %v", want, ejected, want == 1)
 		}
 	}
 	health.ejectedUntil, health.failures = 0, 0
 	h.endAttempt(1, 0, OutcomeTimeout)
 	if health.failures != 0 {
-		t.Errorf("the timeout added %v", health.failures)
+		t.Errorf("timeout after silence: got failures %v, want 0", health.failures)
 	}
 }
 
-// A server that answers other classes and never one is ejected for that one by its timeouts.
+// A server that never responds to one class must be ejected for it by timeouts, although it responds to other classes.
 func TestTimeoutsOfOneClassEject(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(8)...)
 	s, c := h.b.servers[0], h.b.classes[nonIdempotent]
@@ -274,31 +278,31 @@
 		h.b.recordOutcome(c, &a, OutcomeTimeout, 1)
 	}
 	if s.health[nonIdempotent].ejectedUntil <= h.b.now {
-		t.Error("not ejected for the class that it never answers")
+		t.Error("class without responses: got not ejected, want ejected")
 	}
 	if s.health[idempotent].ejectedUntil > h.b.now {
-		t.Error("ejected for a class that it answers")
+		t.Error("class with responses: got ejected, want not ejected")
 	}
 }
 
-// A server counts while it is ejected for all classes, and only while it is listed.
+// EjectedEndpoints must count a server only while it is ejected for all classes and listed.
 func TestEjectedEndpoints(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(5)...)
 	s := h.b.serversByID[1]
 	h.b.now = h.now
 	h.b.recordFailure(h.b.classes[idempotent], s, 1, "test")
 	if n := h.b.EjectedEndpoints(h.now); n != 0 {
-		t.Errorf("ejected for one class: %d counted", n)
+		t.Errorf("ejected for one class: got %d ejected endpoints, want 0", n)
 	}
 	h.b.recordFailure(h.b.classes[nonIdempotent], s, 1, "test") // the second class ejects it for all
 	if n := h.b.EjectedEndpoints(h.now); n != 1 {
-		t.Errorf("ejected for all classes: %d counted", n)
+		t.Errorf("ejected for all classes: got %d ejected endpoints, want 1", n)
 	}
 	if n := h.b.EjectedEndpoints(s.health[idempotent].ejectedUntil + time.Hour); n != 0 {
-		t.Errorf("when it is over: %d counted", n)
+		t.Errorf("after the ejection: got %d ejected endpoints, want 0", n)
 	}
 	s.State = Removed
 	if n := h.b.EjectedEndpoints(h.now); n != 0 {
-		t.Errorf("removed: %d counted", n)
+		t.Errorf("removed: got %d ejected endpoints, want 0", n)
 	}
 }
--- a/internal/balancer/pick_test.go
+++ b/internal/balancer/pick_test.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// Picks follow the weights, by chi-square; a uniform pick would fail by far.
+// Picks must follow the weights. A chi-square test detects wrong frequencies; the last check shows that it rejects
+// uniform picks.
 func TestPickFrequencies(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoint(1, 1), readyEndpoint(2, 2), readyEndpoint(3, 3), readyEndpoint(4, 6))
 	const n = 40000
 	var single, pair [4]float64
-	alone := 0.0
+	singles := 0.0
 	for range n {
 		first, second := h.pickPair()
 		i := slices.Index(h.candidates().servers, first)
 		if second == nil {
-			alone++
+			singles++
 			single[i]++
 		} else {
 			pair[i]++
 			if h.candidates().servers[i+1] != second {
-				t.Fatal("a pair that is not adjacent")
+				t.Fatalf("got a pair of servers %d and %d, want adjacent candidates", first.ID, second.ID)
 			}
 		}
 	}
-	if math.Abs(alone/n-singleServerShare) > 0.01 {
-		t.Errorf("share of single servers %v, want %v", alone/n, singleServerShare)
+	if math.Abs(singles/n-singleServerShare) > 0.01 {
+		t.Errorf("got a share of single servers of %v, want %v", singles/n, singleServerShare)
 	}
 	epsilon := epsilonShare * min(2.0, 3.0/2, 9.0/2)
 	chiSquare := func(seen []float64, total float64, weights ...float64) (sum float64) {
@@ -37,18 +38,20 @@
 		}
 		return sum
 	}
-	if v := chiSquare(single[:], alone, 1, 2, 3, 6); v > 16.3 { // 3 degrees of freedom, one in a thousand
-		t.Errorf("single servers %v: chi-square %v", single, v)
+	if v := chiSquare(single[:], singles, 1, 2, 3, 6); v > 16.3 { // 3 degrees of freedom, p = 0.001
+		t.Errorf("single servers %v: got chi-square %v, want at most 16.3", single, v)
 	}
-	if v := chiSquare(pair[:], n-alone, 1+epsilon, 2+epsilon, 3+6-2*epsilon); v > 13.8 { // 2 degrees of freedom
-		t.Errorf("pairs %v: chi-square %v", pair, v)
+	if v := chiSquare(pair[:], n-singles, 1+epsilon, 2+epsilon, 3+6-2*epsilon); v > 13.8 { // 2 degrees of freedom, p = 0.001
+		t.Errorf("pairs %v: got chi-square %v, want at most 13.8", pair, v)
 	}
 	if v := chiSquare([]float64{n / 3, n / 3, n / 3}, n, 1+epsilon, 2+epsilon, 9-2*epsilon); v < 1000 {
-		t.Errorf("a uniform pick would pass: chi-square %v", v)
+		t.Errorf("uniform picks: got chi-square %v, want at least 1000", v)
 	}
 }
 
-func TestLessLoadedIsQueueOverSpeed(t *testing.T) {
+// The less loaded server of a pair is the one with fewer requests in flight relative to its speed, with random ties.
+// Comparing the requests alone would overload slow servers.
+func TestLessLoadedComparesInFlightOverSpeed(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoint(1, 1), readyEndpoint(2, 3))
 	h.pickPair()
 	slow, fast := h.candidates().servers[0], h.candidates().servers[1]
@@ -58,7 +61,7 @@
 	}{{1, 2, fast}, {1, 4, slow}, {0, 1, slow}, {2, 5, fast}} {
 		slow.inFlight, fast.inFlight = c.slow, c.fast
 		if got, _ := h.b.lessLoaded(slow, fast); got != c.want {
-			t.Errorf("%d and %d in flight: picked server %d", c.slow, c.fast, got.ID)
+			t.Errorf("%d and %d in flight: got server %d, want %d", c.slow, c.fast, got.ID, c.want.ID)
 		}
 	}
 	slow.inFlight, fast.inFlight = 1, 3
@@ -69,24 +72,26 @@
 		}
 	}
 	if first < 400 || first > 600 {
-		t.Errorf("a tie went to the first %d times of 1000", first)
+		t.Errorf("tie: got the first server %d times of 1000, want 400 to 600", first)
 	}
 }
 
+// A fleet of no, one or two servers must work: without a server a request is rejected, otherwise it is sent.
 func TestFewServers(t *testing.T) {
 	h := newHarness(t, testSettings())
 	if a := onlyAction(t, h.request(1, nonIdempotent), ActionReject); a.Request != 1 {
-		t.Errorf("rejected %+v", a)
+		t.Errorf("got a rejection of request %d, want 1", a.Request)
 	}
 	h.handle(Event{Kind: EventDiscovery, Endpoints: readyEndpoints(1)})
 	if a := onlyAction(t, h.request(2, nonIdempotent), ActionSend); a.Server != 1 {
-		t.Errorf("sent %+v", a)
+		t.Errorf("got a request on server %d, want 1", a.Server)
 	}
 	h.handle(Event{Kind: EventDiscovery, Endpoints: readyEndpoints(2)})
 	onlyAction(t, h.request(3, idempotent), ActionSend)
 }
 
-// Where reports tell only the queue, that counts as in flight, and a few requests of this agent are no overload.
+// If reports contain only the queue length, it counts as requests in flight. A few requests of this agent are no
+// overload, and neither is a long queue on one server for the whole fleet.
 func TestReportedQueueCountsAsInFlight(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(2)...)
 	s, r := h.b.servers[0], &request{class: h.b.classes[idempotent], objective: h.now + time.Second}
@@ -95,23 +100,24 @@
 	}
 	report(20)
 	if h.b.inFlightEstimate(s) < 10 || !h.b.isOverloaded(r, s) {
-		t.Errorf("a queue of 20: %v in flight, overloaded %v", h.b.inFlightEstimate(s), h.b.isOverloaded(r, s))
+		t.Errorf("queue of 20: got %v in flight and overloaded %v, want at least 10 and true", h.b.inFlightEstimate(s), h.b.isOverloaded(r, s))
 	}
 	report(0)
 	s.inFlight = 5
 	if h.b.inFlightEstimate(s) != 5 || h.b.isOverloaded(r, s) {
-		t.Errorf("5 of our own and no queue: %v in flight, overloaded %v", h.b.inFlightEstimate(s), h.b.isOverloaded(r, s))
+		t.Errorf("5 own requests, no queue: got %v in flight and overloaded %v, want 5 and false", h.b.inFlightEstimate(s), h.b.isOverloaded(r, s))
 	}
-	for range 50 { // one long queue is not the fleet's
+	for range 50 { // a long queue on one server only
 		report(9)
 	}
 	if h.b.overload > 0 {
-		t.Errorf("overload %v from one server's queue", h.b.overload)
+		t.Errorf("queue on one server: got overload %v, want 0", h.b.overload)
 	}
 }
 
-// A pair that is more loaded than usual is picked anew, but the last pick is taken as it is.
-func TestLoadedPairIsPickedAnew(t *testing.T) {
+// A pair that is more loaded than usual must be rejected and picked again, except at the last pick, or the request
+// would fail for lack of picks.
+func TestLoadedPairIsPickedAgain(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(8)...)
 	candidates := func() []*server { h.pickPair(); return h.candidates().servers }()
 	h.b.typicalWait = movingAverage{1, true}
@@ -119,16 +125,17 @@
 	candidates[0].inFlight, candidates[1].inFlight = 9, 9
 	for r.picks = range maxPicks {
 		if last := r.picks == maxPicks-1; h.b.sendToPair(r, candidates[0], candidates[1]) != last {
-			t.Errorf("pick %d: sent %v", r.picks, !last)
+			t.Errorf("pick %d: got sent %v, want %v", r.picks, !last, last)
 		}
 	}
 	r = &request{id: 2, class: r.class, deadline: r.deadline, objective: r.objective}
 	if !h.b.sendToPair(r, candidates[2], candidates[3]) {
-		t.Error("an idle pair was not used")
+		t.Error("idle pair: got not sent, want sent")
 	}
 }
 
-// Silent attempts that a fresh report does not count are lost: they are not in flight until the report is old.
+// Silent attempts that a fresh report does not include are lost and must not count as in flight, or the server would
+// look busy until they time out. They count again once the report is old.
 func TestLostAttemptsAreNotInFlight(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(2)...)
 	s := h.b.servers[0]
@@ -144,24 +151,25 @@
 		h.handle(Event{Kind: EventTimer, TimerID: timer.TimerID})
 	}
 	if got := h.b.inFlightEstimate(s); got != 8 {
-		t.Errorf("without a report: %v in flight", got)
+		t.Errorf("without a report: got %v in flight, want 8", got)
 	}
 	h.b.recordReport(s, LoadReport{Known: true, InFlight: 0, Queue: -1, ServiceTime: 10 * ms})
 	if got := h.b.inFlightEstimate(s); got != 1 {
-		t.Errorf("by a fresh report, 7 of 8 being silent: %v in flight", got)
+		t.Errorf("fresh report, 7 of 8 silent: got %v in flight, want 1", got)
 	}
 	h.b.now += time.Second
 	if h.b.inFlightEstimate(s) < 7.5 {
-		t.Errorf("when the report is old: %v in flight", h.b.inFlightEstimate(s))
+		t.Errorf("old report: got %v in flight, want at least 7.5", h.b.inFlightEstimate(s))
 	}
 	h.endAttempt(RequestID(timers[0].TimerID&math.MaxUint32), 0, OutcomeReset)
 	if s.silentAttempts != 6 || s.inFlight != 7 {
-		t.Errorf("one of them ended: %d silent of %d", s.silentAttempts, s.inFlight)
+		t.Errorf("after one ended: got %d silent of %d in flight, want 6 of 7", s.silentAttempts, s.inFlight)
 	}
 }
 
-// A number of requests in flight is no overload by itself: without a reported queue only the objective counts.
-func TestOverloadNeedsReportedQueue(t *testing.T) {
+// A number of requests in flight must not count as overload by itself: without a reported queue only the latency
+// objective counts.
+func TestOverloadRequiresReportedQueue(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(2)...)
 	load := LoadReport{Known: true, InFlight: 8, Queue: -1, ServiceTime: 10 * ms}
 	s := h.b.servers[0]
@@ -170,7 +178,7 @@
 	}
 	r := &request{class: h.b.classes[idempotent], objective: h.now + 400*ms}
 	if h.b.isOverloaded(r, s) {
-		t.Error("8 in flight at 10 ms each are no overload for 400 ms")
+		t.Error("8 in flight at 10 ms each, objective 400 ms: got overloaded, want not overloaded")
 	}
 	load.ServiceTime = 30 * ms
 	h.b.recordReport(s, load)
@@ -178,20 +186,20 @@
 	h.b.recordReport(s, load)
 	s.lastReport.InFlight = 2
 	if h.b.isOverloaded(r, s) {
-		t.Error("2 in flight without a queue are no overload")
+		t.Error("2 in flight, no queue: got overloaded, want not overloaded")
 	}
 	load.InFlight = -1
 	load.ServiceTime = 10 * ms
 	load.Queue = 15
 	h.b.recordReport(s, load)
 	if !h.b.isOverloaded(r, s) {
-		t.Error("a queue of 15 does not count as overload")
+		t.Error("queue of 15: got not overloaded, want overloaded")
 	}
 }
 
-// A report is out of date sooner where many agents send to the server: they all act on it alike, and what it shows as idle
-// fills up.
-func TestReportsAgeWithAgents(t *testing.T) {
+// A report must age faster if many agents send to the server: all of them react to it in the same way, and a server
+// that it shows as idle fills up.
+func TestReportsAgeFasterWithMoreAgents(t *testing.T) {
 	after := func(agents int) float64 {
 		settings := testSettings()
 		settings.Agents = agents
@@ -201,11 +209,12 @@
 		return h.b.inFlightEstimate(h.b.servers[0])
 	}
 	if few, many := after(4), after(80); few < 6 || many > 1 {
-		t.Errorf("of 8 in flight two service times ago, %v count among 4 agents and %v among 80", few, many)
+		t.Errorf("8 in flight two service times ago: got %v with 4 agents and %v with 80, want at least 6 and at most 1", few, many)
 	}
 }
 
-// An agent among few knows most of what a server is sent, so its limit of overload is higher than that of one among many.
+// With few agents each knows most of the requests on a server, so the overload limit must be higher than with many
+// agents.
 func TestOverloadLimitIsHigherForFewAgents(t *testing.T) {
 	overloadedAt := func(agents int) int {
 		settings := testSettings()
@@ -220,11 +229,11 @@
 		}
 	}
 	if few, many := overloadedAt(1), overloadedAt(1000); few != 14 || many != 8 {
-		t.Errorf("overloaded at %d and %d, want 14 and 8", few, many)
+		t.Errorf("got overloaded at %d and %d in flight, want 14 and 8", few, many)
 	}
 }
 
-// Idle servers whose last report was bad are used: no answer would bring a better one otherwise.
+// Idle servers must be used even if their last report was bad: otherwise no response would replace the report.
 func TestIdleServerIsNeverOverloaded(t *testing.T) {
 	s := testSettings()
 	s.HealthChecks, s.Reports = true, ReportsOnHealthCheck
--- a/internal/balancer/polling_test.go
+++ b/internal/balancer/polling_test.go
@@ -5,6 +5,8 @@
 	"time"
 )
 
+// A failed poll must keep the servers, and the polls must back off: the poll after a first failure comes early, the one
+// after four failures later, but all within NotifyBoundAfterFailure.
 func TestFailedPollKeepsServersAndBacksOff(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints = true
@@ -14,28 +16,29 @@
 	h := newHarness(t, s)
 	first := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: EndpointsCached, Endpoints: readyEndpoints(2)}), ActionSetTimer)
 	if first.Delay < 600*ms || first.Delay > 900*ms {
-		t.Errorf("rank 2 of 4 polls after %v, want its turn of 0.3 s", first.Delay)
+		t.Errorf("rank 2 of 4: got a poll after %v, want 600ms to 900ms", first.Delay)
 	}
 	onlyAction(t, h.handle(Event{Kind: EventTimer, TimerID: first.TimerID}), ActionPollEndpoints)
 	last := time.Duration(0)
 	for failures := range 4 {
 		a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: PollFailed}), ActionSetTimer)
 		if failures == 0 && a.Delay > 1500*ms {
-			t.Errorf("waits %v after one failure", a.Delay)
+			t.Errorf("after one failure: got delay %v, want at most 1.5s", a.Delay)
 		}
 		if a.Delay > NotifyBoundAfterFailure-1500*ms {
-			t.Errorf("waits %v", a.Delay)
+			t.Errorf("after failure %d: got delay %v, want at most %v", failures+1, a.Delay, NotifyBoundAfterFailure-1500*ms)
 		}
 		last = a.Delay
 	}
 	if last < 2250*ms {
-		t.Errorf("the fourth failure in a row waits only %v", last)
+		t.Errorf("after four failures: got delay %v, want at least 2.25s", last)
 	}
 	onlyAction(t, h.request(1, idempotent), ActionSend)
 }
 
-// The agents of a fleet that start together poll in turn within startPollWindow, which leaves them time to be ready.
-func TestFirstPollsOfAFleetComeInTurn(t *testing.T) {
+// Agents that start together must poll in the order of their ranks, within startPollWindow: simultaneous polls may all
+// fail, and later polls would leave too little time to become ready.
+func TestFirstPollsAreOrderedByRank(t *testing.T) {
 	for _, agents := range []int{1, 6, 350, 900} {
 		last := time.Duration(0)
 		for rank := range agents {
@@ -47,15 +50,16 @@
 			h := newHarness(t, s)
 			a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: EndpointsCached, Endpoints: readyEndpoints(2)}), ActionSetTimer)
 			if a.Delay < last || a.Delay > min(startPollWindow, minPollInterval*time.Duration(agents)) {
-				t.Errorf("rank %d of %d polls after %v, the one before after %v", rank, agents, a.Delay, last)
+				t.Errorf("rank %d of %d: got a poll after %v, want %v to %v", rank, agents, a.Delay, last,
+					min(startPollWindow, minPollInterval*time.Duration(agents)))
 			}
 			last = a.Delay
 		}
 	}
 }
 
-// The next poll leaves time for its answer, and for another poll, before the agent counts as notified of what it missed.
-// Without such a bound agents poll in turn, and then less and less often, but within MaxPollInterval.
+// The next poll must leave time for its response, and for another poll, before the agent counts as notified of the
+// missed changes. Without a known remaining time, agents poll in slots by rank, then back off within MaxPollInterval.
 func TestPollsWithinRemainingTime(t *testing.T) {
 	for _, maxPollInterval := range []time.Duration{time.Second, 10 * time.Second, time.Minute} {
 		for _, agents := range []int{1, 6, 350} {
@@ -65,7 +69,7 @@
 			s.Agents = agents
 			s.Rank = agents - 1
 			for _, c := range []struct {
-				before      int // failures in a row
+				failures    int // consecutive ones before the poll under test
 				remaining   time.Duration
 				least, most time.Duration
 			}{
@@ -80,12 +84,12 @@
 				{9, 6 * time.Second, min(maxPollInterval/4, 2250*ms), min(maxPollInterval, 4500*ms)},
 			} {
 				h := newHarness(t, s, readyEndpoints(2)...)
-				for range c.before {
+				for range c.failures {
 					h.handle(Event{Kind: EventDiscovery, Update: PollFailed})
 				}
 				a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: PollFailed, Remaining: c.remaining}), ActionSetTimer)
 				if a.Delay < c.least || a.Delay > c.most {
-					t.Errorf("%d agents, %v: %d failures and %v left: waits %v, want %v to %v", agents, maxPollInterval, c.before+1,
+					t.Errorf("%d agents, MaxPollInterval %v, %d failures, %v remaining: got delay %v, want %v to %v", agents, maxPollInterval, c.failures+1,
 						c.remaining, a.Delay, c.least, c.most)
 				}
 			}
@@ -93,32 +97,32 @@
 	}
 }
 
-// Where the latency of discovery is known, further polls come at a rate that it can answer: each agent one in half of a
-// round to one and a half, sooner while there is time for one more, and within the bound at the latest. After a migration
-// the agents poll in turn again.
-func TestPollsArePacedByLatency(t *testing.T) {
+// If the latency of discovery is known, further polls must come at a rate that it can handle: one per agent in 0.5 to
+// 1.5 rounds, earlier if time remains for one more, and always within the bound. Otherwise the polls themselves would
+// overload discovery. After a migration the agents poll in slots by rank again.
+func TestPollDelayFollowsLatency(t *testing.T) {
 	for name, c := range map[string]struct {
 		agents      int
-		answer      time.Duration
-		mode        DiscoveryUpdate
-		before      int // failures in a row
+		latency     time.Duration
+		update      DiscoveryUpdate
+		failures    int // consecutive ones before the poll under test
 		remaining   time.Duration
 		elapsed     time.Duration // since the failed poll began
 		least, most time.Duration
 	}{
-		"the first failure":              {6, 450 * ms, PollFailed, 0, 6 * time.Second, 0, 2250 * ms, 2700 * ms}, // the last of 6 turns
-		"a further one":                  {6, 450 * ms, PollFailed, 1, 6 * time.Second, 0, 1350 * ms, 2550 * ms},
-		"little time left":               {6, 450 * ms, PollFailed, 1, 1500 * ms, 0, 1350 * ms, 1350 * ms},
-		"no time left":                   {6, 450 * ms, PollFailed, 1, 1, 0, 1350 * ms, 4050 * ms},
-		"many, no time left":             {6, 450 * ms, PollFailed, 9, 1, 0, 1350 * ms, 4050 * ms},
-		"a quick service":                {6, 10 * ms, PollFailed, 1, 6 * time.Second, 0, 300 * ms, 300 * ms},
-		"a large fleet":                  {350, 5700 * time.Microsecond, PollFailed, 1, 6 * time.Second, 0, 997 * ms, 2995 * ms},
-		"a slow service, no time left":   {6, 500 * ms, PollFailed, 1, 1, 0, 1500 * ms, 4500 * ms},
-		"a slower one is given the time": {6, time.Second, PollFailed, 1, 1, 0, 3 * time.Second, 4500 * ms},
-		"a migration after failures":     {6, 450 * ms, DiscoveryMigrated, 9, 4 * time.Second, 0, 2083 * ms, 2500 * ms},
-		"a failure after a migration":    {6, 450 * ms, PollFailed, 1, 2 * time.Second, 0, 1350 * ms, 1350 * ms},
-		"a poll that hung":               {6, 500 * ms, PollFailed, 1, 1, 3 * time.Second, 1500 * ms, 1500 * ms},
-		"a hedged poll that hung":        {6, 500 * ms, PollFailed, 1, 1, 4500 * ms, 300 * ms, 300 * ms},
+		"first failure":                  {6, 450 * ms, PollFailed, 0, 6 * time.Second, 0, 2250 * ms, 2700 * ms}, // the last of 6 slots
+		"second failure":                 {6, 450 * ms, PollFailed, 1, 6 * time.Second, 0, 1350 * ms, 2550 * ms},
+		"little time remains":            {6, 450 * ms, PollFailed, 1, 1500 * ms, 0, 1350 * ms, 1350 * ms},
+		"no time remains":                {6, 450 * ms, PollFailed, 1, 1, 0, 1350 * ms, 4050 * ms},
+		"many failures, no time remains": {6, 450 * ms, PollFailed, 9, 1, 0, 1350 * ms, 4050 * ms},
+		"fast service":                   {6, 10 * ms, PollFailed, 1, 6 * time.Second, 0, 300 * ms, 300 * ms},
+		"large fleet":                    {350, 5700 * time.Microsecond, PollFailed, 1, 6 * time.Second, 0, 997 * ms, 2995 * ms},
+		"slow service, no time remains":  {6, 500 * ms, PollFailed, 1, 1, 0, 1500 * ms, 4500 * ms},
+		"slower service":                 {6, time.Second, PollFailed, 1, 1, 0, 3 * time.Second, 4500 * ms},
+		"migration after failures":       {6, 450 * ms, DiscoveryMigrated, 9, 4 * time.Second, 0, 2083 * ms, 2500 * ms},
+		"failure after a migration":      {6, 450 * ms, PollFailed, 1, 2 * time.Second, 0, 1350 * ms, 1350 * ms},
+		"poll that hung":                 {6, 500 * ms, PollFailed, 1, 1, 3 * time.Second, 1500 * ms, 1500 * ms},
+		"hedged poll that hung":          {6, 500 * ms, PollFailed, 1, 1, 4500 * ms, 300 * ms, 300 * ms},
 	} {
 		for seed := range uint64(20) {
 			s := testSettings()
@@ -127,19 +131,19 @@
 			s.Agents = c.agents
 			s.Rank = c.agents - 1
 			h := newSeededHarness(t, s, seed, readyEndpoints(2)...)
-			for range c.before {
-				h.handle(Event{Kind: EventDiscovery, Update: PollFailed, PollLatency: c.answer})
+			for range c.failures {
+				h.handle(Event{Kind: EventDiscovery, Update: PollFailed, PollLatency: c.latency})
 			}
-			a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: c.mode, Remaining: c.remaining, PollLatency: c.answer, PollElapsed: c.elapsed}), ActionSetTimer)
+			a := onlyAction(t, h.handle(Event{Kind: EventDiscovery, Update: c.update, Remaining: c.remaining, PollLatency: c.latency, PollElapsed: c.elapsed}), ActionSetTimer)
 			if a.Delay < c.least || a.Delay > c.most {
-				t.Errorf("%s, seed %d: waits %v, want %v to %v", name, seed, a.Delay, c.least, c.most)
+				t.Errorf("%s, seed %d: got delay %v, want %v to %v", name, seed, a.Delay, c.least, c.most)
 			}
 		}
 	}
 }
 
-// Only the latest poll timer counts: one set before a migration or a failure would have the agent poll too soon.
-func TestLatestPollTimerCounts(t *testing.T) {
+// Only the latest poll timer may trigger a poll: one set before a migration or a failure would trigger it too early.
+func TestOnlyLatestPollTimerPolls(t *testing.T) {
 	s := testSettings()
 	s.PollEndpoints, s.MaxPollInterval = true, 10*time.Second
 	h := newHarness(t, s, readyEndpoints(2)...)
--- a/internal/balancer/settings_test.go
+++ b/internal/balancer/settings_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-func TestNewNamesTheInvalidSetting(t *testing.T) {
+// An invalid setting must be rejected, and the error must name its field, or operators cannot find it.
+func TestNewReportsInvalidSetting(t *testing.T) {
 	for field, invalidate := range map[string]func(*Settings){
 		"Agents":                      func(s *Settings) { s.Agents = 0 },
 		"Rank":                        func(s *Settings) { s.Rank = 1 },
@@ -34,11 +35,11 @@
 		invalidate(&s)
 		_, err := New(s, 1)
 		if err == nil || !strings.Contains(err.Error(), field) {
-			t.Errorf("%s: error %v", field, err)
+			t.Errorf("%s: got error %v, want one that names the field", field, err)
 		}
 		var invalid *SettingError
 		if !errors.As(err, &invalid) || invalid.Field != strings.TrimSpace(field) {
-			t.Errorf("%s: error %v names the field %+v", field, err, invalid)
+			t.Errorf("%s: got error %v with SettingError %+v, want its Field to be %q", field, err, invalid, strings.TrimSpace(field))
 		}
 	}
 }
--- a/internal/balancer/slowstart_fleet_test.go
+++ b/internal/balancer/slowstart_fleet_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// fleetEvent is an event that will reach one agent of a simulated fleet, if it has not restarted by then.
+// fleetEvent is a scheduled event for one agent of a simulated fleet. It is dropped if the agent restarts first.
 type fleetEvent struct {
 	at          time.Duration
 	agent       int
@@ -29,12 +29,13 @@
 	return last
 }
 
-// steadyTime is how long a fleet runs before some of its servers restart and warm up.
+// steadyTime is the run time of a fleet before some of its servers restart and warm up.
 const steadyTime = 5 * time.Second
 
-// Agents hear of the servers' restart, and some of them restart themselves, so long after it.
 const (
-	fleetNotifyDelay  = 300 * ms
+	// fleetNotifyDelay is the time from the restart of the servers until the agents are notified of it.
+	fleetNotifyDelay = 300 * ms
+	// fleetRestartDelay is the time from the restart of the servers until some agents restart.
 	fleetRestartDelay = 500 * ms
 )
 
@@ -42,9 +43,9 @@
 type warmingFleet struct {
 	agents, servers, warming int
 	requestsPerSecond        float64 // capacity of a warm server
-	load                     float64 // requests, as a part of the capacity of all servers when warm
-	trafficDeviation         float64 // standard deviation of the agents' traffic over its mean
-	failureShare             float64 // part of the attempts that fail at once
+	load                     float64 // requests divided by the capacity of all servers when warm
+	trafficDeviation         float64 // relative standard deviation of the agents' traffic
+	failureShare             float64 // share of the attempts that fail immediately
 	restartedAgents          int     // agents that restart while servers warm up
 	reports                  ReportMode
 }
@@ -60,10 +61,11 @@
 	queue        fleetEventQueue
 	restartedAt  time.Duration // when the first servers restart and begin to warm up
 	busyUntil    map[ServerID]time.Duration
-	sent         map[ServerID][]time.Duration // when servers that warm up were sent something
+	sent         map[ServerID][]time.Duration // when requests were sent to each warming server
 }
 
-// run lets the fleet run and returns when each server that warms up was sent something. Servers 1 to f.warming do.
+// run simulates the fleet, in which servers 1 to f.warming restart and warm up. It returns when requests were sent to
+// each of these servers after the restart.
 func (f warmingFleet) run(t *testing.T, settings Settings, seed uint64) map[ServerID][]time.Duration {
 	t.Helper()
 	const start = time.Hour
@@ -73,7 +75,7 @@
 		balancers: make([]*Balancer, f.agents), incarnations: make([]int, f.agents), restartedAt: start + steadyTime,
 		busyUntil: map[ServerID]time.Duration{}, sent: map[ServerID][]time.Duration{},
 	}
-	traffic := r.drawTraffic()
+	traffic := r.randomTraffic()
 	endpoints := readyEndpoints(f.servers)
 	for agent := range r.balancers {
 		r.startAgent(agent)
@@ -89,7 +91,7 @@
 	end := r.restartedAt + min(settings.SlowStartDuration, 10*time.Second)
 	for now := start; now < end; {
 		now += seconds(r.rng.ExpFloat64() / totalPerSecond)
-		r.handleDue(now)
+		r.handleDueEvents(now)
 		if !notified && now >= r.restartedAt+fleetNotifyDelay {
 			notified = true
 			for agent := range r.balancers {
@@ -112,8 +114,8 @@
 	return r.sent
 }
 
-// drawTraffic draws the agents' shares of the traffic.
-func (r *fleetRun) drawTraffic() prefixSums {
+// randomTraffic returns random shares of the traffic for the agents, log-normally distributed.
+func (r *fleetRun) randomTraffic() prefixSums {
 	weights := make(prefixSums, 0, r.agents)
 	sigma := math.Sqrt(math.Log(1 + r.trafficDeviation*r.trafficDeviation))
 	for range r.agents {
@@ -122,7 +124,7 @@
 	return weights
 }
 
-// startAgent starts an agent that knows nothing yet, in place of its earlier incarnation.
+// startAgent starts an agent without any state in place of its earlier incarnation.
 func (r *fleetRun) startAgent(agent int) {
 	own := r.settings
 	own.Rank = agent
@@ -134,8 +136,8 @@
 	r.incarnations[agent]++
 }
 
-// handleDue hands out the events that are due; those of an earlier incarnation are dropped.
-func (r *fleetRun) handleDue(now time.Duration) {
+// handleDueEvents delivers the events that are due, and drops those of earlier incarnations.
+func (r *fleetRun) handleDueEvents(now time.Duration) {
 	for len(r.queue) > 0 && r.queue[0].at <= now {
 		next := heap.Pop(&r.queue).(fleetEvent)
 		if next.incarnation == r.incarnations[next.agent] {
@@ -144,14 +146,14 @@
 	}
 }
 
-// handle hands one event to an agent and carries out the actions.
+// handle passes one event to an agent and carries out its actions.
 func (r *fleetRun) handle(now time.Duration, agent int, event Event) {
 	for _, action := range r.balancers[agent].Handle(now, event, nil) {
 		switch action.Kind {
 		case ActionSetTimer:
 			r.schedule(now+action.Delay, agent, Event{Kind: EventTimer, TimerID: action.TimerID})
 		case ActionSend:
-			r.answer(now, agent, action)
+			r.scheduleOutcome(now, agent, action)
 		}
 	}
 }
@@ -160,8 +162,8 @@
 	heap.Push(&r.queue, fleetEvent{at: at, agent: agent, incarnation: r.incarnations[agent], event: event})
 }
 
-// answer draws how and when an attempt ends.
-func (r *fleetRun) answer(now time.Duration, agent int, send Action) {
+// scheduleOutcome schedules a random outcome of an attempt.
+func (r *fleetRun) scheduleOutcome(now time.Duration, agent int, send Action) {
 	if now >= r.restartedAt && int(send.Server) <= r.warming {
 		r.sent[send.Server] = append(r.sent[send.Server], now)
 	}
@@ -174,7 +176,7 @@
 		outcome.Outcome, outcome.Answered = OutcomeError, false
 	} else {
 		free := max(now, r.busyUntil[send.Server])
-		serviceSeconds := r.rng.ExpFloat64() / (r.requestsPerSecond * r.warmth(send.Server, now))
+		serviceSeconds := r.rng.ExpFloat64() / (r.requestsPerSecond * r.warmupFactor(send.Server, now))
 		r.busyUntil[send.Server] = free + seconds(serviceSeconds)
 		latency = r.busyUntil[send.Server] - now
 		queue := (free - now).Seconds() * r.requestsPerSecond
@@ -183,8 +185,8 @@
 	r.schedule(now+latency, agent, outcome)
 }
 
-// warmth returns the share of its capacity that a server has.
-func (r *fleetRun) warmth(id ServerID, now time.Duration) float64 {
+// warmupFactor returns the share of its capacity that a server has.
+func (r *fleetRun) warmupFactor(id ServerID, now time.Duration) float64 {
 	if int(id) > r.warming || now < r.restartedAt {
 		return 1
 	}
@@ -192,10 +194,10 @@
 	return min(1, atStart+(1-atStart)*(now-r.restartedAt).Seconds()/r.settings.SlowStartDuration.Seconds())
 }
 
-// Together the agents of a fleet send a server that warms up no more than its budget and what is chance, in any span of a
-// given length: N + 2 sqrt(N) + 2 requests, N being what the settings allow for the least capacity that it has by then.
-// This holds with few agents and many, uneven traffic, several servers that start at once, agents that restart and know
-// nothing but the list, failed attempts that are retried, and more traffic than the servers can carry.
+// All agents of a fleet together must not overload a server that is warming up. In any window they may send it at most
+// N + 2 sqrt(N) + 2 requests, where N is the budget for the minimum capacity at that time and the rest allows for
+// chance. The cases have few and many agents, uneven traffic, several servers that start together, agents that restart
+// without state, failed attempts that are retried, and more traffic than the servers can handle.
 func TestSlowStartBudgetOfFleet(t *testing.T) {
 	settings := testSettings()
 	for i := range settings.Classes {
@@ -221,7 +223,7 @@
 			c.reports = []ReportMode{ReportsInline, ReportsOff}[i%2]
 			sent := c.run(t, settings, uint64(i))
 			if len(sent) < c.warming/2 {
-				t.Errorf("%+v: only %d of the servers that warm up are used", c, len(sent))
+				t.Errorf("%+v: got requests on %d of the warming servers, want at least %d", c, len(sent), c.warming/2)
 			}
 			for s, times := range sent {
 				first := 0
@@ -232,7 +234,8 @@
 					age := (at - time.Hour - steadyTime).Seconds() / site.slowStart.Seconds()
 					allowed := site.overloadFactor * min(1, site.minWeight+(1-site.minWeight)*age) * c.requestsPerSecond * site.window.Seconds()
 					if n := float64(last - first + 1); n > allowed+2*math.Sqrt(allowed)+2 {
-						t.Fatalf("%+v: server %d got %v requests in %v, its budget being %.1f", c, s, n, site.window, allowed)
+						t.Fatalf("%+v: got %v requests on server %d in %v, want at most %.1f for a budget of %.1f", c, n, s, site.window,
+							allowed+2*math.Sqrt(allowed)+2, allowed)
 					}
 				}
 			}
--- a/internal/balancer/slowstart_test.go
+++ b/internal/balancer/slowstart_test.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// A server that warms up gets no more than its present share even if it wins every pair.
+// A server that is warming up must get no more than its current share of the traffic, even if it wins every pair.
 func TestSlowStartBudget(t *testing.T) {
 	list := readyEndpoints(4)
 	list[3].Start = time.Hour
@@ -25,11 +25,11 @@
 		return warming / float64(n)
 	}
 	if got := count(4000); got < 0.01 || got > slowStartMargin*2.5*0.2/4*1.2 {
-		t.Errorf("a server at a fifth of its capacity got %v of the traffic of 4", got)
+		t.Errorf("one of 4 servers, at a fifth of its capacity: got a traffic share of %v, want 0.01 to %v", got, slowStartMargin*2.5*0.2/4*1.2)
 	}
 	h.now += 10 * time.Second
 	if got := count(4000); got < 0.15 {
-		t.Errorf("once warm it got %v", got)
+		t.Errorf("after warming up: got a traffic share of %v, want at least 0.15", got)
 	}
 	for i := range list {
 		list[i].Start = h.now
@@ -46,12 +46,13 @@
 		}
 	}
 	if share := float64(sent) / 4000; share > slowStartMargin*2.5*0.2 || share < 0.1 {
-		t.Errorf("a fleet that all warms up got %v of the traffic", share)
+		t.Errorf("all servers warming up: got a share of %v sent, want 0.1 to %v", share, slowStartMargin*2.5*0.2)
 	}
 }
 
-// Where most of a fleet warms up, its servers are picked by their expected warmth, and a send is not withheld as if each
-// request picked anew: the few servers that are warm cannot carry the rest.
+// If most servers are warming up, they must be picked by their expected warmup factor, and the send probability must
+// account for the repeated picks of withheld requests only, not of all requests: the few warm servers cannot handle the
+// remaining traffic.
 func TestWarmingFleetIsUsed(t *testing.T) {
 	list := readyEndpoints(10)
 	for i := range 6 {
@@ -71,12 +72,12 @@
 		}
 	}
 	if warming < 0.32 || warming > 0.6 {
-		t.Errorf("six servers half warm of ten got %v of the traffic, want 0.32 to 0.6", warming)
+		t.Errorf("six of ten servers halfway through slow start: got a traffic share of %v, want 0.32 to 0.6", warming)
 	}
 }
 
-// Two processes of one agent that divide its traffic send a server that warms up no more than one process with all of it:
-// the budget is a share of the traffic.
+// Two processes of one agent that share its traffic must together send a server that is warming up no more than one
+// process with all of the traffic. The slow-start budget is therefore a share of the traffic.
 func TestSlowStartBudgetOfTwoProcesses(t *testing.T) {
 	sent := func(processes int) (n int) {
 		settings := testSettings()
@@ -99,6 +100,6 @@
 		return n
 	}
 	if one, two := sent(1), sent(2); two > one+one/4 {
-		t.Errorf("one process sends %d to the server that warms up, two send %d", one, two)
+		t.Errorf("got %d requests to the warming server from two processes, want at most %d", two, one+one/4)
 	}
 }
--- a/internal/balancer/speed_test.go
+++ b/internal/balancer/speed_test.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// Listed weights may leave out how fast the cores of a kind are, and would overload the slow kind.
-func TestKindSpeedIsLearnt(t *testing.T) {
+// Listed weights may ignore the core speed of a machine kind. Without learned speeds they would overload a slow kind.
+func TestKindSpeedIsLearned(t *testing.T) {
 	list := readyEndpoints(8)
 	for i := range list {
 		list[i].Kind = i % 2
 	}
 	for name, learn := range map[string]func(h *harness, s *server){
-		"answers": func(h *harness, s *server) {
+		"responses": func(h *harness, s *server) {
 			h.b.recordLatency(h.b.classes[idempotent], &attempt{server: s, queueDepth: 1}, []float64{0.1, 0.2}[s.Kind])
 		},
-		"answers behind queues": func(h *harness, s *server) {
+		"responses after queueing": func(h *harness, s *server) {
 			latency := []float64{0.1, 0.2}[s.Kind]
 			h.b.recordReport(s, LoadReport{Known: true, InFlight: -1, Queue: 3, ServiceTime: 20 * ms})
 			h.b.recordLatency(h.b.classes[idempotent], &attempt{server: s, queueDepth: 4}, 4*latency)
@@ -34,12 +34,13 @@
 			speeds[s.Kind] = s.candidateSpeed
 		}
 		if r := speeds[0] / speeds[1]; r < 1.7 || r > 2.2 {
-			t.Errorf("%s: a kind that takes half as long is %v times as fast", name, r)
+			t.Errorf("%s, kind with half the latency: got %v times the speed, want 1.7 to 2.2", name, r)
 		}
 	}
 }
 
-// Where reports tell queues and no requests in flight, a new server is no faster than the others.
+// If reports contain queue lengths but no requests in flight, a new server must not look faster than the others, or it
+// would get too much traffic.
 func TestNewServerIsNoFaster(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(4)...)
 	var id RequestID
@@ -54,15 +55,16 @@
 	added := h.b.serversByID[5]
 	for _, s := range h.b.servers {
 		if r := h.b.speed(added) / h.b.speed(s); r < 0.8 || r > 1.25 {
-			t.Errorf("a new server is %.2f times as fast as server %d", r, s.ID)
+			t.Errorf("new server: got %.2f times the speed of server %d, want 0.8 to 1.25", r, s.ID)
 		}
 		if seconds := h.b.serviceSeconds(s); seconds < 0.03 || seconds > 0.08 {
-			t.Errorf("a request takes %.3f s on server %d, want 0.05", seconds, s.ID)
+			t.Errorf("server %d: got a service time of %.3f s, want 0.03 to 0.08", s.ID, seconds)
 		}
 	}
 }
 
-// A kind that is sent less and has fewer requests in flight is neither slower nor faster for it.
+// The number of requests in flight must not change the speed of a kind: a kind that gets more requests would look
+// faster and get even more.
 func TestTrafficDoesNotChangeSpeed(t *testing.T) {
 	list := readyEndpoints(4)
 	for i := range list {
@@ -79,12 +81,12 @@
 	h.pickPair()
 	for _, s := range h.b.servers {
 		if math.Abs(s.candidateSpeed-h.b.servers[0].candidateSpeed) > 0.01 {
-			t.Errorf("kind %d has speed %v, kind %d %v", s.Kind, s.candidateSpeed, h.b.servers[0].Kind, h.b.servers[0].candidateSpeed)
+			t.Errorf("kind %d: got speed %v, want %v as for kind %d", s.Kind, s.candidateSpeed, h.b.servers[0].candidateSpeed, h.b.servers[0].Kind)
 		}
 	}
 }
 
-// A class that takes ten times as long does not make a server slow, even one that happens to get all of it.
+// A class with ten times the latency must not make a server look slow, even one that gets all requests of that class.
 func TestSlowClassDoesNotSlowServer(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(2)...)
 	long, short := h.b.servers[0], h.b.servers[1]
@@ -94,7 +96,7 @@
 		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: short, queueDepth: 1}, 0.05)
 	}
 	if long.slowdown > 1.2 || short.slowdown < 0.8 {
-		t.Errorf("slowdowns %v and %v", long.slowdown, short.slowdown)
+		t.Errorf("slow and fast class: got slowdowns %v and %v, want at most 1.2 and at least 0.8", long.slowdown, short.slowdown)
 	}
 	for range 200 {
 		h.b.now += 50 * ms
@@ -102,12 +104,12 @@
 		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: short, queueDepth: 1}, 0.05)
 	}
 	if long.slowdown < 1.4*short.slowdown {
-		t.Errorf("a server three times slower: slowdowns %v and %v", long.slowdown, short.slowdown)
+		t.Errorf("server three times slower: got slowdowns %v and %v, want a ratio of at least 1.4", long.slowdown, short.slowdown)
 	}
 }
 
-// The latency of a server that warms up is expected. Were it learned as slowdown too, the server would be sent too little,
-// even for long after it is warm.
+// The latency of a server that is warming up is expected. If it also counted as slowdown, the server would get too
+// little traffic, even long after it has warmed up.
 func TestSlowStartIsNotSlowdown(t *testing.T) {
 	list := readyEndpoints(2)
 	list[1].Start = time.Hour
@@ -118,11 +120,11 @@
 		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: warming, queueDepth: 1}, 0.05/h.b.expectedWarmupFactor(warming))
 	}
 	if r := warming.slowdown / warm.slowdown; r < 0.8 || r > 1.25 {
-		t.Errorf("a server that warms up counts as %v times slower than a warm one of its kind", r)
+		t.Errorf("warming server: got %v times the slowdown of a warm one, want 0.8 to 1.25", r)
 	}
 }
 
-// Waiting behind this agent's own requests does not make a server slow.
+// Queueing behind this agent's own requests must not make a server look slow.
 func TestOwnQueueIsNotSlowdown(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(2)...)
 	busy, idle := h.b.servers[0], h.b.servers[1]
@@ -132,11 +134,12 @@
 		h.b.recordLatency(h.b.classes[idempotent], &attempt{server: idle, queueDepth: 1}, 0.1)
 	}
 	if busy.slowdown > 1.2*idle.slowdown {
-		t.Errorf("slowdown %v with four times the wait for three of our own, %v with none", busy.slowdown, idle.slowdown)
+		t.Errorf("four times the latency at four times the queue depth: got slowdown %v, want at most %v", busy.slowdown, 1.2*idle.slowdown)
 	}
 }
 
-// What was learned of the kinds of machine stays when the settings change, and is forgotten when their positions change.
+// What was learned about machine kinds must be kept when the settings change, and discarded when the list of kinds
+// changes: kinds are identified by their index.
 func TestAdoptKinds(t *testing.T) {
 	list := readyEndpoints(8)
 	for i := range list {
@@ -146,7 +149,7 @@
 	settings.Kinds = []string{"large", "small"}
 	for _, c := range []struct {
 		kinds []string
-		stays bool
+		kept  bool
 	}{{[]string{"large", "small"}, true}, {[]string{"small", "large"}, false}, {nil, false}} {
 		h := newHarness(t, settings, list...)
 		for i := range 80 {
@@ -162,8 +165,8 @@
 			t.Fatal(err)
 		}
 		ratio := h.b.speed(h.b.serversByID[1]) / h.b.speed(h.b.serversByID[2])
-		if c.stays != (ratio > 1.5) {
-			t.Errorf("kinds are %v now: the speeds' ratio is %v", c.kinds, ratio)
+		if c.kept != (ratio > 1.5) {
+			t.Errorf("new kinds %v: got a speed ratio of %v, want above 1.5 to be %v", c.kinds, ratio, c.kept)
 		}
 	}
 }
--- a/internal/balancer/trace_amd64_test.go
+++ b/internal/balancer/trace_amd64_test.go
@@ -14,10 +14,11 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// traceStart is the time of a trace's first event, far from zero so that differences and absolute times are told apart.
+// traceStart is the time of a trace's first event. It is far from zero, so that mixing up durations and absolute times
+// changes the trace.
 const traceStart = time.Hour
 
-// scheduledEvent is an event that reaches the balancer at a set time; sequence orders events of equal time.
+// scheduledEvent is an event that reaches the balancer at a given time; sequence orders events with equal times.
 type scheduledEvent struct {
 	at       time.Duration
 	sequence int
@@ -38,14 +39,14 @@
 	return last
 }
 
-// traceRequest is what the driver knows of an open request.
+// traceRequest is the driver's record of an open request.
 type traceRequest struct {
 	deadline time.Duration
 	attempts int
 	answered bool
 }
 
-// traceDriver drives one balancer by random events and hashes every action that it returns.
+// traceDriver passes random events to one balancer and hashes every action that it returns.
 type traceDriver struct {
 	t        *testing.T
 	balancer *balancer.Balancer
@@ -62,14 +63,14 @@
 	actions  map[balancer.ActionKind]int
 }
 
-// traceSettings draws settings with classes of every effect and scope, tenants, zones and kinds.
-func traceSettings(rng *rand.Rand) balancer.Settings {
+// randomSettings returns random settings with classes of every idempotency and dedup scope, tenants, zones and kinds.
+func randomSettings(rng *rand.Rand) balancer.Settings {
 	const ms = time.Millisecond
 	objective := time.Duration(50+rng.IntN(400)) * ms
-	class := func(name string, effect balancer.Idempotency, scope balancer.DedupScope) balancer.Class {
+	class := func(name string, idempotency balancer.Idempotency, scope balancer.DedupScope) balancer.Class {
 		return balancer.Class{
 			Name: name, LatencyObjective: objective, Deadline: objective * time.Duration(2+rng.IntN(3)), PriorityWeight: 0.5 + rng.Float64(),
-			LateWeight: float64(rng.IntN(2)) / 2, Idempotency: effect, DedupScope: scope, DedupWindow: time.Duration(100+rng.IntN(900)) * ms,
+			LateWeight: float64(rng.IntN(2)) / 2, Idempotency: idempotency, DedupScope: scope, DedupWindow: time.Duration(100+rng.IntN(900)) * ms,
 		}
 	}
 	classes := []balancer.Class{
@@ -97,7 +98,7 @@
 func newTraceDriver(t *testing.T, seed uint64) *traceDriver {
 	t.Helper()
 	rng := rand.New(rand.NewPCG(seed, 1))
-	settings := traceSettings(rng)
+	settings := randomSettings(rng)
 	decisions, err := balancer.New(settings, seed)
 	if err != nil {
 		t.Fatal(err)
@@ -107,13 +108,13 @@
 		requests: map[balancer.RequestID]*traceRequest{}, hash: fnv.New64a(), actions: map[balancer.ActionKind]int{},
 	}
 	for id := range 4 + rng.IntN(40) {
-		driver.servers = append(driver.servers, driver.drawServer(balancer.ServerID(id+1)))
+		driver.servers = append(driver.servers, driver.randomServer(balancer.ServerID(id+1)))
 	}
 	driver.handle(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: slices.Clone(driver.servers)})
 	return driver
 }
 
-func (d *traceDriver) drawServer(id balancer.ServerID) balancer.Endpoint {
+func (d *traceDriver) randomServer(id balancer.ServerID) balancer.Endpoint {
 	entry := balancer.Endpoint{
 		ID: id, Zone: int(id) % 3, Kind: int(id) % 2, Cell: int(id) % 4, State: balancer.Ready, Weight: float64(d.rng.IntN(5)),
 	}
@@ -136,8 +137,8 @@
 	}
 }
 
-// handle hands one event to the balancer, hashes the actions and carries them out. The text of log lines is no decision
-// and has no part in the hash.
+// handle passes one event to the balancer, hashes the actions and carries them out. The text of log lines is not a
+// decision and is not hashed.
 func (d *traceDriver) handle(event balancer.Event) {
 	for _, action := range d.balancer.Handle(d.now, event, nil) {
 		d.actions[action.Kind]++
@@ -145,7 +146,7 @@
 			uint64(action.Attempt), uint64(action.Timeout+action.RetryAfter+action.Delay), uint64(action.DispatchWithin), uint64(action.TimerID))
 		switch action.Kind {
 		case balancer.ActionSend:
-			d.answerAttempt(action)
+			d.scheduleOutcome(action)
 		case balancer.ActionReject, balancer.ActionFail:
 			d.requests[action.Request].answered = true
 		case balancer.ActionCancel:
@@ -158,27 +159,27 @@
 			d.schedule(action.Delay, balancer.Event{Kind: balancer.EventTimer, TimerID: action.TimerID})
 		case balancer.ActionHealthCheck:
 			d.schedule(time.Duration(d.rng.IntN(20))*time.Millisecond, balancer.Event{
-				Kind: balancer.EventHealthCheck, Server: action.Server, Outcome: balancer.Outcome(d.rng.IntN(3)), Load: d.drawLoad(),
+				Kind: balancer.EventHealthCheck, Server: action.Server, Outcome: balancer.Outcome(d.rng.IntN(3)), Load: d.randomLoad(),
 			})
 		case balancer.ActionPollEndpoints:
-			d.answerPoll()
+			d.schedulePollResult()
 		}
 	}
 }
 
-// answerAttempt draws how and when an attempt ends. One server in seven fails often.
-func (d *traceDriver) answerAttempt(action balancer.Action) {
+// scheduleOutcome schedules a random outcome of an attempt. Every seventh server fails often.
+func (d *traceDriver) scheduleOutcome(action balancer.Action) {
 	request := d.requests[action.Request]
 	event := balancer.Event{
-		Kind: balancer.EventOutcome, Request: action.Request, Attempt: request.attempts, Server: action.Server, Load: d.drawLoad(),
+		Kind: balancer.EventOutcome, Request: action.Request, Attempt: request.attempts, Server: action.Server, Load: d.randomLoad(),
 	}
 	request.attempts++
 	latency := time.Duration(d.rng.ExpFloat64() * float64(20+5*int(action.Server%7)) * float64(time.Millisecond))
-	failures := 0.1
+	failureShare := 0.1
 	if action.Server%7 == 0 {
-		failures = 0.6
+		failureShare = 0.6
 	}
-	if d.rng.Float64() < failures {
+	if d.rng.Float64() < failureShare {
 		event.Outcome = balancer.Outcome(1 + d.rng.IntN(int(balancer.OutcomeServerDraining)))
 	}
 	switch {
@@ -192,27 +193,27 @@
 	d.schedule(latency, event)
 }
 
-// answerPoll fails a third of the polls and answers the others by the endpoint list as it stands.
-func (d *traceDriver) answerPoll() {
-	took := time.Duration(d.rng.IntN(300)) * time.Millisecond
+// schedulePollResult lets a third of the polls fail; the others return the current endpoint list.
+func (d *traceDriver) schedulePollResult() {
+	latency := time.Duration(d.rng.IntN(300)) * time.Millisecond
 	event := balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: slices.Clone(d.servers)}
 	if d.rng.IntN(3) == 0 {
 		event = balancer.Event{
 			Kind: balancer.EventDiscovery, Update: balancer.PollFailed, Remaining: time.Duration(d.rng.IntN(6000)) * time.Millisecond,
-			PollLatency: time.Duration(d.rng.IntN(2)) * took, Outcome: balancer.Outcome(d.rng.IntN(3)),
+			PollLatency: time.Duration(d.rng.IntN(2)) * latency, Outcome: balancer.Outcome(d.rng.IntN(3)),
 		}
 	}
-	d.schedule(took, event)
+	d.schedule(latency, event)
 }
 
-func (d *traceDriver) drawLoad() balancer.LoadReport {
+func (d *traceDriver) randomLoad() balancer.LoadReport {
 	return balancer.LoadReport{
 		Known: d.rng.IntN(3) > 0, InFlight: float64(d.rng.IntN(12) - 2), Queue: float64(d.rng.IntN(8) - 2),
 		ServiceTime: time.Duration(d.rng.IntN(40)) * time.Millisecond,
 	}
 }
 
-// advance passes a random time; scheduled events happen on the way.
+// advance moves the time forward by a random duration and handles the scheduled events that become due.
 func (d *traceDriver) advance(mean time.Duration) {
 	end := d.now + time.Duration(d.rng.ExpFloat64()*float64(mean))
 	for len(d.queue) > 0 && d.queue[0].at <= end {
@@ -230,13 +231,13 @@
 	d.now = end
 }
 
-// step lets one random thing happen that the queue does not bring.
+// step handles one random event that is not in the queue.
 func (d *traceDriver) step() {
 	switch choice := d.rng.IntN(1000); {
 	case choice < 900:
 		d.request()
 	case choice < 940:
-		d.hangUp()
+		d.closeClient()
 	case choice < 980:
 		d.changeServer()
 	case choice < 990:
@@ -253,19 +254,19 @@
 func (d *traceDriver) request() {
 	d.nextID++
 	class := d.rng.IntN(len(d.settings.Classes))
-	left := d.settings.Classes[class].Deadline
+	remaining := d.settings.Classes[class].Deadline
 	retry := d.rng.IntN(6) == 0
 	if retry {
-		left = time.Duration(d.rng.Float64() * float64(left))
+		remaining = time.Duration(d.rng.Float64() * float64(remaining))
 	}
-	d.requests[d.nextID] = &traceRequest{deadline: d.now + left}
+	d.requests[d.nextID] = &traceRequest{deadline: d.now + remaining}
 	d.recent = append(d.recent, d.nextID)
 	d.handle(balancer.Event{
-		Kind: balancer.EventRequest, Request: d.nextID, Class: class, Tenant: d.rng.IntN(5) - 1, Remaining: left, Retry: retry,
+		Kind: balancer.EventRequest, Request: d.nextID, Class: class, Tenant: d.rng.IntN(5) - 1, Remaining: remaining, Retry: retry,
 	})
 }
 
-func (d *traceDriver) hangUp() {
+func (d *traceDriver) closeClient() {
 	if len(d.recent) == 0 {
 		return
 	}
@@ -284,17 +285,18 @@
 	case 1:
 		d.servers[i].State = balancer.Removed
 	case 2:
-		d.servers[i] = d.drawServer(d.servers[i].ID)
+		d.servers[i] = d.randomServer(d.servers[i].ID)
 	default:
-		d.servers = append(d.servers, d.drawServer(balancer.ServerID(len(d.servers)+1)))
+		d.servers = append(d.servers, d.randomServer(balancer.ServerID(len(d.servers)+1)))
 		i = len(d.servers) - 1
 	}
 	d.handle(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsChanged, Endpoints: []balancer.Endpoint{d.servers[i]}})
 }
 
-// reload adopts new settings; every other time the kinds change places, and what was learned of them is dropped.
+// reload adopts new random settings. With probability 1/2 it reverses the kinds, so that what was learned about them is
+// discarded.
 func (d *traceDriver) reload() {
-	d.settings = traceSettings(d.rng)
+	d.settings = randomSettings(d.rng)
 	if d.rng.IntN(2) == 0 {
 		slices.Reverse(d.settings.Kinds)
 	}
@@ -303,9 +305,10 @@
 	}
 }
 
-// The decisions of a balancer under seeded random events of every kind stay as they were recorded, to the last bit. A
-// change of behaviour that is meant replaces the hashes, and its commit says why. The hashes hold on amd64: other processors
-// may fuse a multiplication with an addition, which rounds otherwise.
+// The decisions of a balancer for seeded random events of all kinds must match the recorded ones to the last bit, or a
+// change has altered behaviour by accident. An intended change replaces the hashes, and its commit message explains
+// why. The hashes are only valid on amd64: other processors may fuse multiplication and addition, which rounds
+// differently.
 func TestDecisionTrace(t *testing.T) {
 	const steps = 8000
 	for _, test := range []struct {
@@ -331,7 +334,7 @@
 				driver.advance(time.Second)
 			}
 			if got := fmt.Sprintf("%016x", driver.hash.Sum64()); got != test.want {
-				t.Errorf("hash of all actions %s, recorded %s (actions by kind: %v)", got, test.want, driver.actions)
+				t.Errorf("hash of all actions: got %s, want %s (actions by kind: %v)", got, test.want, driver.actions)
 			}
 		})
 	}
