--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -24,7 +24,7 @@
 
 // maxFirstRound bounds the wait for the first calls of discovery. An agent has to be ready in 6 s whatever becomes of them, and
 // one that replaces another process waits for endpoints besides.
-const maxFirstRound = 4 * time.Second
+const maxFirstRoundWait = 4 * time.Second
 
 // Run serves until the context ends, then finishes its open requests and returns nil. Of a reloaded configuration it applies
 // the settings and the addresses of discovery and its relays.
@@ -35,11 +35,11 @@
 }
 
 // run does so with the listener that listening opens once the agent is ready for clients.
-func run(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, log *slog.Logger, listening func() (*net.TCPListener, error)) error {
+func run(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, log *slog.Logger, openListener func() (*net.TCPListener, error)) error {
 	// The parts outlive the context, because open requests are finished.
-	work, stop := context.WithCancel(context.WithoutCancel(ctx))
+	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
-	a, err := newAgent(work, cfg, log)
+	a, err := newAgent(workCtx, cfg, log)
 	if err != nil {
 		return err
 	}
@@ -55,17 +55,17 @@
 		// When the handover closes, the peers assume that this process holds no connection any more.
 		defer a.pool.Resize(0)
 	}
-	a.start(work, reloads)
-	return a.serveClients(ctx, work, listening)
+	a.start(workCtx, reloads)
+	return a.serveClients(ctx, workCtx, openListener)
 }
 
 // serveClients accepts clients until the context ends, and then shuts the agent down. The parts run with the context work.
-func (a *agent) serveClients(ctx, work context.Context, listening func() (*net.TCPListener, error)) error {
+func (a *agent) serveClients(ctx, workCtx context.Context, openListener func() (*net.TCPListener, error)) error {
 	a.awaitFirstRound(ctx)
 	if a.peers != nil {
 		a.loop.AwaitEndpoints(ctx)
 	}
-	tcp, err := listening()
+	tcp, err := openListener()
 	if err != nil {
 		return err
 	}
@@ -82,13 +82,13 @@
 		return fmt.Errorf("serving: %w", err)
 	case <-ctx.Done():
 	}
-	return a.shutDown(work, served)
+	return a.shutDown(workCtx, served)
 }
 
 // awaitFirstRound waits until discovery has been called once. The list that the agent starts from may be so old that changes
 // count as notified which it lacks, and a request could be sent to a server that was removed.
 func (a *agent) awaitFirstRound(ctx context.Context) {
-	limit := time.NewTimer(maxFirstRound)
+	limit := time.NewTimer(maxFirstRoundWait)
 	defer limit.Stop()
 	select {
 	case <-a.discovery.FirstRound():
@@ -111,7 +111,7 @@
 }
 
 // newAgent makes the parts, none of which runs yet. The context is the one that they will run with.
-func newAgent(work context.Context, cfg *config.Config, log *slog.Logger) (*agent, error) {
+func newAgent(workCtx context.Context, cfg *config.Config, log *slog.Logger) (*agent, error) {
 	limits := handover.LimitsFor(cfg, 1)
 	a := &agent{cfg: cfg, log: log, metrics: &metrics.Metrics{}}
 	a.pool = upstream.NewPool(&cfg.Settings, limits.ServerConns, a.metrics)
@@ -131,7 +131,7 @@
 	a.discovery.StartFrom(cfg.CachedEndpoints)
 	a.clients = inbound.New(inbound.Options{
 		Dispatcher: a.loop, Metrics: a.metrics, Buffers: stream.NewBuffers(limits.StreamBytes),
-		MaxRequests: limits.ActiveClientConns - limits.ActiveClientConns/8, Log: log, Done: work.Done(),
+		MaxRequests: limits.ActiveClientConns - limits.ActiveClientConns/8, Log: log, Done: workCtx.Done(),
 	})
 	a.quotas = handover.NewQuotas(cfg, a.clients.Listener(), a.pool)
 	return a, nil
@@ -139,11 +139,11 @@
 
 // start runs the loop, discovery and the reloads until the context ends. Nobody waits for them then: the process ends, and
 // they hold nothing that outlives it.
-func (a *agent) start(work context.Context, reloads <-chan config.ReloadResult) {
-	moves := make(chan discovery.Target)
-	reload := &reloader{loop: a.loop, metrics: a.metrics, moves: moves, log: a.log}
-	go a.loop.Run(work)
+func (a *agent) start(workCtx context.Context, reloads <-chan config.ReloadResult) {
+	targets := make(chan discovery.Target)
+	reload := &reloader{loop: a.loop, metrics: a.metrics, targets: targets, log: a.log}
+	go a.loop.Run(workCtx)
 	a.loop.NotifyEndpoints(discovery.WatchEvent{Update: balancer.EndpointsCached, Members: a.cfg.CachedEndpoints.Members})
-	go a.discovery.Run(work, moves)
-	go reload.run(work, reloads)
+	go a.discovery.Run(workCtx, targets)
+	go reload.run(workCtx, reloads)
 }
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -61,7 +61,7 @@
 // awaitReady waits until the agent is up.
 func (r *testAgent) awaitReady(t *testing.T) {
 	t.Helper()
-	for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(time.Millisecond) {
+	for started := time.Now(); time.Since(started) < agenttest.Timeout; time.Sleep(time.Millisecond) {
 		resp, err := r.client.Get(r.url + protocol.PathReady)
 		if err != nil {
 			continue
@@ -116,7 +116,7 @@
 	return start(t, agenttest.Config(t, l.Listener.Addr().String(), settings))
 }
 
-func TestPassesOnUnchanged(t *testing.T) {
+func TestForwardsUnchanged(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	a := startWith(t, agenttest.Settings, b)
 	req := a.request("keyed", "1500m")
@@ -137,36 +137,36 @@
 		got.Header.Get("Traceparent") != "00-1-2-01" {
 		t.Errorf("the server got %s %s %q %v", got.Method, got.RequestURI, sent, got.Header)
 	}
-	if left, err := protocol.ParseBudget(got.Header.Get(protocol.HeaderBudget)); err != nil || left > 1500*time.Millisecond {
-		t.Errorf("budget %v, error %v", left, err)
+	if remaining, err := protocol.ParseBudget(got.Header.Get(protocol.HeaderBudget)); err != nil || remaining > 1500*time.Millisecond {
+		t.Errorf("budget %v, error %v", remaining, err)
 	}
 }
 
 // An agent that is to stop answers what it has taken and what still comes, closes its connections behind the
 // answers, and ends well.
-func TestStop(t *testing.T) {
-	goOn := make(chan struct{})
+func TestGracefulShutdown(t *testing.T) {
+	proceed := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
-		<-goOn
+		<-proceed
 		return agenttest.OKAnswer, false
 	})
 	a := startWith(t, agenttest.Settings, b)
-	answers := make(chan *http.Response, 2)
-	ask := func() {
+	responses := make(chan *http.Response, 2)
+	send := func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(a.request("unsafe", "15000m"))
 		if err != nil {
 			t.Error(err)
 		}
-		answers <- resp
+		responses <- resp
 	}
-	go ask()
+	go send()
 	agenttest.Receive(t, "request", b.Requests)
 	a.stop()
-	go ask() // the listener is still open
+	go send() // the listener is still open
 	agenttest.Receive(t, "request after the signal", b.Requests)
-	close(goOn)
+	close(proceed)
 	for range 2 {
-		resp := agenttest.Receive(t, "answer", answers)
+		resp := agenttest.Receive(t, "answer", responses)
 		if resp == nil || resp.StatusCode != 200 || !resp.Close {
 			t.Errorf("answered %v", resp)
 		}
--- a/internal/agent/clientclosed_test.go
+++ b/internal/agent/clientclosed_test.go
@@ -16,13 +16,13 @@
 )
 
 // acceptWaiting has a listener that was full take its connections, old and new.
-func acceptWaiting(t *testing.T, fd int, handler http.Handler) {
+func acceptPending(t *testing.T, fd int, handler http.Handler) {
 	t.Helper()
-	own, err := syscall.Dup(fd) // the other one ends with the test
+	dup, err := syscall.Dup(fd) // the other one ends with the test
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := os.NewFile(uintptr(own), "listener")
+	f := os.NewFile(uintptr(dup), "listener")
 	defer f.Close()
 	l, err := net.FileListener(f)
 	if err != nil {
@@ -34,9 +34,9 @@
 }
 
 // closeClient ends a client's connection in one of the ways that there are.
-func closeClient(t *testing.T, c net.Conn, how string) {
+func closeClient(t *testing.T, c net.Conn, mode string) {
 	t.Helper()
-	switch how {
+	switch mode {
 	case "half":
 		c.(*net.TCPConn).CloseWrite()
 		return
@@ -50,30 +50,30 @@
 	c.Close()
 }
 
-var waysToClose = []string{"close", "half", "reset", "behind bytes", "behind many bytes"}
+var closeModes = []string{"close", "half", "reset", "behind bytes", "behind many bytes"}
 
 // Nothing is begun for a client that has gone, however it went, and whether or not the settings allow cancelling: what
 // waits for a connection then is not sent when that is up, and the connection carries the next one's request.
 func TestNoAttemptForClosedClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		for _, how := range waysToClose {
+		for _, mode := range closeModes {
 			for _, size := range []int{10, stream.MaxHeldBytes + 1000} {
-				t.Run(fmt.Sprintf("%s/cancel %v/%d bytes", how, cancel, size), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%s/cancel %v/%d bytes", mode, cancel, size), func(t *testing.T) {
 					t.Parallel()
 					addr, fd := agenttest.FullListener(t)
 					got := make(chan *http.Request, 100)
-					set := strings.NewReplacer(`"cancel":true`, fmt.Sprintf(`"cancel":%v`, cancel),
+					settings := strings.NewReplacer(`"cancel":true`, fmt.Sprintf(`"cancel":%v`, cancel),
 						`"connectTimeout":2000`, `"connectTimeout":20000`).Replace(agenttest.Settings)
 					l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", addr, "Ready", 0)))
-					a := start(t, agenttest.Config(t, l.Listener.Addr().String(), set))
+					a := start(t, agenttest.Config(t, l.Listener.Addr().String(), settings))
 					c := a.dial(t)
 					req := a.request("unsafe", "15000m")
 					req.Body, req.ContentLength = io.NopCloser(strings.NewReader(strings.Repeat("x", size))), int64(size)
 					if err := req.Write(c); err != nil {
 						t.Fatal(err)
 					}
-					closeClient(t, c, how)
-					acceptWaiting(t, fd, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+					closeClient(t, c, mode)
+					acceptPending(t, fd, http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 						io.Copy(io.Discard, r.Body)
 						got <- r
 						io.WriteString(w, "served")
@@ -95,13 +95,13 @@
 // A failed attempt of a client that has gone is followed by no other.
 func TestNoRetryForClosedClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
-		for _, how := range waysToClose {
-			t.Run(fmt.Sprintf("%s/cancel %v", how, cancel), func(t *testing.T) {
+		for _, mode := range closeModes {
+			t.Run(fmt.Sprintf("%s/cancel %v", mode, cancel), func(t *testing.T) {
 				t.Parallel()
 				clients, failed := make(chan net.Conn, 1), make(chan struct{}, 1)
 				fails := func(_ int, r *http.Request) (string, bool) {
 					if strings.HasPrefix(r.URL.Path, "/safe") {
-						closeClient(t, <-clients, how)
+						closeClient(t, <-clients, mode)
 						failed <- struct{}{}
 						return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false
 					}
@@ -121,16 +121,16 @@
 						t.Errorf("a client that stays is answered %d", status)
 					}
 				}
-				tries := 0
+				attempts := 0
 				for _, b := range []*agenttest.Server{x, y} {
 					for range len(b.Requests) {
 						if r := <-b.Requests; strings.HasPrefix(r.URL.Path, "/safe") {
-							tries++
+							attempts++
 						}
 					}
 				}
-				if tries != 1 {
-					t.Errorf("sent %d times", tries)
+				if attempts != 1 {
+					t.Errorf("sent %d times", attempts)
 				}
 			})
 		}
--- a/internal/agent/connectionend_test.go
+++ b/internal/agent/connectionend_test.go
@@ -15,10 +15,10 @@
 )
 
 // completeRequest makes a whole request of the unsafe class as it is sent.
-func (r *testAgent) completeRequest(t *testing.T, more string) string {
+func (r *testAgent) completeRequest(t *testing.T, headers string) string {
 	t.Helper()
 	return fmt.Sprintf("POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: call-%d\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\n"+
-		"X-Budget: 15000m\r\n%sContent-Length: 4\r\n\r\nbody", r.requestCount.Add(1), more)
+		"X-Budget: 15000m\r\n%sContent-Length: 4\r\n\r\nbody", r.requestCount.Add(1), headers)
 }
 
 // idleConn opens a connection that has had an answer and now rests.
@@ -39,22 +39,22 @@
 
 // When the agent is told to end, it ends the connections that rest. One on which a request has begun does not rest: the
 // request is served, and its connection ends behind the answer.
-func TestRequestCrossesTheEnd(t *testing.T) {
+func TestPartialRequestDuringShutdown(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	a := startWith(t, agenttest.Settings, b)
-	_, rests := a.idleConn(t)
-	crosses, br := a.idleConn(t)
+	_, idle := a.idleConn(t)
+	partial, br := a.idleConn(t)
 	text := a.completeRequest(t, "")
 	half := len(text) / 2
-	io.WriteString(crosses, text[:half])
+	io.WriteString(partial, text[:half])
 	for len(b.Requests) > 0 {
 		<-b.Requests
 	}
 	a.stop()
-	if _, err := rests.ReadByte(); err != io.EOF {
+	if _, err := idle.ReadByte(); err != io.EOF {
 		t.Fatalf("the resting connection ends with %v", err)
 	}
-	io.WriteString(crosses, text[half:])
+	io.WriteString(partial, text[half:])
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
 		t.Fatalf("no answer: %v", err)
@@ -73,12 +73,12 @@
 
 // Whatever ends a connection, and whatever its client sends meanwhile, the client gets its last answer whole and then an
 // orderly end, no reset.
-func TestAnswerComesWholeBeforeTheEnd(t *testing.T) {
-	ahead := strings.Repeat("GET /up HTTP/1.1\r\nHost: x\r\n\r\n", 3000) + "GET /up HT"
+func TestCompleteResponseBeforeClose(t *testing.T) {
+	pipelined := strings.Repeat("GET /up HTTP/1.1\r\nHost: x\r\n\r\n", 3000) + "GET /up HT"
 	for name, c := range map[string]struct {
-		ends   func(*testAgent) // while the request is under way; nil: its answer does
-		more   string
-		status int
+		closes  func(*testAgent) // while the request is under way; nil: its answer does
+		headers string
+		status  int
 	}{
 		"told to end":    {func(a *testAgent) { a.stop() }, "", 200},
 		"client's wish":  {nil, "Connection: close\r\n", 200},
@@ -87,19 +87,19 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			goOn := make(chan struct{})
+			proceed := make(chan struct{})
 			b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
-				<-goOn
+				<-proceed
 				return agenttest.OKAnswer, false
 			})
 			a := startWith(t, agenttest.Settings, b)
 			conn := a.dial(t)
-			io.WriteString(conn, a.completeRequest(t, c.more)+ahead)
+			io.WriteString(conn, a.completeRequest(t, c.headers)+pipelined)
 			if c.status == http.StatusOK {
 				agenttest.Receive(t, "request", b.Requests)
 			}
-			if c.ends != nil {
-				c.ends(a)
+			if c.closes != nil {
+				c.closes(a)
 				for up := http.StatusOK; up == http.StatusOK; { // until the agent knows
 					resp, err := a.client.Get(a.url + protocol.PathReady)
 					if err != nil {
@@ -109,7 +109,7 @@
 					up = resp.StatusCode
 				}
 			}
-			close(goOn)
+			close(proceed)
 			br := bufio.NewReader(conn)
 			resp, err := http.ReadResponse(br, nil)
 			if err != nil {
--- a/internal/agent/connections_test.go
+++ b/internal/agent/connections_test.go
@@ -42,9 +42,9 @@
 // Clients that keep connections without a request do not shut out others, and a request that is open is not
 // disturbed by them.
 func TestIdleClientsAreEvicted(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
-		<-goOn
+		<-proceed
 		return agenttest.OKAnswer, false
 	})
 	a := startWith(t, agenttest.Settings, b)
@@ -71,7 +71,7 @@
 		second <- resp.StatusCode
 	}()
 	agenttest.Receive(t, "request of a newcomer", b.Requests)
-	close(goOn)
+	close(proceed)
 	for _, answered := range []chan int{first, second} {
 		if status := agenttest.Receive(t, "answer", answered); status != 200 {
 			t.Errorf("answered %d", status)
@@ -83,10 +83,10 @@
 // next request as soon as the terms let the agent close one.
 func TestKeptConnectionsDoNotExhaustSockets(t *testing.T) {
 	a := startWith(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
-	held := make(chan struct{}, 1024/3)
+	open := make(chan struct{}, 1024/3)
 	for i := range 1024/3 + 1 {
 		select {
-		case held <- struct{}{}:
+		case open <- struct{}{}:
 		case <-time.After(inbound.IdleTimeout + time.Second):
 			t.Fatalf("no connection left for request %d", i)
 		}
@@ -97,7 +97,7 @@
 		}
 		go func() {
 			io.Copy(io.Discard, c) // until the agent closes it
-			<-held
+			<-open
 		}()
 	}
 }
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-func TestConsoleAddressTaken(t *testing.T) {
+func TestConsoleAddressInUse(t *testing.T) {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -95,9 +95,9 @@
 // While clients are drained /up says no, answers close their connections, what is idle for long enough is closed,
 // and what was taken is answered. Afterwards all is as before.
 func TestConsoleDrain(t *testing.T) {
-	goOn := make(chan struct{}, 2)
+	proceed := make(chan struct{}, 2)
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
-		<-goOn
+		<-proceed
 		return agenttest.OKAnswer, false
 	})
 	a, console := startWithConsole(t, b)
@@ -131,19 +131,19 @@
 	if status, said := up(), consoleCall(t, console, "check\n"); status == 200 || !strings.HasPrefix(said, "fail") {
 		t.Errorf("while clients are drained /up answers %d, check %q", status, said)
 	}
-	begun := time.Now()
-	unused.SetReadDeadline(begun.Add(agenttest.Timeout))
-	if _, err := unused.Read(make([]byte, 1)); err != io.EOF || time.Since(begun) > inbound.IdleGrace+time.Second { //nolint:errorlint // a plain end is wanted
-		t.Errorf("an idle connection ends with %v after %v", err, time.Since(begun))
+	started := time.Now()
+	unused.SetReadDeadline(started.Add(agenttest.Timeout))
+	if _, err := unused.Read(make([]byte, 1)); err != io.EOF || time.Since(started) > inbound.IdleGrace+time.Second { //nolint:errorlint // a plain end is wanted
+		t.Errorf("an idle connection ends with %v after %v", err, time.Since(started))
 	}
-	goOn <- struct{}{}
+	proceed <- struct{}{}
 	if resp := agenttest.Receive(t, "answer", taken); resp == nil || resp.StatusCode != 200 || !resp.Close {
 		t.Errorf("what was taken is answered %v", resp)
 	}
 	if got := consoleCall(t, console, "drain-off\n"); got != "ok\n" || up() != 200 {
 		t.Errorf("drain-off: %q, then /up %d", got, up())
 	}
-	goOn <- struct{}{}
+	proceed <- struct{}{}
 	if resp, err := a.client.Do(a.request("unsafe", "15000m")); err != nil || resp.StatusCode != 200 || resp.Close {
 		t.Errorf("afterwards: %v, error %v", resp, err)
 	}
@@ -151,17 +151,17 @@
 
 // A client that was slow to send while clients are drained is gone 4 s after a drain by the operators: what it had sent by
 // then is answered, and one that never ends is closed.
-func TestDrainEndsSlowClients(t *testing.T) {
-	goOn := make(chan struct{})
-	defer close(goOn)
+func TestDrainClosesSlowClients(t *testing.T) {
+	proceed := make(chan struct{})
+	defer close(proceed)
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
-		<-goOn
+		<-proceed
 		return agenttest.OKAnswer, false
 	})
 	a, console := startWithConsole(t, b)
 	head := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 15000m\r\nContent-Length: 0\r\n\r\n"
 	slowly := func(id string, begins, ends time.Duration) (answer string, took time.Duration) {
-		begun := time.Now()
+		started := time.Now()
 		time.Sleep(begins)
 		c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 		if err != nil {
@@ -169,13 +169,13 @@
 			return
 		}
 		defer c.Close()
-		c.SetDeadline(begun.Add(agenttest.Timeout))
+		c.SetDeadline(started.Add(agenttest.Timeout))
 		text := fmt.Sprintf(head, id)
 		io.WriteString(c, text[:30])
 		time.Sleep(ends - begins)
 		io.WriteString(c, text[30:])
 		got, _ := io.ReadAll(c)
-		return string(got), time.Since(begun)
+		return string(got), time.Since(started)
 	}
 	if got := consoleCall(t, console, "drain-on\n"); got != "ok\n" {
 		t.Fatalf("drain-on: %q", got)
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -18,7 +18,7 @@
 
 // An agent that starts with a known list asks for what has changed since, and for the whole list where discovery does
 // not know that revision any more, or the known list is no whole one.
-func TestStartsFromTheKnownList(t *testing.T) {
+func TestStartsFromCachedEndpoints(t *testing.T) {
 	x := agenttest.NewServer(t, agenttest.Serve)
 	member := agenttest.Member("x", x.Addr, "Ready", 0)
 	for _, c := range []struct {
@@ -51,7 +51,7 @@
 
 // An agent that starts with an old list takes no client before discovery has answered it, or has failed to: the list may name
 // servers whose removal counts as notified. One that cannot be answered takes clients in time.
-func TestNoClientBeforeTheFirstRound(t *testing.T) {
+func TestNoClientBeforeFirstRound(t *testing.T) {
 	for name, c := range map[string]struct {
 		mode    string
 		answers bool // discovery answers in the end; it hangs otherwise
@@ -81,7 +81,7 @@
 			if cfg.CachedEndpoints, err = discovery.Parse(agenttest.List(7, true, agenttest.Member("removed", removed.Addr, "Ready", 0))); err != nil {
 				t.Fatal(err)
 			}
-			begun := time.Now()
+			started := time.Now()
 			listening := make(chan struct{})
 			ctx, stop := context.WithCancel(context.Background())
 			defer stop()
@@ -103,7 +103,7 @@
 			}
 			if !c.answers {
 				agenttest.Receive(t, "listener", listening)
-				if took := time.Since(begun); took > 6*time.Second {
+				if took := time.Since(started); took > 6*time.Second {
 					t.Errorf("takes clients after %v", took)
 				}
 				return
@@ -119,7 +119,7 @@
 }
 
 // A server that drains gets nothing new once a watch has told so, and its list is followed without a gap.
-func TestDrain(t *testing.T) {
+func TestDrainingServerGetsNoRequests(t *testing.T) {
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", x.Addr, "Ready", 0), agenttest.Member("y", y.Addr, "Ready", 0)))
 	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
@@ -145,7 +145,7 @@
 
 // A reload moves to another discovery, which is asked for its whole list although its revisions are lower; the old
 // one's watch is given up.
-func TestReload(t *testing.T) {
+func TestReloadMigratesDiscovery(t *testing.T) {
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
 	old := agenttest.NewDiscovery(t, agenttest.List(7, true, agenttest.Member("x", x.Addr, "Ready", 0)))
 	next := agenttest.NewDiscovery(t, agenttest.List(2, true, agenttest.Member("y", y.Addr, "Ready", 0)))
@@ -177,7 +177,7 @@
 
 // Without discovery, and with lists that cannot be read, the agent goes on with what it has; then it asks for
 // the whole list.
-func TestDiscoveryLoss(t *testing.T) {
+func TestDiscoveryFailures(t *testing.T) {
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", x.Addr, "Ready", 0)))
 	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
@@ -209,7 +209,7 @@
 
 // Changes that do not follow the list held, as after a restart of discovery, lead to the whole list; so does a
 // discovery that is silent when a watch is over.
-func TestDiscoveryGapAndSilence(t *testing.T) {
+func TestDiscoveryGapAndTimeout(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	l := agenttest.NewDiscovery(t, agenttest.List(8, true, agenttest.Member("x", b.Addr, "Ready", 0)))
 	start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
@@ -231,14 +231,14 @@
 	b := agenttest.NewServer(t, agenttest.Serve)
 	set := strings.Replace(agenttest.Settings, `"automatic"`, `"subscribe"`, 1)
 	set = strings.Replace(set, `"extraFloor"`, `"mustAskIn":50,"extraFloor"`, 1)
-	whole := agenttest.List(1, true, agenttest.Member("x", b.Addr, "Ready", 0))
+	list := agenttest.List(1, true, agenttest.Member("x", b.Addr, "Ready", 0))
 	calls := 0
-	l := agenttest.NewDiscovery(t, whole)
+	l := agenttest.NewDiscovery(t, list)
 	l.SetList(func() []byte {
 		if calls++; calls <= 2 {
 			return nil
 		}
-		return whole
+		return list
 	})
 	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), set)) // which returns when the list has come
 	if n := len(l.Calls); n < 3 {
@@ -251,7 +251,7 @@
 
 // A call that hangs, in its dial or behind it, keeps neither the list of another discovery from coming after a move nor, once
 // it comes up, the list of its own.
-func TestCallsThatHang(t *testing.T) {
+func TestHangingDiscoveryCalls(t *testing.T) {
 	for _, mode := range []string{`"automatic"`, `"subscribe"`} {
 		for _, how := range []string{"dial", "answer"} {
 			for _, moves := range []bool{false, true} {
@@ -276,13 +276,13 @@
 						moved.Discovery = next.Listener.Addr().String()
 						a.reloads <- config.ReloadResult{Config: &moved}
 					case how == "dial":
-						acceptWaiting(t, fd, next.Config.Handler)
+						acceptPending(t, fd, next.Config.Handler)
 					default:
 						return // nothing comes up
 					}
-					begun := time.Now()
+					started := time.Now()
 					agenttest.Receive(t, "call", next.Calls)
-					if took := time.Since(begun); took > balancer.NotifyBoundAfterMigration {
+					if took := time.Since(started); took > balancer.NotifyBoundAfterMigration {
 						t.Errorf("asked after %v", took)
 					}
 				})
@@ -300,8 +300,8 @@
 	if cfg.CachedEndpoints, err = discovery.Parse(agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Ready", 0))); err != nil {
 		t.Fatal(err)
 	}
-	begun := time.Now()
-	if start(t, cfg); time.Since(begun) > time.Second {
-		t.Errorf("ready after %v with a list", time.Since(begun))
+	started := time.Now()
+	if start(t, cfg); time.Since(started) > time.Second {
+		t.Errorf("ready after %v with a list", time.Since(started))
 	}
 }
--- a/internal/agent/dispatch_test.go
+++ b/internal/agent/dispatch_test.go
@@ -13,9 +13,9 @@
 
 // The id of a request that is open, or was a moment ago, is no other's: the second is refused and the first served.
 func TestRequestIDsAreUsedOnce(t *testing.T) {
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
-		<-goOn
+		<-proceed
 		return agenttest.OKAnswer, false
 	})
 	a := startWith(t, agenttest.Settings, b)
@@ -34,7 +34,7 @@
 	if status := again(); status != http.StatusConflict {
 		t.Errorf("while the first is open: answered %d", status)
 	}
-	close(goOn)
+	close(proceed)
 	if status := agenttest.Receive(t, "answer", first); status != 200 {
 		t.Errorf("the first is answered %d", status)
 	}
@@ -48,12 +48,12 @@
 
 // A client that closes its connection cancels its attempts, which closes their connections.
 func TestClientClosesConnection(t *testing.T) {
-	released := make(chan struct{})
+	returned := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := startWith(t, agenttest.Settings, b)
 	ctx, closeConn := context.WithCancel(context.Background())
 	go func() {
-		defer close(released)
+		defer close(returned)
 		if resp, err := a.client.Do(a.request("unsafe", "15000m").WithContext(ctx)); err == nil {
 			resp.Body.Close()
 			t.Errorf("answered %s", resp.Status)
@@ -61,26 +61,26 @@
 	}()
 	agenttest.Receive(t, "request", b.Requests)
 	closeConn()
-	agenttest.Receive(t, "hangup", released)
+	agenttest.Receive(t, "hangup", returned)
 	agenttest.Receive(t, "close of the connection", b.Closed)
 }
 
 // Rejections by a server that tells how little it holds do not count as overload: while they last, the others are used and
 // nothing is shed.
 func TestRejectionsShedNothing(t *testing.T) {
-	const asked, more = 16, 5
-	loads := func(req *http.Request) bool { return req.URL.Path == protocol.PathLoad }
+	const initial, extra = 16, 5
+	isHealthCheck := func(req *http.Request) bool { return req.URL.Path == protocol.PathLoad }
 	report := "HTTP/1.1 200 OK\r\nContent-Length: 26\r\n\r\noutstanding=1,recent_ms=50"
 	reject, serve := make(chan struct{}), make(chan struct{})
 	x := agenttest.NewServer(t, func(_ int, req *http.Request) (string, bool) {
-		if loads(req) {
+		if isHealthCheck(req) {
 			return report, false
 		}
 		<-reject
 		return "HTTP/1.1 503 No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n", false
 	})
 	y := agenttest.NewServer(t, func(_ int, req *http.Request) (string, bool) {
-		if loads(req) {
+		if isHealthCheck(req) {
 			return report, false
 		}
 		<-serve
@@ -89,23 +89,23 @@
 	// With a tick of 5 s one probe of each lasts for the whole test.
 	a := startWith(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
 		`"maxAttempts":3`, `"maxAttempts":20,"probes":true`).Replace(agenttest.Settings), x, y)
-	answers := make(chan int, asked+more)
-	ask := func() {
+	answers := make(chan int, initial+extra)
+	send := func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
 		answers <- status
 	}
-	for range asked {
-		go ask()
+	for range initial {
+		go send()
 	}
 	atX, atY := 0, 0
-	for atX+atY < asked {
+	for atX+atY < initial {
 		select {
 		case req := <-x.Requests:
-			if !loads(req) {
+			if !isHealthCheck(req) {
 				atX++
 			}
 		case req := <-y.Requests:
-			if !loads(req) {
+			if !isHealthCheck(req) {
 				atY++
 			}
 		case <-time.After(agenttest.Timeout):
@@ -113,13 +113,13 @@
 		}
 	}
 	close(reject)
-	arrive := func(n int) {
+	awaitAtY := func(n int) {
 		for atY < n {
 			select {
 			case status := <-answers:
 				t.Fatalf("answered %d after %d rejections, with %d requests at the other", status, atX, atY)
 			case req := <-y.Requests:
-				if !loads(req) {
+				if !isHealthCheck(req) {
 					atY++
 				}
 			case <-time.After(agenttest.Timeout):
@@ -127,13 +127,13 @@
 			}
 		}
 	}
-	arrive(asked) // what was rejected too
-	for range more {
-		go ask()
+	awaitAtY(initial) // what was rejected too
+	for range extra {
+		go send()
 	}
-	arrive(asked + more)
+	awaitAtY(initial + extra)
 	close(serve)
-	for range asked + more {
+	for range initial + extra {
 		if status := agenttest.Receive(t, "answer", answers); status != http.StatusOK {
 			t.Errorf("answered %d after %d rejections", status, atX)
 		}
--- a/internal/agent/largelist_test.go
+++ b/internal/agent/largelist_test.go
@@ -14,17 +14,17 @@
 
 // An agent of 1,024 follows lists of 1,024 servers with the longest ids, indented, whole and as changes, within the
 // smallest limits; of a list that cannot be used nothing is taken, and the whole list is asked for.
-func TestLargeFleet(t *testing.T) {
+func TestLargeEndpointList(t *testing.T) {
 	const size, longestID = 1024, 256 // members, bytes
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
-	list := func(revision int, complete bool, phase string, of func(i int) bool) []byte {
+	list := func(revision int, complete bool, phase string, include func(i int) bool) []byte {
 		var members []string
 		for i := range size {
 			addr := x.Addr
 			if i%2 == 1 {
 				addr = y.Addr
 			}
-			if of(i) {
+			if include(i) {
 				members = append(members, agenttest.Member(fmt.Sprintf("%0*d", longestID, i), addr, phase, i))
 			}
 		}
@@ -36,8 +36,8 @@
 	}
 	all := func(int) bool { return true }
 	l := agenttest.NewDiscovery(t, list(1, true, "Ready", all))
-	set := strings.NewReplacer(`"replicasOfMe":1,"rank":0`, fmt.Sprintf(`"replicasOfMe":%d,"rank":%d`, size, size-1)).Replace(agenttest.Settings)
-	cfg := agenttest.Config(t, l.Listener.Addr().String(), set)
+	settings := strings.NewReplacer(`"replicasOfMe":1,"rank":0`, fmt.Sprintf(`"replicasOfMe":%d,"rank":%d`, size, size-1)).Replace(agenttest.Settings)
+	cfg := agenttest.Config(t, l.Listener.Addr().String(), settings)
 	cfg.MemoryMB, cfg.Sockets = 32, 256
 	known, err := discovery.Parse(list(1, true, "Ready", all))
 	if err != nil {
@@ -46,7 +46,7 @@
 	cfg.CachedEndpoints = known
 	a := start(t, cfg)
 	// served sends some requests and says how many each server got.
-	served := func() (got [2]int) {
+	requestsPerServer := func() (got [2]int) {
 		for range 20 {
 			if status, _ := a.do(t, a.request("safe", "15000m")); status != 200 {
 				t.Fatalf("answered %d", status)
@@ -62,7 +62,7 @@
 	}
 	agenttest.Receive(t, "first call", l.Calls)
 	agenttest.Receive(t, "watch", l.Calls)
-	if got := served(); got[0] == 0 || got[1] == 0 {
+	if got := requestsPerServer(); got[0] == 0 || got[1] == 0 {
 		t.Errorf("of the known list: %v at the servers", got)
 	}
 	for i, c := range []struct {
@@ -87,7 +87,7 @@
 			continue
 		}
 		time.Sleep(100 * time.Millisecond) // the loop has it
-		if got := served(); got[0] > 0 != c.x || got[1] > 0 != c.y {
+		if got := requestsPerServer(); got[0] > 0 != c.x || got[1] > 0 != c.y {
 			t.Errorf("list %d: %v at the servers", i, got)
 		}
 	}
--- a/internal/agent/listen.go
+++ b/internal/agent/listen.go
@@ -14,7 +14,7 @@
 func listen(ctx context.Context, addr string, shared bool) (*net.TCPListener, error) {
 	var config net.ListenConfig
 	if shared {
-		config.Control = sharePort
+		config.Control = setReusePort
 	}
 	l, err := config.Listen(ctx, "tcp", addr)
 	if err != nil {
@@ -23,7 +23,7 @@
 	return l.(*net.TCPListener), nil
 }
 
-func sharePort(_, _ string, raw syscall.RawConn) error {
+func setReusePort(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if controlErr := raw.Control(func(fd uintptr) {
 		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
--- a/internal/agent/memory_test.go
+++ b/internal/agent/memory_test.go
@@ -9,7 +9,7 @@
 )
 
 // The collector keeps to its part of the memory, with a console and without.
-func TestCollectorIsLimited(t *testing.T) {
+func TestMemoryLimit(t *testing.T) {
 	old := debug.SetMemoryLimit(-1)
 	defer debug.SetMemoryLimit(old)
 	debug.SetMemoryLimit(1 << 40)
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -21,7 +21,7 @@
 	expect := func(lines ...string) {
 		t.Helper()
 		var got string
-		for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(10 * time.Millisecond) {
+		for started := time.Now(); time.Since(started) < agenttest.Timeout; time.Sleep(10 * time.Millisecond) {
 			got = consoleCall(t, console, "vars\n")
 			missing := false
 			for _, l := range lines {
--- a/internal/agent/outcomes_test.go
+++ b/internal/agent/outcomes_test.go
@@ -15,13 +15,13 @@
 
 // Each row of the protocol's table of outcomes, first at one server that then serves: a keyed request may go
 // again whatever happened, an unsafe one only if it cannot have run.
-func TestOutcomes(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	rejected := "HTTP/1.1 %d No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, row := range []struct {
-		name   string
-		text   string
-		closes bool
-		ran    bool // it may have
+		name       string
+		text       string
+		closes     bool
+		mayHaveRun bool // it may have
 	}{
 		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false, true},
 		{"turned away with 503", fmt.Sprintf(rejected, 503), false, false},
@@ -47,21 +47,21 @@
 			}
 			for _, class := range []string{"keyed", "unsafe"} {
 				// The other attempt goes to the second server, so one script serves for both.
-				both := agenttest.NewServer(t, script)
-				other := agenttest.NewServer(t, agenttest.Serve)
-				a := startWith(t, agenttest.Settings, both, other)
-				for len(both.Requests) == 0 { // until the draw falls on the first
+				first := agenttest.NewServer(t, script)
+				second := agenttest.NewServer(t, agenttest.Serve)
+				a := startWith(t, agenttest.Settings, first, second)
+				for len(first.Requests) == 0 { // until the draw falls on the first
 					status, body := a.do(t, a.request(class, "15000m"))
-					again := class == "keyed" || !row.ran
+					retried := class == "keyed" || !row.mayHaveRun
 					switch {
-					case len(both.Requests) == 0 && status == 200:
-						<-other.Requests
-					case again && (status != 200 || body != "served"):
+					case len(first.Requests) == 0 && status == 200:
+						<-second.Requests
+					case retried && (status != 200 || body != "served"):
 						t.Errorf("%s: answered %d %q", class, status, body)
-					case !again && status != protocol.StatusFailed:
+					case !retried && status != protocol.StatusFailed:
 						t.Errorf("%s: answered %d", class, status)
-					case again && len(both.Requests)+len(other.Requests) != 2, !again && len(both.Requests)+len(other.Requests) != 1:
-						t.Errorf("%s: sent %d times", class, len(both.Requests)+len(other.Requests))
+					case retried && len(first.Requests)+len(second.Requests) != 2, !retried && len(first.Requests)+len(second.Requests) != 1:
+						t.Errorf("%s: sent %d times", class, len(first.Requests)+len(second.Requests))
 					}
 				}
 			}
@@ -71,7 +71,7 @@
 
 // A good answer is served whatever stands before and behind it; its connection is not used again, or what stands
 // behind it would be the next request's answer.
-func TestBytesAroundAnAnswer(t *testing.T) {
+func TestBytesAroundResponse(t *testing.T) {
 	for what, text := range map[string]string{
 		"a copy behind":   agenttest.OKAnswer + strings.Replace(agenttest.OKAnswer, "served", "again!", 1),
 		"noise behind":    agenttest.OKAnswer + "\x00\x01\r\n\r\n",
@@ -88,7 +88,7 @@
 }
 
 // A keyed request that may have run is not sent to a server that does not know its key.
-func TestKeyedStaysInItsCell(t *testing.T) {
+func TestRetryStaysInDedupCell(t *testing.T) {
 	breaks := func(int, *http.Request) (string, bool) { return "", true }
 	x, y := agenttest.NewServer(t, breaks), agenttest.NewServer(t, breaks)
 	a := startWith(t, agenttest.Settings, x, y)
@@ -104,8 +104,8 @@
 		t.Fatal(err)
 	}
 	closed.Close()
-	gone := &agenttest.Server{Addr: closed.Addr().String()}
-	a := startWith(t, agenttest.Settings, gone)
+	closedServer := &agenttest.Server{Addr: closed.Addr().String()}
+	a := startWith(t, agenttest.Settings, closedServer)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != protocol.StatusRejected {
 		t.Errorf("answered %d: what never ran can be refused", status)
 	}
@@ -126,7 +126,7 @@
 
 // An answer that is cut is never passed on as whole, however it is framed and wherever it breaks: a short one fails, and
 // the client of a long one sees that there was more.
-func TestCutAnswersAreNotWhole(t *testing.T) {
+func TestTruncatedResponses(t *testing.T) {
 	long := string(agenttest.Pattern(stream.MaxHeldBytes + 1000))
 	for name, text := range map[string]string{
 		"no length":             "HTTP/1.1 200 OK\r\n\r\nhalf",
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -15,7 +15,7 @@
 type reloader struct {
 	loop    *dispatch.Loop
 	metrics *metrics.Metrics
-	moves   chan<- discovery.Target
+	targets chan<- discovery.Target
 	log     *slog.Logger
 }
 
@@ -50,7 +50,7 @@
 		"discovery", next.Config.Discovery, "relays", len(next.Config.Relays), "classes", next.Config.Settings.ClassNames,
 		"max_attempts", next.Config.Settings.Balancer.MaxAttempts)
 	select {
-	case r.moves <- discovery.Target{Addr: next.Config.Discovery, Relays: next.Config.Relays}:
+	case r.targets <- discovery.Target{Addr: next.Config.Discovery, Relays: next.Config.Relays}:
 	case <-ctx.Done():
 	}
 }
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -14,19 +14,19 @@
 
 // Classes appear, vanish and become stricter; what is under way is answered as what it was taken for, and a broken
 // file changes nothing.
-func TestNewSettings(t *testing.T) {
-	goOn := make(chan struct{}, 100)
+func TestReloadSettings(t *testing.T) {
+	proceed := make(chan struct{}, 100)
 	b := agenttest.NewServer(t, func(_ int, r *http.Request) (string, bool) {
 		if r.Header.Get("X-Wait") != "" {
-			<-goOn
+			<-proceed
 		}
 		return agenttest.OKAnswer, false
 	})
 	a, console := startWithConsole(t, b)
 	expect := func(line string) {
 		t.Helper()
-		for begun := time.Now(); !strings.Contains(consoleCall(t, console, "vars\n"), line+"\n"); time.Sleep(time.Millisecond) {
-			if time.Since(begun) > agenttest.Timeout {
+		for started := time.Now(); !strings.Contains(consoleCall(t, console, "vars\n"), line+"\n"); time.Sleep(time.Millisecond) {
+			if time.Since(started) > agenttest.Timeout {
 				t.Fatalf("no %q in the metrics", line)
 			}
 		}
@@ -68,7 +68,7 @@
 			t.Errorf("%s %s: answered %d, want %d", c.method, c.class, status, c.want)
 		}
 	}
-	goOn <- struct{}{}
+	proceed <- struct{}{}
 	if status := agenttest.Receive(t, "answer", answered); status != 200 {
 		t.Errorf("what was under way is answered %d", status)
 	}
--- a/internal/agent/replacement_test.go
+++ b/internal/agent/replacement_test.go
@@ -30,7 +30,7 @@
 	p := &process{console: cfg.AdminAddr, stop: stop, ended: make(chan error, 1)}
 	t.Cleanup(stop)
 	go func() { p.ended <- Run(ctx, &cfg, nil, agenttest.DiscardLogger) }()
-	for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(time.Millisecond) {
+	for started := time.Now(); time.Since(started) < agenttest.Timeout; time.Sleep(time.Millisecond) {
 		if c, err := net.Dial("tcp", p.console); err == nil {
 			c.Close()
 			if consoleCall(t, p.console, "check\n") == "ok\n" {
@@ -54,21 +54,21 @@
 	}()
 	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
 	cfg.Listen = freeAddr(t)
-	now := startProcess(t, *cfg)
+	current := startProcess(t, *cfg)
 
-	var asked, failed atomic.Int64
-	clients, over := context.WithCancel(context.Background())
-	defer over()
-	var all sync.WaitGroup
+	var requests, failed atomic.Int64
+	clientCtx, stopClients := context.WithCancel(context.Background())
+	defer stopClients()
+	var wg sync.WaitGroup
 	for i := range 4 {
-		all.Go(func() {
+		wg.Go(func() {
 			client := &http.Client{Transport: &http.Transport{}, Timeout: agenttest.Timeout}
 			defer client.CloseIdleConnections()
-			for n := 0; clients.Err() == nil; n++ {
+			for n := 0; clientCtx.Err() == nil; n++ {
 				req, _ := http.NewRequest("GET", "http://"+cfg.Listen+"/safe/1", nil)
 				req.Header = http.Header{protocol.HeaderRequestID: {fmt.Sprintf("%d-%d", i, n)}, protocol.HeaderClass: {"safe"},
 					protocol.HeaderTenant: {"acme"}, protocol.HeaderBudget: {"15000m"}}
-				asked.Add(1)
+				requests.Add(1)
 				resp, err := client.Do(req)
 				if err != nil || resp.StatusCode != 200 {
 					failed.Add(1)
@@ -83,35 +83,35 @@
 	}
 	for range 2 {
 		next := startProcess(t, *cfg)
-		now.stop()
-		begun := time.Now()
-		if err := agenttest.Receive(t, "end of the process that is replaced", now.ended); err != nil || time.Since(begun) > maxKillDeadline {
-			t.Errorf("ended after %v with %v", time.Since(begun), err)
+		current.stop()
+		started := time.Now()
+		if err := agenttest.Receive(t, "end of the process that is replaced", current.ended); err != nil || time.Since(started) > maxKillDeadline {
+			t.Errorf("ended after %v with %v", time.Since(started), err)
 		}
-		now = next
-		if got := consoleCall(t, now.console, "check\n"); got != "ok\n" {
+		current = next
+		if got := consoleCall(t, current.console, "check\n"); got != "ok\n" {
 			t.Errorf("the next is asked: %q", got)
 		}
 	}
-	for asked.Load() < 50 { // however quickly they came up
+	for requests.Load() < 50 { // however quickly they came up
 		time.Sleep(time.Millisecond)
 	}
-	over()
-	all.Wait()
+	stopClients()
+	wg.Wait()
 	// The kernel resets a connection that is just coming up as its listener closes: one a replacement at most, where
 	// the queue of a listener that simply closes holds many.
 	if failed.Load() > 2 {
-		t.Errorf("%d of %d requests failed", failed.Load(), asked.Load())
+		t.Errorf("%d of %d requests failed", failed.Load(), requests.Load())
 	}
 }
 
 // While a process is replaced, a request id is taken by one of the two processes, whichever a client brings it to first, and by none
 // while the other has it.
-func TestIDIsTakenByOneProcess(t *testing.T) {
+func TestRequestIDAcrossProcesses(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
-	goOn := make(chan struct{})
+	proceed := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
-		<-goOn
+		<-proceed
 		return agenttest.OKAnswer, false
 	})
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", b.Addr, "Ready", 0)))
@@ -147,12 +147,12 @@
 		if status := agenttest.Receive(t, "answer to the repeat", send(order[1], id)); status != http.StatusConflict {
 			t.Errorf("%s is taken twice: the repeat is answered %d", id, status)
 		}
-		goOn <- struct{}{}
+		proceed <- struct{}{}
 		if status := agenttest.Receive(t, "answer", first); status != http.StatusOK {
 			t.Errorf("%s is answered %d", id, status)
 		}
 	}
-	close(goOn)
+	close(proceed)
 	for i := range 50 { // in whatever order
 		id := fmt.Sprintf("at-once-%d", i)
 		older, newer := send(olderCfg.Listen, id), send(newerCfg.Listen, id)
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -83,12 +83,12 @@
 }
 
 // What a request is owed is owed before its client gives up.
-func TestAnswersAreDueBeforeTheClientGivesUp(t *testing.T) {
+func TestForwardedBudgetIsReduced(t *testing.T) {
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := startWith(t, agenttest.Settings, b)
-	begun := time.Now()
-	ctx, gone := context.WithCancel(t.Context())
-	defer gone()
+	started := time.Now()
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
 	req := a.request("unsafe", "20000m").WithContext(ctx)
 	go func() {
 		if resp, err := a.client.Do(req); err == nil { // the server never answers
@@ -96,9 +96,9 @@
 		}
 	}()
 	sent := agenttest.Receive(t, "request", b.Requests)
-	left, err := protocol.ParseBudget(sent.Header.Get(protocol.HeaderBudget))
-	if latest := 20*time.Second - inbound.MaxAnswerMargin; err != nil || left > latest || left < latest-time.Since(begun) {
-		t.Errorf("passed on with a budget of %v, want at most %v: %v", left, latest, err)
+	remaining, err := protocol.ParseBudget(sent.Header.Get(protocol.HeaderBudget))
+	if latest := 20*time.Second - inbound.MaxAnswerMargin; err != nil || remaining > latest || remaining < latest-time.Since(started) {
+		t.Errorf("passed on with a budget of %v, want at most %v: %v", remaining, latest, err)
 	}
 }
 
--- a/internal/agent/serverdraining_test.go
+++ b/internal/agent/serverdraining_test.go
@@ -10,12 +10,12 @@
 
 // A request on its way to a server that begins to drain before anything was sent goes on to another at once, whatever its
 // class and however few attempts are allowed.
-func TestLeavingWhileConnecting(t *testing.T) {
-	x, y := agenttest.DeafAddr(t), agenttest.NewServer(t, agenttest.Serve)
-	set := strings.NewReplacer(`"maxAttempts":3`, `"maxAttempts":1`, `"extraFloor":100`, `"extraFloor":0`,
+func TestServerDrainsWhileConnecting(t *testing.T) {
+	x, y := agenttest.UnresponsiveAddr(t), agenttest.NewServer(t, agenttest.Serve)
+	settings := strings.NewReplacer(`"maxAttempts":3`, `"maxAttempts":1`, `"extraFloor":100`, `"extraFloor":0`,
 		`"connectTimeout":2000`, `"connectTimeout":20000`).Replace(agenttest.Settings)
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", x, "Ready", 0)))
-	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), set))
+	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), settings))
 	agenttest.Receive(t, "first call", l.Calls)
 	for i, class := range []string{"unsafe", "keyed", "safe"} {
 		answered := make(chan int, 1)
@@ -25,10 +25,10 @@
 		}()
 		time.Sleep(200 * time.Millisecond) // it waits for the connection
 		agenttest.Receive(t, "watch", l.Calls)
-		begun := time.Now()
+		started := time.Now()
 		l.Next <- agenttest.List(2+2*i, true, agenttest.Member("x", x, "Terminating", 0), agenttest.Member("y", y.Addr, "Ready", 0))
-		if status := agenttest.Receive(t, "answer", answered); status != 200 || time.Since(begun) > 5*time.Second {
-			t.Errorf("%s: answered %d after %v", class, status, time.Since(begun))
+		if status := agenttest.Receive(t, "answer", answered); status != 200 || time.Since(started) > 5*time.Second {
+			t.Errorf("%s: answered %d after %v", class, status, time.Since(started))
 		}
 		agenttest.Receive(t, "request", y.Requests)
 		agenttest.Receive(t, "watch", l.Calls)
--- a/internal/agent/shutdown_test.go
+++ b/internal/agent/shutdown_test.go
@@ -11,7 +11,7 @@
 )
 
 // What is still open when the process is about to be killed is answered as failed.
-func TestLastAnswers(t *testing.T) {
+func TestOpenRequestsFailBeforeKill(t *testing.T) {
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := startWith(t, strings.ReplaceAll(agenttest.Settings, `"aim":20000,"deadline":30000`, `"aim":1000,"deadline":1000`), b)
 	answered := make(chan int, 1)
@@ -20,10 +20,10 @@
 		answered <- status
 	}()
 	agenttest.Receive(t, "request", b.Requests)
-	begun := time.Now()
+	started := time.Now()
 	a.stop()
-	if status := agenttest.Receive(t, "answer", answered); status != protocol.StatusFailed || time.Since(begun) > time.Second+killMargin {
-		t.Errorf("answered %d after %v", status, time.Since(begun))
+	if status := agenttest.Receive(t, "answer", answered); status != protocol.StatusFailed || time.Since(started) > time.Second+killMargin {
+		t.Errorf("answered %d after %v", status, time.Since(started))
 	}
 	if err := agenttest.Receive(t, "end", a.ended); err != nil {
 		t.Error(err)
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -82,9 +82,9 @@
 
 // The first bytes of a long answer go on while the rest is still to come, whatever its framing, and a pause within it
 // breaks nothing.
-func TestFirstBytesGoOnAtOnce(t *testing.T) {
+func TestLongResponseIsStreamed(t *testing.T) {
 	for _, length := range []string{"", "200000"} {
-		goOn := make(chan struct{})
+		proceed := make(chan struct{})
 		body := agenttest.Pattern(200_000)
 		a := startStreaming(t, func(w http.ResponseWriter, _ *http.Request) {
 			if length != "" {
@@ -95,10 +95,10 @@
 				w.(http.Flusher).Flush()
 				time.Sleep(2 * upstream.CompleteWait)
 			}
-			<-goOn
+			<-proceed
 			w.Write(body[2000:])
 		})
-		release := sync.OnceFunc(func() { close(goOn) })
+		release := sync.OnceFunc(func() { close(proceed) })
 		t.Cleanup(release) // or a failure would leave the server waiting, and its end with it
 		resp, err := a.client.Do(a.request("safe", "15000m"))
 		if err != nil {
@@ -118,13 +118,13 @@
 
 // A long answer that breaks off, stalls or lies about its length is not whole for the client either, is no second
 // attempt's, and counts as failed.
-func TestBrokenLongAnswers(t *testing.T) {
-	for what, play := range map[string]string{
+func TestBrokenLongResponses(t *testing.T) {
+	for what, response := range map[string]string{
 		"breaks off":        "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 70000),
 		"breaks off chunks": "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + strings.Repeat("x", 70000) + "\r\n",
 		"bad chunk":         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n11170\r\n" + strings.Repeat("x", 70000) + "\r\nzz\r\n",
 	} {
-		b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return play, true })
+		b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return response, true })
 		a, console := startWithConsole(t, b)
 		resp, err := a.client.Do(a.request("keyed", "15000m"))
 		if err == nil {
@@ -137,8 +137,8 @@
 		if n := len(b.Requests); n != 1 {
 			t.Errorf("%s: sent %d times", what, n)
 		}
-		for begun := time.Now(); !strings.Contains(consoleCall(t, console, "vars\n"), `{kind="keyed",result="errors"} 1`); {
-			if time.Since(begun) > agenttest.Timeout {
+		for started := time.Now(); !strings.Contains(consoleCall(t, console, "vars\n"), `{kind="keyed",result="errors"} 1`); {
+			if time.Since(started) > agenttest.Timeout {
 				t.Fatalf("%s: not counted as failed", what)
 			}
 		}
@@ -146,7 +146,7 @@
 }
 
 // A long answer that breaks off before any of it was passed on is a failed attempt, and another is made.
-func TestLongAnswerThatBreaksOffEarly(t *testing.T) {
+func TestLongResponseBrokenEarly(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 200000", "Transfer-Encoding: chunked"} {
 		b := agenttest.NewServer(t, func(n int, _ *http.Request) (string, bool) {
 			if n == 0 {
@@ -192,11 +192,11 @@
 
 // A body that stalls is answered or closed in time, and no server ever has all of it; one that comes slowly enough to
 // take longer is served.
-func TestBodiesFollowAPace(t *testing.T) {
-	whole := make(chan int, 10)
+func TestStalledBodies(t *testing.T) {
+	complete := make(chan int, 10)
 	a := startStreaming(t, func(_ http.ResponseWriter, r *http.Request) {
 		if body, err := io.ReadAll(r.Body); err == nil {
-			whole <- len(body)
+			complete <- len(body)
 		}
 	})
 	head := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n%s\r\n"
@@ -215,11 +215,11 @@
 		{"Transfer-Encoding: chunked\r\n", "5\r\nsome"},
 		{"Transfer-Encoding: chunked\r\n", "11170\r\n" + strings.Repeat("x", 70000) + "\r\n7\r\n"},
 	} {
-		begun := time.Now()
+		started := time.Now()
 		conn := open(fmt.Sprint(i), c.framing)
 		io.WriteString(conn, c.sent)
 		answer, _ := io.ReadAll(conn)
-		if took := time.Since(begun); took > 3*time.Second || len(answer) > 0 && answer[9] != '4' && answer[9] != '5' {
+		if took := time.Since(started); took > 3*time.Second || len(answer) > 0 && answer[9] != '4' && answer[9] != '5' {
 			t.Errorf("%s: answered %q after %v", c.framing, answer, took)
 		}
 	}
@@ -231,14 +231,14 @@
 	if resp, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || resp.StatusCode != 200 {
 		t.Errorf("a slow body: %v, error %v", resp, err)
 	}
-	if n := agenttest.Receive(t, "body", whole); n != 100_000 || len(whole) > 0 {
-		t.Errorf("a body of %d bytes came to its end, and %d more", n, len(whole))
+	if n := agenttest.Receive(t, "body", complete); n != 100_000 || len(complete) > 0 {
+		t.Errorf("a body of %d bytes came to its end, and %d more", n, len(complete))
 	}
 }
 
 // A client that is refused while it is still sending hears so, and is not cut off: its connection is read to the body's
 // end before it closes.
-func TestRefusedWhileSending(t *testing.T) {
+func TestRejectedWhileSending(t *testing.T) {
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Terminating", 0)))
 	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
@@ -263,7 +263,7 @@
 }
 
 // The first bytes of a request count for the request: one that begins as its connection's idle time ends is not cut off.
-func TestSlowHeadOnAKeptConnection(t *testing.T) {
+func TestSlowHeadOnKeepAliveConnection(t *testing.T) {
 	a := startWith(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
 	if err != nil {
--- a/internal/agenttest/discovery.go
+++ b/internal/agenttest/discovery.go
@@ -54,14 +54,14 @@
 }
 
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request) {
-	var nothing <-chan time.Time // new, where the call does not wait
+	var noChange <-chan time.Time // new, where the call does not wait
 	if r.URL.Query().Get("wait_ms") == "0" {
-		nothing = time.After(50 * time.Millisecond)
+		noChange = time.After(50 * time.Millisecond)
 	}
 	select {
 	case text := <-d.Next:
 		send(w, string(text))
-	case <-nothing:
+	case <-noChange:
 		send(w, fmt.Sprintf(`{"revision":%s,"complete":false,"members":[]}`, r.URL.Query().Get("after")))
 	case <-r.Context().Done():
 	}
--- a/internal/agenttest/listener.go
+++ b/internal/agenttest/listener.go
@@ -9,7 +9,7 @@
 )
 
 // DeafAddr returns an address at which connections never come up.
-func DeafAddr(t *testing.T) string {
+func UnresponsiveAddr(t *testing.T) string {
 	addr, _ := FullListener(t)
 	return addr
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -94,7 +94,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := checkPresent(required, contents); err != nil {
+	if err := checkKeysPresent(required, contents); err != nil {
 		return nil, err
 	}
 	if err := doc.checkAddresses(); err != nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -24,7 +24,7 @@
  "limits":{"maxAttempts":3,"cancel":true,"secondCopies":true,"retryAfter":true,"connectTimeout":2000,"idleClose":30000},
  "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"extraFloor":100,"extraWindow":1000}}`
 
-func TestBadConfig(t *testing.T) {
+func TestParseRejectsBadValues(t *testing.T) {
 	if _, err := Parse([]byte(configText)); err != nil {
 		t.Fatal(err)
 	}
@@ -89,20 +89,20 @@
 	if cfg, err := Parse([]byte(with(`"relays":` + relaysText(1024) + `,`))); err != nil || len(cfg.Relays) != 1024 {
 		t.Errorf("1,024 relays: error %v", err)
 	}
-	present, err := Parse([]byte(with(`"relays":["10.0.0.1:80"],`)))
+	current, err := Parse([]byte(with(`"relays":["10.0.0.1:80"],`)))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ParseReload([]byte(configText), present); err == nil || err.Error() != "relays: missing" {
+	if _, err := ParseReload([]byte(configText), current); err == nil || err.Error() != "relays: missing" {
 		t.Errorf("a text without relays: error %v", err)
 	}
-	if next, err := ParseReload([]byte(with(`"relays":[],`)), present); err != nil || len(next.Relays) > 0 {
+	if next, err := ParseReload([]byte(with(`"relays":[],`)), current); err != nil || len(next.Relays) > 0 {
 		t.Errorf("a text with an empty list: error %v", err)
 	}
 }
 
 // A file that lacks what the present one has, or says what cannot be, is rejected with the name of the field.
-func TestBrokenFiles(t *testing.T) {
+func TestReloadRejectsBadFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -110,15 +110,15 @@
 		}
 	}
 	write(configText)
-	present, err := Load(path)
+	current, err := Load(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := Reload(path, present); r.Err != nil {
+	if r := Reload(path, current); r.Err != nil {
 		t.Fatalf("the same file: %v", r.Err)
 	}
 	write(strings.Replace(configText, `{"name":"unsafe"`, `{"name":"new","aim":1,"deadline":2,"credit":1,"effect":"pure"},{"name":"unsafe"`, 1))
-	if r := Reload(path, present); r.Err != nil {
+	if r := Reload(path, current); r.Err != nil {
 		t.Fatalf("a class more: %v", r.Err)
 	}
 	for _, c := range []struct{ field, old, new string }{
@@ -144,10 +144,10 @@
 			t.Fatalf("%s: nothing replaced", c.field)
 		}
 		write(text)
-		if next, err := ParseReload([]byte(text), present); err == nil || next != nil {
+		if next, err := ParseReload([]byte(text), current); err == nil || next != nil {
 			t.Errorf("%s for %.40s: the text is accepted", c.new, c.old)
 		}
-		r := Reload(path, present)
+		r := Reload(path, current)
 		if r.Err == nil || !strings.Contains(strings.ToLower(r.Err.Error()), strings.ToLower(c.field)) {
 			t.Errorf("%s for %.40s: error %v, want one that names %q", c.new, c.old, r.Err, c.field)
 		}
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -37,7 +37,7 @@
 }
 
 // same says whether two configurations mean the same, whatever their texts were.
-func same(got, want *Config) bool {
+func equalConfig(got, want *Config) bool {
 	if got == nil {
 		return false
 	}
@@ -47,27 +47,27 @@
 }
 
 // Every key goes to its field.
-func TestEveryKey(t *testing.T) {
+func TestParseSetsEveryField(t *testing.T) {
 	want := fullConfig(t)
 	for v, i := reflect.ValueOf(*want), 0; i < v.NumField(); i++ {
 		if name := v.Type().Field(i).Name; v.Field(i).IsZero() && name != "contents" {
 			t.Errorf("%s is not tested: its value is zero", name)
 		}
 	}
-	if got, err := Parse([]byte(fullText)); err != nil || !same(got, want) {
+	if got, err := Parse([]byte(fullText)); err != nil || !equalConfig(got, want) {
 		t.Errorf("error %v\ngot  %+v\nwant %+v", err, got, want)
 	}
 }
 
 // Keys that may be left out are found whatever their case, the last of two counts, and what is not known is left out. What
 // has to be there is looked for by its very name.
-func TestOddKeys(t *testing.T) {
+func TestKeyMatching(t *testing.T) {
 	for name, text := range map[string]string{
 		"case":    strings.NewReplacer(`"console"`, `"Console"`, `"relays"`, `"RELAYS"`, `"known"`, `"Known"`).Replace(fullText),
 		"twice":   strings.Replace(fullText, `"cores":0.5`, `"cores":9,"Cores":0.5`, 1),
 		"unknown": strings.Replace(fullText, `"seed"`, `"colour":"red","seed"`, 1),
 	} {
-		if got, err := Parse([]byte(text)); err != nil || !same(got, fullConfig(t)) {
+		if got, err := Parse([]byte(text)); err != nil || !equalConfig(got, fullConfig(t)) {
 			t.Errorf("%s: error %v\ngot  %+v\nwant %+v", name, err, got, fullConfig(t))
 		}
 	}
@@ -84,7 +84,7 @@
 }
 
 // An error names the field and what is wrong with it.
-func TestErrors(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`"127.0.0.1:80"`, `"here"`, `listen: not an ip:port`},
 		{`"127.0.0.1:81"`, `"here"`, `discovery: not an ip:port`},
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -19,24 +19,24 @@
 }
 
 // Reload reads and checks the file that is to follow a configuration. Its error names the file and the field.
-func Reload(path string, present *Config) ReloadResult {
-	next, err := read(path, func(text []byte) (*Config, error) { return ParseReload(text, present) })
+func Reload(path string, current *Config) ReloadResult {
+	next, err := read(path, func(text []byte) (*Config, error) { return ParseReload(text, current) })
 	return ReloadResult{Config: next, Err: err}
 }
 
 // Watch reloads the file at each signal and hands the result on, until the context ends. A file that is rejected leaves the
 // present configuration as the one that the next has to follow. Signals that come while a result is handed on are as good
 // as one, since the file is read after the last of them.
-func Watch(ctx context.Context, path string, present *Config, signals <-chan os.Signal, results chan<- ReloadResult) {
+func Watch(ctx context.Context, path string, current *Config, signals <-chan os.Signal, results chan<- ReloadResult) {
 	for {
 		select {
 		case <-signals:
 		case <-ctx.Done():
 			return
 		}
-		next := Reload(path, present)
+		next := Reload(path, current)
 		if next.Err == nil {
-			present = next.Config
+			current = next.Config
 		}
 		select {
 		case results <- next:
@@ -48,12 +48,12 @@
 
 // ParseReload reads and checks the text that is to follow a configuration. Its errors name the field. It rejects a text
 // that lacks a key which the present one has, since a truncated file would silently set what it does not say to zero.
-func ParseReload(text []byte, present *Config) (*Config, error) {
+func ParseReload(text []byte, current *Config) (*Config, error) {
 	next, err := Parse(text)
 	if err != nil {
 		return nil, err
 	}
-	if err := checkPresent(present.contents, next.contents); err != nil {
+	if err := checkKeysPresent(current.contents, next.contents); err != nil {
 		return nil, err
 	}
 	return next, nil
@@ -87,35 +87,35 @@
 }
 
 // checkPresent returns a *settings.FieldError of the first key that the model has and the contents lack.
-func checkPresent(model, contents any) error {
-	if field := missingKey(model, contents, ""); field != "" {
+func checkKeysPresent(reference, contents any) error {
+	if field := missingKey(reference, contents, ""); field != "" {
 		return &settings.FieldError{Field: field, Err: ErrMissing}
 	}
 	return nil
 }
 
 // missingKey returns the path of a key that the model has and the contents lack, or nothing. The path of both is given.
-func missingKey(model, contents any, path string) string {
-	switch model := model.(type) {
+func missingKey(reference, contents any, path string) string {
+	switch reference := reference.(type) {
 	case map[string]any:
-		return missingInObject(model, contents, path)
+		return missingInObject(reference, contents, path)
 	case []any:
-		return missingInList(model, contents, path)
+		return missingInList(reference, contents, path)
 	}
 	return ""
 }
 
-func missingInObject(model map[string]any, contents any, path string) string {
+func missingInObject(reference map[string]any, contents any, path string) string {
 	object, ok := contents.(map[string]any)
 	if !ok {
 		return path
 	}
-	for _, key := range slices.Sorted(maps.Keys(model)) {
+	for _, key := range slices.Sorted(maps.Keys(reference)) {
 		inner := strings.TrimPrefix(path+"."+key, ".")
-		if model[key] != nil && object[key] == nil {
+		if reference[key] != nil && object[key] == nil {
 			return inner
 		}
-		if missing := missingKey(model[key], object[key], inner); missing != "" {
+		if missing := missingKey(reference[key], object[key], inner); missing != "" {
 			return missing
 		}
 	}
@@ -123,12 +123,12 @@
 }
 
 // missingInList compares each object of a list with the keys that all objects of the model have.
-func missingInList(model []any, contents any, path string) string {
+func missingInList(reference []any, contents any, path string) string {
 	list, ok := contents.([]any)
 	if !ok {
 		return path
 	}
-	common := commonKeys(model)
+	common := commonKeys(reference)
 	if common == nil {
 		return ""
 	}
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -25,7 +25,7 @@
 		}
 		relays := strings.Replace(configText, `"seed"`, `"relays":["10.0.0.1:80"],"seed"`, 1)
 		write(configText)
-		present, err := Load(path)
+		current, err := Load(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -36,7 +36,7 @@
 		ended := make(chan struct{})
 		go func() {
 			defer close(ended)
-			Watch(ctx, path, present, signals, results)
+			Watch(ctx, path, current, signals, results)
 		}()
 		for i, c := range []struct {
 			text, missing string
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -72,20 +72,20 @@
 // discoveryByPolling is the word for a platform that tells changes of the endpoint list only to agents that poll it.
 const discoveryByPolling = "subscribe"
 
-var idempotencyByWord = map[string]balancer.Idempotency{
+var idempotencyByName = map[string]balancer.Idempotency{
 	"pure":        balancer.Idempotent,
 	"token":       balancer.IdempotentWithKey,
 	"side_effect": balancer.NonIdempotent,
 }
 
-var dedupScopeByWord = map[string]balancer.DedupScope{
+var dedupScopeByName = map[string]balancer.DedupScope{
 	"":     balancer.DedupScopeFleet,
 	"all":  balancer.DedupScopeFleet,
 	"zone": balancer.DedupScopeZone,
 	"cell": balancer.DedupScopeCell,
 }
 
-var reportModeByWord = map[string]balancer.ReportMode{
+var reportModeByName = map[string]balancer.ReportMode{
 	"":         balancer.ReportsOff,
 	"off":      balancer.ReportsOff,
 	"inline":   balancer.ReportsInline,
@@ -103,9 +103,9 @@
 		IdleTimeout:    Milliseconds(d.Limits.IdleTimeout),
 		DrainGrace:     Milliseconds(d.Rules.DrainGrace),
 	}
-	mode, ok := reportModeByWord[d.Reports.Mode]
+	mode, ok := reportModeByName[d.Reports.Mode]
 	if !ok {
-		return Settings{}, unknownWord("report.how", d.Reports.Mode)
+		return Settings{}, unknownValue("report.how", d.Reports.Mode)
 	}
 	s.Balancer.Reports = mode
 	for i := range d.Classes {
@@ -153,22 +153,22 @@
 }
 
 // class converts one class of requests.
-func (d *document) class(position int) (balancer.Class, error) {
-	c := &d.Classes[position]
-	key := func(name string) string { return fmt.Sprintf("categories[%d].%s", position, name) }
-	idempotency, ok := idempotencyByWord[c.Idempotency]
+func (d *document) class(index int) (balancer.Class, error) {
+	c := &d.Classes[index]
+	key := func(name string) string { return fmt.Sprintf("categories[%d].%s", index, name) }
+	idempotency, ok := idempotencyByName[c.Idempotency]
 	if !ok {
-		return balancer.Class{}, unknownWord(key("effect"), c.Idempotency)
+		return balancer.Class{}, unknownValue(key("effect"), c.Idempotency)
 	}
-	scope, ok := dedupScopeByWord[c.DedupScope]
+	scope, ok := dedupScopeByName[c.DedupScope]
 	if !ok {
-		return balancer.Class{}, unknownWord(key("dedupScope"), c.DedupScope)
+		return balancer.Class{}, unknownValue(key("dedupScope"), c.DedupScope)
 	}
-	zones, err := positions(c.Zones, len(d.Zones))
+	zones, err := indexes(c.Zones, len(d.Zones))
 	if err != nil {
 		return balancer.Class{}, &FieldError{Field: key("localitiesOnly"), Err: err}
 	}
-	kinds, err := positions(c.Kinds, len(d.Kinds))
+	kinds, err := indexes(c.Kinds, len(d.Kinds))
 	if err != nil {
 		return balancer.Class{}, &FieldError{Field: key("boundTo"), Err: err}
 	}
@@ -187,7 +187,7 @@
 }
 
 // positions converts a list of positions among n names to integers; a nil list stays nil.
-func positions(list []float64, n int) ([]int, error) {
+func indexes(list []float64, n int) ([]int, error) {
 	if list == nil {
 		return nil, nil
 	}
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -26,8 +26,8 @@
 
 func (e *FieldError) Unwrap() error { return e.Err }
 
-func unknownWord(field, word string) error {
-	return &FieldError{Field: field, Problem: fmt.Sprintf("%q is unknown", word)}
+func unknownValue(field, value string) error {
+	return &FieldError{Field: field, Problem: fmt.Sprintf("%q is unknown", value)}
 }
 
 // ValueError is a *balancer.SettingError together with the key of the setting, which is what operators know it by.
@@ -57,7 +57,7 @@
 }
 
 // keys maps the fields of balancer.Settings to the keys of the settings text.
-var keys = map[string]string{
+var keyByField = map[string]string{
 	"Rank":                       "rank",
 	"Agents":                     "replicasOfMe",
 	"Zone":                       "zone",
@@ -98,9 +98,9 @@
 func keyOf(field string) string {
 	before, rest, indexed := strings.Cut(field, "[")
 	if !indexed {
-		return keys[field]
+		return keyByField[field]
 	}
 	index, after, _ := strings.Cut(rest, "]")
-	key := keys[before+"[]"+after]
+	key := keyByField[before+"[]"+after]
 	return strings.Replace(key, "[]", "["+index+"]", 1)
 }
--- a/internal/settings/errors_test.go
+++ b/internal/settings/errors_test.go
@@ -59,8 +59,8 @@
 		}
 		taken[key] = field
 	}
-	if len(keys) != len(fields) {
-		t.Errorf("%d keys for %d fields", len(keys), len(fields))
+	if len(keyByField) != len(fields) {
+		t.Errorf("%d keys for %d fields", len(keyByField), len(fields))
 	}
 }
 
@@ -112,7 +112,7 @@
 }
 
 // What is no error of the balancer's check, or names no field that there is, stays as it is.
-func TestWithKeyOfOtherErrors(t *testing.T) {
+func TestWithKeyKeepsOtherErrors(t *testing.T) {
 	for _, err := range []error{errors.New("other"), &balancer.SettingError{Field: "Classes[1].Colour", Value: 1}} {
 		if got := WithKey(err); !errors.Is(got, err) || got.Error() != err.Error() {
 			t.Errorf("%v became %v", err, got)
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -74,7 +74,7 @@
 }
 
 // Every key goes to its field.
-func TestEveryKey(t *testing.T) {
+func TestParseSetsEveryField(t *testing.T) {
 	want := fullSettings()
 	for _, v := range []reflect.Value{reflect.ValueOf(want), reflect.ValueOf(want.Balancer)} {
 		for i := range v.NumField() {
@@ -90,7 +90,7 @@
 }
 
 // Keys are found whatever their case, the last of two counts, and what is null or not known is left out.
-func TestOddKeys(t *testing.T) {
+func TestKeyMatching(t *testing.T) {
 	upper := strings.NewReplacer(`"coldFrom"`, `"COLDFROM"`, `"replicasOfMe"`, `"ReplicasOfMe"`, `"categories"`, `"cATEGORIES"`, `"skus"`, `"SKUs"`,
 		`"dedupScope"`, `"dedupscope"`, `"how"`, `"How"`, `"zone":4`, `"ZONE":4`, `"portion"`, `"Portion"`, `"maxAttempts"`, `"MaxAttempts"`)
 	for name, text := range map[string]string{
@@ -108,40 +108,40 @@
 }
 
 // The words of the settings stand for the values of the balancer.
-func TestWords(t *testing.T) {
-	class := func(key, word string) string {
-		return fmt.Sprintf(`{"categories":[{"effect":"pure",%q:%q}]}`, key, word)
+func TestEnumValues(t *testing.T) {
+	class := func(key, value string) string {
+		return fmt.Sprintf(`{"categories":[{"effect":"pure",%q:%q}]}`, key, value)
 	}
-	for word, want := range map[string]balancer.Idempotency{
+	for value, want := range map[string]balancer.Idempotency{
 		"pure": balancer.Idempotent, "token": balancer.IdempotentWithKey, "side_effect": balancer.NonIdempotent,
 	} {
-		if s, err := Parse([]byte(class("effect", word))); err != nil || s.Balancer.Classes[0].Idempotency != want {
-			t.Errorf("effect %s: %+v, error %v", word, s.Balancer.Classes, err)
+		if s, err := Parse([]byte(class("effect", value))); err != nil || s.Balancer.Classes[0].Idempotency != want {
+			t.Errorf("effect %s: %+v, error %v", value, s.Balancer.Classes, err)
 		}
 	}
-	for word, want := range map[string]balancer.DedupScope{
+	for value, want := range map[string]balancer.DedupScope{
 		"": balancer.DedupScopeFleet, "all": balancer.DedupScopeFleet, "zone": balancer.DedupScopeZone, "cell": balancer.DedupScopeCell,
 	} {
-		if s, err := Parse([]byte(class("dedupScope", word))); err != nil || s.Balancer.Classes[0].DedupScope != want {
-			t.Errorf("dedupScope %s: %+v, error %v", word, s.Balancer.Classes, err)
+		if s, err := Parse([]byte(class("dedupScope", value))); err != nil || s.Balancer.Classes[0].DedupScope != want {
+			t.Errorf("dedupScope %s: %+v, error %v", value, s.Balancer.Classes, err)
 		}
 	}
-	for word, want := range map[string]balancer.ReportMode{
+	for value, want := range map[string]balancer.ReportMode{
 		"": balancer.ReportsOff, "off": balancer.ReportsOff, "inline": balancer.ReportsInline, "on_probe": balancer.ReportsOnHealthCheck,
 	} {
-		if s, err := Parse(fmt.Appendf(nil, `{"report":{"how":%q}}`, word)); err != nil || s.Balancer.Reports != want {
-			t.Errorf("report.how %s: %v, error %v", word, s.Balancer.Reports, err)
+		if s, err := Parse(fmt.Appendf(nil, `{"report":{"how":%q}}`, value)); err != nil || s.Balancer.Reports != want {
+			t.Errorf("report.how %s: %v, error %v", value, s.Balancer.Reports, err)
 		}
 	}
-	for word, want := range map[string]bool{"": false, "automatic": false, "subscribe": true} {
-		if s, err := Parse(fmt.Appendf(nil, `{"discovery":%q}`, word)); err != nil || s.Balancer.PollEndpoints != want {
-			t.Errorf("discovery %s: %v, error %v", word, s.Balancer.PollEndpoints, err)
+	for value, want := range map[string]bool{"": false, "automatic": false, "subscribe": true} {
+		if s, err := Parse(fmt.Appendf(nil, `{"discovery":%q}`, value)); err != nil || s.Balancer.PollEndpoints != want {
+			t.Errorf("discovery %s: %v, error %v", value, s.Balancer.PollEndpoints, err)
 		}
 	}
 }
 
 // An error names the key and what it cannot be.
-func TestErrors(t *testing.T) {
+func TestParseErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:                        `settings: unexpected end of JSON input`,
 		`{"report":{"how":"odd"}}`: `settings: report.how "odd" is unknown`,
@@ -173,18 +173,18 @@
 		if got != want {
 			t.Errorf("%s: %+v, want %+v", name, got, want)
 		}
-		for _, none := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1} {
+		for _, invalid := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1} {
 			got := UnknownLoad()
-			SetLoadField(&got, name, none)
+			SetLoadField(&got, name, invalid)
 			if got != unknown {
-				t.Errorf("%s %v: %+v, want none", name, none, got)
+				t.Errorf("%s %v: %+v, want none", name, invalid, got)
 			}
 		}
 	}
 }
 
 // What no duration can hold is absent; fractions of a millisecond are kept to the microsecond.
-func TestNumbersThatAreNone(t *testing.T) {
+func TestMillisecondsRange(t *testing.T) {
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1e300} {
 		if d := Milliseconds(v); d != 0 {
 			t.Errorf("%v became %v", v, d)
