--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,5 @@
-// Package config reads and checks the configuration file that the platform starts an agent with, and the files that follow
-// it at SIGHUP. It holds no state: whoever asks keeps the configuration that is in force.
+// Package config reads and checks the configuration file that the platform starts an agent with, and reloads it on
+// SIGHUP. It keeps no state: the caller keeps the configuration in force.
 package config
 
 import (
@@ -17,42 +17,44 @@
 )
 
 const (
-	// ReservedSockets is for the descriptors that are neither clients' nor servers': the standard streams, the listeners,
-	// the runtime's poller, discovery, the console, the handover, and connections that are just being closed.
+	// ReservedSockets is the number of file descriptors kept free for uses other than client and server connections:
+	// the standard streams, the listeners, the runtime's poller, discovery, the console, the handover, and connections
+	// that are being closed.
 	ReservedSockets = 32
-	// MinSockets is what an agent needs to hold a few clients and servers beside its own descriptors.
+	// MinSockets is the smallest socket limit: it leaves room for a few client and server connections beside the
+	// reserved descriptors.
 	MinSockets = 2*ReservedSockets + 32
 
 	minMemoryMB = 16
 	maxCores    = 1024
-	// maxRelays bounds the list of relays; how many of them one agent tries is up to its discovery client.
+	// maxRelays bounds the list of relays. The discovery client decides how many of them one agent tries.
 	maxRelays = 1024
 )
 
-// ErrMissing is what a *settings.FieldError wraps if a key is missing.
+// ErrMissing is wrapped by the *settings.FieldError of a missing key.
 var ErrMissing = errors.New("missing")
 
-// Config is what the platform tells an agent at its start.
+// Config is the configuration of an agent.
 type Config struct {
 	Name            string
 	Listen          string
 	Discovery       string
-	Relays          []string // of the endpoint list, each an IP address and port; empty: none
-	AdminAddr       string   // empty: none
+	Relays          []string // relays of the endpoint list, each an IP address and port; may be empty
+	AdminAddr       string   // address of the console; empty: no console
 	Seed            uint64
 	Cores           float64
 	MemoryMB        int
 	Sockets         int
 	Settings        settings.Settings
-	CachedEndpoints discovery.EndpointList // the last list that the platform has; without a revision: none
+	CachedEndpoints discovery.EndpointList // the platform's last endpoint list; without a revision if it has none
 
-	contents any // the file as it was decoded, without the endpoint list
+	contents any // the decoded file without the endpoint list, for ParseReload
 }
 
-// Load reads and checks the configuration file. Its errors name the file and the field that cannot be used.
+// Load reads and checks the configuration file. Its errors name the file and the invalid field.
 func Load(path string) (*Config, error) { return read(path, Parse) }
 
-// read has a file's text parsed and names the file in the error.
+// read parses the contents of a file and adds the path to the parse error.
 func read(path string, parse func([]byte) (*Config, error)) (*Config, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -65,7 +67,7 @@
 	return cfg, nil
 }
 
-// document is the text of a configuration: the names are this program's, the tags are the keys.
+// document is the JSON form of a configuration.
 type document struct {
 	Name            string          `json:"name"`
 	Listen          string          `json:"listen"`
@@ -84,7 +86,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Parse reads and checks a configuration's text. Its errors name the field that cannot be used.
+// Parse parses and checks a configuration. Its errors name the invalid field.
 func Parse(text []byte) (*Config, error) {
 	var doc document
 	if err := json.Unmarshal(text, &doc); err != nil {
@@ -134,7 +136,7 @@
 	}, nil
 }
 
-// checkAddresses checks all addresses; the console's alone may be left out.
+// checkAddresses checks all addresses. Only the address of the console is optional.
 func (d *document) checkAddresses() error {
 	if err := checkAddress("listen", d.Listen); err != nil {
 		return err
@@ -158,10 +160,11 @@
 	return nil
 }
 
-// checkRelays rejects duplicates too: the second would be tried in the time that is meant for another relay.
+// checkRelays checks the relay addresses. It also rejects duplicates, since trying an address twice would use the time
+// meant for another relay.
 func (d *document) checkRelays() error {
 	if len(d.Relays) > maxRelays {
-		return &settings.FieldError{Field: "relays", Err: fmt.Errorf("%d, more than %d", len(d.Relays), maxRelays)}
+		return &settings.FieldError{Field: "relays", Err: fmt.Errorf("%d addresses, at most %d are allowed", len(d.Relays), maxRelays)}
 	}
 	for i, addr := range d.Relays {
 		field := fmt.Sprintf("relays[%d]", i)
@@ -169,7 +172,7 @@
 			return err
 		}
 		if addr == d.Discovery || slices.Contains(d.Relays[:i], addr) {
-			return &settings.FieldError{Field: field, Err: fmt.Errorf("%s is taken", addr)}
+			return &settings.FieldError{Field: field, Err: fmt.Errorf("duplicate address %s", addr)}
 		}
 	}
 	return nil
@@ -190,7 +193,7 @@
 	return nil
 }
 
-// cachedEndpoints returns the list that the platform has, or one without a revision if it has none.
+// cachedEndpoints returns the platform's last endpoint list, or one without a revision if it has none.
 func (d *document) cachedEndpoints() (discovery.EndpointList, error) {
 	if len(d.CachedEndpoints) == 0 {
 		return discovery.EndpointList{}, nil
@@ -202,7 +205,7 @@
 	return list, nil
 }
 
-// checkSettings checks what the agent needs, and has the balancer check its part.
+// checkSettings checks the settings that the agent itself uses, and has the balancer check the others.
 func checkSettings(s *settings.Settings) error {
 	if s.ConnectTimeout <= 0 {
 		return &settings.FieldError{Field: "limits.connectTimeout", Problem: "must be above 0"}
@@ -220,13 +223,13 @@
 	return settings.WithKey(err)
 }
 
-// checkNames rejects names that are empty or stand twice: requests name their class and tenant.
+// checkNames rejects empty and duplicate names, because requests identify their class and tenant by name.
 func checkNames(list string, names []string) error {
 	for i, name := range names {
 		if name == "" || slices.Contains(names[:i], name) {
 			return &settings.FieldError{
 				Field:   fmt.Sprintf("%s[%d].name", list, i),
-				Problem: fmt.Sprintf("%q is empty or taken", name),
+				Problem: fmt.Sprintf("%q is empty or a duplicate", name),
 			}
 		}
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -56,12 +56,12 @@
 		text := strings.Replace(configText, c.old, c.new, 1)
 		_, err := Parse([]byte(text))
 		if err == nil || !strings.Contains(err.Error(), c.field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", c.field, err)
+			t.Errorf("%s: got error %v, want one line that names the field", c.field, err)
 		}
 	}
 }
 
-// relaysText lists so many relays.
+// relaysText returns a JSON list of n relays.
 func relaysText(n int) string {
 	all := make([]string, n)
 	for i := range all {
@@ -70,7 +70,8 @@
 	return "[" + strings.Join(all, ",") + "]"
 }
 
-// Relays may be left out; an empty list alone removes those of the present configuration.
+// The relays key is optional. A reload removes the current relays only with an empty list; a text without the key is
+// rejected.
 func TestRelays(t *testing.T) {
 	with := func(relays string) string { return strings.Replace(configText, `"seed"`, relays+`"seed"`, 1) }
 	for _, c := range []struct {
@@ -83,25 +84,25 @@
 	} {
 		cfg, err := Parse([]byte(c.text))
 		if err != nil || !slices.Equal(cfg.Relays, c.want) {
-			t.Errorf("%v, error %v, want %v", cfg, err, c.want)
+			t.Errorf("got %v, error %v, want relays %v", cfg, err, c.want)
 		}
 	}
 	if cfg, err := Parse([]byte(with(`"relays":` + relaysText(1024) + `,`))); err != nil || len(cfg.Relays) != 1024 {
-		t.Errorf("1,024 relays: error %v", err)
+		t.Errorf("1,024 relays: got error %v, want none", err)
 	}
 	current, err := Parse([]byte(with(`"relays":["10.0.0.1:80"],`)))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := ParseReload([]byte(configText), current); err == nil || err.Error() != "relays: missing" {
-		t.Errorf("a text without relays: error %v", err)
+		t.Errorf("reload without relays: got error %v, want relays: missing", err)
 	}
 	if next, err := ParseReload([]byte(with(`"relays":[],`)), current); err != nil || len(next.Relays) > 0 {
-		t.Errorf("a text with an empty list: error %v", err)
+		t.Errorf("reload with an empty list: got %v, error %v, want no relays", next, err)
 	}
 }
 
-// A file that lacks what the present one has, or says what cannot be, is rejected with the name of the field.
+// A reload rejects a file that lacks a key of the current one or has an invalid value, and names the field.
 func TestReloadRejectsBadFiles(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	write := func(text string) {
@@ -119,7 +120,7 @@
 	}
 	write(strings.Replace(configText, `{"name":"unsafe"`, `{"name":"new","aim":1,"deadline":2,"credit":1,"effect":"pure"},{"name":"unsafe"`, 1))
 	if r := Reload(path, current); r.Err != nil {
-		t.Fatalf("a class more: %v", r.Err)
+		t.Fatalf("an additional class: %v", r.Err)
 	}
 	for _, c := range []struct{ field, old, new string }{
 		{"", configText, ""},
@@ -145,11 +146,11 @@
 		}
 		write(text)
 		if next, err := ParseReload([]byte(text), current); err == nil || next != nil {
-			t.Errorf("%s for %.40s: the text is accepted", c.new, c.old)
+			t.Errorf("%s for %.40s: got %v, error %v, want an error", c.new, c.old, next, err)
 		}
 		r := Reload(path, current)
 		if r.Err == nil || !strings.Contains(strings.ToLower(r.Err.Error()), strings.ToLower(c.field)) {
-			t.Errorf("%s for %.40s: error %v, want one that names %q", c.new, c.old, r.Err, c.field)
+			t.Errorf("%s for %.40s: got error %v, want one that names %q", c.new, c.old, r.Err, c.field)
 		}
 	}
 }
--- a/internal/config/reload.go
+++ b/internal/config/reload.go
@@ -12,21 +12,22 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// ReloadResult is the configuration file read again, or why it cannot be used.
+// ReloadResult is the reloaded configuration, or the error that makes it unusable.
 type ReloadResult struct {
 	Config *Config
 	Err    error
 }
 
-// Reload reads and checks the file that is to follow a configuration. Its error names the file and the field.
+// Reload reads and checks the configuration file that is to replace the current configuration. Its error names the file
+// and the invalid field.
 func Reload(path string, current *Config) ReloadResult {
 	next, err := read(path, func(text []byte) (*Config, error) { return ParseReload(text, current) })
 	return ReloadResult{Config: next, Err: err}
 }
 
-// Watch reloads the file at each signal and hands the result on, until the context ends. A file that is rejected leaves the
-// present configuration as the one that the next has to follow. Signals that come while a result is handed on are as good
-// as one, since the file is read after the last of them.
+// Watch reloads the file on each signal and sends the result, until ctx is done. A rejected file does not change the
+// configuration that the next one is checked against. Signals that arrive while a result is being sent count as one,
+// since the file is read after the last of them.
 func Watch(ctx context.Context, path string, current *Config, signals <-chan os.Signal, results chan<- ReloadResult) {
 	for {
 		select {
@@ -46,8 +47,9 @@
 	}
 }
 
-// ParseReload reads and checks the text that is to follow a configuration. Its errors name the field. It rejects a text
-// that lacks a key which the present one has, since a truncated file would silently set what it does not say to zero.
+// ParseReload parses and checks a configuration that is to replace the current one. Its errors name the invalid field.
+// It rejects a text that lacks a key of the current configuration, since a truncated file would silently reset the
+// missing values to zero.
 func ParseReload(text []byte, current *Config) (*Config, error) {
 	next, err := Parse(text)
 	if err != nil {
@@ -59,7 +61,7 @@
 	return next, nil
 }
 
-// required is the least that a configuration has to say, since a missing key would be taken for zero.
+// required has the keys that every configuration must contain, since a missing key would be read as zero.
 var required = mustDecode(`{"name":"","listen":"","discovery":"","seed":"",
 	"limits":{"cores":1,"memory_mb":1,"sockets":1},
 	"settings":{"replicasOfMe":1,
@@ -67,7 +69,7 @@
 		"limits":{"maxAttempts":1,"connectTimeout":1},
 		"rules":{"coldFrom":1,"overloadFactor":1}}}`)
 
-// decode returns what a configuration says without its endpoint list, which discovery.Parse checks.
+// decode returns the decoded configuration without its endpoint list, which discovery.Parse checks.
 func decode(text []byte) (any, error) {
 	var contents map[string]any
 	if err := json.Unmarshal(text, &contents); err != nil {
@@ -77,7 +79,7 @@
 	return contents, nil
 }
 
-// mustDecode decodes a text of this program.
+// mustDecode is like decode and panics on an error. It is for constant texts.
 func mustDecode(text string) any {
 	contents, err := decode([]byte(text))
 	if err != nil {
@@ -86,7 +88,7 @@
 	return contents
 }
 
-// checkPresent returns a *settings.FieldError of the first key that the model has and the contents lack.
+// checkKeysPresent returns a *settings.FieldError for the first key of reference that contents lacks.
 func checkKeysPresent(reference, contents any) error {
 	if field := missingKey(reference, contents, ""); field != "" {
 		return &settings.FieldError{Field: field, Err: ErrMissing}
@@ -94,7 +96,8 @@
 	return nil
 }
 
-// missingKey returns the path of a key that the model has and the contents lack, or nothing. The path of both is given.
+// missingKey returns the path of a key of reference that contents lacks, or "" if there is none. Both values are at the
+// given path.
 func missingKey(reference, contents any, path string) string {
 	switch reference := reference.(type) {
 	case map[string]any:
@@ -122,7 +125,7 @@
 	return ""
 }
 
-// missingInList compares each object of a list with the keys that all objects of the model have.
+// missingInList checks that each object of the list in contents has the keys that all objects in reference share.
 func missingInList(reference []any, contents any, path string) string {
 	list, ok := contents.([]any)
 	if !ok {
@@ -140,8 +143,8 @@
 	return ""
 }
 
-// commonKeys returns an object of the keys that all objects of a list have, or nil if the list is empty or not all of
-// its elements are objects. The values only say that something is there, so what is nested is not compared.
+// commonKeys returns an object with the keys that all objects of a list share, or nil if the list is empty or has
+// elements that are not objects. The values only mark a key as present, so nested keys are not compared.
 func commonKeys(list []any) map[string]any {
 	var common map[string]any
 	for _, element := range list {
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -13,8 +13,8 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// Each signal has the file read and its result handed on; one that is rejected leaves what the next has to follow. The watch
-// ends with its context, also while nobody takes its result.
+// Watch reads the file on each signal and sends the result. A rejected file does not change the configuration that the
+// next one is checked against. Watch returns when its context is done, even while it is blocked on sending a result.
 func TestWatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		path := filepath.Join(t.TempDir(), "config.json")
@@ -44,7 +44,7 @@
 		}{
 			{text: relays, relays: 1},
 			{text: configText, missing: "relays"},
-			{text: configText, missing: "relays"}, // once more: what was rejected is not followed
+			{text: configText, missing: "relays"}, // the rejected file has not become the reference
 			{text: relays, relays: 1},
 		} {
 			write(c.text)
@@ -53,13 +53,13 @@
 			var field *settings.FieldError
 			switch {
 			case c.missing != "" && (r.Config != nil || !errors.Is(r.Err, ErrMissing) || !errors.As(r.Err, &field) || field.Field != c.missing):
-				t.Errorf("signal %d: %+v, want an error that %s is missing", i, r, c.missing)
+				t.Errorf("signal %d: got %+v, want an error that %s is missing", i, r, c.missing)
 			case c.missing == "" && (r.Err != nil || len(r.Config.Relays) != c.relays):
-				t.Errorf("signal %d: %+v, want %d relays", i, r, c.relays)
+				t.Errorf("signal %d: got %+v, want %d relays", i, r, c.relays)
 			}
 		}
 		signals <- syscall.SIGHUP
-		synctest.Wait() // it holds a result that nobody takes
+		synctest.Wait() // Watch is blocked on sending the result
 		stop()
 		<-ended
 	})
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -7,12 +7,12 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// document is a settings text: the names are the field's, the tags are the keys. Numbers are decoded as floats because the
-// texts write integers with fractions too, and times are in milliseconds.
+// document is the JSON form of the settings. The Go names are the terms of the field, the tags are the operators' keys.
+// Numbers are decoded as floats because integers may be written with fractions. Times are in milliseconds.
 type document struct {
 	Rank      float64  `json:"rank"`
 	Agents    float64  `json:"replicasOfMe"`
-	Zone      *float64 `json:"zone"` // absent: not known
+	Zone      *float64 `json:"zone"` // absent: unknown
 	Zones     []string `json:"localities"`
 	Kinds     []string `json:"skus"`
 	Classes   []class  `json:"categories"`
@@ -33,8 +33,8 @@
 	Idempotency      string    `json:"effect"`
 	DedupScope       string    `json:"dedupScope"`
 	DedupWindow      float64   `json:"repeatWindow"`
-	Zones            []float64 `json:"localitiesOnly"` // absent: any; empty: none
-	Kinds            []float64 `json:"boundTo"`        // likewise
+	Zones            []float64 `json:"localitiesOnly"` // indexes into document.Zones; absent: any; empty: none
+	Kinds            []float64 `json:"boundTo"`        // indexes into document.Kinds; absent: any; empty: none
 }
 
 type tenant struct {
@@ -69,7 +69,7 @@
 	RetryBudgetRatio   float64 `json:"resendRatio"`
 }
 
-// discoveryByPolling is the word for a platform that tells changes of the endpoint list only to agents that poll it.
+// discoveryByPolling is the discovery setting of a platform that reports endpoint changes only to agents that poll it.
 const discoveryByPolling = "subscribe"
 
 var idempotencyByName = map[string]balancer.Idempotency{
@@ -92,7 +92,7 @@
 	"on_probe": balancer.ReportsOnHealthCheck,
 }
 
-// settings converts the document. It returns a *FieldError of the first key that cannot be used.
+// settings converts the document. It returns a *FieldError for the first invalid key.
 func (d *document) settings() (Settings, error) {
 	s := Settings{
 		Balancer:       d.balancerSettings(),
@@ -123,7 +123,7 @@
 	return s, nil
 }
 
-// balancerSettings converts all that has a number or a switch for its value.
+// balancerSettings converts the balancer's settings other than classes, tenants and the report mode.
 func (d *document) balancerSettings() balancer.Settings {
 	zone := -1
 	if d.Zone != nil {
@@ -152,7 +152,7 @@
 	}
 }
 
-// class converts one class of requests.
+// class converts the request class at the given index.
 func (d *document) class(index int) (balancer.Class, error) {
 	c := &d.Classes[index]
 	key := func(name string) string { return fmt.Sprintf("categories[%d].%s", index, name) }
@@ -186,7 +186,7 @@
 	}, nil
 }
 
-// positions converts a list of positions among n names to integers; a nil list stays nil.
+// indexes converts a list of indexes into a list of n names to integers. A nil list stays nil.
 func indexes(list []float64, n int) ([]int, error) {
 	if list == nil {
 		return nil, nil
@@ -194,7 +194,7 @@
 	out := make([]int, 0, len(list))
 	for _, v := range list {
 		if v != math.Trunc(v) || v < 0 || v >= float64(n) {
-			return nil, fmt.Errorf("%v is no position among %d", v, n)
+			return nil, fmt.Errorf("%v is not an index below %d", v, n)
 		}
 		out = append(out, int(v))
 	}
--- a/internal/settings/errors.go
+++ b/internal/settings/errors.go
@@ -8,11 +8,12 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// FieldError says which field of a settings text or of a configuration cannot be used, and why.
+// FieldError reports which field of the settings or of a configuration is invalid, and why.
 type FieldError struct {
 	// Field is the path of the field's key, such as categories[1].effect.
 	Field string
-	// Problem is what is wrong, as it follows the key in a sentence; empty if Err says it.
+	// Problem completes a sentence that begins with Field, such as "must be above 0". It is empty if Err has the
+	// reason.
 	Problem string
 	Err     error
 }
@@ -30,7 +31,7 @@
 	return &FieldError{Field: field, Problem: fmt.Sprintf("%q is unknown", value)}
 }
 
-// ValueError is a *balancer.SettingError together with the key of the setting, which is what operators know it by.
+// ValueError is a *balancer.SettingError with the setting's key, the name that operators know.
 type ValueError struct {
 	// Key is the path of the key, such as categories[1].deadline.
 	Key     string
@@ -43,7 +44,8 @@
 
 func (e *ValueError) Unwrap() error { return e.Setting }
 
-// WithKey returns a *ValueError if err is a *balancer.SettingError, and any other error as it is.
+// WithKey returns a *ValueError if err is a *balancer.SettingError for a field that has a key, and any other error
+// unchanged.
 func WithKey(err error) error {
 	var setting *balancer.SettingError
 	if !errors.As(err, &setting) {
@@ -56,7 +58,7 @@
 	return &ValueError{Key: key, Setting: setting}
 }
 
-// keys maps the fields of balancer.Settings to the keys of the settings text.
+// keyByField maps the fields of balancer.Settings to the keys of the settings text.
 var keyByField = map[string]string{
 	"Rank":                       "rank",
 	"Agents":                     "replicasOfMe",
@@ -93,7 +95,7 @@
 	"RetryBudgetRatio":           "rules.resendRatio",
 }
 
-// keyOf returns the key of a field of balancer.Settings, given as a Go path such as Classes[1].Deadline, or nothing if there
+// keyOf returns the key of a field of balancer.Settings, given as a Go path such as Classes[1].Deadline, or "" if there
 // is no such field.
 func keyOf(field string) string {
 	before, rest, indexed := strings.Cut(field, "[")
--- a/internal/settings/errors_test.go
+++ b/internal/settings/errors_test.go
@@ -10,7 +10,7 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// fieldPaths returns the Go paths of all fields of a type, with elements of lists of structs as [1].
+// fieldPaths returns the Go paths of all fields of a type, with the index [1] for slices of structs.
 func fieldPaths(of reflect.Type, prefix string) []string {
 	var paths []string
 	for i := range of.NumField() {
@@ -23,7 +23,7 @@
 	return paths
 }
 
-// keyPaths returns the paths of all keys of a document's type, likewise.
+// keyPaths returns the paths of all keys of a document type, with the index [1] for slices.
 func keyPaths(of reflect.Type, prefix string) []string {
 	var paths []string
 	for i := range of.NumField() {
@@ -41,30 +41,31 @@
 	return paths
 }
 
-// Every field of the balancer's settings, so any that its check can name, has a key of its own that a settings text can hold.
+// The balancer's check can name any field of its settings. Each field therefore needs a distinct key, and the key must
+// exist in the settings document.
 func TestEveryFieldHasAKey(t *testing.T) {
 	known := map[string]bool{}
 	for _, path := range keyPaths(reflect.TypeFor[document](), "") {
 		known[path] = true
 	}
-	taken := map[string]string{}
+	fieldByKey := map[string]string{}
 	fields := fieldPaths(reflect.TypeFor[balancer.Settings](), "")
 	for _, field := range fields {
 		key := keyOf(field)
 		if !known[key] {
-			t.Errorf("%s has the key %q, which no settings text holds", field, key)
+			t.Errorf("%s has the key %q, which is not in the settings document", field, key)
 		}
-		if taken[key] != "" {
-			t.Errorf("%s and %s have the key %q", taken[key], field, key)
+		if fieldByKey[key] != "" {
+			t.Errorf("%s and %s have the same key %q", fieldByKey[key], field, key)
 		}
-		taken[key] = field
+		fieldByKey[key] = field
 	}
 	if len(keyByField) != len(fields) {
-		t.Errorf("%d keys for %d fields", len(keyByField), len(fields))
+		t.Errorf("got %d keys, want %d, one per field", len(keyByField), len(fields))
 	}
 }
 
-// An error of the balancer's check names the field and its key, whichever setting is wrong.
+// For each setting that the balancer rejects, the error names both the field and its key.
 func TestWithKey(t *testing.T) {
 	for _, c := range []struct{ key, old, new, want string }{
 		{"replicasOfMe", `:3`, `:0`, "setting Agents (replicasOfMe) cannot be 0"},
@@ -94,31 +95,31 @@
 			t.Fatalf("%s: %v", c.key, err)
 		}
 		_, err = balancer.New(s.Balancer, 0)
-		named := WithKey(err)
-		if named == nil || named.Error() != c.want {
-			t.Errorf("%s: error %v, want %s", c.key, named, c.want)
+		withKey := WithKey(err)
+		if withKey == nil || withKey.Error() != c.want {
+			t.Errorf("%s: got error %v, want %s", c.key, withKey, c.want)
 		}
 		var value *ValueError
 		var setting *balancer.SettingError
-		if !errors.As(named, &value) || !errors.As(named, &setting) {
-			t.Errorf("%s: %v is no *ValueError of a *balancer.SettingError", c.key, named)
+		if !errors.As(withKey, &value) || !errors.As(withKey, &setting) {
+			t.Errorf("%s: got %v, want a *ValueError that wraps a *balancer.SettingError", c.key, withKey)
 		}
 	}
 	if s, err := Parse([]byte(fullText)); err != nil {
 		t.Error(err)
 	} else if _, err := balancer.New(s.Balancer, 0); WithKey(err) != nil {
-		t.Errorf("the full text: error %v", err)
+		t.Errorf("full text: got error %v, want none", err)
 	}
 }
 
-// What is no error of the balancer's check, or names no field that there is, stays as it is.
+// Errors that are not from the balancer's check, or name an unknown field, are returned unchanged.
 func TestWithKeyKeepsOtherErrors(t *testing.T) {
 	for _, err := range []error{errors.New("other"), &balancer.SettingError{Field: "Classes[1].Colour", Value: 1}} {
 		if got := WithKey(err); !errors.Is(got, err) || got.Error() != err.Error() {
-			t.Errorf("%v became %v", err, got)
+			t.Errorf("got %v, want %v", got, err)
 		}
 	}
 	if WithKey(nil) != nil {
-		t.Error("no error became one")
+		t.Error("got an error for nil")
 	}
 }
--- a/internal/settings/loadreport.go
+++ b/internal/settings/loadreport.go
@@ -6,13 +6,13 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// UnknownLoad returns a load report without any value.
+// UnknownLoad returns a load report in which every value is absent.
 func UnknownLoad() balancer.LoadReport {
 	return balancer.LoadReport{InFlight: -1, Queue: -1, ServiceTime: -1}
 }
 
-// SetLoadField sets the value that the settings give a name to in a load report. What cannot be a value stays absent; a
-// name without a use only makes the report known.
+// SetLoadField sets the value of a load report that has the given name in the settings. NaN, infinite and negative
+// values are ignored. A valid value under an unused name only marks the report as known.
 func SetLoadField(report *balancer.LoadReport, name string, value float64) {
 	if math.IsNaN(value) || math.IsInf(value, 0) || value < 0 {
 		return
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,6 +1,6 @@
-// Package settings reads the settings that operators give an agent and maps their keys and words to the terms of package
-// balancer. The agent and the simulator's adapter both use it, so that a key means the same in service and in simulation.
-// It holds no state and does no I/O.
+// Package settings parses the operators' settings of an agent and maps their keys and values to the types of package
+// balancer. The agent and the simulator's adapter both use it, so that a key means the same in production and in
+// simulation. It keeps no state and does no I/O.
 package settings
 
 import (
@@ -12,21 +12,22 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// Settings is what a settings text says: the balancer's part, and the names, limits and times for the code around it.
+// Settings are the parsed settings: those of the balancer, and the names, timeouts and grace periods that its callers
+// use.
 type Settings struct {
 	Balancer       balancer.Settings
-	ClassNames     []string // by the position of the class in Balancer.Classes
-	TenantNames    []string // by the position of the tenant in Balancer.Tenants
+	ClassNames     []string // parallel to Balancer.Classes
+	TenantNames    []string // parallel to Balancer.Tenants
 	ZoneNames      []string
 	KindNames      []string
-	ReportFields   []string      // names of the values in a load report, in their order
-	ConnectTimeout time.Duration // within which a connection to a server has to be up
+	ReportFields   []string      // names of the values in a load report, in order
+	ConnectTimeout time.Duration // for establishing a connection to a server
 	IdleTimeout    time.Duration // after which an idle connection is closed; 0: never
-	DrainGrace     time.Duration // from the notification that a server is draining until nothing more may be sent to it
+	DrainGrace     time.Duration // how long requests may still be sent to a server after the notification that it is draining
 }
 
-// Parse reads a settings text. Keys that it has no use for are ignored. It checks only what it needs to read the rest: the
-// ranges of values are checked by balancer.New and by the programs.
+// Parse parses a settings text. It ignores unknown keys and checks only what the conversion needs. balancer.New and the
+// calling programs check the ranges of values.
 func Parse(text []byte) (Settings, error) {
 	var doc document
 	if err := json.Unmarshal(text, &doc); err != nil {
@@ -39,11 +40,12 @@
 	return parsed, nil
 }
 
-// MaxMilliseconds bounds what Milliseconds converts: about 31 years, far below what a time.Duration holds.
+// MaxMilliseconds is the largest absolute value that Milliseconds converts: about 31 years, far below the maximum of
+// time.Duration.
 const MaxMilliseconds = 1e12
 
-// Milliseconds converts milliseconds to a duration, rounded to microseconds. What is out of range becomes 0, which stands
-// for an absent value.
+// Milliseconds converts milliseconds to a duration, rounded to microseconds. NaN and values beyond MaxMilliseconds
+// become 0, which stands for an absent value.
 func Milliseconds(ms float64) time.Duration {
 	if math.IsNaN(ms) || math.Abs(ms) > MaxMilliseconds {
 		return 0
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -11,7 +11,7 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// fullText says every key that this program reads, each with a value of its own.
+// fullText has every key that Parse reads, each with a different value.
 const fullText = `{
  "accounts":[{"name":"acme","portion":0.25},{"name":"rest","portion":0.75}],
  "categories":[
@@ -29,7 +29,7 @@
   "extraFloor":4,"extraWindow":7000,"resendRatio":0.15},
  "tick":1.5,"zone":4}`
 
-// fullSettings is what fullText says.
+// fullSettings returns the settings in fullText.
 func fullSettings() Settings {
 	return Settings{
 		Balancer: balancer.Settings{
@@ -73,13 +73,13 @@
 	}
 }
 
-// Every key goes to its field.
+// Every key sets its field.
 func TestParseSetsEveryField(t *testing.T) {
 	want := fullSettings()
 	for _, v := range []reflect.Value{reflect.ValueOf(want), reflect.ValueOf(want.Balancer)} {
 		for i := range v.NumField() {
 			if v.Field(i).IsZero() {
-				t.Errorf("%s.%s is not tested: its value is zero", v.Type(), v.Type().Field(i).Name)
+				t.Errorf("%s.%s is not tested: its wanted value is zero", v.Type(), v.Type().Field(i).Name)
 			}
 		}
 	}
@@ -89,16 +89,16 @@
 	}
 }
 
-// Keys are found whatever their case, the last of two counts, and what is null or not known is left out.
+// Keys match regardless of case, the last of two equal keys wins, and null values and unknown keys are ignored.
 func TestKeyMatching(t *testing.T) {
 	upper := strings.NewReplacer(`"coldFrom"`, `"COLDFROM"`, `"replicasOfMe"`, `"ReplicasOfMe"`, `"categories"`, `"cATEGORIES"`, `"skus"`, `"SKUs"`,
 		`"dedupScope"`, `"dedupscope"`, `"how"`, `"How"`, `"zone":4`, `"ZONE":4`, `"portion"`, `"Portion"`, `"maxAttempts"`, `"MaxAttempts"`)
 	for name, text := range map[string]string{
-		"case":         upper.Replace(fullText),
-		"twice":        strings.Replace(fullText, `"tick":1.5`, `"tick":7,"Tick":1.5`, 1),
-		"twice, parts": strings.Replace(fullText, `"limits":{"cancel":true,`, `"limits":{"cancel":true},"limits":{`, 1),
-		"null":         strings.Replace(fullText, `"tick":1.5`, `"tick":1.5,"tick":null,"limits":null,"report":null`, 1),
-		"unknown":      strings.Replace(fullText, `"tick":1.5`, `"tick":1.5,"fees":{"probe":0.01},"weights":[1]`, 1),
+		"case":          upper.Replace(fullText),
+		"twice":         strings.Replace(fullText, `"tick":1.5`, `"tick":7,"Tick":1.5`, 1),
+		"twice, object": strings.Replace(fullText, `"limits":{"cancel":true,`, `"limits":{"cancel":true},"limits":{`, 1),
+		"null":          strings.Replace(fullText, `"tick":1.5`, `"tick":1.5,"tick":null,"limits":null,"report":null`, 1),
+		"unknown":       strings.Replace(fullText, `"tick":1.5`, `"tick":1.5,"fees":{"probe":0.01},"weights":[1]`, 1),
 	} {
 		got, err := Parse([]byte(text))
 		if err != nil || !reflect.DeepEqual(got, fullSettings()) {
@@ -107,7 +107,7 @@
 	}
 }
 
-// The words of the settings stand for the values of the balancer.
+// Each named value of the settings maps to its value in package balancer.
 func TestEnumValues(t *testing.T) {
 	class := func(key, value string) string {
 		return fmt.Sprintf(`{"categories":[{"effect":"pure",%q:%q}]}`, key, value)
@@ -116,31 +116,31 @@
 		"pure": balancer.Idempotent, "token": balancer.IdempotentWithKey, "side_effect": balancer.NonIdempotent,
 	} {
 		if s, err := Parse([]byte(class("effect", value))); err != nil || s.Balancer.Classes[0].Idempotency != want {
-			t.Errorf("effect %s: %+v, error %v", value, s.Balancer.Classes, err)
+			t.Errorf("effect %s: got %+v, error %v, want %v", value, s.Balancer.Classes, err, want)
 		}
 	}
 	for value, want := range map[string]balancer.DedupScope{
 		"": balancer.DedupScopeFleet, "all": balancer.DedupScopeFleet, "zone": balancer.DedupScopeZone, "cell": balancer.DedupScopeCell,
 	} {
 		if s, err := Parse([]byte(class("dedupScope", value))); err != nil || s.Balancer.Classes[0].DedupScope != want {
-			t.Errorf("dedupScope %s: %+v, error %v", value, s.Balancer.Classes, err)
+			t.Errorf("dedupScope %s: got %+v, error %v, want %v", value, s.Balancer.Classes, err, want)
 		}
 	}
 	for value, want := range map[string]balancer.ReportMode{
 		"": balancer.ReportsOff, "off": balancer.ReportsOff, "inline": balancer.ReportsInline, "on_probe": balancer.ReportsOnHealthCheck,
 	} {
 		if s, err := Parse(fmt.Appendf(nil, `{"report":{"how":%q}}`, value)); err != nil || s.Balancer.Reports != want {
-			t.Errorf("report.how %s: %v, error %v", value, s.Balancer.Reports, err)
+			t.Errorf("report.how %s: got %v, error %v, want %v", value, s.Balancer.Reports, err, want)
 		}
 	}
 	for value, want := range map[string]bool{"": false, "automatic": false, "subscribe": true} {
 		if s, err := Parse(fmt.Appendf(nil, `{"discovery":%q}`, value)); err != nil || s.Balancer.PollEndpoints != want {
-			t.Errorf("discovery %s: %v, error %v", value, s.Balancer.PollEndpoints, err)
+			t.Errorf("discovery %s: got PollEndpoints %v, error %v, want %v", value, s.Balancer.PollEndpoints, err, want)
 		}
 	}
 }
 
-// An error names the key and what it cannot be.
+// Each error names the key and its invalid value.
 func TestParseErrors(t *testing.T) {
 	for text, want := range map[string]string{
 		`{`:                        `settings: unexpected end of JSON input`,
@@ -148,18 +148,18 @@
 		`{"categories":[{}]}`:      `settings: categories[0].effect "" is unknown`,
 		`{"categories":[{"effect":"pure"},{"effect":"odd"}]}`:                         `settings: categories[1].effect "odd" is unknown`,
 		`{"categories":[{"effect":"pure","dedupScope":"rack"}]}`:                      `settings: categories[0].dedupScope "rack" is unknown`,
-		`{"categories":[{"effect":"pure","localitiesOnly":[0]}]}`:                     `settings: categories[0].localitiesOnly: 0 is no position among 0`,
-		`{"categories":[{"effect":"pure","boundTo":[1.5]}],"skus":["a","b"]}`:         `settings: categories[0].boundTo: 1.5 is no position among 2`,
+		`{"categories":[{"effect":"pure","localitiesOnly":[0]}]}`:                     `settings: categories[0].localitiesOnly: 0 is not an index below 0`,
+		`{"categories":[{"effect":"pure","boundTo":[1.5]}],"skus":["a","b"]}`:         `settings: categories[0].boundTo: 1.5 is not an index below 2`,
 		`{"categories":[{"effect":"odd"}],"report":{"how":"odd"}}`:                    `settings: report.how "odd" is unknown`,
 		`{"categories":[{"effect":"pure","localitiesOnly":[9],"dedupScope":"rack"}]}`: `settings: categories[0].dedupScope "rack" is unknown`,
 	} {
 		if _, err := Parse([]byte(text)); err == nil || err.Error() != want {
-			t.Errorf("%s: error %v, want %s", text, err, want)
+			t.Errorf("%s: got error %v, want %s", text, err, want)
 		}
 	}
 }
 
-// The values of a load report go to their fields by the names of the settings; what cannot be a value stays absent.
+// Each name in the settings sets its field of a load report; invalid values leave it absent.
 func TestLoadFields(t *testing.T) {
 	unknown := UnknownLoad()
 	for name, want := range map[string]balancer.LoadReport{
@@ -171,36 +171,36 @@
 		got := UnknownLoad()
 		SetLoadField(&got, name, 7)
 		if got != want {
-			t.Errorf("%s: %+v, want %+v", name, got, want)
+			t.Errorf("%s: got %+v, want %+v", name, got, want)
 		}
 		for _, invalid := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), -1} {
 			got := UnknownLoad()
 			SetLoadField(&got, name, invalid)
 			if got != unknown {
-				t.Errorf("%s %v: %+v, want none", name, invalid, got)
+				t.Errorf("%s %v: got %+v, want %+v", name, invalid, got, unknown)
 			}
 		}
 	}
 }
 
-// What no duration can hold is absent; fractions of a millisecond are kept to the microsecond.
+// Values outside the range of a duration become 0; fractions of a millisecond are kept to the microsecond.
 func TestMillisecondsRange(t *testing.T) {
 	for _, v := range []float64{math.NaN(), math.Inf(1), math.Inf(-1), 1e300} {
 		if d := Milliseconds(v); d != 0 {
-			t.Errorf("%v became %v", v, d)
+			t.Errorf("%v: got %v, want 0", v, d)
 		}
 	}
 	if d := Milliseconds(1.2345); d != 1235*time.Microsecond && d != 1234*time.Microsecond {
-		t.Errorf("1.2345 ms became %v", d)
+		t.Errorf("1.2345 ms: got %v, want 1.234ms or 1.235ms", d)
 	}
 }
 
-// An agent whose settings name no zone takes none for its own.
+// An agent without a zone setting has no zone, which is -1 rather than the first zone.
 func TestZone(t *testing.T) {
 	for text, want := range map[string]int{`{}`: -1, `{"zone":0}`: 0, `{"zone":3}`: 3} {
 		s, err := Parse([]byte(text))
 		if err != nil || s.Balancer.Zone != want {
-			t.Errorf("%s: zone %d, error %v, want %d", text, s.Balancer.Zone, err, want)
+			t.Errorf("%s: got zone %d, error %v, want %d", text, s.Balancer.Zone, err, want)
 		}
 	}
 }
