--- a/internal/agent/agent.go
+++ b/internal/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent wires the parts of the agent: clients' connections (inbound), the event loop (dispatch), connections to
-// servers (upstream), discovery, the console (admin) and the handover between processes. It starts them, puts reloaded
-// configurations in force and shuts them down. The parts own all other state.
+// Package agent wires the components of the agent: client connections (inbound), the event loop (dispatch), connections
+// to servers (upstream), discovery, the console (admin) and the handover between processes. It starts them, applies
+// reloaded configurations and shuts them down. The components own all other state.
 package agent
 
 import (
@@ -22,21 +22,21 @@
 	"example.org/ryeloft/internal/upstream"
 )
 
-// maxFirstRound bounds the wait for the first calls of discovery. An agent has to be ready in 6 s whatever becomes of them, and
-// one that replaces another process waits for endpoints besides.
+// maxFirstRoundWait bounds the wait for the first round of discovery calls. An agent must be ready within 6 s whatever
+// their outcome, and one that replaces another process additionally waits for endpoints.
 const maxFirstRoundWait = 4 * time.Second
 
-// Run serves until the context ends, then finishes its open requests and returns nil. Of a reloaded configuration it applies
-// the settings and the addresses of discovery and its relays.
+// Run serves clients until ctx is done, then finishes the open requests and returns nil. From a reloaded configuration
+// it applies only the settings and the addresses of discovery and its relays.
 func Run(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, log *slog.Logger) error {
 	return run(ctx, cfg, reloads, log, func() (*net.TCPListener, error) {
 		return listen(ctx, cfg.Listen, cfg.AdminAddr != "")
 	})
 }
 
-// run does so with the listener that listening opens once the agent is ready for clients.
+// run is Run with the listener that openListener returns. It calls openListener once the agent is ready for clients.
 func run(ctx context.Context, cfg *config.Config, reloads <-chan config.ReloadResult, log *slog.Logger, openListener func() (*net.TCPListener, error)) error {
-	// The parts outlive the context, because open requests are finished.
+	// The components outlive ctx, because open requests are finished.
 	workCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	a, err := newAgent(workCtx, cfg, log)
@@ -49,17 +49,17 @@
 			return err
 		}
 		defer console.Close()
-		go console.Serve() // ends when the console closes
+		go console.Serve() // returns when the console is closed
 		a.peers = handover.Join(handover.SocketPath(cfg.Name), a.quotas, a.loop.RequestIDs(), log)
 		defer a.peers.Close()
-		// When the handover closes, the peers assume that this process holds no connection any more.
+		// Once the handover is closed, the peers assume that this process has no server connections left.
 		defer a.pool.Resize(0)
 	}
 	a.start(workCtx, reloads)
 	return a.serveClients(ctx, workCtx, openListener)
 }
 
-// serveClients accepts clients until the context ends, and then shuts the agent down. The parts run with the context work.
+// serveClients accepts clients until ctx is done, and then shuts the agent down. The components run with workCtx.
 func (a *agent) serveClients(ctx, workCtx context.Context, openListener func() (*net.TCPListener, error)) error {
 	a.awaitFirstRound(ctx)
 	if a.peers != nil {
@@ -71,7 +71,7 @@
 	}
 	defer a.clients.Close()
 	served := a.clients.Serve(tcp)
-	if a.peers != nil { // before the console reports ready, on which operators end the other process
+	if a.peers != nil { // before the console reports ready, since operators then stop the other process
 		if err := a.peers.Announce(); err != nil {
 			a.log.Warn("handover socket unavailable", "error", err)
 		}
@@ -85,8 +85,8 @@
 	return a.shutDown(workCtx, served)
 }
 
-// awaitFirstRound waits until discovery has been called once. The list that the agent starts from may be so old that changes
-// count as notified which it lacks, and a request could be sent to a server that was removed.
+// awaitFirstRound waits for the first round of discovery calls, at most maxFirstRoundWait. The cached list that the
+// agent starts from may lack changes that already count as notified, so a request could be sent to a removed server.
 func (a *agent) awaitFirstRound(ctx context.Context) {
 	limit := time.NewTimer(maxFirstRoundWait)
 	defer limit.Stop()
@@ -97,7 +97,7 @@
 	}
 }
 
-// agent is the parts of one process.
+// agent holds the components of one process.
 type agent struct {
 	cfg       *config.Config
 	log       *slog.Logger
@@ -107,10 +107,10 @@
 	discovery *discovery.Client
 	clients   *inbound.Server
 	quotas    *handover.Quotas
-	peers     *handover.Handover // nil if the process has no others
+	peers     *handover.Handover // nil if the agent has no console, and so no other processes
 }
 
-// newAgent makes the parts, none of which runs yet. The context is the one that they will run with.
+// newAgent creates the components without starting any. They will run with workCtx.
 func newAgent(workCtx context.Context, cfg *config.Config, log *slog.Logger) (*agent, error) {
 	limits := handover.LimitsFor(cfg, 1)
 	a := &agent{cfg: cfg, log: log, metrics: &metrics.Metrics{}}
@@ -137,8 +137,8 @@
 	return a, nil
 }
 
-// start runs the loop, discovery and the reloads until the context ends. Nobody waits for them then: the process ends, and
-// they hold nothing that outlives it.
+// start starts the loop, the discovery client and the reloader, which run until workCtx is done. Nothing waits for them
+// to return, because the process then exits and they own nothing that outlives it.
 func (a *agent) start(workCtx context.Context, reloads <-chan config.ReloadResult) {
 	targets := make(chan discovery.Target)
 	reload := &reloader{loop: a.loop, metrics: a.metrics, targets: targets, log: a.log}
--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -27,7 +27,7 @@
 	requestCount atomic.Int64 // requests made
 }
 
-// start runs an agent and waits until it is up, which it is once it has a list that names a server.
+// start runs an agent and waits until it is ready, which requires an endpoint list with a server.
 func start(t *testing.T, cfg *config.Config) *testAgent {
 	t.Helper()
 	r := launch(t, cfg)
@@ -58,7 +58,7 @@
 	return r
 }
 
-// awaitReady waits until the agent is up.
+// awaitReady waits until the agent reports that it is ready.
 func (r *testAgent) awaitReady(t *testing.T) {
 	t.Helper()
 	for started := time.Now(); time.Since(started) < agenttest.Timeout; time.Sleep(time.Millisecond) {
@@ -71,10 +71,10 @@
 			return
 		}
 	}
-	t.Fatal("the agent does not come up")
+	t.Fatalf("the agent is not ready after %v", agenttest.Timeout)
 }
 
-// request makes a client's request of a class.
+// request returns a client request of the given class.
 func (r *testAgent) request(class string, budget string) *http.Request {
 	method, body := http.MethodPost, "body of "+class
 	if class == "safe" {
@@ -91,6 +91,7 @@
 	return req
 }
 
+// do sends a request and returns the status and the body of the response.
 func (r *testAgent) do(t *testing.T, req *http.Request) (int, string) {
 	t.Helper()
 	resp, err := r.client.Do(req)
@@ -105,7 +106,7 @@
 	return resp.StatusCode, string(body)
 }
 
-// startWith starts an agent that knows the servers, each in a cell of its own number.
+// startWith starts an agent with the given servers, each in a separate cell.
 func startWith(t *testing.T, settings string, servers ...*agenttest.Server) *testAgent {
 	t.Helper()
 	var members []string
@@ -128,22 +129,22 @@
 	body, _ := io.ReadAll(resp.Body)
 	resp.Body.Close()
 	if resp.StatusCode != 200 || string(body) != "served" || resp.Header.Get("Content-Type") != "text/x-made" {
-		t.Errorf("answer %d %q %v", resp.StatusCode, body, resp.Header)
+		t.Errorf("got status %d, body %q, header %v, want the server's response", resp.StatusCode, body, resp.Header)
 	}
 	got := agenttest.Receive(t, "request", b.Requests)
 	sent, _ := io.ReadAll(got.Body)
 	if got.Method != "POST" || got.RequestURI != "/keyed/7f%2F3a?x=1&y" || string(sent) != "body of keyed" ||
 		got.Header.Get(protocol.HeaderRequestID) != "call-1" || got.Header.Get(protocol.HeaderIdempotencyKey) != "key-1" ||
 		got.Header.Get("Traceparent") != "00-1-2-01" {
-		t.Errorf("the server got %s %s %q %v", got.Method, got.RequestURI, sent, got.Header)
+		t.Errorf("server got %s %s, body %q, header %v, want the client's request", got.Method, got.RequestURI, sent, got.Header)
 	}
 	if remaining, err := protocol.ParseBudget(got.Header.Get(protocol.HeaderBudget)); err != nil || remaining > 1500*time.Millisecond {
-		t.Errorf("budget %v, error %v", remaining, err)
+		t.Errorf("got budget %v, error %v, want at most 1.5s", remaining, err)
 	}
 }
 
-// An agent that is to stop answers what it has taken and what still comes, closes its connections behind the
-// answers, and ends well.
+// During a graceful shutdown the agent still answers open and new requests, closes each connection after its response,
+// and returns without an error.
 func TestGracefulShutdown(t *testing.T) {
 	proceed := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
@@ -163,12 +164,12 @@
 	agenttest.Receive(t, "request", b.Requests)
 	a.stop()
 	go send() // the listener is still open
-	agenttest.Receive(t, "request after the signal", b.Requests)
+	agenttest.Receive(t, "request after the shutdown started", b.Requests)
 	close(proceed)
 	for range 2 {
-		resp := agenttest.Receive(t, "answer", responses)
+		resp := agenttest.Receive(t, "response", responses)
 		if resp == nil || resp.StatusCode != 200 || !resp.Close {
-			t.Errorf("answered %v", resp)
+			t.Errorf("got response %v, want status 200 and a closed connection", resp)
 		}
 	}
 	if err := agenttest.Receive(t, "end", a.ended); err != nil {
--- a/internal/agent/clientclosed_test.go
+++ b/internal/agent/clientclosed_test.go
@@ -15,10 +15,10 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// acceptWaiting has a listener that was full take its connections, old and new.
+// acceptPending accepts the pending and all later connections of a listener whose accept queue was full.
 func acceptPending(t *testing.T, fd int, handler http.Handler) {
 	t.Helper()
-	dup, err := syscall.Dup(fd) // the other one ends with the test
+	dup, err := syscall.Dup(fd) // FullListener closes the original when the test ends
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,7 +33,7 @@
 	go s.Serve(l)
 }
 
-// closeClient ends a client's connection in one of the ways that there are.
+// closeClient closes a client connection in one of the closeModes.
 func closeClient(t *testing.T, c net.Conn, mode string) {
 	t.Helper()
 	switch mode {
@@ -42,18 +42,19 @@
 		return
 	case "reset":
 		c.(*net.TCPConn).SetLinger(0)
-	case "behind bytes":
+	case "after bytes":
 		io.WriteString(c, "GET /up HT")
-	case "behind many bytes":
+	case "after many bytes":
 		io.WriteString(c, strings.Repeat("GET /up HTTP/1.1\r\nHost: x\r\n\r\n", 1000))
 	}
 	c.Close()
 }
 
-var closeModes = []string{"close", "half", "reset", "behind bytes", "behind many bytes"}
+var closeModes = []string{"close", "half", "reset", "after bytes", "after many bytes"}
 
-// Nothing is begun for a client that has gone, however it went, and whether or not the settings allow cancelling: what
-// waits for a connection then is not sent when that is up, and the connection carries the next one's request.
+// A request is not sent if its client closes the connection while the request waits for a server connection. This holds
+// for every way of closing and whether or not attempts may be cancelled. The server connection then carries the next
+// request.
 func TestNoAttemptForClosedClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		for _, mode := range closeModes {
@@ -80,11 +81,11 @@
 					}))
 					next := a.request("unsafe", "15000m")
 					if status, _ := a.do(t, next); status != http.StatusOK {
-						t.Errorf("a client that stays is answered %d", status)
+						t.Errorf("connected client: got status %d, want 200", status)
 					}
 					want := next.Header.Get(protocol.HeaderRequestID)
 					if id := agenttest.Receive(t, "request", got).Header.Get(protocol.HeaderRequestID); id != want || len(got) > 0 {
-						t.Errorf("%s and %d more came, want %s", id, len(got), want)
+						t.Errorf("server got %s and %d more requests, want only %s", id, len(got), want)
 					}
 				})
 			}
@@ -92,7 +93,7 @@
 	}
 }
 
-// A failed attempt of a client that has gone is followed by no other.
+// A failed attempt is not retried if the client has closed its connection.
 func TestNoRetryForClosedClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		for _, mode := range closeModes {
@@ -115,10 +116,10 @@
 				}
 				clients <- c
 				agenttest.Receive(t, "attempt", failed)
-				// The loop has heard of the failure before this one's end.
+				// The loop handles the failure before the last of these requests ends.
 				for range 20 {
 					if status, _ := a.do(t, a.request("unsafe", "15000m")); status != http.StatusOK {
-						t.Errorf("a client that stays is answered %d", status)
+						t.Errorf("connected client: got status %d, want 200", status)
 					}
 				}
 				attempts := 0
@@ -130,7 +131,7 @@
 					}
 				}
 				if attempts != 1 {
-					t.Errorf("sent %d times", attempts)
+					t.Errorf("got %d attempts, want 1", attempts)
 				}
 			})
 		}
--- a/internal/agent/commands.go
+++ b/internal/agent/commands.go
@@ -7,7 +7,7 @@
 	"example.org/ryeloft/internal/admin"
 )
 
-// commands are the commands of the console.
+// commands returns the console commands by name.
 func (a *agent) commands() map[string]admin.Command {
 	return map[string]admin.Command{
 		"check":     func(io.Writer) error { return a.clients.CheckReady() },
--- a/internal/agent/connectionend_test.go
+++ b/internal/agent/connectionend_test.go
@@ -14,14 +14,14 @@
 	"example.org/ryeloft/internal/protocol"
 )
 
-// completeRequest makes a whole request of the unsafe class as it is sent.
+// completeRequest returns the text of a complete request of the unsafe class with additional headers.
 func (r *testAgent) completeRequest(t *testing.T, headers string) string {
 	t.Helper()
 	return fmt.Sprintf("POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: call-%d\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\n"+
 		"X-Budget: 15000m\r\n%sContent-Length: 4\r\n\r\nbody", r.requestCount.Add(1), headers)
 }
 
-// idleConn opens a connection that has had an answer and now rests.
+// idleConn opens a connection that is idle after a first response.
 func (r *testAgent) idleConn(t *testing.T) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c := r.dial(t)
@@ -32,13 +32,13 @@
 		t.Fatal(err)
 	}
 	if _, err := io.Copy(io.Discard, resp.Body); err != nil || resp.StatusCode != http.StatusOK {
-		t.Fatalf("answered %s: %v", resp.Status, err)
+		t.Fatalf("got status %s, error %v, want 200", resp.Status, err)
 	}
 	return c, br
 }
 
-// When the agent is told to end, it ends the connections that rest. One on which a request has begun does not rest: the
-// request is served, and its connection ends behind the answer.
+// A graceful shutdown closes idle connections. A connection on which part of a request has arrived is not idle: the
+// request is served, and the connection is closed after the response.
 func TestPartialRequestDuringShutdown(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	a := startWith(t, agenttest.Settings, b)
@@ -52,38 +52,38 @@
 	}
 	a.stop()
 	if _, err := idle.ReadByte(); err != io.EOF {
-		t.Fatalf("the resting connection ends with %v", err)
+		t.Fatalf("idle connection: got error %v, want EOF", err)
 	}
 	io.WriteString(partial, text[half:])
 	resp, err := http.ReadResponse(br, nil)
 	if err != nil {
-		t.Fatalf("no answer: %v", err)
+		t.Fatalf("got no response: %v", err)
 	}
 	body, err := io.ReadAll(resp.Body)
 	if resp.StatusCode != http.StatusOK || string(body) != "served" || !resp.Close || err != nil {
-		t.Errorf("answered %s %q, closing %v: %v", resp.Status, body, resp.Close, err)
+		t.Errorf("got %s %q, close %v, error %v, want 200 with close", resp.Status, body, resp.Close, err)
 	}
 	if _, err := br.ReadByte(); err != io.EOF {
-		t.Errorf("the connection ends with %v", err)
+		t.Errorf("after the response: got error %v, want EOF", err)
 	}
 	if err := agenttest.Receive(t, "end", a.ended); err != nil || len(b.Requests) != 1 {
-		t.Errorf("ended with %v, %d requests came", err, len(b.Requests))
+		t.Errorf("agent returned %v after %d requests, want no error after 1", err, len(b.Requests))
 	}
 }
 
-// Whatever ends a connection, and whatever its client sends meanwhile, the client gets its last answer whole and then an
-// orderly end, no reset.
+// Whatever causes the agent to close a connection, and whatever the client has pipelined, the client receives its last
+// response completely and then EOF, not a reset.
 func TestCompleteResponseBeforeClose(t *testing.T) {
 	pipelined := strings.Repeat("GET /up HTTP/1.1\r\nHost: x\r\n\r\n", 3000) + "GET /up HT"
 	for name, c := range map[string]struct {
-		closes  func(*testAgent) // while the request is under way; nil: its answer does
-		headers string
-		status  int
+		shutDown func(*testAgent) // called while the request is in flight; nil: the response closes the connection
+		headers  string
+		status   int
 	}{
-		"told to end":    {func(a *testAgent) { a.stop() }, "", 200},
-		"client's wish":  {nil, "Connection: close\r\n", 200},
-		"a bad request":  {nil, "X-Caller: acme\r\n", 400},
-		"no more budget": {nil, "X-Budget: 1m\r\n", 400},
+		"shutdown":            {func(a *testAgent) { a.stop() }, "", 200},
+		"requested by client": {nil, "Connection: close\r\n", 200},
+		"bad request":         {nil, "X-Caller: acme\r\n", 400},
+		"budget spent":        {nil, "X-Budget: 1m\r\n", 400},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -98,9 +98,9 @@
 			if c.status == http.StatusOK {
 				agenttest.Receive(t, "request", b.Requests)
 			}
-			if c.closes != nil {
-				c.closes(a)
-				for up := http.StatusOK; up == http.StatusOK; { // until the agent knows
+			if c.shutDown != nil {
+				c.shutDown(a)
+				for up := http.StatusOK; up == http.StatusOK; { // until the shutdown has started
 					resp, err := a.client.Get(a.url + protocol.PathReady)
 					if err != nil {
 						t.Fatal(err)
@@ -117,10 +117,10 @@
 			}
 			body, err := io.ReadAll(resp.Body)
 			if resp.StatusCode != c.status || err != nil {
-				t.Errorf("answered %s %q: %v", resp.Status, body, err)
+				t.Errorf("got %s %q, error %v, want status %d", resp.Status, body, err, c.status)
 			}
 			if _, err := br.ReadByte(); !errors.Is(err, io.EOF) {
-				t.Errorf("the connection ends with %v", err)
+				t.Errorf("after the response: got error %v, want EOF", err)
 			}
 		})
 	}
--- a/internal/agent/connections_test.go
+++ b/internal/agent/connections_test.go
@@ -14,7 +14,7 @@
 	"example.org/ryeloft/internal/inbound"
 )
 
-// dial opens a client's connection to an agent.
+// dial opens a client connection to the agent.
 func (r *testAgent) dial(t *testing.T) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(r.url, "http://"))
@@ -26,7 +26,8 @@
 	return c
 }
 
-// exchangeText writes what a client sends as it is, and returns all that comes back until the agent closes.
+// exchangeText writes a text verbatim on a new connection, and returns everything that the agent sends before it
+// closes.
 func (r *testAgent) exchangeText(t *testing.T, text string) string {
 	t.Helper()
 	c := r.dial(t)
@@ -34,13 +35,13 @@
 	got, err := io.ReadAll(c)
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		t.Errorf("the connection stays open after %.60q", text)
+		t.Errorf("the connection is still open after %.60q", text)
 	}
 	return string(got)
 }
 
-// Clients that keep connections without a request do not shut out others, and a request that is open is not
-// disturbed by them.
+// Idle connections that use up the connection limit are evicted for new clients, and do not disturb a request in
+// flight.
 func TestIdleClientsAreEvicted(t *testing.T) {
 	proceed := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
@@ -58,7 +59,7 @@
 	for i := range idle {
 		idle[i] = a.dial(t)
 	}
-	idle[0].Read(make([]byte, 1)) // returns when it was evicted
+	idle[0].Read(make([]byte, 1)) // returns once the connection is evicted
 	second := make(chan int, 1)
 	go func() {
 		resp, err := (&http.Client{Transport: &http.Transport{}}).Do(a.request("unsafe", "15000m"))
@@ -70,17 +71,17 @@
 		resp.Body.Close()
 		second <- resp.StatusCode
 	}()
-	agenttest.Receive(t, "request of a newcomer", b.Requests)
+	agenttest.Receive(t, "request of a new client", b.Requests)
 	close(proceed)
 	for _, answered := range []chan int{first, second} {
-		if status := agenttest.Receive(t, "answer", answered); status != 200 {
-			t.Errorf("answered %d", status)
+		if status := agenttest.Receive(t, "response", answered); status != 200 {
+			t.Errorf("got status %d, want 200", status)
 		}
 	}
 }
 
-// An application that keeps each connection that it has used once, and holds a third of the sockets at most, gets one for its
-// next request as soon as the terms let the agent close one.
+// An application that uses each connection once and keeps it open, up to a third of the sockets, can always connect for
+// its next request, since the agent closes connections that have been idle for IdleTimeout.
 func TestKeptConnectionsDoNotExhaustSockets(t *testing.T) {
 	a := startWith(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	open := make(chan struct{}, 1024/3)
@@ -88,7 +89,7 @@
 		select {
 		case open <- struct{}{}:
 		case <-time.After(inbound.IdleTimeout + time.Second):
-			t.Fatalf("no connection left for request %d", i)
+			t.Fatalf("got no free connection for request %d", i)
 		}
 		c := a.dial(t)
 		io.WriteString(c, "GET /up HTTP/1.1\r\nHost: x\r\n\r\n")
@@ -102,61 +103,61 @@
 	}
 }
 
-// Clients that say nothing, or never end what they say, are closed; so are those with nothing more to say.
+// Connections of clients that send nothing or never complete a request are closed, and so are idle ones.
 func TestSlowClientsAreClosed(t *testing.T) {
 	a := startWith(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
-	whole := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n"
+	head := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n"
 	for what, c := range map[string]struct{ text, answer string }{
-		"silence":     {"", ""},
-		"half a head": {"POST /unsafe/1 HT", "HTTP/1.1 400 "},
-		"half a body": {whole + "Content-Length: 10\r\n\r\nhalf", "HTTP/1.1 408 "},
-		"idle":        {whole + "Content-Length: 4\r\n\r\nbody", "HTTP/1.1 200 "},
+		"silence":      {"", ""},
+		"partial head": {"POST /unsafe/1 HT", "HTTP/1.1 400 "},
+		"partial body": {head + "Content-Length: 10\r\n\r\nhalf", "HTTP/1.1 408 "},
+		"idle":         {head + "Content-Length: 4\r\n\r\nbody", "HTTP/1.1 200 "},
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
 			if got := a.exchangeText(t, c.text); !strings.HasPrefix(got, c.answer) || c.answer == "" && got != "" {
-				t.Errorf("answered %q", got)
+				t.Errorf("got %q, want %q", got, c.answer)
 			}
 		})
 	}
 }
 
-// A body that says where it ends in two ways can hide a second request, and headers that stand there twice mean
-// two things: neither goes on to a server.
+// A request with two body framings can smuggle a second request, and a duplicate header is ambiguous. Neither may be
+// forwarded to a server.
 func TestAmbiguousRequests(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	a := startWith(t, agenttest.Settings, b)
 	head := func(extra string) string {
 		return "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n" + extra + "\r\n"
 	}
-	hidden := head("Content-Length: 0\r\n")
+	smuggled := head("Content-Length: 0\r\n")
 	for what, c := range map[string]struct {
 		text   string
 		status int
 	}{
-		"both framings":     {head(fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n", 5+len(hidden))) + "0\r\n\r\n" + hidden, 400},
-		"hidden behind /up": {"GET /up HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + hidden, 400},
-		"length last":       {head("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n") + "0\r\n\r\n" + hidden, 400},
-		"chunks in 1.0":     {strings.Replace(head("Transfer-Encoding: chunked\r\n"), "1.1", "1.0", 1) + "0\r\n\r\n" + hidden, 400},
-		"behind a request":  {"GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + head("Transfer-Encoding: chunked\r\n") + "0\r\n\r\n", 200},
-		"bad chunk size":    {head("Transfer-Encoding: chunked\r\n") + "zz\r\nbody\r\n0\r\n\r\n" + hidden, 408},
-		"chunk too short":   {head("Transfer-Encoding: chunked\r\n") + "2\r\nbody\r\n0\r\n\r\n" + hidden, 408},
-		"other coding":      {head("Transfer-Encoding: gzip, chunked\r\n") + "0\r\n\r\n" + hidden, 501},
-		"two ids":           {head("X-Call-Id: d\r\nContent-Length: 0\r\n") + hidden, 400},
-		"two budgets":       {head("X-Budget: 3m\r\nContent-Length: 0\r\n") + hidden, 400},
-		"id for a hop":      {head("Connection: x-call-id\r\nContent-Length: 0\r\n") + hidden, 400},
-		"large body":        {head("Content-Length: 60000000\r\n"), 413},
-		"negative body":     {head("Content-Length: -1\r\n") + hidden, 400},
-		"huge body":         {head("Content-Length: 99999999999999999999\r\n") + hidden, 400},
-		"endless head":      {"POST /unsafe/1 HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20), 431},
-		"unreadable":        {"\x00\x01\x02\r\n\r\n" + hidden, 400},
+		"both framings":      {head(fmt.Sprintf("Content-Length: %d\r\nTransfer-Encoding: chunked\r\n", 5+len(smuggled))) + "0\r\n\r\n" + smuggled, 400},
+		"smuggled after /up": {"GET /up HTTP/1.1\r\nHost: x\r\nContent-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n" + smuggled, 400},
+		"length last":        {head("Transfer-Encoding: chunked\r\nContent-Length: 5\r\n") + "0\r\n\r\n" + smuggled, 400},
+		"chunks in 1.0":      {strings.Replace(head("Transfer-Encoding: chunked\r\n"), "1.1", "1.0", 1) + "0\r\n\r\n" + smuggled, 400},
+		"after a request":    {"GET /up HTTP/1.1\r\nHost: x\r\n\r\n" + head("Transfer-Encoding: chunked\r\n") + "0\r\n\r\n", 200},
+		"bad chunk size":     {head("Transfer-Encoding: chunked\r\n") + "zz\r\nbody\r\n0\r\n\r\n" + smuggled, 408},
+		"chunk too short":    {head("Transfer-Encoding: chunked\r\n") + "2\r\nbody\r\n0\r\n\r\n" + smuggled, 408},
+		"other coding":       {head("Transfer-Encoding: gzip, chunked\r\n") + "0\r\n\r\n" + smuggled, 501},
+		"two ids":            {head("X-Call-Id: d\r\nContent-Length: 0\r\n") + smuggled, 400},
+		"two budgets":        {head("X-Budget: 3m\r\nContent-Length: 0\r\n") + smuggled, 400},
+		"hop-by-hop id":      {head("Connection: x-call-id\r\nContent-Length: 0\r\n") + smuggled, 400},
+		"large body":         {head("Content-Length: 60000000\r\n"), 413},
+		"negative body":      {head("Content-Length: -1\r\n") + smuggled, 400},
+		"huge body":          {head("Content-Length: 99999999999999999999\r\n") + smuggled, 400},
+		"endless head":       {"POST /unsafe/1 HTTP/1.1\r\nX: " + strings.Repeat("x", 1<<20), 431},
+		"unreadable":         {"\x00\x01\x02\r\n\r\n" + smuggled, 400},
 	} {
 		got := a.exchangeText(t, c.text)
 		if !strings.Contains(got[:min(len(got), 13)], fmt.Sprintf(" %d ", c.status)) || strings.Count(got, "HTTP/1.1 200") > 1 {
-			t.Errorf("%s: answered %q", what, got)
+			t.Errorf("%s: got %q, want status %d and at most one 200", what, got, c.status)
 		}
 	}
 	if n := len(b.Requests); n != 0 {
-		t.Errorf("%d requests went on", n)
+		t.Errorf("%d requests were forwarded, want none", n)
 	}
 }
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -16,7 +16,7 @@
 	"example.org/ryeloft/internal/protocol"
 )
 
-// freeAddr is an address that was free just now.
+// freeAddr returns an address that was free when it was checked.
 func freeAddr(t *testing.T) string {
 	t.Helper()
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -27,10 +27,10 @@
 	return free.Addr().String()
 }
 
-// startWithConsole starts an agent that has a console and knows the servers.
+// startWithConsole starts an agent with a console and the given servers. It returns the address of the console.
 func startWithConsole(t *testing.T, servers ...*agenttest.Server) (*testAgent, string) {
 	t.Helper()
-	t.Setenv("TMPDIR", t.TempDir()) // where processes of one agent would meet
+	t.Setenv("TMPDIR", t.TempDir()) // the directory of the handover sockets
 	var members []string
 	for i, b := range servers {
 		members = append(members, agenttest.Member(fmt.Sprintf("s-%d", i), b.Addr, "Ready", i))
@@ -41,7 +41,7 @@
 	return start(t, cfg), cfg.AdminAddr
 }
 
-// consoleCall makes one call, or sends whatever text is given, and returns all of the answer.
+// consoleCall sends a text to the console and returns the complete reply.
 func consoleCall(t *testing.T, console, text string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", console)
@@ -71,29 +71,29 @@
 		{strings.Repeat("x", admin.MaxLineBytes+1) + "\n", "fail a call has at most"},
 	} {
 		if got := consoleCall(t, console, c.call); !strings.HasPrefix(got, c.want) {
-			t.Errorf("%.20q is answered %q, want %q", c.call, got, c.want)
+			t.Errorf("%.20q: got %q, want %q", c.call, got, c.want)
 		}
 	}
 	if got := consoleCall(t, console, "vars\n"); !strings.HasPrefix(got, "ok\ngw_responses_total{") || !strings.HasSuffix(got, "\neof\n") {
-		t.Errorf("vars is answered %q", got)
+		t.Errorf("vars: got %q, want ok, the metrics and eof", got)
 	}
 }
 
 func TestConsoleAddressInUse(t *testing.T) {
-	taken, err := net.Listen("tcp", "127.0.0.1:0")
+	inUse, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer taken.Close()
+	defer inUse.Close()
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
-	cfg.AdminAddr = taken.Addr().String()
+	cfg.AdminAddr = inUse.Addr().String()
 	if err := Run(t.Context(), cfg, nil, agenttest.DiscardLogger); err == nil || !strings.Contains(err.Error(), cfg.AdminAddr) {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want one with the address %s", err, cfg.AdminAddr)
 	}
 }
 
-// While clients are drained /up says no, answers close their connections, what is idle for long enough is closed,
-// and what was taken is answered. Afterwards all is as before.
+// During a drain by the console, /up and check report that the agent is not ready, responses close their connections,
+// idle connections are closed, and requests in flight are served. drain-off restores the previous state.
 func TestConsoleDrain(t *testing.T) {
 	proceed := make(chan struct{}, 2)
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
@@ -114,43 +114,43 @@
 		t.Fatal(err)
 	}
 	defer unused.Close()
-	taken := make(chan *http.Response, 1)
+	inFlight := make(chan *http.Response, 1)
 	go func() {
 		resp, err := a.client.Do(a.request("unsafe", "15000m"))
 		if err != nil {
 			t.Error(err)
 		}
-		taken <- resp
+		inFlight <- resp
 	}()
 	agenttest.Receive(t, "request", b.Requests)
-	for range 2 { // twice is as good as once
+	for range 2 { // the second call has no effect
 		if got := consoleCall(t, console, "drain-on\n"); got != "ok\n" {
-			t.Fatalf("drain-on: %q", got)
+			t.Fatalf("drain-on: got %q, want ok", got)
 		}
 	}
-	if status, said := up(), consoleCall(t, console, "check\n"); status == 200 || !strings.HasPrefix(said, "fail") {
-		t.Errorf("while clients are drained /up answers %d, check %q", status, said)
+	if status, reply := up(), consoleCall(t, console, "check\n"); status == 200 || !strings.HasPrefix(reply, "fail") {
+		t.Errorf("during the drain: got /up status %d, check %q, want neither ready", status, reply)
 	}
 	started := time.Now()
 	unused.SetReadDeadline(started.Add(agenttest.Timeout))
-	if _, err := unused.Read(make([]byte, 1)); err != io.EOF || time.Since(started) > inbound.IdleGrace+time.Second { //nolint:errorlint // a plain end is wanted
-		t.Errorf("an idle connection ends with %v after %v", err, time.Since(started))
+	if _, err := unused.Read(make([]byte, 1)); err != io.EOF || time.Since(started) > inbound.IdleGrace+time.Second { //nolint:errorlint // io.EOF itself is wanted
+		t.Errorf("idle connection: got error %v after %v, want EOF within %v", err, time.Since(started), inbound.IdleGrace+time.Second)
 	}
 	proceed <- struct{}{}
-	if resp := agenttest.Receive(t, "answer", taken); resp == nil || resp.StatusCode != 200 || !resp.Close {
-		t.Errorf("what was taken is answered %v", resp)
+	if resp := agenttest.Receive(t, "response", inFlight); resp == nil || resp.StatusCode != 200 || !resp.Close {
+		t.Errorf("request in flight: got %v, want 200 with close", resp)
 	}
 	if got := consoleCall(t, console, "drain-off\n"); got != "ok\n" || up() != 200 {
-		t.Errorf("drain-off: %q, then /up %d", got, up())
+		t.Errorf("drain-off: got %q, then /up %d, want ok and 200", got, up())
 	}
 	proceed <- struct{}{}
 	if resp, err := a.client.Do(a.request("unsafe", "15000m")); err != nil || resp.StatusCode != 200 || resp.Close {
-		t.Errorf("afterwards: %v, error %v", resp, err)
+		t.Errorf("after the drain: got %v, error %v, want 200 without close", resp, err)
 	}
 }
 
-// A client that was slow to send while clients are drained is gone 4 s after a drain by the operators: what it had sent by
-// then is answered, and one that never ends is closed.
+// Slow clients are gone 4 s after a drain by the console started: a request that is complete by then gets a response,
+// and the connection of one that never completes is closed.
 func TestDrainClosesSlowClients(t *testing.T) {
 	proceed := make(chan struct{})
 	defer close(proceed)
@@ -178,19 +178,19 @@
 		return string(got), time.Since(started)
 	}
 	if got := consoleCall(t, console, "drain-on\n"); got != "ok\n" {
-		t.Fatalf("drain-on: %q", got)
+		t.Fatalf("drain-on: got %q, want ok", got)
 	}
 	var all sync.WaitGroup
 	for id, ends := range map[string]time.Duration{"ends": 3 * time.Second, "endless": 10 * time.Second} {
 		all.Go(func() {
 			answer, took := slowly(id, time.Second, min(ends, 4*time.Second))
 			if want := id == "ends"; want != strings.HasPrefix(answer, "HTTP/1.1 502 ") || want && took > 4*time.Second {
-				t.Errorf("%s: answered %.40q after %v", id, answer, took)
+				t.Errorf("%s: got %.40q after %v, want a 502 within 4s: %v", id, answer, took, want)
 			}
 		})
 	}
 	all.Wait()
 	if n := len(b.Requests); n != 1 {
-		t.Errorf("%d requests went on", n)
+		t.Errorf("%d requests were forwarded, want 1", n)
 	}
 }
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -16,14 +16,14 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// An agent that starts with a known list asks for what has changed since, and for the whole list where discovery does
-// not know that revision any more, or the known list is no whole one.
+// An agent that starts with a cached endpoint list requests the changes since its revision. It requests the complete
+// list if discovery no longer knows that revision, or if the cached list is incomplete or empty.
 func TestStartsFromCachedEndpoints(t *testing.T) {
 	x := agenttest.NewServer(t, agenttest.Serve)
 	member := agenttest.Member("x", x.Addr, "Ready", 0)
 	for _, c := range []struct {
-		known, change string
-		want          []string
+		cached, change string
+		want           []string // queries
 	}{
 		{string(agenttest.List(7, true, member)), string(agenttest.List(8, false)), []string{"after=7&wait_ms=", "after=8&wait_ms="}},
 		{string(agenttest.List(7, true, member)), string(agenttest.List(3, false)), []string{"after=7&wait_ms=", "", "after=1&wait_ms="}},
@@ -33,13 +33,13 @@
 		l := agenttest.NewDiscovery(t, agenttest.List(1, true, member))
 		cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
 		var err error
-		if cfg.CachedEndpoints, err = discovery.Parse([]byte(c.known)); err != nil {
+		if cfg.CachedEndpoints, err = discovery.Parse([]byte(c.cached)); err != nil {
 			t.Fatal(err)
 		}
 		a := launch(t, cfg)
 		for i, want := range c.want {
 			if q := agenttest.Receive(t, "call", l.Calls); !strings.HasPrefix(q, want) || want == "" && q != "" {
-				t.Errorf("known %s: call %d asks %q, want %q", c.known, i, q, want)
+				t.Errorf("cached list %s, call %d: got query %q, want %q", c.cached, i, q, want)
 			}
 			if i == 0 && c.change != "" {
 				l.Next <- []byte(c.change)
@@ -49,17 +49,18 @@
 	}
 }
 
-// An agent that starts with an old list takes no client before discovery has answered it, or has failed to: the list may name
-// servers whose removal counts as notified. One that cannot be answered takes clients in time.
+// An agent that starts with an old list accepts no clients until the first round of discovery calls has ended, since
+// the list may contain servers whose removal counts as notified. If discovery does not respond, the agent still accepts
+// clients in time.
 func TestNoClientBeforeFirstRound(t *testing.T) {
 	for name, c := range map[string]struct {
-		mode    string
-		answers bool // discovery answers in the end; it hangs otherwise
+		mode     string
+		responds bool // discovery responds after a delay; otherwise it hangs
 	}{
-		"polled":         {`"subscribe"`, true},
-		"pushed":         {`"automatic"`, true},
-		"polled, silent": {`"subscribe"`, false},
-		"pushed, silent": {`"automatic"`, false},
+		"polled":              {`"subscribe"`, true},
+		"pushed":              {`"automatic"`, true},
+		"polled, no response": {`"subscribe"`, false},
+		"pushed, no response": {`"automatic"`, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -98,13 +99,13 @@
 			agenttest.Receive(t, "call", calls)
 			select {
 			case <-listening:
-				t.Fatal("clients are taken before the first call has ended")
-			case <-time.After(200 * time.Millisecond): // nothing shows that nothing happens
+				t.Fatal("the agent accepts clients before the first call has ended")
+			case <-time.After(200 * time.Millisecond): // no event shows that the agent keeps waiting
 			}
-			if !c.answers {
+			if !c.responds {
 				agenttest.Receive(t, "listener", listening)
 				if took := time.Since(started); took > 6*time.Second {
-					t.Errorf("takes clients after %v", took)
+					t.Errorf("accepted clients after %v, want at most 6s", took)
 				}
 				return
 			}
@@ -112,39 +113,40 @@
 			agenttest.Receive(t, "listener", listening)
 			a := &testAgent{url: "http://" + listener.Addr().String(), client: &http.Client{Transport: &http.Transport{}}}
 			if status, _ := a.do(t, a.request("safe", "15000m")); status != http.StatusOK || len(removed.Requests) > 0 {
-				t.Errorf("answered %d, %d requests to the removed server", status, len(removed.Requests))
+				t.Errorf("got status %d and %d requests at the removed server, want 200 and none", status, len(removed.Requests))
 			}
 		})
 	}
 }
 
-// A server that drains gets nothing new once a watch has told so, and its list is followed without a gap.
+// A draining server gets no new requests once a watch has returned the change, and the next watch continues from the
+// revision of that change.
 func TestDrainingServerGetsNoRequests(t *testing.T) {
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", x.Addr, "Ready", 0), agenttest.Member("y", y.Addr, "Ready", 0)))
 	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
 	if q := agenttest.Receive(t, "first call", l.Calls); q != "" {
-		t.Errorf("the first call asks %q", q)
+		t.Errorf("first call: got query %q, want none", q)
 	}
 	if q := agenttest.Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=1&wait_ms=") {
-		t.Errorf("the second call asks %q", q)
+		t.Errorf("second call: got query %q, want a watch after 1", q)
 	}
 	l.Next <- agenttest.List(2, false, agenttest.Member("x", x.Addr, "Terminating", 0))
 	if q := agenttest.Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=2&") {
-		t.Errorf("the third call asks %q", q)
+		t.Errorf("third call: got query %q, want a watch after 2", q)
 	}
 	for range 40 {
 		if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("got status %d, want 200", status)
 		}
 	}
 	if len(x.Requests) > 0 || len(y.Requests) != 40 {
-		t.Errorf("%d sent to the draining one, %d to the other", len(x.Requests), len(y.Requests))
+		t.Errorf("got %d requests at the draining server and %d at the other, want 0 and 40", len(x.Requests), len(y.Requests))
 	}
 }
 
-// A reload moves to another discovery, which is asked for its whole list although its revisions are lower; the old
-// one's watch is given up.
+// After a reload with another discovery address, the agent requests the complete list there, even though its revisions
+// are lower, and abandons the watch at the old address.
 func TestReloadMigratesDiscovery(t *testing.T) {
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
 	old := agenttest.NewDiscovery(t, agenttest.List(7, true, agenttest.Member("x", x.Addr, "Ready", 0)))
@@ -157,26 +159,26 @@
 	moved.Discovery = next.Listener.Addr().String()
 	a.reloads <- config.ReloadResult{Config: &moved}
 	if q := agenttest.Receive(t, "call to the new discovery", next.Calls); q != "" {
-		t.Errorf("the first call asks %q", q)
+		t.Errorf("first call: got query %q, want none", q)
 	}
 	if q := agenttest.Receive(t, "watch", next.Calls); !strings.HasPrefix(q, "after=2&") {
-		t.Errorf("the second call asks %q", q)
+		t.Errorf("second call: got query %q, want a watch after 2", q)
 	}
 	for range 5 {
 		if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
-			t.Fatalf("answered %d", status)
+			t.Fatalf("got status %d, want 200", status)
 		}
 	}
 	if len(x.Requests) > 0 || len(y.Requests) != 5 {
-		t.Errorf("%d sent to the old list's server, %d to the new one's", len(x.Requests), len(y.Requests))
+		t.Errorf("got %d requests at the old list's server and %d at the new one's, want 0 and 5", len(x.Requests), len(y.Requests))
 	}
 	if n := len(old.Calls); n > 0 {
-		t.Errorf("the old discovery was asked %d more times", n)
+		t.Errorf("got %d more calls at the old discovery, want none", n)
 	}
 }
 
-// Without discovery, and with lists that cannot be read, the agent goes on with what it has; then it asks for
-// the whole list.
+// If discovery is down or returns a list that cannot be read, the agent keeps its current list, and then requests the
+// complete one.
 func TestDiscoveryFailures(t *testing.T) {
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", x.Addr, "Ready", 0)))
@@ -189,12 +191,12 @@
 		}
 		l.Next <- []byte(text)
 		if q := agenttest.Receive(t, "call", l.Calls); q != "" {
-			t.Errorf("after %s: asked %q", text, q)
+			t.Errorf("after %s: got query %q, want none", text, q)
 		}
 	}
-	agenttest.Receive(t, "call again", l.Calls)
+	agenttest.Receive(t, "repeated call", l.Calls)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
-		t.Errorf("without discovery: answered %d", status)
+		t.Errorf("without discovery: got status %d, want 200", status)
 	}
 	l.SetList(func() []byte { return agenttest.List(9, true, agenttest.Member("y", y.Addr, "Ready", 0)) })
 	for {
@@ -203,12 +205,12 @@
 		}
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 || len(y.Requests) != 1 {
-		t.Errorf("with discovery back: answered %d, %d at the new server", status, len(y.Requests))
+		t.Errorf("with discovery back: got status %d and %d requests at the new server, want 200 and 1", status, len(y.Requests))
 	}
 }
 
-// Changes that do not follow the list held, as after a restart of discovery, lead to the whole list; so does a
-// discovery that is silent when a watch is over.
+// After changes that do not continue the current list, as from a restarted discovery, the agent requests the complete
+// list. A watch that gets no response in time is followed by another one for the same revision.
 func TestDiscoveryGapAndTimeout(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	l := agenttest.NewDiscovery(t, agenttest.List(8, true, agenttest.Member("x", b.Addr, "Ready", 0)))
@@ -217,16 +219,16 @@
 	agenttest.Receive(t, "watch", l.Calls)
 	l.Next <- agenttest.List(3, false)
 	if q := agenttest.Receive(t, "call after the gap", l.Calls); q != "" {
-		t.Errorf("after a gap: asked %q", q)
+		t.Errorf("after a gap: got query %q, want none", q)
 	}
-	for range 2 { // the watch that gets no answer, and the one after it
+	for range 2 { // the watch that gets no response, and the one after it
 		if q := agenttest.Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=8&") {
-			t.Errorf("asked %q", q)
+			t.Errorf("got query %q, want a watch after 8", q)
 		}
 	}
 }
 
-// Where the list must be asked for, the balancer hears of a failure and decides when to ask again.
+// If endpoints must be polled, the balancer is notified of a failed poll and decides when to poll again.
 func TestPolledDiscovery(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	set := strings.Replace(agenttest.Settings, `"automatic"`, `"subscribe"`, 1)
@@ -240,28 +242,29 @@
 		}
 		return list
 	})
-	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), set)) // which returns when the list has come
+	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), set)) // returns once a poll has succeeded
 	if n := len(l.Calls); n < 3 {
-		t.Errorf("up after %d calls, of which two failed", n)
+		t.Errorf("ready after %d calls, want at least 3, since two fail", n)
 	}
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != 200 {
-		t.Errorf("answered %d", status)
+		t.Errorf("got status %d, want 200", status)
 	}
 }
 
-// A call that hangs, in its dial or behind it, keeps neither the list of another discovery from coming after a move nor, once
-// it comes up, the list of its own.
+// A call that hangs, while connecting or while waiting for the response, does not delay the first call to another
+// discovery after a reload. Nor does a hanging connection attempt delay the call to the same discovery once it accepts
+// connections.
 func TestHangingDiscoveryCalls(t *testing.T) {
 	for _, mode := range []string{`"automatic"`, `"subscribe"`} {
-		for _, how := range []string{"dial", "answer"} {
-			for _, moves := range []bool{false, true} {
-				t.Run(fmt.Sprintf("%s/%s/moves %v", mode, how, moves), func(t *testing.T) {
+		for _, how := range []string{"dial", "response"} {
+			for _, migrates := range []bool{false, true} {
+				t.Run(fmt.Sprintf("%s/%s/migrates %v", mode, how, migrates), func(t *testing.T) {
 					t.Parallel()
 					x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
 					next := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("y", y.Addr, "Ready", 0)))
 					set := strings.NewReplacer(`"automatic"`, mode, `"extraFloor"`, `"mustAskIn":10000,"extraFloor"`).Replace(agenttest.Settings)
 					addr, fd := agenttest.FullListener(t)
-					if how == "answer" {
+					if how == "response" {
 						addr = agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false }).Addr
 					}
 					cfg := agenttest.Config(t, addr, set)
@@ -271,19 +274,19 @@
 					}
 					a := start(t, cfg)
 					switch {
-					case moves:
+					case migrates:
 						moved := *cfg
 						moved.Discovery = next.Listener.Addr().String()
 						a.reloads <- config.ReloadResult{Config: &moved}
 					case how == "dial":
 						acceptPending(t, fd, next.Config.Handler)
 					default:
-						return // nothing comes up
+						return // this discovery never responds, so there is no call to wait for
 					}
 					started := time.Now()
 					agenttest.Receive(t, "call", next.Calls)
 					if took := time.Since(started); took > balancer.NotifyBoundAfterMigration {
-						t.Errorf("asked after %v", took)
+						t.Errorf("called after %v, want at most %v", took, balancer.NotifyBoundAfterMigration)
 					}
 				})
 			}
@@ -291,10 +294,10 @@
 	}
 }
 
-// A process that knows a list is ready at once although discovery refuses all calls.
+// A process with a cached list is ready without delay even though discovery rejects all calls.
 func TestReadyInTimeWithAList(t *testing.T) {
 	text := strings.NewReplacer(`"discovery":"automatic"`, `"discovery":"subscribe"`, `"extraFloor"`, `"mustAskIn":10000,"extraFloor"`).Replace(agenttest.Settings)
-	l := agenttest.NewDiscovery(t, nil) // refuses all
+	l := agenttest.NewDiscovery(t, nil) // rejects all calls
 	cfg := agenttest.Config(t, l.Listener.Addr().String(), text)
 	var err error
 	if cfg.CachedEndpoints, err = discovery.Parse(agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Ready", 0))); err != nil {
@@ -302,6 +305,6 @@
 	}
 	started := time.Now()
 	if start(t, cfg); time.Since(started) > time.Second {
-		t.Errorf("ready after %v with a list", time.Since(started))
+		t.Errorf("ready after %v with a cached list, want at most 1s", time.Since(started))
 	}
 }
--- a/internal/agent/dispatch_test.go
+++ b/internal/agent/dispatch_test.go
@@ -11,7 +11,8 @@
 	"example.org/ryeloft/internal/protocol"
 )
 
-// The id of a request that is open, or was a moment ago, is no other's: the second is refused and the first served.
+// A request with the id of a request that is in flight, or has just ended, is rejected with 409. The first one is
+// served.
 func TestRequestIDsAreUsedOnce(t *testing.T) {
 	proceed := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
@@ -32,21 +33,21 @@
 		return status
 	}
 	if status := again(); status != http.StatusConflict {
-		t.Errorf("while the first is open: answered %d", status)
+		t.Errorf("while the first is in flight: got status %d, want 409", status)
 	}
 	close(proceed)
-	if status := agenttest.Receive(t, "answer", first); status != 200 {
-		t.Errorf("the first is answered %d", status)
+	if status := agenttest.Receive(t, "response", first); status != 200 {
+		t.Errorf("first: got status %d, want 200", status)
 	}
 	if status := again(); status != http.StatusConflict {
-		t.Errorf("when the first has ended: answered %d", status)
+		t.Errorf("after the first has ended: got status %d, want 409", status)
 	}
 	if n := len(b.Requests); n > 0 {
-		t.Errorf("%d more went on", n)
+		t.Errorf("%d more requests were forwarded, want none", n)
 	}
 }
 
-// A client that closes its connection cancels its attempts, which closes their connections.
+// When a client closes its connection, its attempts are cancelled, which closes their server connections.
 func TestClientClosesConnection(t *testing.T) {
 	returned := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
@@ -56,17 +57,17 @@
 		defer close(returned)
 		if resp, err := a.client.Do(a.request("unsafe", "15000m").WithContext(ctx)); err == nil {
 			resp.Body.Close()
-			t.Errorf("answered %s", resp.Status)
+			t.Errorf("got status %s, want an error", resp.Status)
 		}
 	}()
 	agenttest.Receive(t, "request", b.Requests)
 	closeConn()
-	agenttest.Receive(t, "hangup", returned)
+	agenttest.Receive(t, "end of the client's call", returned)
 	agenttest.Receive(t, "close of the connection", b.Closed)
 }
 
-// Rejections by a server that tells how little it holds do not count as overload: while they last, the others are used and
-// nothing is shed.
+// Rejections by a server whose load reports show little load do not count as overload: while they last, requests go to
+// the other servers and none is shed.
 func TestRejectionsShedNothing(t *testing.T) {
 	const initial, extra = 16, 5
 	isHealthCheck := func(req *http.Request) bool { return req.URL.Path == protocol.PathLoad }
@@ -86,13 +87,13 @@
 		<-serve
 		return agenttest.OKAnswer, false
 	})
-	// With a tick of 5 s one probe of each lasts for the whole test.
+	// With a tick of 5 s, one health check of each server is enough for the whole test.
 	a := startWith(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
 		`"maxAttempts":3`, `"maxAttempts":20,"probes":true`).Replace(agenttest.Settings), x, y)
-	answers := make(chan int, initial+extra)
+	statuses := make(chan int, initial+extra)
 	send := func() {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
-		answers <- status
+		statuses <- status
 	}
 	for range initial {
 		go send()
@@ -109,33 +110,33 @@
 				atY++
 			}
 		case <-time.After(agenttest.Timeout):
-			t.Fatalf("%d and %d requests have come", atX, atY)
+			t.Fatalf("got %d and %d requests, want %d in total", atX, atY, initial)
 		}
 	}
 	close(reject)
 	awaitAtY := func(n int) {
 		for atY < n {
 			select {
-			case status := <-answers:
-				t.Fatalf("answered %d after %d rejections, with %d requests at the other", status, atX, atY)
+			case status := <-statuses:
+				t.Fatalf("got status %d after %d rejections, with %d requests at the other server", status, atX, atY)
 			case req := <-y.Requests:
 				if !isHealthCheck(req) {
 					atY++
 				}
 			case <-time.After(agenttest.Timeout):
-				t.Fatalf("%d of %d requests are at the other", atY, n)
+				t.Fatalf("got %d requests at the other server, want %d", atY, n)
 			}
 		}
 	}
-	awaitAtY(initial) // what was rejected too
+	awaitAtY(initial) // including the rejected requests
 	for range extra {
 		go send()
 	}
 	awaitAtY(initial + extra)
 	close(serve)
 	for range initial + extra {
-		if status := agenttest.Receive(t, "answer", answers); status != http.StatusOK {
-			t.Errorf("answered %d after %d rejections", status, atX)
+		if status := agenttest.Receive(t, "response", statuses); status != http.StatusOK {
+			t.Errorf("got status %d after %d rejections, want 200", status, atX)
 		}
 	}
 }
--- a/internal/agent/largelist_test.go
+++ b/internal/agent/largelist_test.go
@@ -12,8 +12,8 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// An agent of 1,024 follows lists of 1,024 servers with the longest ids, indented, whole and as changes, within the
-// smallest limits; of a list that cannot be used nothing is taken, and the whole list is asked for.
+// One of 1,024 agents, with the smallest limits, follows indented lists of 1,024 servers with the longest ids, both
+// complete lists and changes. It applies nothing of an invalid list and requests the complete list.
 func TestLargeEndpointList(t *testing.T) {
 	const size, longestID = 1024, 256 // members, bytes
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
@@ -45,11 +45,11 @@
 	}
 	cfg.CachedEndpoints = known
 	a := start(t, cfg)
-	// served sends some requests and says how many each server got.
+	// requestsPerServer sends 20 requests and returns how many each server got.
 	requestsPerServer := func() (got [2]int) {
 		for range 20 {
 			if status, _ := a.do(t, a.request("safe", "15000m")); status != 200 {
-				t.Fatalf("answered %d", status)
+				t.Fatalf("got status %d, want 200", status)
 			}
 			select {
 			case <-x.Requests:
@@ -63,32 +63,32 @@
 	agenttest.Receive(t, "first call", l.Calls)
 	agenttest.Receive(t, "watch", l.Calls)
 	if got := requestsPerServer(); got[0] == 0 || got[1] == 0 {
-		t.Errorf("of the known list: %v at the servers", got)
+		t.Errorf("cached list: got %v requests at the servers, want some at each", got)
 	}
 	for i, c := range []struct {
 		text  []byte
-		x, y  bool   // whether each is used then
+		x, y  bool   // whether each server gets requests afterwards
 		query string // of the next call
 	}{
 		{list(2, false, "Terminating", func(i int) bool { return i%2 == 0 }), false, true, "after=2&"},
 		{bytes.Replace(list(3, true, "Ready", all), []byte(`"Ready"`), []byte(`"Odd"`), 1), true, true, ""},
 		{list(4, false, "Gone", func(i int) bool { return i%2 == 1 }), true, false, "after=4&"},
 	} {
-		if i == 2 { // the whole list that is asked for after the broken one
+		if i == 2 { // the invalid list was followed by the complete one
 			if q := agenttest.Receive(t, "watch", l.Calls); !strings.HasPrefix(q, "after=1&") {
-				t.Errorf("after the whole list: asked %q", q)
+				t.Errorf("after the complete list: got query %q, want a watch after 1", q)
 			}
 		}
 		l.Next <- c.text
 		if q := agenttest.Receive(t, "call", l.Calls); !strings.HasPrefix(q, c.query) || c.query == "" && q != "" {
-			t.Errorf("list %d: asked %q, want %q", i, q, c.query)
+			t.Errorf("list %d: got query %q, want %q", i, q, c.query)
 		}
-		if c.query == "" { // it is answered at once: all are ready
+		if c.query == "" { // the complete list follows immediately, with all servers ready
 			continue
 		}
-		time.Sleep(100 * time.Millisecond) // the loop has it
+		time.Sleep(100 * time.Millisecond) // until the loop has applied the list
 		if got := requestsPerServer(); got[0] > 0 != c.x || got[1] > 0 != c.y {
-			t.Errorf("list %d: %v at the servers", i, got)
+			t.Errorf("list %d: got %v requests at the servers, want some at x: %v, at y: %v", i, got, c.x, c.y)
 		}
 	}
 }
--- a/internal/agent/listen.go
+++ b/internal/agent/listen.go
@@ -10,7 +10,8 @@
 // soReusePort is Linux's SO_REUSEPORT, which package syscall leaves out.
 const soReusePort = 0xf
 
-// listen opens the clients' address, if shared together with other processes that share it.
+// listen opens the listener for clients. If shared is set, other processes that also set it can listen on the same
+// address.
 func listen(ctx context.Context, addr string, shared bool) (*net.TCPListener, error) {
 	var config net.ListenConfig
 	if shared {
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -9,7 +9,7 @@
 	"example.org/ryeloft/internal/agenttest"
 )
 
-// The metrics tell each end of a request by class, every class from 0, and the tries and servers behind them.
+// The metrics count the results of requests per class, including classes without any, and the attempts and servers.
 func TestMetricsCountResults(t *testing.T) {
 	b := agenttest.NewServer(t, func(n int, _ *http.Request) (string, bool) {
 		if n == 0 {
@@ -31,7 +31,7 @@
 				return
 			}
 		}
-		t.Fatalf("the metrics\n%swant\n%s", got, strings.Join(lines, "\n"))
+		t.Fatalf("got metrics\n%swant\n%s", got, strings.Join(lines, "\n"))
 	}
 	expect(`gw_responses_total{kind="celled",result="shed"} 0`, "gw_tries_total 0", "gw_active 0", "gw_pool_size 1",
 		"gw_pool_ejected 0", "gw_config_applied_total 0", "gw_config_rejected_total 0")
@@ -43,7 +43,7 @@
 		"gw_tries_total 3", "gw_active 0")
 }
 
-// What the agent itself turns away is refused, and counted so.
+// A request that the agent itself rejects is counted as shed, without an attempt.
 func TestMetricsCountRejections(t *testing.T) {
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Terminating", 0)))
 	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
@@ -53,6 +53,6 @@
 	a.do(t, a.request("unsafe", "15000m"))
 	if got := consoleCall(t, cfg.AdminAddr, "vars\n"); !strings.Contains(got, `{kind="unsafe",result="shed"} 1`) ||
 		!strings.Contains(got, "gw_tries_total 0\n") {
-		t.Errorf("the metrics\n%s", got)
+		t.Errorf("got metrics\n%swant one shed request and no attempt", got)
 	}
 }
--- a/internal/agent/outcomes_test.go
+++ b/internal/agent/outcomes_test.go
@@ -13,29 +13,29 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// Each row of the protocol's table of outcomes, first at one server that then serves: a keyed request may go
-// again whatever happened, an unsafe one only if it cannot have run.
+// Each failed outcome in the protocol's table, on the first request of one server: a keyed request may be retried after
+// any of them, an unsafe one only if it cannot have run.
 func TestAttemptOutcomes(t *testing.T) {
 	rejected := "HTTP/1.1 %d No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, row := range []struct {
 		name       string
 		text       string
 		closes     bool
-		mayHaveRun bool // it may have
+		mayHaveRun bool
 	}{
 		{"error", "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false, true},
-		{"turned away with 503", fmt.Sprintf(rejected, 503), false, false},
-		{"turned away with 504", fmt.Sprintf(rejected, 504), false, false},
-		{"503 of its own", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, true},
+		{"rejected with 503", fmt.Sprintf(rejected, 503), false, false},
+		{"rejected with 504", fmt.Sprintf(rejected, 504), false, false},
+		{"503 without X-Rejected", "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n", false, true},
 		{"reset", "", true, true},
-		{"broken answer", "HTTP/1.1 200 OK\r\nContent-Length: 60\r\n\r\nhalf", true, true},
-		{"shorter than it says, the connection open", "HTTP/1.1 200 OK\r\nContent-Length: 60\r\n\r\nhalf", false, true},
-		{"half a head, the connection open", "HTTP/1.1 200 OK\r\nContent-", false, true},
-		{"said to be oversized", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhalf", false, true},
+		{"truncated response", "HTTP/1.1 200 OK\r\nContent-Length: 60\r\n\r\nhalf", true, true},
+		{"shorter than Content-Length, connection open", "HTTP/1.1 200 OK\r\nContent-Length: 60\r\n\r\nhalf", false, true},
+		{"partial head, connection open", "HTTP/1.1 200 OK\r\nContent-", false, true},
+		{"oversized Content-Length", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhalf", false, true},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nhalf", false, true},
 		{"bad chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhalf", false, true},
 		{"another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n" + agenttest.OKAnswer, false, true},
-		{"nonsense", "SSH-2.0-x\r\n\r\n", true, true},
+		{"not HTTP", "SSH-2.0-x\r\n\r\n", true, true},
 		{"endless header", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10), true, true},
 	} {
 		t.Run(row.name, func(t *testing.T) {
@@ -46,22 +46,22 @@
 				return agenttest.OKAnswer, false
 			}
 			for _, class := range []string{"keyed", "unsafe"} {
-				// The other attempt goes to the second server, so one script serves for both.
+				// The retry goes to the second server, which serves all requests.
 				first := agenttest.NewServer(t, script)
 				second := agenttest.NewServer(t, agenttest.Serve)
 				a := startWith(t, agenttest.Settings, first, second)
-				for len(first.Requests) == 0 { // until the draw falls on the first
+				for len(first.Requests) == 0 { // until the balancer picks the first server
 					status, body := a.do(t, a.request(class, "15000m"))
 					retried := class == "keyed" || !row.mayHaveRun
 					switch {
 					case len(first.Requests) == 0 && status == 200:
 						<-second.Requests
 					case retried && (status != 200 || body != "served"):
-						t.Errorf("%s: answered %d %q", class, status, body)
+						t.Errorf("%s: got %d %q, want 200 with the second server's body", class, status, body)
 					case !retried && status != protocol.StatusFailed:
-						t.Errorf("%s: answered %d", class, status)
+						t.Errorf("%s: got status %d, want %d", class, status, protocol.StatusFailed)
 					case retried && len(first.Requests)+len(second.Requests) != 2, !retried && len(first.Requests)+len(second.Requests) != 1:
-						t.Errorf("%s: sent %d times", class, len(first.Requests)+len(second.Requests))
+						t.Errorf("%s: got %d attempts, want a retry: %v", class, len(first.Requests)+len(second.Requests), retried)
 					}
 				}
 			}
@@ -69,32 +69,32 @@
 	}
 }
 
-// A good answer is served whatever stands before and behind it; its connection is not used again, or what stands
-// behind it would be the next request's answer.
+// A good response is served whatever bytes precede or follow it. Its connection is not reused, since the bytes after it
+// would be read as the response to the next request.
 func TestBytesAroundResponse(t *testing.T) {
 	for what, text := range map[string]string{
-		"a copy behind":   agenttest.OKAnswer + strings.Replace(agenttest.OKAnswer, "served", "again!", 1),
-		"noise behind":    agenttest.OKAnswer + "\x00\x01\r\n\r\n",
-		"hints before":    "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + agenttest.OKAnswer,
-		"a broken report": strings.Replace(agenttest.OKAnswer, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
+		"copy after it":   agenttest.OKAnswer + strings.Replace(agenttest.OKAnswer, "served", "again!", 1),
+		"noise after it":  agenttest.OKAnswer + "\x00\x01\r\n\r\n",
+		"hints before it": "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + agenttest.OKAnswer,
+		"bad load report": strings.Replace(agenttest.OKAnswer, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
 	} {
 		a := startWith(t, agenttest.Settings, agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return text, false }))
 		for range 3 {
 			if status, body := a.do(t, a.request("unsafe", "15000m")); status != 200 || body != "served" {
-				t.Errorf("%s: answered %d %q", what, status, body)
+				t.Errorf("%s: got %d %q, want 200 %q", what, status, body, "served")
 			}
 		}
 	}
 }
 
-// A keyed request that may have run is not sent to a server that does not know its key.
+// A keyed request that may have run is not retried at a server outside its deduplication scope.
 func TestRetryStaysInDedupCell(t *testing.T) {
 	breaks := func(int, *http.Request) (string, bool) { return "", true }
 	x, y := agenttest.NewServer(t, breaks), agenttest.NewServer(t, breaks)
 	a := startWith(t, agenttest.Settings, x, y)
 	a.do(t, a.request("celled", "15000m"))
 	if len(x.Requests) > 0 && len(y.Requests) > 0 {
-		t.Error("sent to both cells")
+		t.Error("got attempts in both cells, want them in one")
 	}
 }
 
@@ -107,7 +107,7 @@
 	closedServer := &agenttest.Server{Addr: closed.Addr().String()}
 	a := startWith(t, agenttest.Settings, closedServer)
 	if status, _ := a.do(t, a.request("unsafe", "15000m")); status != protocol.StatusRejected {
-		t.Errorf("answered %d: what never ran can be refused", status)
+		t.Errorf("got status %d, want %d, since the request never ran", status, protocol.StatusRejected)
 	}
 }
 
@@ -116,16 +116,16 @@
 	a := startWith(t, agenttest.Settings, b)
 	status, _ := a.do(t, a.request("unsafe", "150m"))
 	if status != protocol.StatusFailed {
-		t.Errorf("answered %d: it may have run", status)
+		t.Errorf("got status %d, want %d, since the request may have run", status, protocol.StatusFailed)
 	}
 	agenttest.Receive(t, "close of the connection", b.Closed)
 	if len(b.Requests) != 1 {
-		t.Errorf("sent %d times", len(b.Requests))
+		t.Errorf("got %d attempts, want 1", len(b.Requests))
 	}
 }
 
-// An answer that is cut is never passed on as whole, however it is framed and wherever it breaks: a short one fails, and
-// the client of a long one sees that there was more.
+// A truncated response is never forwarded as complete, whatever its framing and wherever it breaks off: a short one
+// becomes a failure, and the client can tell that a long one is incomplete.
 func TestTruncatedResponses(t *testing.T) {
 	long := string(agenttest.Pattern(stream.MaxHeldBytes + 1000))
 	for name, text := range map[string]string{
@@ -140,7 +140,7 @@
 	} {
 		for _, end := range []string{"reset", "end"} {
 			if end == "end" && strings.Contains(name, "no length") {
-				continue // that is how such an answer ends
+				continue // such a response ends with the connection
 			}
 			t.Run(name+", "+end, func(t *testing.T) {
 				a := startStreaming(t, func(w http.ResponseWriter, _ *http.Request) {
@@ -157,12 +157,12 @@
 				})
 				resp, err := a.client.Do(a.request("unsafe", "15000m"))
 				if err != nil {
-					return // cut before its first bytes went on
+					return // closed before any byte was forwarded
 				}
 				defer resp.Body.Close()
 				body, err := io.ReadAll(resp.Body)
 				if resp.StatusCode == http.StatusOK && err == nil {
-					t.Errorf("%d bytes were passed on as whole", len(body))
+					t.Errorf("got a complete response of %d bytes, want an error", len(body))
 				}
 			})
 		}
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -11,7 +11,7 @@
 	"example.org/ryeloft/internal/metrics"
 )
 
-// reloader puts configurations in force: the settings first, and then where the list is to be had.
+// reloader applies reloaded configurations: first the settings, then the addresses of discovery and its relays.
 type reloader struct {
 	loop    *dispatch.Loop
 	metrics *metrics.Metrics
@@ -19,7 +19,7 @@
 	log     *slog.Logger
 }
 
-// run puts each configuration in force that comes, until the context ends.
+// run applies each reloaded configuration until ctx is done.
 func (r *reloader) run(ctx context.Context, reloads <-chan config.ReloadResult) {
 	for {
 		select {
@@ -31,7 +31,7 @@
 	}
 }
 
-// reload puts a configuration in force, or counts it as rejected.
+// reload applies a configuration, or counts it as rejected.
 func (r *reloader) reload(ctx context.Context, next config.ReloadResult) {
 	err := next.Err
 	if err == nil {
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -12,8 +12,8 @@
 	"example.org/ryeloft/internal/protocol"
 )
 
-// Classes appear, vanish and become stricter; what is under way is answered as what it was taken for, and a broken
-// file changes nothing.
+// A reload adds and removes classes and makes one stricter. A request in flight is served as the class it was accepted
+// with, and a rejected file changes nothing.
 func TestReloadSettings(t *testing.T) {
 	proceed := make(chan struct{}, 100)
 	b := agenttest.NewServer(t, func(_ int, r *http.Request) (string, bool) {
@@ -27,15 +27,15 @@
 		t.Helper()
 		for started := time.Now(); !strings.Contains(consoleCall(t, console, "vars\n"), line+"\n"); time.Sleep(time.Millisecond) {
 			if time.Since(started) > agenttest.Timeout {
-				t.Fatalf("no %q in the metrics", line)
+				t.Fatalf("got no %q in the metrics", line)
 			}
 		}
 	}
-	held := a.request("celled", "15000m")
-	held.Header.Set("X-Wait", "1")
+	inFlight := a.request("celled", "15000m")
+	inFlight.Header.Set("X-Wait", "1")
 	answered := make(chan int, 1)
 	go func() {
-		status, _ := a.do(t, held)
+		status, _ := a.do(t, inFlight)
 		answered <- status
 	}()
 	agenttest.Receive(t, "request", b.Requests)
@@ -43,10 +43,10 @@
 	a.reloads <- config.ReloadResult{Err: errors.New("broken")}
 	expect("gw_config_rejected_total 1")
 	if status, _ := a.do(t, a.request("celled", "15000m")); status != 200 {
-		t.Errorf("after a broken file: answered %d", status)
+		t.Errorf("after a rejected file: got status %d, want 200", status)
 	}
 
-	// "celled" goes, "safe" may not be repeated any more, "new" comes before all others.
+	// The class "celled" is removed, "safe" is no longer idempotent, and "new" is added before all others.
 	text := strings.NewReplacer(`"categories":[`, `"categories":[
 	  {"name":"new","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},`,
 		`{"name":"celled","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"cell","repeatWindow":30000},`, "",
@@ -65,12 +65,12 @@
 		req.Method = c.method
 		req.Header.Set(protocol.HeaderIdempotencyKey, "k")
 		if status, _ := a.do(t, req); status != c.want {
-			t.Errorf("%s %s: answered %d, want %d", c.method, c.class, status, c.want)
+			t.Errorf("%s %s: got status %d, want %d", c.method, c.class, status, c.want)
 		}
 	}
 	proceed <- struct{}{}
-	if status := agenttest.Receive(t, "answer", answered); status != 200 {
-		t.Errorf("what was under way is answered %d", status)
+	if status := agenttest.Receive(t, "response", answered); status != 200 {
+		t.Errorf("request in flight: got status %d, want 200", status)
 	}
 	expect(`gw_responses_total{kind="celled",result="ok"} 2`)
 }
--- a/internal/agent/replacement_test.go
+++ b/internal/agent/replacement_test.go
@@ -15,14 +15,14 @@
 	"example.org/ryeloft/internal/protocol"
 )
 
-// process is one of several that run one agent.
+// process is one of several processes of one agent.
 type process struct {
 	console string
 	stop    context.CancelFunc
 	ended   chan error
 }
 
-// startProcess starts one and waits until it says yes.
+// startProcess starts a process and waits until its console reports that it is ready.
 func startProcess(t *testing.T, cfg config.Config) *process {
 	t.Helper()
 	cfg.AdminAddr = freeAddr(t)
@@ -38,18 +38,18 @@
 			}
 		}
 	}
-	t.Fatal("the process does not come up")
+	t.Fatalf("the process is not ready after %v", agenttest.Timeout)
 	return nil
 }
 
-// Processes replace each other under load: what was taken is answered, connections are let in, and each process that
-// goes ends well, long before it would be killed.
+// Processes replace each other under load. Requests are answered, new connections are accepted, and each replaced
+// process returns without an error long before it would be killed.
 func TestReplacement(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	b := agenttest.NewServer(t, agenttest.Serve)
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", b.Addr, "Ready", 0)))
 	go func() {
-		for range b.Requests { // nobody looks
+		for range b.Requests { // keep the channel from filling up
 		}
 	}()
 	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
@@ -85,28 +85,28 @@
 		next := startProcess(t, *cfg)
 		current.stop()
 		started := time.Now()
-		if err := agenttest.Receive(t, "end of the process that is replaced", current.ended); err != nil || time.Since(started) > maxKillDeadline {
-			t.Errorf("ended after %v with %v", time.Since(started), err)
+		if err := agenttest.Receive(t, "end of the replaced process", current.ended); err != nil || time.Since(started) > maxKillDeadline {
+			t.Errorf("replaced process: returned %v after %v, want no error within %v", err, time.Since(started), maxKillDeadline)
 		}
 		current = next
 		if got := consoleCall(t, current.console, "check\n"); got != "ok\n" {
-			t.Errorf("the next is asked: %q", got)
+			t.Errorf("check of the new process: got %q, want ok", got)
 		}
 	}
-	for requests.Load() < 50 { // however quickly they came up
+	for requests.Load() < 50 { // even if the processes started quickly
 		time.Sleep(time.Millisecond)
 	}
 	stopClients()
 	wg.Wait()
-	// The kernel resets a connection that is just coming up as its listener closes: one a replacement at most, where
-	// the queue of a listener that simply closes holds many.
+	// The kernel resets a connection that is being established while its listener closes. That is at most one per
+	// replacement, whereas a listener that closes without finishing its accept queue resets many.
 	if failed.Load() > 2 {
 		t.Errorf("%d of %d requests failed", failed.Load(), requests.Load())
 	}
 }
 
-// While a process is replaced, a request id is taken by one of the two processes, whichever a client brings it to first, and by none
-// while the other has it.
+// During a replacement only one of the two processes accepts a request id, the one that receives it first. The other
+// rejects it with 409.
 func TestRequestIDAcrossProcesses(t *testing.T) {
 	t.Setenv("TMPDIR", t.TempDir())
 	proceed := make(chan struct{})
@@ -116,7 +116,7 @@
 	})
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", b.Addr, "Ready", 0)))
 	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
-	// Each process has a client address of its own, so that the test chooses between them.
+	// Each process listens on a different address, so that the test can choose between them.
 	olderCfg, newerCfg := *cfg, *cfg
 	olderCfg.Listen, newerCfg.Listen = freeAddr(t), freeAddr(t)
 	startProcess(t, olderCfg)
@@ -144,24 +144,24 @@
 		id := fmt.Sprintf("repeated-%d", i)
 		first := send(order[0], id)
 		agenttest.Receive(t, "request", b.Requests)
-		if status := agenttest.Receive(t, "answer to the repeat", send(order[1], id)); status != http.StatusConflict {
-			t.Errorf("%s is taken twice: the repeat is answered %d", id, status)
+		if status := agenttest.Receive(t, "response to the repeat", send(order[1], id)); status != http.StatusConflict {
+			t.Errorf("%s repeated: got status %d, want 409", id, status)
 		}
 		proceed <- struct{}{}
-		if status := agenttest.Receive(t, "answer", first); status != http.StatusOK {
-			t.Errorf("%s is answered %d", id, status)
+		if status := agenttest.Receive(t, "response", first); status != http.StatusOK {
+			t.Errorf("%s: got status %d, want 200", id, status)
 		}
 	}
 	close(proceed)
-	for i := range 50 { // in whatever order
-		id := fmt.Sprintf("at-once-%d", i)
+	for i := range 50 { // either process may be first
+		id := fmt.Sprintf("concurrent-%d", i)
 		older, newer := send(olderCfg.Listen, id), send(newerCfg.Listen, id)
-		one, other := agenttest.Receive(t, "answer", older), agenttest.Receive(t, "answer", newer)
+		one, other := agenttest.Receive(t, "response", older), agenttest.Receive(t, "response", newer)
 		if min(one, other) != http.StatusOK || max(one, other) != http.StatusConflict {
-			t.Errorf("%s is answered %d and %d", id, one, other)
+			t.Errorf("%s: got statuses %d and %d, want 200 and 409", id, one, other)
 		}
 	}
 	if n := len(b.Requests); n != 50 {
-		t.Errorf("%d requests of 50 ids at the server", n)
+		t.Errorf("got %d requests at the server, want 50, one per id", n)
 	}
 }
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -15,7 +15,7 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// A client that closes its own side only has gone as well, and must not be told that it was served.
+// A client that half-closes its connection counts as gone and must not get a response.
 func TestHalfCloseIsNotServed(t *testing.T) {
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := startWith(t, agenttest.Settings, b)
@@ -31,7 +31,7 @@
 	c.(*net.TCPConn).CloseWrite()
 	c.SetReadDeadline(time.Now().Add(agenttest.Timeout))
 	if text, _ := io.ReadAll(c); len(text) > 0 {
-		t.Errorf("answered %q", text)
+		t.Errorf("got %q, want no response", text)
 	}
 }
 
@@ -60,11 +60,11 @@
 		req := a.request("keyed", "15000m")
 		change(req)
 		if status, _ := a.do(t, req); status < 400 || status >= 500 {
-			t.Errorf("%s: answered %d", what, status)
+			t.Errorf("%s: got status %d, want 4xx", what, status)
 		}
 	}
 	if len(b.Requests) > 0 {
-		t.Errorf("%d reached the server", len(b.Requests))
+		t.Errorf("%d requests were forwarded, want none", len(b.Requests))
 	}
 }
 
@@ -78,11 +78,12 @@
 	resp.Body.Close()
 	after, err := time.ParseDuration(resp.Header.Get("Retry-After") + "s")
 	if resp.StatusCode != protocol.StatusRejected || err != nil || after <= 0 {
-		t.Errorf("answered %s with Retry-After %q", resp.Status, resp.Header.Get("Retry-After"))
+		t.Errorf("got status %s with Retry-After %q, want %d with a positive one", resp.Status, resp.Header.Get("Retry-After"), protocol.StatusRejected)
 	}
 }
 
-// What a request is owed is owed before its client gives up.
+// The budget passed to the server is shorter than the client's by a margin, so that the response is due before the
+// client times out.
 func TestForwardedBudgetIsReduced(t *testing.T) {
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
 	a := startWith(t, agenttest.Settings, b)
@@ -98,11 +99,11 @@
 	sent := agenttest.Receive(t, "request", b.Requests)
 	remaining, err := protocol.ParseBudget(sent.Header.Get(protocol.HeaderBudget))
 	if latest := 20*time.Second - inbound.MaxAnswerMargin; err != nil || remaining > latest || remaining < latest-time.Since(started) {
-		t.Errorf("passed on with a budget of %v, want at most %v: %v", remaining, latest, err)
+		t.Errorf("got a forwarded budget of %v, error %v, want at most %v", remaining, err, latest)
 	}
 }
 
-// zeros is a reader without an end.
+// zeros is an endless reader of zero bytes.
 type zeros struct{}
 
 func (zeros) Read(b []byte) (int, error) {
--- a/internal/agent/reuse_test.go
+++ b/internal/agent/reuse_test.go
@@ -6,15 +6,15 @@
 	"example.org/ryeloft/internal/agenttest"
 )
 
-// An idle connection that the server has closed is not written to: it would end as a reset, which an unsafe
-// request does not survive.
+// An idle connection that the server has closed is not reused: the request would end in a reset, after which an unsafe
+// request cannot be retried.
 func TestStaleConnection(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	a := startWith(t, agenttest.Settings, b)
 	for i := range 3 {
 		status, _ := a.do(t, a.request("unsafe", "15000m"))
 		if status != 200 {
-			t.Fatalf("request %d: answered %d", i, status)
+			t.Fatalf("request %d: got status %d, want 200", i, status)
 		}
 		agenttest.Receive(t, "connection", b.Accepted).Close()
 	}
@@ -27,6 +27,6 @@
 		a.do(t, a.request("unsafe", "15000m"))
 	}
 	if n := len(b.Accepted); n != 1 {
-		t.Errorf("%d connections for one request at a time", n)
+		t.Errorf("got %d connections for sequential requests, want 1", n)
 	}
 }
--- a/internal/agent/serverdraining_test.go
+++ b/internal/agent/serverdraining_test.go
@@ -8,8 +8,8 @@
 	"example.org/ryeloft/internal/agenttest"
 )
 
-// A request on its way to a server that begins to drain before anything was sent goes on to another at once, whatever its
-// class and however few attempts are allowed.
+// A request that waits for a connection to a server that starts to drain is sent to another server without delay,
+// whatever its class and even if only one attempt is allowed.
 func TestServerDrainsWhileConnecting(t *testing.T) {
 	x, y := agenttest.UnresponsiveAddr(t), agenttest.NewServer(t, agenttest.Serve)
 	settings := strings.NewReplacer(`"maxAttempts":3`, `"maxAttempts":1`, `"extraFloor":100`, `"extraFloor":0`,
@@ -23,15 +23,15 @@
 			status, _ := a.do(t, a.request(class, "15000m"))
 			answered <- status
 		}()
-		time.Sleep(200 * time.Millisecond) // it waits for the connection
+		time.Sleep(200 * time.Millisecond) // until the request waits for the connection
 		agenttest.Receive(t, "watch", l.Calls)
 		started := time.Now()
 		l.Next <- agenttest.List(2+2*i, true, agenttest.Member("x", x, "Terminating", 0), agenttest.Member("y", y.Addr, "Ready", 0))
-		if status := agenttest.Receive(t, "answer", answered); status != 200 || time.Since(started) > 5*time.Second {
-			t.Errorf("%s: answered %d after %v", class, status, time.Since(started))
+		if status := agenttest.Receive(t, "response", answered); status != 200 || time.Since(started) > 5*time.Second {
+			t.Errorf("%s: got status %d after %v, want 200 within 5s", class, status, time.Since(started))
 		}
 		agenttest.Receive(t, "request", y.Requests)
 		agenttest.Receive(t, "watch", l.Calls)
-		l.Next <- agenttest.List(3+2*i, true, agenttest.Member("x", x, "Ready", 0)) // it stays after all
+		l.Next <- agenttest.List(3+2*i, true, agenttest.Member("x", x, "Ready", 0)) // x no longer drains
 	}
 }
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -7,29 +7,30 @@
 )
 
 const (
-	// acceptWhileLeaving is how long a process that shuts down without a replacement goes on accepting, because its clients
-	// go on connecting.
+	// acceptDuringShutdown is how long a process without a replacement keeps accepting after the shutdown started,
+	// because its clients keep connecting.
 	acceptDuringShutdown = 550 * time.Millisecond
-	// The platform kills a process killMargin after the longest deadline has passed since SIGTERM; it counts that deadline
-	// as maxKillDeadline at most.
+	// The platform kills a process when the longest class deadline, at most maxKillDeadline, plus killMargin has passed
+	// since SIGTERM.
 	killMargin      = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
-	// lastAnswerMargin is how long before the kill all open requests are answered as failed.
+	// finalResponseMargin is how long before the kill all open requests are answered as failed.
 	finalResponseMargin = 150 * time.Millisecond
-	// maxShutdown bounds the end of a process that nobody kills.
+	// maxShutdown bounds the shutdown of a process that is not killed.
 	maxShutdown = 30 * time.Second
-	// replacedLookInterval is how often to look whether another process takes the clients.
+	// replacementCheckInterval is how often shutDown checks whether another process accepts the clients.
 	replacementCheckInterval = 20 * time.Millisecond
 )
 
-// shutDown drains the agent and returns when all open requests are answered, or the platform is about to kill the process.
-// The end of the clients' server comes on served.
+// shutDown drains the agent. Shortly before the platform kills the process, it answers the requests still open as
+// failed. It returns when all client connections have ended or maxShutdown has passed. served receives the error with
+// which the server for clients returns.
 func (a *agent) shutDown(workCtx context.Context, served <-chan error) error {
 	started := time.Now()
 	failOpenAfter := a.killDelay() - finalResponseMargin
 	failOpen := time.AfterFunc(failOpenAfter, a.clients.FailOpen)
 	defer failOpen.Stop()
-	// After the last answers only downloads are open, which the platform may cut off.
+	// After failOpenAfter only downloads are still open, and the platform may cut those off.
 	shutdownCtx, cancel := context.WithDeadline(workCtx, started.Add(maxShutdown))
 	defer cancel()
 	a.clients.StartShutdown(failOpenAfter)
@@ -48,13 +49,13 @@
 	} else {
 		a.clients.CloseListener()
 	}
-	err := <-served // once the listener is closed and its queue is empty
+	err := <-served // arrives once the listener is closed and its queue is empty
 	a.log.Debug("listener closed", "error", err)
 	a.clients.AwaitEmpty(shutdownCtx)
 	return nil
 }
 
-// killedAfter returns how long after SIGTERM the platform kills the process.
+// killDelay returns how long after SIGTERM the platform kills the process.
 func (a *agent) killDelay() time.Duration {
 	longest := time.Duration(0)
 	for _, class := range a.loop.Settings().Balancer.Classes {
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -20,7 +20,7 @@
 	"example.org/ryeloft/internal/upstream"
 )
 
-// startStreaming starts an agent in front of a server that a handler plays.
+// startStreaming starts an agent with one server, which runs the handler.
 func startStreaming(t *testing.T, handler http.HandlerFunc) *testAgent {
 	t.Helper()
 	s := httptest.NewServer(handler)
@@ -29,12 +29,12 @@
 	return start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
 }
 
-// Bodies of any length and framing go on unchanged, and so do the answers.
+// Request and response bodies of any length and framing are forwarded unchanged.
 func TestBodiesPassUnchanged(t *testing.T) {
 	a := startStreaming(t, func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
 		if err != nil {
-			t.Errorf("the body: %v", err)
+			t.Errorf("reading the request body: %v", err)
 		}
 		switch form := r.URL.Query().Get("form"); form {
 		case "length":
@@ -73,15 +73,15 @@
 					req.Header.Set("Expect", "100-continue")
 				}
 				if status, got := a.do(t, req); status != 200 || got != string(body) {
-					t.Fatalf("%d bytes sent with %s, answered with %s: status %d, %d bytes", size, framing, form, status, len(got))
+					t.Fatalf("%d bytes sent with %s, returned with %s: got status %d and %d bytes", size, framing, form, status, len(got))
 				}
 			}
 		}
 	}
 }
 
-// The first bytes of a long answer go on while the rest is still to come, whatever its framing, and a pause within it
-// breaks nothing.
+// The first bytes of a long response are forwarded before the rest has arrived, whatever its framing, and a pause
+// within the response is harmless.
 func TestLongResponseIsStreamed(t *testing.T) {
 	for _, length := range []string{"", "200000"} {
 		proceed := make(chan struct{})
@@ -90,7 +90,7 @@
 			if length != "" {
 				w.Header().Set("Content-Length", length)
 			}
-			for _, n := range []int{1000, 2000} { // whoever waits for all of a short answer has waited enough
+			for _, n := range []int{1000, 2000} { // the agent stops waiting for a short response to complete
 				w.Write(body[n-1000 : n])
 				w.(http.Flusher).Flush()
 				time.Sleep(2 * upstream.CompleteWait)
@@ -99,7 +99,7 @@
 			w.Write(body[2000:])
 		})
 		release := sync.OnceFunc(func() { close(proceed) })
-		t.Cleanup(release) // or a failure would leave the server waiting, and its end with it
+		t.Cleanup(release) // a handler that still waits after a failure would block closing the server
 		resp, err := a.client.Do(a.request("safe", "15000m"))
 		if err != nil {
 			t.Fatal(err)
@@ -111,13 +111,13 @@
 		}
 		release()
 		if rest, err := io.ReadAll(resp.Body); err != nil || string(first)+string(rest) != string(body) {
-			t.Errorf("length %q: %d bytes more, error %v", length, len(rest), err)
+			t.Errorf("length %q: got %d more bytes, error %v, want the rest of the body", length, len(rest), err)
 		}
 	}
 }
 
-// A long answer that breaks off, stalls or lies about its length is not whole for the client either, is no second
-// attempt's, and counts as failed.
+// A long response that breaks off or has a bad chunk is incomplete for the client too, is not retried, and counts as an
+// error.
 func TestBrokenLongResponses(t *testing.T) {
 	for what, response := range map[string]string{
 		"breaks off":        "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n" + strings.Repeat("x", 70000),
@@ -132,20 +132,20 @@
 			resp.Body.Close()
 		}
 		if err == nil {
-			t.Errorf("%s: the client took it for whole", what)
+			t.Errorf("%s: got a complete response, want an error", what)
 		}
 		if n := len(b.Requests); n != 1 {
-			t.Errorf("%s: sent %d times", what, n)
+			t.Errorf("%s: got %d attempts, want 1", what, n)
 		}
 		for started := time.Now(); !strings.Contains(consoleCall(t, console, "vars\n"), `{kind="keyed",result="errors"} 1`); {
 			if time.Since(started) > agenttest.Timeout {
-				t.Fatalf("%s: not counted as failed", what)
+				t.Fatalf("%s: not counted as an error", what)
 			}
 		}
 	}
 }
 
-// A long answer that breaks off before any of it was passed on is a failed attempt, and another is made.
+// A long response that breaks off before any of it was forwarded is a failed attempt and is retried.
 func TestLongResponseBrokenEarly(t *testing.T) {
 	for _, framing := range []string{"Content-Length: 200000", "Transfer-Encoding: chunked"} {
 		b := agenttest.NewServer(t, func(n int, _ *http.Request) (string, bool) {
@@ -156,12 +156,12 @@
 		})
 		a := startWith(t, agenttest.Settings, b)
 		if status, body := a.do(t, a.request("keyed", "15000m")); status != 200 || body != "served" || len(b.Requests) != 2 {
-			t.Errorf("%s: answered %d %.20q after %d attempts", framing, status, body, len(b.Requests))
+			t.Errorf("%s: got %d %.20q after %d attempts, want 200 %q after 2", framing, status, body, len(b.Requests), "served")
 		}
 	}
 }
 
-// A long body of which anything was used is never sent again, though its class could be.
+// A long request body is never sent again once part of it has been consumed, even if the class allows retries.
 func TestLongBodyIsSentOnce(t *testing.T) {
 	var got atomic.Int64
 	script := func(w http.ResponseWriter, r *http.Request) {
@@ -185,13 +185,13 @@
 			resp.Body.Close()
 		}
 		if err == nil && resp.StatusCode < 400 || got.Load() != 1 {
-			t.Errorf("length %d: answered %v, error %v, sent %d times", size, resp, err, got.Load())
+			t.Errorf("length %d: got response %v, error %v, %d attempts, want a failure after 1", size, resp, err, got.Load())
 		}
 	}
 }
 
-// A body that stalls is answered or closed in time, and no server ever has all of it; one that comes slowly enough to
-// take longer is served.
+// A request whose body stalls gets an error or its connection is closed in time, and no server receives the complete
+// body. A slow body that keeps the minimum pace is served.
 func TestStalledBodies(t *testing.T) {
 	complete := make(chan int, 10)
 	a := startStreaming(t, func(_ http.ResponseWriter, r *http.Request) {
@@ -220,24 +220,24 @@
 		io.WriteString(conn, c.sent)
 		answer, _ := io.ReadAll(conn)
 		if took := time.Since(started); took > 3*time.Second || len(answer) > 0 && answer[9] != '4' && answer[9] != '5' {
-			t.Errorf("%s: answered %q after %v", c.framing, answer, took)
+			t.Errorf("%s: got %q after %v, want an error or a close within 3s", c.framing, answer, took)
 		}
 	}
 	slow := open("slow", "Content-Length: 100000\r\n")
-	for range 10 { // 10 kB each 150 ms are a little over 64 kB/s
+	for range 10 { // 10 kB per 150 ms is a little over 64 kB/s
 		slow.Write(make([]byte, 10_000))
 		time.Sleep(150 * time.Millisecond)
 	}
 	if resp, err := http.ReadResponse(bufio.NewReader(slow), nil); err != nil || resp.StatusCode != 200 {
-		t.Errorf("a slow body: %v, error %v", resp, err)
+		t.Errorf("slow body: got %v, error %v, want 200", resp, err)
 	}
 	if n := agenttest.Receive(t, "body", complete); n != 100_000 || len(complete) > 0 {
-		t.Errorf("a body of %d bytes came to its end, and %d more", n, len(complete))
+		t.Errorf("got a complete body of %d bytes and %d more, want only one of 100000 bytes", n, len(complete))
 	}
 }
 
-// A client that is refused while it is still sending hears so, and is not cut off: its connection is read to the body's
-// end before it closes.
+// A client that is rejected while it is still sending gets the response and no reset: the agent reads the body to its
+// end before it closes the connection.
 func TestRejectedWhileSending(t *testing.T) {
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", "127.0.0.1:1", "Terminating", 0)))
 	a := start(t, agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings))
@@ -252,17 +252,18 @@
 		"X-Budget: 9000m\r\nContent-Length: %d\r\n\r\n", parts*part)
 	for range parts {
 		if _, err := c.Write(make([]byte, part)); err != nil {
-			t.Fatalf("cut off: %v", err)
+			t.Fatalf("the connection was closed during the body: %v", err)
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
 	answer, err := io.ReadAll(c)
 	if err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 503 ") {
-		t.Errorf("answered %q, error %v", answer, err)
+		t.Errorf("got %q, error %v, want a 503", answer, err)
 	}
 }
 
-// The first bytes of a request count for the request: one that begins as its connection's idle time ends is not cut off.
+// A connection is not idle once the first bytes of a request have arrived: a request that begins just before the idle
+// timeout is not cut off.
 func TestSlowHeadOnKeepAliveConnection(t *testing.T) {
 	a := startWith(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
@@ -278,13 +279,13 @@
 		if i > 0 {
 			time.Sleep(inbound.IdleTimeout - 500*time.Millisecond)
 			io.WriteString(c, text[:2])
-			time.Sleep(time.Second) // past the time that the connection could have been idle
+			time.Sleep(time.Second) // beyond the idle timeout
 			text = text[2:]
 		}
 		io.WriteString(c, text)
 		resp, err := http.ReadResponse(br, nil)
 		if err != nil || resp.StatusCode != 200 {
-			t.Fatalf("request %d: %v, error %v", i, resp, err)
+			t.Fatalf("request %d: got %v, error %v, want 200", i, resp, err)
 		}
 		io.Copy(io.Discard, resp.Body)
 	}
--- a/internal/agenttest/agenttest.go
+++ b/internal/agenttest/agenttest.go
@@ -1,5 +1,5 @@
-// Package agenttest holds what the tests of several of the agent's packages share: a configuration, scripted servers, a
-// discovery service, and listeners at which connections do not come up. It is no part of the agent.
+// Package agenttest has the fixtures that tests of several agent packages share: a configuration, scripted servers, a
+// discovery service, and listeners that accept no connections. The agent itself does not use it.
 package agenttest
 
 import (
@@ -13,7 +13,8 @@
 	"example.org/ryeloft/internal/config"
 )
 
-// Settings are the settings of a test agent. Their classes: a keyed one dropped by all, a keyed one dropped by its cell, an unsafe one and a safe one.
+// Settings are the settings of a test agent. Its four classes are: keyed, with deduplication across the fleet; celled,
+// with a key and deduplication within a cell; unsafe, which is not idempotent; and safe, which is idempotent.
 const Settings = `{
  "categories":[
   {"name":"keyed","aim":20000,"deadline":30000,"credit":1,"effect":"token","dedupScope":"all","repeatWindow":30000},
@@ -26,7 +27,7 @@
  "limits":{"maxAttempts":3,"cancel":true,"secondCopies":true,"retryAfter":true,"connectTimeout":2000,"idleClose":30000},
  "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"extraFloor":100,"extraWindow":1000}}`
 
-// Config returns the configuration of an agent with a settings text and the address of a discovery service.
+// Config returns the configuration of an agent with the given discovery address and settings text.
 func Config(t *testing.T, discovery, settings string) *config.Config {
 	t.Helper()
 	text := fmt.Sprintf(`{"name":"n1","listen":"127.0.0.1:0","discovery":%q,"seed":"1f",
@@ -39,25 +40,25 @@
 	return cfg
 }
 
-// DiscardLogger drops what is logged.
+// DiscardLogger discards all log records.
 var DiscardLogger = slog.New(slog.DiscardHandler)
 
-// Timeout bounds what a test waits for; nothing passes by it.
+// Timeout bounds each wait of a test. No test passes by reaching it.
 const Timeout = 20 * time.Second
 
-// Receive returns the next value of a channel, or fails the test if none comes.
+// Receive returns the next value of a channel, or fails the test if none arrives within Timeout.
 func Receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
 	case <-time.After(Timeout):
-		t.Fatalf("no %s", what)
+		t.Fatalf("got no %s within %v", what, Timeout)
 		panic("unreachable")
 	}
 }
 
-// Pattern is a text of so many bytes of which no two parts are alike.
+// Pattern returns n bytes of text that does not repeat.
 func Pattern(n int) []byte {
 	var b bytes.Buffer
 	for i := 0; b.Len() < n; i++ {
@@ -66,7 +67,7 @@
 	return b.Bytes()[:n]
 }
 
-// send writes to a peer under test, which may have closed the connection on purpose.
+// send writes text to w. It ignores errors, since the peer under test may have closed the connection on purpose.
 func send(w io.Writer, text string) {
 	_, _ = io.WriteString(w, text)
 }
--- a/internal/agenttest/discovery.go
+++ b/internal/agenttest/discovery.go
@@ -10,17 +10,18 @@
 	"time"
 )
 
-// Discovery is a discovery service: it answers the complete list at once, and each watch with what comes on Next.
+// Discovery is a discovery service. It returns the complete list without delay, and answers each watch with the next
+// text sent to Next.
 type Discovery struct {
 	*httptest.Server
-	Calls chan string // the queries, in the order of the calls
-	Next  chan []byte // the answers to watches
+	Calls chan string // the raw query of each call, in order
+	Next  chan []byte // the responses to watches
 
 	mu   sync.Mutex
-	list func() []byte // returns nil while discovery is down
+	list func() []byte // guarded by mu; returns nil while discovery is down
 }
 
-// NewDiscovery starts a discovery service with a complete list; nil refuses all calls.
+// NewDiscovery starts a discovery service with a complete list. With a nil list it rejects all calls.
 func NewDiscovery(t *testing.T, list []byte) *Discovery {
 	d := &Discovery{Calls: make(chan string, 1000), Next: make(chan []byte), list: func() []byte { return list }}
 	d.Server = httptest.NewServer(http.HandlerFunc(d.serve))
@@ -31,7 +32,7 @@
 	return d
 }
 
-// SetList replaces the complete list. The function is called once for each call of discovery.
+// SetList replaces the function that returns the complete list. It is called once per discovery call.
 func (d *Discovery) SetList(list func() []byte) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,7 +55,7 @@
 }
 
 func (d *Discovery) watch(w http.ResponseWriter, r *http.Request) {
-	var noChange <-chan time.Time // new, where the call does not wait
+	var noChange <-chan time.Time // stays nil if the call waits for a change
 	if r.URL.Query().Get("wait_ms") == "0" {
 		noChange = time.After(50 * time.Millisecond)
 	}
@@ -67,12 +68,12 @@
 	}
 }
 
-// List is a list of members as discovery writes it.
+// List returns an endpoint list in the format of discovery.
 func List(revision int, complete bool, members ...string) []byte {
 	return fmt.Appendf(nil, `{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, strings.Join(members, ","))
 }
 
-// Member is a member of a list as discovery writes it.
+// Member returns a member of an endpoint list in the format of discovery.
 func Member(id, addr, phase string, cell int) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","flavor":"m1","cell":%d,"phase":%q,"size":1,"up_since_ms":0}`,
 		id, addr, cell, phase)
--- a/internal/agenttest/listener.go
+++ b/internal/agenttest/listener.go
@@ -8,13 +8,14 @@
 	"time"
 )
 
-// DeafAddr returns an address at which connections never come up.
+// UnresponsiveAddr returns an address to which no connection can be established.
 func UnresponsiveAddr(t *testing.T) string {
 	addr, _ := FullListener(t)
 	return addr
 }
 
-// FullListener returns the address and the descriptor of a listener whose queue of connections is full, so that none comes up.
+// FullListener returns the address and the file descriptor of a listener whose accept queue is full, so that no
+// connection can be established.
 func FullListener(t *testing.T) (addr string, fd int) {
 	t.Helper()
 	fd, err := syscall.Socket(syscall.AF_INET, syscall.SOCK_STREAM, 0)
@@ -44,6 +45,6 @@
 		}
 		t.Cleanup(func() { c.Close() })
 	}
-	t.Fatal("connections come up all the same")
+	t.Fatal("16 connections did not fill the accept queue")
 	return "", 0
 }
--- a/internal/agenttest/server.go
+++ b/internal/agenttest/server.go
@@ -10,29 +10,29 @@
 	"testing"
 )
 
-// Server is a TCP server that hands each request to a script, on whichever connection it comes.
+// Server is a TCP server that answers the requests of all its connections with a script.
 type Server struct {
 	Addr     string
 	Accepted chan net.Conn
 	Requests chan *http.Request
-	Closed   chan error // the agent has closed a connection
+	Closed   chan error // the read error of each connection that the agent has closed
 
 	script Script
 	mu     sync.Mutex
-	count  int // requests
+	count  int // requests on all connections; guarded by mu
 }
 
-// Script answers the nth request on its connection: the text is written as it is, and closes says whether the connection
-// ends then. No text and not closing is silence.
+// Script returns the response to the nth request of a server, counted from 0. The text is written verbatim; if closes
+// is set, the server then closes the connection. Without text and closes the request gets no response.
 type Script func(n int, req *http.Request) (text string, closes bool)
 
-// OKAnswer is the answer that Serve gives.
+// OKAnswer is the response of Serve.
 const OKAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Type: text/x-made\r\n\r\nserved"
 
-// Serve is the script of a server that answers all requests.
+// Serve is the Script of a server that answers every request with OKAnswer.
 func Serve(int, *http.Request) (string, bool) { return OKAnswer, false }
 
-// NewServer starts a server, which ends with the test.
+// NewServer starts a server whose listener and connections are closed when the test ends.
 func NewServer(t *testing.T, script Script) *Server {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -67,7 +67,7 @@
 			s.Closed <- err
 			return
 		}
-		// A body that breaks off shows by its length.
+		// The error is ignored: a truncated body is noticed by its length.
 		body, _ := io.ReadAll(req.Body)
 		req.Body = io.NopCloser(bytes.NewReader(body))
 		s.mu.Lock()
