--- a/internal/agent/listen.go
+++ b/internal/agent/listen.go
@@ -10,11 +10,12 @@
 // soReusePort is Linux's SO_REUSEPORT, which package syscall leaves out.
 const soReusePort = 0xf
 
-// listen opens the clients' address, if shared together with other processes that share it.
+// listen opens the listener for clients. If shared is set, other processes that also set it can listen on the same
+// address.
 func listen(ctx context.Context, addr string, shared bool) (*net.TCPListener, error) {
 	var config net.ListenConfig
 	if shared {
-		config.Control = sharePort
+		config.Control = setReusePort
 	}
 	l, err := config.Listen(ctx, "tcp", addr)
 	if err != nil {
@@ -23,7 +24,7 @@
 	return l.(*net.TCPListener), nil
 }
 
-func sharePort(_, _ string, raw syscall.RawConn) error {
+func setReusePort(_, _ string, raw syscall.RawConn) error {
 	var err error
 	if controlErr := raw.Control(func(fd uintptr) {
 		err = syscall.SetsockoptInt(int(fd), syscall.SOL_SOCKET, soReusePort, 1)
--- a/internal/agent/reload.go
+++ b/internal/agent/reload.go
@@ -11,15 +11,15 @@
 	"example.org/ryeloft/internal/metrics"
 )
 
-// reloader puts configurations in force: the settings first, and then where the list is to be had.
+// reloader applies reloaded configurations: first the settings, then the addresses of discovery and its relays.
 type reloader struct {
 	loop    *dispatch.Loop
 	metrics *metrics.Metrics
-	moves   chan<- discovery.Target
+	targets chan<- discovery.Target
 	log     *slog.Logger
 }
 
-// run puts each configuration in force that comes, until the context ends.
+// run applies each reloaded configuration until ctx is done.
 func (r *reloader) run(ctx context.Context, reloads <-chan config.ReloadResult) {
 	for {
 		select {
@@ -31,7 +31,7 @@
 	}
 }
 
-// reload puts a configuration in force, or counts it as rejected.
+// reload applies a configuration, or counts it as rejected.
 func (r *reloader) reload(ctx context.Context, next config.ReloadResult) {
 	err := next.Err
 	if err == nil {
@@ -50,7 +50,7 @@
 		"discovery", next.Config.Discovery, "relays", len(next.Config.Relays), "classes", next.Config.Settings.ClassNames,
 		"max_attempts", next.Config.Settings.Balancer.MaxAttempts)
 	select {
-	case r.moves <- discovery.Target{Addr: next.Config.Discovery, Relays: next.Config.Relays}:
+	case r.targets <- discovery.Target{Addr: next.Config.Discovery, Relays: next.Config.Relays}:
 	case <-ctx.Done():
 	}
 }
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -7,12 +7,12 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// document is a settings text: the names are the field's, the tags are the keys. Numbers are decoded as floats because the
-// texts write integers with fractions too, and times are in milliseconds.
+// document is the JSON form of the settings. The Go names are the terms of the field, the tags are the operators' keys.
+// Numbers are decoded as floats because integers may be written with fractions. Times are in milliseconds.
 type document struct {
 	Rank      float64  `json:"rank"`
 	Agents    float64  `json:"replicasOfMe"`
-	Zone      *float64 `json:"zone"` // absent: not known
+	Zone      *float64 `json:"zone"` // absent: unknown
 	Zones     []string `json:"localities"`
 	Kinds     []string `json:"skus"`
 	Classes   []class  `json:"categories"`
@@ -33,8 +33,8 @@
 	Idempotency      string    `json:"effect"`
 	DedupScope       string    `json:"dedupScope"`
 	DedupWindow      float64   `json:"repeatWindow"`
-	Zones            []float64 `json:"localitiesOnly"` // absent: any; empty: none
-	Kinds            []float64 `json:"boundTo"`        // likewise
+	Zones            []float64 `json:"localitiesOnly"` // indexes into document.Zones; absent: any; empty: none
+	Kinds            []float64 `json:"boundTo"`        // indexes into document.Kinds; absent: any; empty: none
 }
 
 type tenant struct {
@@ -69,30 +69,30 @@
 	RetryBudgetRatio   float64 `json:"resendRatio"`
 }
 
-// discoveryByPolling is the word for a platform that tells changes of the endpoint list only to agents that poll it.
+// discoveryByPolling is the discovery setting of a platform that reports endpoint changes only to agents that poll it.
 const discoveryByPolling = "subscribe"
 
-var idempotencyByWord = map[string]balancer.Idempotency{
+var idempotencyByName = map[string]balancer.Idempotency{
 	"pure":        balancer.Idempotent,
 	"token":       balancer.IdempotentWithKey,
 	"side_effect": balancer.NonIdempotent,
 }
 
-var dedupScopeByWord = map[string]balancer.DedupScope{
+var dedupScopeByName = map[string]balancer.DedupScope{
 	"":     balancer.DedupScopeFleet,
 	"all":  balancer.DedupScopeFleet,
 	"zone": balancer.DedupScopeZone,
 	"cell": balancer.DedupScopeCell,
 }
 
-var reportModeByWord = map[string]balancer.ReportMode{
+var reportModeByName = map[string]balancer.ReportMode{
 	"":         balancer.ReportsOff,
 	"off":      balancer.ReportsOff,
 	"inline":   balancer.ReportsInline,
 	"on_probe": balancer.ReportsOnHealthCheck,
 }
 
-// settings converts the document. It returns a *FieldError of the first key that cannot be used.
+// settings converts the document. It returns a *FieldError for the first invalid key.
 func (d *document) settings() (Settings, error) {
 	s := Settings{
 		Balancer:       d.balancerSettings(),
@@ -103,9 +103,9 @@
 		IdleTimeout:    Milliseconds(d.Limits.IdleTimeout),
 		DrainGrace:     Milliseconds(d.Rules.DrainGrace),
 	}
-	mode, ok := reportModeByWord[d.Reports.Mode]
+	mode, ok := reportModeByName[d.Reports.Mode]
 	if !ok {
-		return Settings{}, unknownWord("report.how", d.Reports.Mode)
+		return Settings{}, unknownValue("report.how", d.Reports.Mode)
 	}
 	s.Balancer.Reports = mode
 	for i := range d.Classes {
@@ -123,7 +123,7 @@
 	return s, nil
 }
 
-// balancerSettings converts all that has a number or a switch for its value.
+// balancerSettings converts the balancer's settings other than classes, tenants and the report mode.
 func (d *document) balancerSettings() balancer.Settings {
 	zone := -1
 	if d.Zone != nil {
@@ -152,23 +152,23 @@
 	}
 }
 
-// class converts one class of requests.
-func (d *document) class(position int) (balancer.Class, error) {
-	c := &d.Classes[position]
-	key := func(name string) string { return fmt.Sprintf("categories[%d].%s", position, name) }
-	idempotency, ok := idempotencyByWord[c.Idempotency]
+// class converts the request class at the given index.
+func (d *document) class(index int) (balancer.Class, error) {
+	c := &d.Classes[index]
+	key := func(name string) string { return fmt.Sprintf("categories[%d].%s", index, name) }
+	idempotency, ok := idempotencyByName[c.Idempotency]
 	if !ok {
-		return balancer.Class{}, unknownWord(key("effect"), c.Idempotency)
+		return balancer.Class{}, unknownValue(key("effect"), c.Idempotency)
 	}
-	scope, ok := dedupScopeByWord[c.DedupScope]
+	scope, ok := dedupScopeByName[c.DedupScope]
 	if !ok {
-		return balancer.Class{}, unknownWord(key("dedupScope"), c.DedupScope)
+		return balancer.Class{}, unknownValue(key("dedupScope"), c.DedupScope)
 	}
-	zones, err := positions(c.Zones, len(d.Zones))
+	zones, err := indexes(c.Zones, len(d.Zones))
 	if err != nil {
 		return balancer.Class{}, &FieldError{Field: key("localitiesOnly"), Err: err}
 	}
-	kinds, err := positions(c.Kinds, len(d.Kinds))
+	kinds, err := indexes(c.Kinds, len(d.Kinds))
 	if err != nil {
 		return balancer.Class{}, &FieldError{Field: key("boundTo"), Err: err}
 	}
@@ -186,15 +186,15 @@
 	}, nil
 }
 
-// positions converts a list of positions among n names to integers; a nil list stays nil.
-func positions(list []float64, n int) ([]int, error) {
+// indexes converts a list of indexes into a list of n names to integers. A nil list stays nil.
+func indexes(list []float64, n int) ([]int, error) {
 	if list == nil {
 		return nil, nil
 	}
 	out := make([]int, 0, len(list))
 	for _, v := range list {
 		if v != math.Trunc(v) || v < 0 || v >= float64(n) {
-			return nil, fmt.Errorf("%v is no position among %d", v, n)
+			return nil, fmt.Errorf("%v is not an index below %d", v, n)
 		}
 		out = append(out, int(v))
 	}
