--- a/internal/agent/clientclosed_test.go
+++ b/internal/agent/clientclosed_test.go
@@ -57,7 +57,7 @@
 func TestNoAttemptForClosedClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		for _, how := range waysToClose {
-			for _, size := range []int{10, stream.MaxHeldBytes + 1000} {
+			for _, size := range []int{10, stream.MaxBufferedBytes + 1000} {
 				t.Run(fmt.Sprintf("%s/cancel %v/%d bytes", how, cancel, size), func(t *testing.T) {
 					t.Parallel()
 					addr, fd := agenttest.FullListener(t)
--- a/internal/agent/outcomes_test.go
+++ b/internal/agent/outcomes_test.go
@@ -127,7 +127,7 @@
 // An answer that is cut is never passed on as whole, however it is framed and wherever it breaks: a short one fails, and
 // the client of a long one sees that there was more.
 func TestCutAnswersAreNotWhole(t *testing.T) {
-	long := string(agenttest.Pattern(stream.MaxHeldBytes + 1000))
+	long := string(agenttest.Pattern(stream.MaxBufferedBytes + 1000))
 	for name, text := range map[string]string{
 		"no length":             "HTTP/1.1 200 OK\r\n\r\nhalf",
 		"no length and nothing": "HTTP/1.1 200 OK\r\n\r\n",
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -97,7 +97,7 @@
 	}()
 	sent := agenttest.Receive(t, "request", b.Requests)
 	left, err := protocol.ParseBudget(sent.Header.Get(protocol.HeaderBudget))
-	if latest := 20*time.Second - inbound.MaxAnswerMargin; err != nil || left > latest || left < latest-time.Since(begun) {
+	if latest := 20*time.Second - inbound.MaxResponseMargin; err != nil || left > latest || left < latest-time.Since(begun) {
 		t.Errorf("passed on with a budget of %v, want at most %v: %v", left, latest, err)
 	}
 }
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -27,7 +27,7 @@
 func (a *agent) shutDown(work context.Context, served <-chan error) error {
 	begun := time.Now()
 	lastAnswers := a.killedAfter() - lastAnswerMargin
-	failOpen := time.AfterFunc(lastAnswers, a.clients.FailOpen)
+	failOpen := time.AfterFunc(lastAnswers, a.clients.FailOpenRequests)
 	defer failOpen.Stop()
 	// After the last answers only downloads are open, which the platform may cut off.
 	end, cancel := context.WithDeadline(work, begun.Add(maxShutdown))
@@ -44,7 +44,7 @@
 	}
 	if a.peers.Leave() {
 		a.log.Info("clients handed over to another process")
-		a.clients.FinishQueue()
+		a.clients.DrainAcceptQueue()
 	} else {
 		a.clients.CloseListener()
 	}
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -58,7 +58,7 @@
 			part = part[n:]
 		}
 	})
-	for _, size := range []int{0, 1, stream.MaxHeldBytes, stream.MaxHeldBytes + 1, 700_000} {
+	for _, size := range []int{0, 1, stream.MaxBufferedBytes, stream.MaxBufferedBytes + 1, 700_000} {
 		body := agenttest.Pattern(size)
 		for _, form := range []string{"length", "chunks", "close", "hints", "trailers"} {
 			for _, framing := range []string{"length", "chunks", "expect"} {
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -18,10 +18,10 @@
 	case balancer.ActionSend:
 		l.startAttempt(ctx, r, a)
 	case balancer.ActionReject:
-		r.answer(Answer{Status: protocol.StatusRejected, RetryAfter: a.RetryAfter})
+		r.answer(Response{Status: protocol.StatusRejected, RetryAfter: a.RetryAfter})
 		l.forget(r)
 	case balancer.ActionFail:
-		r.answer(Answer{Status: protocol.StatusFailed})
+		r.answer(Response{Status: protocol.StatusFailed})
 		l.forget(r)
 	case balancer.ActionCancel:
 		// The end of another attempt must not cut off the answer that the client is getting.
@@ -89,8 +89,8 @@
 }
 
 // clientAnswer is a server's answer as the client gets it.
-func clientAnswer(a upstream.Answer) Answer {
-	return Answer{Status: http.StatusOK, ContentType: a.ContentType, Body: a.Body, Download: a.Download}
+func clientAnswer(a upstream.Answer) Response {
+	return Response{Status: http.StatusOK, ContentType: a.ContentType, Body: a.Body, Download: a.Download}
 }
 
 // startHealthCheck checks a server. One that has no endpoint is not checked: the check has expired.
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -27,7 +27,7 @@
 		request balancer.RequestID
 		attempt int
 		server  balancer.ServerID
-		answer  Answer // its Download is nil if the attempt uses an upload
+		answer  Response // its Download is nil if the attempt uses an upload
 	}
 	// attemptEnded is the outcome of an attempt.
 	attemptEnded struct {
@@ -36,8 +36,8 @@
 		server    balancer.ServerID
 		outcome   balancer.Outcome
 		load      balancer.LoadReport
-		answer    Answer // if the outcome is OK
-		abandoned bool   // the attempt found that nobody waits for the answer
+		answer    Response // if the outcome is OK
+		abandoned bool     // the attempt found that nobody waits for the answer
 	}
 	// healthCheckEnded is the outcome of a health check.
 	healthCheckEnded struct {
@@ -72,7 +72,7 @@
 	l.metrics.RequestDispatched()
 	if !r.translate(l.settings.Load()) {
 		l.ids.close(r.idHash)
-		r.answered <- Answer{Status: protocol.StatusRejected}
+		r.answered <- Response{Status: protocol.StatusRejected}
 		return
 	}
 	r.number = l.newNumber()
@@ -140,7 +140,7 @@
 
 // abandon ends a request whose client has closed its connection, and releases its handler if that still waits.
 func (l *Loop) abandon(ctx context.Context, r *openRequest) {
-	r.answer(Answer{})
+	r.answer(Response{})
 	l.metrics.ClientClosed()
 	l.handle(ctx, balancer.Event{Kind: balancer.EventClientClosed, Request: r.number})
 	l.forget(r)
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -125,7 +125,7 @@
 // of the agent, is answered at once.
 func (l *Loop) Submit(r *Request) {
 	if !l.takeID(r) {
-		r.answered <- Answer{Status: http.StatusConflict, ContentType: "text/plain", Body: []byte(protocol.HeaderRequestID + " is in use\n")}
+		r.answered <- Response{Status: http.StatusConflict, ContentType: "text/plain", Body: []byte(protocol.HeaderRequestID + " is in use\n")}
 		return
 	}
 	l.send(submitted{r})
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -116,7 +116,7 @@
 		t.Fatalf("after the request: %+v", l.requests)
 	}
 	abandoned{c}.handle(ctx, l)
-	attemptEnded{request: c.number, answer: Answer{Status: http.StatusOK}}.handle(ctx, l)
+	attemptEnded{request: c.number, answer: Response{Status: http.StatusOK}}.handle(ctx, l)
 	abandoned{c}.handle(ctx, l)
 	if len(c.answered) != 0 || len(l.requests) != 0 {
 		t.Errorf("%d answers, %d requests left", len(c.answered), len(l.requests))
@@ -187,7 +187,7 @@
 						l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: look.id})
 					}
 					ended := func(n int, how balancer.Outcome) input {
-						return attemptEnded{request: c.number, attempt: n, outcome: how, answer: Answer{Status: http.StatusOK},
+						return attemptEnded{request: c.number, attempt: n, outcome: how, answer: Response{Status: http.StatusOK},
 							abandoned: gone && how == balancer.OutcomeExpired}
 					}
 					ends := []input{ended(0, first), ended(1, second), abandoned{c}}
@@ -277,7 +277,7 @@
 	l.requests[7] = r
 	flows := func(attempt int) *stream.Download {
 		d := stream.NewDownload(-1, nil, nil, nil, nil)
-		streaming{request: 7, attempt: attempt, answer: Answer{Status: http.StatusOK, Download: d}}.handle(t.Context(), l)
+		streaming{request: 7, attempt: attempt, answer: Response{Status: http.StatusOK, Download: d}}.handle(t.Context(), l)
 		return d
 	}
 	first, second := flows(0), flows(1)
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -25,7 +25,7 @@
 	// ClientClosed says whether the client has closed its connection. Any goroutine may call it.
 	ClientClosed func() bool
 
-	answered chan Answer // holds one, so that the loop never waits for a handler
+	answered chan Response // holds one, so that the loop never waits for a handler
 	number   balancer.RequestID
 	idHash   uint64
 	ended    atomic.Bool // answered or abandoned; only the loop sets it
@@ -33,17 +33,17 @@
 
 // NewRequest returns a request that was read by these settings.
 func NewRequest(s *settings.Settings) *Request {
-	return &Request{Settings: s, answered: make(chan Answer, 1)}
+	return &Request{Settings: s, answered: make(chan Response, 1)}
 }
 
 // Answered gives the request's only answer. A handler that does not wait for it has to abandon the request.
-func (r *Request) Answered() <-chan Answer { return r.answered }
+func (r *Request) Answered() <-chan Response { return r.answered }
 
 // over says that nothing may be begun for the request any more.
 func (r *Request) over() bool { return r.ended.Load() || r.ClientClosed() }
 
-// Answer is what a client gets.
-type Answer struct {
+// Response is what a client gets.
+type Response struct {
 	Status      int           // 0: no answer, because the client has closed its connection
 	RetryAfter  time.Duration // 0: no advice
 	ContentType string
@@ -66,7 +66,7 @@
 }
 
 // answer hands the handler its answer. It is false if the request was answered or abandoned before.
-func (r *openRequest) answer(a Answer) bool {
+func (r *openRequest) answer(a Response) bool {
 	if r.ended.Swap(true) {
 		return false
 	}
--- a/internal/inbound/handler.go
+++ b/internal/inbound/handler.go
@@ -157,7 +157,7 @@
 
 // deliver gives the client the dispatcher's answer. A download does not begin if the request is limited, because it may last
 // for any time and cannot be undone.
-func (h *clientHandler) deliver(x *exchange, a dispatch.Answer, limited bool) {
+func (h *clientHandler) deliver(x *exchange, a dispatch.Response, limited bool) {
 	switch {
 	case a.Status == 0:
 		panic(http.ErrAbortHandler)
@@ -165,7 +165,7 @@
 		h.answer(x, a)
 	case limited || x.upload() != nil && h.drain.limitsRequests():
 		a.Download.Finish(stream.ErrNotRead)
-		h.answer(x, dispatch.Answer{Status: protocol.StatusFailed})
+		h.answer(x, dispatch.Response{Status: protocol.StatusFailed})
 	default:
 		h.passOn(x, a)
 	}
@@ -174,13 +174,13 @@
 // failRequest abandons a request that can wait no longer and answers it as failed.
 func (h *clientHandler) failRequest(x *exchange) {
 	h.dispatcher.Abandon(x.request)
-	h.answer(x, dispatch.Answer{Status: protocol.StatusFailed})
+	h.answer(x, dispatch.Response{Status: protocol.StatusFailed})
 }
 
 // rejectOverLimit rejects a request because the agent itself is at its limit, with Retry-After if the settings allow it.
 func (h *clientHandler) rejectOverLimit(x *exchange) {
 	h.metrics.RequestOverLimit()
-	rejected := dispatch.Answer{Status: protocol.StatusRejected}
+	rejected := dispatch.Response{Status: protocol.StatusRejected}
 	if set := &h.dispatcher.Settings().Balancer; set.AdviseRetryAfter {
 		rejected.RetryAfter = min(overLimitRetryAfter, cmp.Or(set.MaxRetryAfter, overLimitRetryAfter))
 	}
--- a/internal/inbound/request.go
+++ b/internal/inbound/request.go
@@ -20,8 +20,8 @@
 const (
 	// MaxRequestIDBytes is the longest id that a request may have.
 	MaxRequestIDBytes = 256
-	// MaxAnswerMargin is the most that an answer is due before its client gives up.
-	MaxAnswerMargin = 25 * time.Millisecond
+	// MaxResponseMargin is the most that an answer is due before its client gives up.
+	MaxResponseMargin = 25 * time.Millisecond
 	// answerMarginShare is the part of a budget that is its margin at most.
 	answerMarginShare = 10
 )
@@ -173,7 +173,7 @@
 
 // readBody returns a body that can be held, or else an upload of which nothing, or as much as can be held, has been read.
 func readBody(r *http.Request, source io.Reader) (body []byte, upload *stream.Upload, err error) {
-	if r.ContentLength > stream.MaxHeldBytes {
+	if r.ContentLength > stream.MaxBufferedBytes {
 		return nil, stream.NewUpload(r.ContentLength, nil, source), nil
 	}
 	if r.ContentLength >= 0 {
@@ -181,8 +181,8 @@
 		_, err = io.ReadFull(source, body)
 		return body, nil, err
 	}
-	body, err = io.ReadAll(io.LimitReader(source, stream.MaxHeldBytes+1))
-	if len(body) > stream.MaxHeldBytes {
+	body, err = io.ReadAll(io.LimitReader(source, stream.MaxBufferedBytes+1))
+	if len(body) > stream.MaxBufferedBytes {
 		return nil, stream.NewUpload(r.ContentLength, body, source), err
 	}
 	return body, nil, err
@@ -191,5 +191,5 @@
 // answerMargin is how long before its client's timeout a request is due to be answered, because an answer that is made at
 // the timeout comes too late.
 func answerMargin(budget time.Duration) time.Duration {
-	return min(MaxAnswerMargin, budget/answerMarginShare)
+	return min(MaxResponseMargin, budget/answerMarginShare)
 }
--- a/internal/inbound/request_test.go
+++ b/internal/inbound/request_test.go
@@ -8,7 +8,7 @@
 // A short budget is not eaten by the margin.
 func TestAnswerMargin(t *testing.T) {
 	for budget, want := range map[time.Duration]time.Duration{
-		2 * time.Second: MaxAnswerMargin, 480 * time.Millisecond: MaxAnswerMargin, 100 * time.Millisecond: 10 * time.Millisecond,
+		2 * time.Second: MaxResponseMargin, 480 * time.Millisecond: MaxResponseMargin, 100 * time.Millisecond: 10 * time.Millisecond,
 	} {
 		if got := answerMargin(budget); got != want {
 			t.Errorf("a budget of %v: margin %v, want %v", budget, got, want)
--- a/internal/inbound/response.go
+++ b/internal/inbound/response.go
@@ -15,11 +15,11 @@
 // answerBadRequest answers a request that is not well-formed.
 func (h *clientHandler) answerBadRequest(w http.ResponseWriter, bad *badRequestError) {
 	h.metrics.BadRequest(bad.reason)
-	h.writeAnswer(w, dispatch.Answer{Status: bad.status, ContentType: "text/plain", Body: []byte(bad.reason + "\n")})
+	h.writeAnswer(w, dispatch.Response{Status: bad.status, ContentType: "text/plain", Body: []byte(bad.reason + "\n")})
 }
 
 // answer writes the answer to a request and counts it.
-func (h *clientHandler) answer(x *exchange, a dispatch.Answer) {
+func (h *clientHandler) answer(x *exchange, a dispatch.Response) {
 	h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultOf(a.Status))
 	h.closeBehindUpload(x)
 	h.writeAnswer(x.w, a)
@@ -39,7 +39,7 @@
 }
 
 // passOn answers a request with a download and counts it by how that ends.
-func (h *clientHandler) passOn(x *exchange, a dispatch.Answer) {
+func (h *clientHandler) passOn(x *exchange, a dispatch.Response) {
 	h.closeBehindUpload(x)
 	h.writeHead(x.w, a, a.Download.Length())
 	err := a.Download.CopyTo(x.r.Context(), x.w, h.buffers)
@@ -56,7 +56,7 @@
 
 // writeAnswer writes an answer that is held. Whether the connection is to close is decided only now, so that a request that
 // began before a drain does not leave a connection open on which the next one crosses the close.
-func (h *clientHandler) writeAnswer(w http.ResponseWriter, a dispatch.Answer) {
+func (h *clientHandler) writeAnswer(w http.ResponseWriter, a dispatch.Response) {
 	// A client that reads nothing would hold its answer without a limit. The deadline can only fail to be set on a connection
 	// that is closed.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWriteTimeout))
@@ -66,7 +66,7 @@
 }
 
 // writeHead writes the head of an answer with a body of so many bytes, or of as many as will come if that is below 0.
-func (h *clientHandler) writeHead(w http.ResponseWriter, a dispatch.Answer, length int64) {
+func (h *clientHandler) writeHead(w http.ResponseWriter, a dispatch.Response, length int64) {
 	header := w.Header()
 	// What follows a bad request on its connection is not to be trusted either.
 	if h.drain.reason() != nil || a.Status/100 == 4 {
--- a/internal/inbound/server.go
+++ b/internal/inbound/server.go
@@ -84,15 +84,15 @@
 func (s *Server) StopDrain() error { return s.drain.stop() }
 
 // StartShutdown drains the agent for good. No request that begins late lasts beyond killedAfter, when the caller is to call
-// FailOpen.
+// FailOpenRequests.
 func (s *Server) StartShutdown(killedAfter time.Duration) { s.drain.shutDown(killedAfter) }
 
-// FailOpen answers all open requests as failed, except those whose answer is a download that has begun. It is called once.
-func (s *Server) FailOpen() { close(s.handler.failOpen) }
+// FailOpenRequests answers all open requests as failed, except those whose answer is a download that has begun. It is called once.
+func (s *Server) FailOpenRequests() { close(s.handler.failOpen) }
 
-// FinishQueue closes the listener after the last connection that waits there, for another process to accept those that come
+// DrainAcceptQueue closes the listener after the last connection that waits there, for another process to accept those that come
 // later, and idle connections after IdleGrace.
-func (s *Server) FinishQueue() {
+func (s *Server) DrainAcceptQueue() {
 	s.drain.closeIdleAfter(IdleGrace)
 	s.listener.finishQueue()
 }
--- a/internal/stream/buffers.go
+++ b/internal/stream/buffers.go
@@ -9,7 +9,7 @@
 
 // NewBuffers returns a store that grows to so many bytes as streams need them, and to two parts at least.
 func NewBuffers(bytes int64) *Buffers {
-	b := &Buffers{parts: make(chan []byte, max(2, bytes/PartBytes))}
+	b := &Buffers{parts: make(chan []byte, max(2, bytes/BufferBytes))}
 	for range cap(b.parts) {
 		b.parts <- nil
 	}
@@ -44,7 +44,7 @@
 
 func allocated(part []byte) []byte {
 	if part == nil {
-		return make([]byte, PartBytes)
+		return make([]byte, BufferBytes)
 	}
 	return part
 }
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -9,12 +9,12 @@
 )
 
 const (
-	// MaxHeldBytes is the longest body of a request or an answer that is held completely; longer ones are streams.
-	MaxHeldBytes = 64 << 10
+	// MaxBufferedBytes is the longest body of a request or an answer that is held completely; longer ones are streams.
+	MaxBufferedBytes = 64 << 10
 	// MaxBytes is the longest body of a request or an answer at all; those of the service have up to 32 MB.
 	MaxBytes = 40 << 20
-	// PartBytes is what a stream holds at once.
-	PartBytes = 32 << 10
+	// BufferBytes is what a stream holds at once.
+	BufferBytes = 32 << 10
 	// partWriteTimeout is how long a client or a server may take to read a part.
 	partWriteTimeout = 10 * time.Second
 )
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -185,7 +185,7 @@
 		}()
 		cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 		p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
-		store := stream.NewBuffers(2 * stream.PartBytes)
+		store := stream.NewBuffers(2 * stream.BufferBytes)
 		u := stream.NewUpload(100_000, nil, stream.NewPacedReader(bytes.NewReader(agenttest.Pattern(100_000)), http.NewResponseController(httptest.NewRecorder()), time.Time{}))
 		u.Budget = agenttest.Timeout
 		if !u.Reserve(store) || store.Free() != 1 {
--- a/internal/upstream/readanswer.go
+++ b/internal/upstream/readanswer.go
@@ -87,7 +87,7 @@
 // readBody reads a body to its end if it is short, and otherwise its beginning: as much as can be held, or has come within
 // CompleteWait. A break within the beginning shows here, where nothing was passed on that could not be taken back.
 func (c *conn) readBody(head *http.Response) (body []byte, complete bool, err error) {
-	short := head.ContentLength >= 0 && head.ContentLength <= stream.MaxHeldBytes
+	short := head.ContentLength >= 0 && head.ContentLength <= stream.MaxBufferedBytes
 	if short {
 		body = make([]byte, 0, head.ContentLength+1)
 	}
@@ -109,7 +109,7 @@
 			return body, true, c.SetReadDeadline(time.Time{})
 		case err != nil:
 			return nil, false, err
-		case !short && len(body) > stream.MaxHeldBytes:
+		case !short && len(body) > stream.MaxBufferedBytes:
 			return body, false, nil
 		}
 	}
