--- a/internal/dispatch/adopt_test.go
+++ b/internal/dispatch/adopt_test.go
@@ -9,7 +9,7 @@
 )
 
 // A request that was read by the old settings is looked up by name in the new ones.
-func TestTranslate(t *testing.T) {
+func TestTranslateToNewSettings(t *testing.T) {
 	old := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings).Settings
 	next := agenttest.Config(t, "127.0.0.1:1", strings.NewReplacer(
 		`"name":"celled"`, `"name":"other"`, `"effect":"pure"`, `"effect":"side_effect"`,
@@ -39,9 +39,9 @@
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
 	next := agenttest.Config(t, "127.0.0.1:1", strings.ReplaceAll(agenttest.Settings, `"safe"`, `"new"`))
-	held := blockedWriter{writing: make(chan struct{}, 1), release: make(chan struct{})}
-	go func() { _ = l.metrics.WriteText(held) }() // holds the metrics, so that adopt waits where it adds the classes
-	agenttest.Receive(t, "write", held.writing)
+	writer := blockedWriter{writing: make(chan struct{}, 1), release: make(chan struct{})}
+	go func() { _ = l.metrics.WriteText(writer) }() // holds the metrics, so that adopt waits where it adds the classes
+	agenttest.Receive(t, "write", writer.writing)
 	adopted := make(chan error, 1)
 	go func() { adopted <- l.adopt(t.Context(), &next.Settings) }()
 	for begun := time.Now(); time.Since(begun) < 200*time.Millisecond; time.Sleep(time.Millisecond) {
@@ -50,7 +50,7 @@
 			break
 		}
 	}
-	close(held.release)
+	close(writer.release)
 	if err := agenttest.Receive(t, "result", adopted); err != nil || l.Settings() != &next.Settings {
 		t.Errorf("error %v", err)
 	}
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -18,11 +18,11 @@
 	case balancer.ActionSend:
 		l.startAttempt(ctx, r, a)
 	case balancer.ActionReject:
-		r.answer(Response{Status: protocol.StatusRejected, RetryAfter: a.RetryAfter})
-		l.forget(r)
+		r.respond(Response{Status: protocol.StatusRejected, RetryAfter: a.RetryAfter})
+		l.removeIfDone(r)
 	case balancer.ActionFail:
-		r.answer(Response{Status: protocol.StatusFailed})
-		l.forget(r)
+		r.respond(Response{Status: protocol.StatusFailed})
+		l.removeIfDone(r)
 	case balancer.ActionCancel:
 		// The end of another attempt must not cut off the answer that the client is getting.
 		if a.Attempt < len(r.cancelAttempt) && r.streamingAttempt != a.Attempt {
@@ -34,38 +34,38 @@
 // startAttempt sends a request to a server. What cannot be sent any more has expired.
 func (l *Loop) startAttempt(ctx context.Context, r *openRequest, a *balancer.Action) {
 	attempt := len(r.cancelAttempt)
-	left := r.Deadline - l.clock.Now()
+	remaining := r.Deadline - l.clock.Now()
 	if a.Timeout != 0 {
-		left = min(left, a.Timeout)
+		remaining = min(remaining, a.Timeout)
 	}
 	endpoint := l.endpoints[a.Server]
-	if r.ended.Load() || left <= 0 || endpoint == nil {
+	if r.ended.Load() || remaining <= 0 || endpoint == nil {
 		r.cancelAttempt = append(r.cancelAttempt, func() {})
 		l.events = append(l.events, balancer.Event{
-			Kind: balancer.EventOutcome, Request: r.number, Attempt: attempt, Server: a.Server,
+			Kind: balancer.EventOutcome, Request: r.balancerID, Attempt: attempt, Server: a.Server,
 			Outcome: balancer.OutcomeExpired, Answered: r.ended.Load(), Load: settings.UnknownLoad(),
 		})
 		return
 	}
 	options := &upstream.Attempt{
-		Deadline: time.Now().Add(left), LoadFields: l.settings.Load().ReportFields, Abandoned: r.over,
+		Deadline: time.Now().Add(remaining), LoadFields: l.settings.Load().ReportFields, Abandoned: r.hasEnded,
 	}
 	if a.DispatchWithin > 0 {
 		options.SendBefore = time.Now().Add(a.DispatchWithin)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	options.Timer = time.AfterFunc(left, func() { cancel(context.DeadlineExceeded) })
-	l.reportStreaming(options, streaming{request: r.number, attempt: attempt, server: a.Server})
+	options.Timer = time.AfterFunc(remaining, func() { cancel(context.DeadlineExceeded) })
+	l.reportStreaming(options, streaming{request: r.balancerID, attempt: attempt, server: a.Server})
 	r.cancelAttempt = append(r.cancelAttempt, func() { cancel(context.Canceled) })
 	r.inFlight++
-	ended := attemptEnded{request: r.number, attempt: attempt, server: a.Server}
+	ended := attemptEnded{request: r.balancerID, attempt: attempt, server: a.Server}
 	request := r.Upstream
 	go func() { // ends with its context, at the latest with the loop's
 		result := l.pool.Exchange(ctx, endpoint, request, options)
 		options.Timer.Stop()
 		ended.outcome = result.Outcome
 		ended.load = result.Load
-		ended.answer = clientAnswer(result.Answer)
+		ended.response = clientResponse(result.Answer)
 		ended.abandoned = result.Abandoned
 		l.send(ended)
 	}()
@@ -73,11 +73,11 @@
 
 // reportStreaming notifies the loop when an attempt uses an upload, and when its answer is a download. The attempt then
 // waits until the client's handler has finished the download.
-func (l *Loop) reportStreaming(options *upstream.Attempt, begun streaming) {
-	options.OnStreaming = func() { l.send(begun) }
+func (l *Loop) reportStreaming(options *upstream.Attempt, started streaming) {
+	options.OnStreaming = func() { l.send(started) }
 	options.PassOn = func(a upstream.Answer) error {
-		in := begun
-		in.answer = clientAnswer(a)
+		in := started
+		in.response = clientResponse(a)
 		l.send(in)
 		select {
 		case err := <-a.Download.Done():
@@ -88,8 +88,8 @@
 	}
 }
 
-// clientAnswer is a server's answer as the client gets it.
-func clientAnswer(a upstream.Answer) Response {
+// clientResponse is a server's answer as the client gets it.
+func clientResponse(a upstream.Answer) Response {
 	return Response{Status: http.StatusOK, ContentType: a.ContentType, Body: a.Body, Download: a.Download}
 }
 
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -24,10 +24,10 @@
 	abandoned struct{ request *Request }
 	// streaming says that an attempt uses an upload, or that its answer is a download.
 	streaming struct {
-		request balancer.RequestID
-		attempt int
-		server  balancer.ServerID
-		answer  Response // its Download is nil if the attempt uses an upload
+		request  balancer.RequestID
+		attempt  int
+		server   balancer.ServerID
+		response Response // its Download is nil if the attempt uses an upload
 	}
 	// attemptEnded is the outcome of an attempt.
 	attemptEnded struct {
@@ -36,7 +36,7 @@
 		server    balancer.ServerID
 		outcome   balancer.Outcome
 		load      balancer.LoadReport
-		answer    Response // if the outcome is OK
+		response  Response // if the outcome is OK
 		abandoned bool     // the attempt found that nobody waits for the answer
 	}
 	// healthCheckEnded is the outcome of a health check.
@@ -72,26 +72,26 @@
 	l.metrics.RequestDispatched()
 	if !r.translate(l.settings.Load()) {
 		l.ids.close(r.idHash)
-		r.answered <- Response{Status: protocol.StatusRejected}
+		r.response <- Response{Status: protocol.StatusRejected}
 		return
 	}
-	r.number = l.newNumber()
-	l.requests[r.number] = newOpenRequest(r)
+	r.balancerID = l.newBalancerID()
+	l.requests[r.balancerID] = newOpenRequest(r)
 	l.handle(ctx, balancer.Event{
-		Kind: balancer.EventRequest, Request: r.number, Class: r.Class, Tenant: r.Tenant, Retry: r.Retry,
+		Kind: balancer.EventRequest, Request: r.balancerID, Class: r.Class, Tenant: r.Tenant, Retry: r.Retry,
 		Remaining: r.Deadline - l.clock.Now(),
 	})
 }
 
 func (in abandoned) handle(ctx context.Context, l *Loop) {
-	r := l.requests[in.request.number]
+	r := l.requests[in.request.balancerID]
 	if r != nil && !r.ended.Load() {
 		l.abandon(ctx, r)
 		return
 	}
 	// It crossed the answer, if there was one.
 	select {
-	case a := <-in.request.answered:
+	case a := <-in.request.response:
 		if a.Download != nil {
 			a.Download.Finish(stream.ErrNotRead)
 		}
@@ -101,9 +101,9 @@
 
 func (in streaming) handle(ctx context.Context, l *Loop) {
 	r := l.requests[in.request]
-	if in.answer.Download != nil {
-		if !r.answer(in.answer) { // another attempt's answer was first
-			in.answer.Download.Finish(stream.ErrNotRead)
+	if in.response.Download != nil {
+		if !r.respond(in.response) { // another attempt's answer was first
+			in.response.Download.Finish(stream.ErrNotRead)
 			return
 		}
 		r.streamingAttempt = in.attempt
@@ -120,13 +120,13 @@
 		l.abandon(ctx, r)
 	}
 	if in.outcome == balancer.OutcomeOK {
-		r.answer(in.answer)
+		r.respond(in.response)
 	}
 	l.handle(ctx, balancer.Event{
 		Kind: balancer.EventOutcome, Request: in.request, Attempt: in.attempt, Server: in.server,
 		Outcome: in.outcome, Load: in.load, Answered: r.ended.Load(),
 	})
-	l.forget(r)
+	l.removeIfDone(r)
 }
 
 func (in healthCheckEnded) handle(ctx context.Context, l *Loop) {
@@ -140,8 +140,8 @@
 
 // abandon ends a request whose client has closed its connection, and releases its handler if that still waits.
 func (l *Loop) abandon(ctx context.Context, r *openRequest) {
-	r.answer(Response{})
+	r.respond(Response{})
 	l.metrics.ClientClosed()
-	l.handle(ctx, balancer.Event{Kind: balancer.EventClientClosed, Request: r.number})
-	l.forget(r)
+	l.handle(ctx, balancer.Event{Kind: balancer.EventClientClosed, Request: r.balancerID})
+	l.removeIfDone(r)
 }
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -26,11 +26,11 @@
 )
 
 const (
-	inputQueue       = 256 // further senders wait
-	sweepInterval    = time.Second
-	logInterval      = 5 * time.Second // of the counters
-	gaugeInterval    = 100 * time.Millisecond
-	listLookInterval = 20 * time.Millisecond
+	inputQueueSize         = 256 // further senders wait
+	sweepInterval          = time.Second
+	logInterval            = 5 * time.Second // of the counters
+	gaugeInterval          = 100 * time.Millisecond
+	endpointsCheckInterval = 20 * time.Millisecond
 	// maxListWait is how long AwaitEndpoints waits for a list that is not the cached one.
 	maxListWait = 1500 * time.Millisecond
 )
@@ -79,14 +79,14 @@
 
 // New returns a loop that does not run yet.
 func New(o Options) (*Loop, error) {
-	decisions, err := balancer.New(o.Settings.Balancer, o.Seed)
+	b, err := balancer.New(o.Settings.Balancer, o.Seed)
 	if err != nil {
 		return nil, err
 	}
 	l := &Loop{
-		clock: clock.Anchor(), balancer: decisions, pool: o.Pool, metrics: o.Metrics, log: o.Log,
+		clock: clock.Anchor(), balancer: b, pool: o.Pool, metrics: o.Metrics, log: o.Log,
 		pollEndpoints: o.PollEndpoints, claimID: o.ClaimID, publishGauges: o.PublishGauges,
-		inputs:    make(chan input, inputQueue),
+		inputs:    make(chan input, inputQueueSize),
 		done:      make(chan struct{}),
 		endpoints: map[balancer.ServerID]*upstream.Endpoint{},
 		requests:  map[balancer.RequestID]*openRequest{},
@@ -109,7 +109,7 @@
 
 // AwaitEndpoints waits until the list that discovery has now has come. After maxListWait a cached one will do.
 func (l *Loop) AwaitEndpoints(ctx context.Context) {
-	ticker := time.NewTicker(listLookInterval)
+	ticker := time.NewTicker(endpointsCheckInterval)
 	defer ticker.Stop()
 	begun := time.Now()
 	for !l.hasSynced.Load() && (time.Since(begun) < maxListWait || !l.Ready()) {
@@ -124,15 +124,15 @@
 // Submit hands a request to the loop, which answers it on its Answered channel. One whose id is in use, here or at another process
 // of the agent, is answered at once.
 func (l *Loop) Submit(r *Request) {
-	if !l.takeID(r) {
-		r.answered <- Response{Status: http.StatusConflict, ContentType: "text/plain", Body: []byte(protocol.HeaderRequestID + " is in use\n")}
+	if !l.reserveID(r) {
+		r.response <- Response{Status: http.StatusConflict, ContentType: "text/plain", Body: []byte(protocol.HeaderRequestID + " is in use\n")}
 		return
 	}
 	l.send(submitted{r})
 }
 
-// takeID notes the id of a request, and returns whether no other request has it.
-func (l *Loop) takeID(r *Request) bool {
+// reserveID notes the id of a request, and returns whether no other request has it.
+func (l *Loop) reserveID(r *Request) bool {
 	r.idHash = hashID(r.ID)
 	if !l.ids.add(r.idHash) {
 		return false
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -42,17 +42,17 @@
 	return r
 }
 
-// take has the loop handle a request as Submit hands it over.
-func take(ctx context.Context, t *testing.T, l *Loop, r *Request) {
+// submit has the loop handle a request as Submit hands it over.
+func submit(ctx context.Context, t *testing.T, l *Loop, r *Request) {
 	t.Helper()
-	if !l.takeID(r) {
+	if !l.reserveID(r) {
 		t.Fatalf("the id %q is in use", r.ID)
 	}
 	submitted{r}.handle(ctx, l)
 }
 
-// listed is what discovery tells of a list.
-func listed(update balancer.DiscoveryUpdate, members ...discovery.Member) input {
+// watchEvent is what discovery tells of a list.
+func watchEvent(update balancer.DiscoveryUpdate, members ...discovery.Member) input {
 	return endpointsNotified{discovery.WatchEvent{Update: update, Members: members}}
 }
 
@@ -69,20 +69,20 @@
 }
 
 // The loop keeps a repeat from being sent too late, and forgets servers that are gone.
-func TestActionsAreCarriedOut(t *testing.T) {
+func TestActionsAreExecuted(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
 	ctx := t.Context()
 	list := func(mode balancer.DiscoveryUpdate, phase string) {
-		listed(mode, discovery.Member{ID: "x", Address: b.Addr, State: phase}).handle(ctx, l)
+		watchEvent(mode, discovery.Member{ID: "x", Address: b.Addr, State: phase}).handle(ctx, l)
 	}
 	list(balancer.EndpointsReplaced, "Ready")
 	x := idOf(t, l, "x")
 	r := newOpenRequest(newTestRequest(l, 0, "/keyed/1"))
-	r.number = 7
-	l.requests[r.number] = r
-	send := balancer.Action{Kind: balancer.ActionSend, Request: r.number, Server: x, Timeout: agenttest.Timeout}
+	r.balancerID = 7
+	l.requests[r.balancerID] = r
+	send := balancer.Action{Kind: balancer.ActionSend, Request: r.balancerID, Server: x, Timeout: agenttest.Timeout}
 	l.act(ctx, &send)
 	if in := agenttest.Receive(t, "outcome", l.inputs).(attemptEnded); in.outcome != balancer.OutcomeOK {
 		t.Fatalf("outcome %d", in.outcome)
@@ -109,23 +109,23 @@
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
 	ctx := t.Context()
-	listed(balancer.EndpointsReplaced, discovery.Member{ID: "x", Address: "127.0.0.1:1", State: "Ready"}).handle(ctx, l)
+	watchEvent(balancer.EndpointsReplaced, discovery.Member{ID: "x", Address: "127.0.0.1:1", State: "Ready"}).handle(ctx, l)
 	c := newTestRequest(l, 2, "/")
-	take(ctx, t, l, c)
-	if len(l.requests) != 1 || l.requests[c.number].inFlight != 1 {
+	submit(ctx, t, l, c)
+	if len(l.requests) != 1 || l.requests[c.balancerID].inFlight != 1 {
 		t.Fatalf("after the request: %+v", l.requests)
 	}
 	abandoned{c}.handle(ctx, l)
-	attemptEnded{request: c.number, answer: Response{Status: http.StatusOK}}.handle(ctx, l)
+	attemptEnded{request: c.balancerID, response: Response{Status: http.StatusOK}}.handle(ctx, l)
 	abandoned{c}.handle(ctx, l)
-	if len(c.answered) != 0 || len(l.requests) != 0 {
-		t.Errorf("%d answers, %d requests left", len(c.answered), len(l.requests))
+	if len(c.response) != 0 || len(l.requests) != 0 {
+		t.Errorf("%d answers, %d requests left", len(c.response), len(l.requests))
 	}
 }
 
 // A server that swallows a request while it lives is not waited for: another gets a copy, whose answer is served, and
 // the first is given up.
-func TestSwallowedRequestIsServed(t *testing.T) {
+func TestUnansweredRequestIsHedged(t *testing.T) {
 	var got atomic.Int64
 	script := func(int, *http.Request) (string, bool) {
 		if got.Add(1) == 1 {
@@ -137,10 +137,10 @@
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
 	ctx := t.Context()
-	listed(balancer.EndpointsReplaced, discovery.Member{ID: "x", Address: x.Addr, State: "Ready"},
+	watchEvent(balancer.EndpointsReplaced, discovery.Member{ID: "x", Address: x.Addr, State: "Ready"},
 		discovery.Member{ID: "y", Address: y.Addr, State: "Ready"}).handle(ctx, l)
 	c := newTestRequest(l, 0, "/keyed/1")
-	take(ctx, t, l, c)
+	submit(ctx, t, l, c)
 	select {
 	case <-x.Requests:
 	case <-y.Requests:
@@ -148,13 +148,13 @@
 		t.Fatal("no request")
 	}
 	for range 2 { // the balancer's looks at the attempt without an answer, due or not
-		look := heap.Pop(&l.timers).(timer)
-		l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: look.id})
+		due := heap.Pop(&l.timers).(timer)
+		l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: due.id})
 	}
 	for range 2 { // the copy's answer, and the end of the first attempt
 		agenttest.Receive(t, "outcome", l.inputs).handle(ctx, l)
 	}
-	if a := agenttest.Receive(t, "answer", c.answered); a.Status != http.StatusOK {
+	if a := agenttest.Receive(t, "answer", c.response); a.Status != http.StatusOK {
 		t.Errorf("answered %d", a.Status)
 	}
 	select { // a busy machine may have the two servers' scripts run the other way round
@@ -169,33 +169,33 @@
 }
 
 // Whatever order a close and the ends of two attempts come in, a request gets one answer or none, and is forgotten.
-func TestEveryOrderOfEnds(t *testing.T) {
+func TestOneResponseInAnyOrderOfOutcomes(t *testing.T) {
 	orders := [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
 	for _, order := range orders {
 		for _, first := range []balancer.Outcome{balancer.OutcomeOK, balancer.OutcomeTimeout, balancer.OutcomeReset, balancer.OutcomeExpired} {
 			for _, second := range []balancer.Outcome{balancer.OutcomeOK, balancer.OutcomeTimeout, balancer.OutcomeCancelled} {
-				for _, gone := range []bool{false, true} { // an attempt may find the client gone before its handler does
+				for _, clientGone := range []bool{false, true} { // an attempt may find the client gone before its handler does
 					cfg := agenttest.Config(t, "127.0.0.1:1", strings.Replace(agenttest.Settings, `"maxAttempts":3`, `"maxAttempts":2`, 1))
 					l := newTestLoop(t, &cfg.Settings)
 					ctx := t.Context()
-					listed(balancer.EndpointsReplaced, discovery.Member{ID: "x", Address: "127.0.0.1:1", State: "Ready"},
+					watchEvent(balancer.EndpointsReplaced, discovery.Member{ID: "x", Address: "127.0.0.1:1", State: "Ready"},
 						discovery.Member{ID: "y", Address: "127.0.0.1:1", State: "Ready"}).handle(ctx, l)
 					c := newTestRequest(l, 0, "/keyed/1")
-					take(ctx, t, l, c)
-					for l.requests[c.number].inFlight < 2 { // the balancer's looks at the attempt without an answer, due or not
-						look := heap.Pop(&l.timers).(timer)
-						l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: look.id})
+					submit(ctx, t, l, c)
+					for l.requests[c.balancerID].inFlight < 2 { // the balancer's looks at the attempt without an answer, due or not
+						due := heap.Pop(&l.timers).(timer)
+						l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: due.id})
 					}
 					ended := func(n int, how balancer.Outcome) input {
-						return attemptEnded{request: c.number, attempt: n, outcome: how, answer: Response{Status: http.StatusOK},
-							abandoned: gone && how == balancer.OutcomeExpired}
+						return attemptEnded{request: c.balancerID, attempt: n, outcome: how, response: Response{Status: http.StatusOK},
+							abandoned: clientGone && how == balancer.OutcomeExpired}
 					}
 					ends := []input{ended(0, first), ended(1, second), abandoned{c}}
 					answers := 0
 					for _, i := range order {
 						ends[i].handle(ctx, l)
 						select {
-						case a := <-c.answered:
+						case a := <-c.response:
 							if a.Status != 0 {
 								answers++
 							}
@@ -203,7 +203,7 @@
 						}
 					}
 					if answers > 1 || len(l.requests) > 0 || len(l.ids.open) > 0 {
-						t.Errorf("order %v, outcomes %d and %d, found gone %v: %d answers, %d requests left", order, first, second, gone, answers, len(l.requests))
+						t.Errorf("order %v, outcomes %d and %d, found gone %v: %d answers, %d requests left", order, first, second, clientGone, answers, len(l.requests))
 					}
 				}
 			}
@@ -214,15 +214,15 @@
 // A server at the address of one that has gone has connections of its own: those of the old one close, the one in
 // use when it is back, and the new one's stay when the old one is forgotten.
 func TestNewServerAtOldAddress(t *testing.T) {
-	goOn := make(chan struct{}, 1)
+	release := make(chan struct{}, 1)
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
-		<-goOn
+		<-release
 		return agenttest.OKAnswer, false
 	})
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
 	list := func(mode balancer.DiscoveryUpdate, members ...discovery.Member) {
-		listed(mode, members...).handle(t.Context(), l)
+		watchEvent(mode, members...).handle(t.Context(), l)
 	}
 	old, next := discovery.Member{ID: "old", Address: b.Addr, State: "Ready"}, discovery.Member{ID: "next", Address: b.Addr, State: "Ready"}
 	list(balancer.EndpointsReplaced, old)
@@ -235,7 +235,7 @@
 	go func() { inUse <- l.pool.Exchange(ctx, first, m, plain) }()
 	agenttest.Receive(t, "request", b.Requests)
 	list(balancer.EndpointsChanged, next)
-	goOn <- struct{}{}
+	release <- struct{}{}
 	second := l.endpoints[idOf(t, l, "next")]
 	inUse2 := make(chan upstream.Result, 1)
 	agenttest.Receive(t, "answer of the old one", inUse)
@@ -244,7 +244,7 @@
 	if n := len(b.Accepted); n != 2 {
 		t.Errorf("%d connections to two servers", n)
 	}
-	goOn <- struct{}{}
+	release <- struct{}{}
 	agenttest.Receive(t, "answer of the new one", inUse2)
 	old.State = "Gone"
 	list(balancer.EndpointsChanged, old)
@@ -256,7 +256,7 @@
 	agenttest.Receive(t, "request", b.Requests)
 	next.StartedAtMillis = 5
 	list(balancer.EndpointsChanged, next)
-	goOn <- struct{}{}
+	release <- struct{}{}
 	agenttest.Receive(t, "late answer", inUse2)
 	if l.pool.IdleConns(second) != 0 || l.pool.OpenConns() != 0 {
 		t.Errorf("after a restart %d are idle, %d open", l.pool.IdleConns(second), l.pool.OpenConns())
@@ -265,32 +265,32 @@
 
 // An answer that flows to the client is its only one: what another attempt brings is dropped, and ending that attempt's
 // rivals does not cut it off.
-func TestDownloadIsTheOnlyAnswer(t *testing.T) {
+func TestDownloadIsTheOnlyResponse(t *testing.T) {
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
-	cut := [2]bool{}
+	cancelled := [2]bool{}
 	c := newTestRequest(l, 0, "/")
-	c.number = 7
+	c.balancerID = 7
 	r := newOpenRequest(c)
-	r.cancelAttempt = []context.CancelFunc{func() { cut[0] = true }, func() { cut[1] = true }}
+	r.cancelAttempt = []context.CancelFunc{func() { cancelled[0] = true }, func() { cancelled[1] = true }}
 	r.inFlight = 2
 	l.requests[7] = r
-	flows := func(attempt int) *stream.Download {
+	startDownload := func(attempt int) *stream.Download {
 		d := stream.NewDownload(-1, nil, nil, nil, nil)
-		streaming{request: 7, attempt: attempt, answer: Response{Status: http.StatusOK, Download: d}}.handle(t.Context(), l)
+		streaming{request: 7, attempt: attempt, response: Response{Status: http.StatusOK, Download: d}}.handle(t.Context(), l)
 		return d
 	}
-	first, second := flows(0), flows(1)
+	first, second := startDownload(0), startDownload(1)
 	if err := agenttest.Receive(t, "end of the second", second.Done()); !errors.Is(err, stream.ErrNotRead) || len(first.Done()) > 0 {
 		t.Errorf("the second ends with %v", err)
 	}
-	if got := agenttest.Receive(t, "answer", c.answered); got.Download != first {
+	if got := agenttest.Receive(t, "answer", c.response); got.Download != first {
 		t.Errorf("answered %+v", got)
 	}
-	for i := range cut {
+	for i := range cancelled {
 		l.act(t.Context(), &balancer.Action{Kind: balancer.ActionCancel, Request: 7, Attempt: i})
 	}
-	if cut != [2]bool{false, true} {
-		t.Errorf("cut off: %v", cut)
+	if cancelled != [2]bool{false, true} {
+		t.Errorf("cut off: %v", cancelled)
 	}
 }
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -25,22 +25,22 @@
 	// ClientClosed says whether the client has closed its connection. Any goroutine may call it.
 	ClientClosed func() bool
 
-	answered chan Response // holds one, so that the loop never waits for a handler
-	number   balancer.RequestID
-	idHash   uint64
-	ended    atomic.Bool // answered or abandoned; only the loop sets it
+	response   chan Response // holds one, so that the loop never waits for a handler
+	balancerID balancer.RequestID
+	idHash     uint64
+	ended      atomic.Bool // answered or abandoned; only the loop sets it
 }
 
 // NewRequest returns a request that was read by these settings.
 func NewRequest(s *settings.Settings) *Request {
-	return &Request{Settings: s, answered: make(chan Response, 1)}
+	return &Request{Settings: s, response: make(chan Response, 1)}
 }
 
-// Answered gives the request's only answer. A handler that does not wait for it has to abandon the request.
-func (r *Request) Answered() <-chan Response { return r.answered }
+// Response gives the request's only answer. A handler that does not wait for it has to abandon the request.
+func (r *Request) Response() <-chan Response { return r.response }
 
-// over says that nothing may be begun for the request any more.
-func (r *Request) over() bool { return r.ended.Load() || r.ClientClosed() }
+// hasEnded says that nothing may be begun for the request any more.
+func (r *Request) hasEnded() bool { return r.ended.Load() || r.ClientClosed() }
 
 // Response is what a client gets.
 type Response struct {
@@ -65,17 +65,17 @@
 	return &openRequest{Request: r, streamingAttempt: noAttempt}
 }
 
-// answer hands the handler its answer. It is false if the request was answered or abandoned before.
-func (r *openRequest) answer(a Response) bool {
+// respond hands the handler its respond. It is false if the request was answered or abandoned before.
+func (r *openRequest) respond(a Response) bool {
 	if r.ended.Swap(true) {
 		return false
 	}
-	r.answered <- a
+	r.response <- a
 	return true
 }
 
-// newNumber returns a number that no open request has.
-func (l *Loop) newNumber() balancer.RequestID {
+// newBalancerID returns a number that no open request has.
+func (l *Loop) newBalancerID() balancer.RequestID {
 	for {
 		l.lastID++
 		if l.requests[l.lastID] == nil {
@@ -84,10 +84,10 @@
 	}
 }
 
-// forget drops a request of which nothing more is to be heard.
-func (l *Loop) forget(r *openRequest) {
+// removeIfDone drops a request of which nothing more is to be heard.
+func (l *Loop) removeIfDone(r *openRequest) {
 	if r.ended.Load() && r.inFlight == 0 {
-		delete(l.requests, r.number)
+		delete(l.requests, r.balancerID)
 		l.ids.close(r.idHash)
 	}
 }
--- a/internal/dispatch/requestids.go
+++ b/internal/dispatch/requestids.go
@@ -62,7 +62,7 @@
 func (r *RequestIDs) addRecent(id uint64) {
 	r.recent[id] = struct{}{}
 	if len(r.recent) >= maxRecentIDs {
-		r.forgetOlder()
+		r.rotate()
 	}
 }
 
@@ -70,10 +70,10 @@
 func (r *RequestIDs) expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forgetOlder()
+	r.rotate()
 }
 
-func (r *RequestIDs) forgetOlder() {
+func (r *RequestIDs) rotate() {
 	r.older = r.recent
 	r.recent = map[uint64]struct{}{}
 }
--- a/internal/dispatch/requestids_test.go
+++ b/internal/dispatch/requestids_test.go
@@ -6,7 +6,7 @@
 )
 
 // The ids of ended requests are kept for a while, but not for good and not without a bound.
-func TestRequestIDsAreForgotten(t *testing.T) {
+func TestRequestIDsExpire(t *testing.T) {
 	ids := newRequestIDs()
 	for i := range 10 * maxRecentIDs {
 		id := hashID(fmt.Sprint(i))
--- a/internal/inbound/admission.go
+++ b/internal/inbound/admission.go
@@ -18,8 +18,8 @@
 	IdleGrace = 2 * time.Second
 	// newConnGrace is how long a connection that has just come may take to bring its first request.
 	newConnGrace = 250 * time.Millisecond
-	// emptyLookInterval is how often AwaitEmpty looks.
-	emptyLookInterval = 20 * time.Millisecond
+	// emptyCheckInterval is how often AwaitEmpty looks.
+	emptyCheckInterval = 20 * time.Millisecond
 )
 
 // Resize changes how many connections there may be, and how many where all have a request.
@@ -58,7 +58,7 @@
 
 // awaitEmpty waits until all connections have ended, or the context has.
 func (l *Listener) awaitEmpty(ctx context.Context) {
-	ticker := time.NewTicker(emptyLookInterval)
+	ticker := time.NewTicker(emptyCheckInterval)
 	defer ticker.Stop()
 	for {
 		if open, _ := l.count(); open == 0 {
@@ -103,23 +103,23 @@
 	if e := l.closing.Front(); e != nil {
 		return e.Value.(*clientConn)
 	}
-	var fresh, begun *clientConn
+	var unused, reading *clientConn
 	for e := l.idle.Front(); e != nil; e = e.Next() {
 		c := e.Value.(*clientConn)
 		age := time.Since(c.idleSince)
 		switch {
 		case c.reading:
-			begun = cmp.Or(begun, c)
+			reading = cmp.Or(reading, c)
 		case age >= IdleGrace, !c.head.reused && age >= newConnGrace:
 			return c
 		case !c.head.reused:
-			fresh = cmp.Or(fresh, c)
+			unused = cmp.Or(unused, c)
 		}
 	}
 	if l.open < max(l.maxConns, l.maxActive) {
 		return nil
 	}
-	return cmp.Or(fresh, begun)
+	return cmp.Or(unused, reading)
 }
 
 // pushIdle puts a connection behind all that are idle. The mutex is held.
@@ -128,8 +128,8 @@
 	c.idleSince = time.Now()
 }
 
-// unlist takes a connection out of the list that it is in. The mutex is held.
-func (l *Listener) unlist(c *clientConn) {
+// removeFromList takes a connection out of the list that it is in. The mutex is held.
+func (l *Listener) removeFromList(c *clientConn) {
 	if c.element != nil {
 		l.idle.Remove(c.element) // each list leaves the other's elements alone
 		l.closing.Remove(c.element)
@@ -144,7 +144,7 @@
 	}
 	c.removed = true
 	l.open--
-	l.unlist(c)
+	l.removeFromList(c)
 	l.notifyReleased()
 }
 
@@ -152,14 +152,14 @@
 func (l *Listener) markEnded(c *clientConn) {
 	if !c.ended && !c.removed {
 		c.ended = true
-		l.unlist(c)
+		l.removeFromList(c)
 		c.element = l.closing.PushBack(c)
 	}
 }
 
 // endConn is the step from which on nothing is read from a connection and no request of it begins. It says whether the
 // connection is to close at once, because it is idle or the agent ends.
-func (l *Listener) endConn(c *clientConn) (atOnce bool) {
+func (l *Listener) endConn(c *clientConn) (immediately bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.markEnded(c)
@@ -199,7 +199,7 @@
 	if c.removed || c.ended {
 		return false
 	}
-	l.unlist(c)
+	l.removeFromList(c)
 	return true
 }
 
@@ -242,7 +242,7 @@
 	c.reading = c.pipelined
 	c.pipelined = false
 	if c.reading {
-		c.begun.Store(int64(clock.InstantOf(c.idleSince)))
+		c.startInstant.Store(int64(clock.InstantOf(c.idleSince)))
 	}
 	c.head.reset()
 	if c.element != nil {
@@ -254,13 +254,13 @@
 
 // closeIdle closes the connections that have been without a request since then or longer; those that bring one just now
 // only if evenReading is set.
-func (l *Listener) closeIdle(since time.Time, evenReading bool) {
+func (l *Listener) closeIdle(since time.Time, includeReading bool) {
 	var idle []*clientConn
 	l.mu.Lock()
 	for e := l.idle.Front(); e != nil; {
 		c := e.Value.(*clientConn)
 		e = e.Next()
-		if !c.idleSince.After(since) && (evenReading || !c.reading) {
+		if !c.idleSince.After(since) && (includeReading || !c.reading) {
 			idle = append(idle, c)
 			l.markEnded(c)
 		}
--- a/internal/inbound/admission_test.go
+++ b/internal/inbound/admission_test.go
@@ -15,7 +15,7 @@
 
 // Between a request that was read and the end of its resting connection one step decides, whichever comes first: what is
 // ended first is never sent, and what is taken first is answered before its connection ends.
-func TestTakenOrEnded(t *testing.T) {
+func TestRequestStartsOrConnectionCloses(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -35,16 +35,16 @@
 		}
 		return conn.(*clientConn), c
 	}
-	read, _ := accept()
-	taken, _ := accept()
-	if !a.beginRequest(taken) {
+	idle, _ := accept()
+	busy, _ := accept()
+	if !a.beginRequest(busy) {
 		t.Error("not taken")
 	}
 	a.closeIdle(time.Now(), true)
-	if a.beginRequest(read) {
+	if a.beginRequest(idle) {
 		t.Error("taken after the end")
 	}
-	if taken.ended {
+	if busy.ended {
 		t.Error("ended under a request")
 	}
 	// A connection that only waits for its client's end is evicted for a newcomer.
@@ -56,7 +56,7 @@
 }
 
 // Of the clients without a request those that are sending one are evicted last.
-func TestSlowSendersMakeRoomLast(t *testing.T) {
+func TestSendingClientsAreEvictedLast(t *testing.T) {
 	a := &Listener{metrics: &metrics.Metrics{}, maxConns: 2, maxActive: 3}
 	conn := func(reading bool) *clientConn {
 		c := &clientConn{TCPConn: &net.TCPConn{}}
@@ -122,7 +122,7 @@
 
 // A connection that has had an answer a moment ago, on which the next request may be there already, is not evicted. Once
 // one was chosen to, nothing of it is read: its client sees a reset, by which it knows that its request did not run.
-func TestRoomIsMadeBetweenRequests(t *testing.T) {
+func TestEvictionBetweenRequests(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -138,7 +138,7 @@
 		c.SetDeadline(time.Now().Add(agenttest.Timeout))
 		return c
 	}
-	const crossing = "GET /up HTTP/1.1\r\n"
+	const partialRequest = "GET /up HTTP/1.1\r\n"
 	client := dial()
 	conn, err := a.Accept()
 	if err != nil {
@@ -146,7 +146,7 @@
 	}
 	used := conn.(*clientConn)
 	a.connState(used, http.StateIdle) // it has had an answer
-	io.WriteString(client, crossing)
+	io.WriteString(client, partialRequest)
 	if other := (&clientConn{reading: true}); !a.admit(other) || used.removed {
 		t.Error("a connection was evicted right after its answer, with room for one more")
 	}
@@ -163,16 +163,16 @@
 	}
 	// The same where a connection is ended without being in anybody's way.
 	client = newcomer
-	resting := a.idle.Back().Value.(*clientConn)
-	a.connState(resting, http.StateIdle)
-	io.WriteString(client, crossing)
+	idle := a.idle.Back().Value.(*clientConn)
+	a.connState(idle, http.StateIdle)
+	io.WriteString(client, partialRequest)
 	a.mu.Lock()
-	a.markEnded(resting)
+	a.markEnded(idle)
 	a.mu.Unlock()
-	if n, err := resting.Read(make([]byte, 100)); n > 0 || err != io.EOF { //nolint:errorlint // net/http compares it so
+	if n, err := idle.Read(make([]byte, 100)); n > 0 || err != io.EOF { //nolint:errorlint // net/http compares it so
 		t.Errorf("%d bytes were read behind the end: %v", n, err)
 	}
-	resting.Close()
+	idle.Close()
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
 		t.Errorf("the client whose request crossed the end sees %v", err)
 	}
@@ -180,8 +180,8 @@
 
 // A process that is replaced takes what waits in its listener's queue a few at a time, as the queue may hold more than it has
 // descriptors, leaves none behind, and closes the listener behind the last.
-func TestLastOfTheQueue(t *testing.T) {
-	const queued = 5*lastAcceptBatch + 3
+func TestAcceptQueueIsDrainedBeforeClose(t *testing.T) {
+	const queued = 5*finalAcceptBatch + 3
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -194,14 +194,14 @@
 		}
 		defer c.Close()
 	}
-	a.finishQueue()
+	a.finishAccepting()
 	for i := range queued {
 		c, err := a.nextConn()
 		if err != nil {
 			t.Fatalf("connection %d: %v", i, err)
 		}
 		defer c.Close()
-		if len(a.queued) >= lastAcceptBatch {
+		if len(a.queued) >= finalAcceptBatch {
 			t.Fatalf("%d more are taken at once", len(a.queued))
 		}
 	}
--- a/internal/inbound/clientconn.go
+++ b/internal/inbound/clientconn.go
@@ -41,8 +41,8 @@
 	reading   bool // part of a request has come
 	pipelined bool // and of one more behind the present one
 
-	begun atomic.Int64 // clock.Instant at which a request did; before the first, when the connection came
-	head  headScanner
+	startInstant atomic.Int64 // clock.Instant at which a request did; before the first, when the connection came
+	head         headScanner
 }
 
 func newClientConn(tcp *net.TCPConn, l *Listener) (*clientConn, error) {
@@ -51,7 +51,7 @@
 		return nil, err
 	}
 	c := &clientConn{TCPConn: tcp, raw: raw, listener: l}
-	c.begun.Store(int64(clock.InstantOf(time.Now())))
+	c.startInstant.Store(int64(clock.InstantOf(time.Now())))
 	return c, nil
 }
 
@@ -69,23 +69,23 @@
 		return 0, err
 	}
 	if begins && c.head.reused {
-		c.requestBegins()
+		c.startRequest()
 	}
 	c.head.scan(p[:n])
 	return n, nil
 }
 
-// requestBegins notes that a request does, and gives its head headTimeout.
-func (c *clientConn) requestBegins() {
+// startRequest notes that a request does, and gives its head headTimeout.
+func (c *clientConn) startRequest() {
 	now := time.Now()
-	c.begun.Store(int64(clock.InstantOf(now)))
+	c.startInstant.Store(int64(clock.InstantOf(now)))
 	// It fails only on a connection that is closed, where the next read fails as well.
 	_ = c.SetReadDeadline(now.Add(headTimeout))
 }
 
-// requestBegun returns when the present request began.
-func (c *clientConn) requestBegun() time.Time {
-	return clock.Instant(c.begun.Load()).Time()
+// requestStart returns when the present request began.
+func (c *clientConn) requestStart() time.Time {
+	return clock.Instant(c.startInstant.Load()).Time()
 }
 
 // Close ends the connection. Behind an answer, or within a request, it ends its own side first, and the other when the
@@ -125,7 +125,7 @@
 // pollDescriptor is a struct pollfd of poll(2).
 type pollDescriptor struct {
 	fd              int32
-	events, happens int16
+	events, revents int16
 }
 
 // closedByClient says whether the client has closed its connection, or its own side of it. Reading would show that only
@@ -139,7 +139,7 @@
 	}); err != nil {
 		return true // closed here
 	}
-	return poll.happens != 0
+	return poll.revents != 0
 }
 
 // connKey is the context's key of a request's connection.
--- a/internal/inbound/drain.go
+++ b/internal/inbound/drain.go
@@ -12,9 +12,9 @@
 	// drainLimit is how long after a drain began a client that is slow to send may still be served: operators expect no
 	// request on any connection from 4 s on.
 	drainLimit = 3800 * time.Millisecond
-	// killForgiveness is how long after SIGTERM the platform forgives a request that is open when it kills the process:
+	// killExemption is how long after SIGTERM the platform forgives a request that is open when it kills the process:
 	// 0.7 s, less what a request may take to come here.
-	killForgiveness = 600 * time.Millisecond
+	killExemption = 600 * time.Millisecond
 )
 
 var (
@@ -104,8 +104,8 @@
 	defer ticker.Stop()
 	var logged time.Time // the drain whose limit was logged
 	for {
-		since, grace, goOn := d.idleLimits()
-		if !goOn {
+		since, grace, draining := d.idleLimits()
+		if !draining {
 			return
 		}
 		d.listener.closeIdle(time.Now().Add(-grace), false)
@@ -113,7 +113,7 @@
 			// A client that came before the limit and is still sending a request never ends.
 			d.listener.closeIdle(since.Add(drainLimit), true)
 			if since != logged {
-				d.logLimit()
+				d.logDrainLimit()
 				logged = since
 			}
 		}
@@ -125,14 +125,14 @@
 	}
 }
 
-func (d *drainer) logLimit() {
+func (d *drainer) logDrainLimit() {
 	open, idle := d.listener.count()
 	d.log.Info("drain limit reached", "after", drainLimit, "still_open", open, "without_request", idle)
 }
 
 // idleLimits returns when the operators' drain began, if there is one, for how long connections may be idle, and whether the
 // agent still drains.
-func (d *drainer) idleLimits() (drainSince time.Time, grace time.Duration, goOn bool) {
+func (d *drainer) idleLimits() (drainSince time.Time, grace time.Duration, draining bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.closingIdle = !d.drainSince.IsZero() || !d.shutdownSince.IsZero()
@@ -142,16 +142,16 @@
 // requestLimit returns how long a request that begins now may last, and whether that is limited: in a drain from the time
 // on when idle connections have been closed, so that only clients that are slow to send are left; in a shutdown from when
 // on the platform counts a request that is cut off by the kill.
-func (d *drainer) requestLimit() (left time.Duration, limited bool) {
+func (d *drainer) requestLimit() (remaining time.Duration, limited bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	switch {
 	case !d.shutdownSince.IsZero():
-		passed := time.Since(d.shutdownSince)
-		return d.killedAfter - passed, passed > killForgiveness
+		elapsed := time.Since(d.shutdownSince)
+		return d.killedAfter - elapsed, elapsed > killExemption
 	case !d.drainSince.IsZero():
-		passed := time.Since(d.drainSince)
-		return drainLimit - passed, passed > IdleGrace-idleCloseInterval && passed < drainLimit
+		elapsed := time.Since(d.drainSince)
+		return drainLimit - elapsed, elapsed > IdleGrace-idleCloseInterval && elapsed < drainLimit
 	}
 	return 0, false
 }
--- a/internal/inbound/drain_test.go
+++ b/internal/inbound/drain_test.go
@@ -40,13 +40,13 @@
 }
 
 // How long a request may last depends on when it was taken beside a drain by the operators or SIGTERM.
-func TestLate(t *testing.T) {
+func TestRequestLimit(t *testing.T) {
 	ago := func(d time.Duration) time.Time { return time.Now().Add(-d) }
 	for _, c := range []struct {
-		name    string
-		d       *drainer
-		bounded bool
-		most    time.Duration
+		name     string
+		d        *drainer
+		bounded  bool
+		maxLimit time.Duration
 	}{
 		{"as ever", &drainer{}, false, 0},
 		{"just sent away", &drainer{drainSince: ago(time.Second)}, false, 0},
@@ -55,7 +55,7 @@
 		{"told to stop", &drainer{shutdownSince: ago(100 * time.Millisecond), killedAfter: 3 * time.Second}, false, 0},
 		{"past what is forgiven", &drainer{shutdownSince: ago(time.Second), killedAfter: 3 * time.Second}, true, 2 * time.Second},
 	} {
-		if left, bounded := c.d.requestLimit(); bounded != c.bounded || bounded && (left > c.most || left < c.most-time.Second) {
+		if left, bounded := c.d.requestLimit(); bounded != c.bounded || bounded && (left > c.maxLimit || left < c.maxLimit-time.Second) {
 			t.Errorf("%s: %v, bounded %v", c.name, left, bounded)
 		}
 	}
--- a/internal/inbound/handler.go
+++ b/internal/inbound/handler.go
@@ -61,7 +61,7 @@
 	// fail to be set on a connection that is closed.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(stream.BodyGrace))
 	if bad := checkFraming(r); bad != nil {
-		h.answerBadRequest(w, bad)
+		h.rejectBadRequest(w, bad)
 		return
 	}
 	if r.URL.Path == protocol.PathReady {
@@ -71,7 +71,7 @@
 	request, err := h.readRequest(w, r)
 	var bad *badRequestError
 	if errors.As(err, &bad) {
-		h.answerBadRequest(w, bad)
+		h.rejectBadRequest(w, bad)
 		return
 	}
 	x := &exchange{w: w, r: r, conn: connOf(r), request: request}
@@ -122,7 +122,7 @@
 		return
 	}
 	h.dispatcher.Submit(x.request)
-	h.awaitAnswer(x)
+	h.awaitResponse(x)
 }
 
 // closeUpload ends all use of a long body, whose request has ended.
@@ -134,14 +134,14 @@
 	}
 }
 
-// awaitAnswer answers a request that was submitted, or abandons it.
-func (h *clientHandler) awaitAnswer(x *exchange) {
+// awaitResponse answers a request that was submitted, or abandons it.
+func (h *clientHandler) awaitResponse(x *exchange) {
 	var limit <-chan time.Time
-	if left, limited := h.drain.requestLimit(); limited {
-		limit = time.After(left)
+	if remaining, limited := h.drain.requestLimit(); limited {
+		limit = time.After(remaining)
 	}
 	select {
-	case a := <-x.request.Answered():
+	case a := <-x.request.Response():
 		h.deliver(x, a, limit != nil)
 	case <-limit:
 		h.failRequest(x)
@@ -162,19 +162,19 @@
 	case a.Status == 0:
 		panic(http.ErrAbortHandler)
 	case a.Download == nil:
-		h.answer(x, a)
+		h.respond(x, a)
 	case limited || x.upload() != nil && h.drain.limitsRequests():
 		a.Download.Finish(stream.ErrNotRead)
-		h.answer(x, dispatch.Response{Status: protocol.StatusFailed})
+		h.respond(x, dispatch.Response{Status: protocol.StatusFailed})
 	default:
-		h.passOn(x, a)
+		h.respondWithDownload(x, a)
 	}
 }
 
 // failRequest abandons a request that can wait no longer and answers it as failed.
 func (h *clientHandler) failRequest(x *exchange) {
 	h.dispatcher.Abandon(x.request)
-	h.answer(x, dispatch.Response{Status: protocol.StatusFailed})
+	h.respond(x, dispatch.Response{Status: protocol.StatusFailed})
 }
 
 // rejectOverLimit rejects a request because the agent itself is at its limit, with Retry-After if the settings allow it.
@@ -184,5 +184,5 @@
 	if set := &h.dispatcher.Settings().Balancer; set.AdviseRetryAfter {
 		rejected.RetryAfter = min(overLimitRetryAfter, cmp.Or(set.MaxRetryAfter, overLimitRetryAfter))
 	}
-	h.answer(x, rejected)
+	h.respond(x, rejected)
 }
--- a/internal/inbound/handler_test.go
+++ b/internal/inbound/handler_test.go
@@ -71,10 +71,10 @@
 	dispatcher := &countingDispatcher{settings: &cfg.Settings}
 	counters := &metrics.Metrics{}
 	counters.AddClasses(cfg.Settings.ClassNames)
-	none := stream.NewBuffers(0)
-	none.TryGet()
-	none.TryGet()
-	addr := newTestServer(t, dispatcher, counters, none, 10)
+	exhausted := stream.NewBuffers(0)
+	exhausted.TryGet()
+	exhausted.TryGet()
+	addr := newTestServer(t, dispatcher, counters, exhausted, 10)
 	resp := post(t, addr, agenttest.Pattern(100_000))
 	if resp.StatusCode != protocol.StatusRejected || dispatcher.calls.Load() > 0 {
 		t.Errorf("answered %d with %d calls of the dispatcher", resp.StatusCode, dispatcher.calls.Load())
--- a/internal/inbound/listener.go
+++ b/internal/inbound/listener.go
@@ -13,9 +13,9 @@
 	"example.org/ryeloft/internal/metrics"
 )
 
-// lastAcceptBatch is how many connections are taken at once out of the queue of a listener that is to close. It is no more
+// finalAcceptBatch is how many connections are taken at once out of the queue of a listener that is to close. It is no more
 // than a process keeps free of its quota, because the queue may hold more than there are descriptors.
-const lastAcceptBatch = 8
+const finalAcceptBatch = 8
 
 // Listener admits the connections of clients and holds them to their number. When there are too many, the one that has
 // been idle longest closes: a listener that merely stops accepting would let clients that keep idle connections shut out
@@ -104,9 +104,9 @@
 	l.notifyReleased()
 }
 
-// finishQueue has the next Accept that finds no connection waiting close the listener, so that clients that come later find
+// finishAccepting has the next Accept that finds no connection waiting close the listener, so that clients that come later find
 // another process. It breaks off the wait of the present one.
-func (l *Listener) finishQueue() {
+func (l *Listener) finishAccepting() {
 	l.finishing.Store(true)
 	// It fails only on a listener that is closed, where nobody waits.
 	_ = l.tcp.SetDeadline(clock.Past())
@@ -135,7 +135,7 @@
 
 // acceptWaiting accepts a batch of the connections that wait, and ends the listening if there are no more.
 func acceptWaiting(listener int) (fds []int, closed bool) {
-	for len(fds) < lastAcceptBatch {
+	for len(fds) < finalAcceptBatch {
 		fd, _, err := syscall.Accept4(listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
 		switch {
 		case err == nil:
--- a/internal/inbound/request.go
+++ b/internal/inbound/request.go
@@ -22,8 +22,8 @@
 	MaxRequestIDBytes = 256
 	// MaxResponseMargin is the most that an answer is due before its client gives up.
 	MaxResponseMargin = 25 * time.Millisecond
-	// answerMarginShare is the part of a budget that is its margin at most.
-	answerMarginShare = 10
+	// responseMarginDivisor is the part of a budget that is its margin at most.
+	responseMarginDivisor = 10
 )
 
 var (
@@ -71,11 +71,11 @@
 	}
 	conn := connOf(r)
 	control := http.NewResponseController(w)
-	body, upload, err := readBody(r, stream.NewPacedReader(r.Body, control, conn.requestBegun()))
+	body, upload, err := readBody(r, stream.NewPacedReader(r.Body, control, conn.requestStart()))
 	if err != nil {
 		return nil, &badRequestError{http.StatusRequestTimeout, fmt.Sprintf("the body does not come: %v", err)}
 	}
-	budget -= answerMargin(budget)
+	budget -= responseMargin(budget)
 	request.Deadline = h.dispatcher.Now() + budget
 	request.ClientClosed = conn.closedByClient
 	if upload != nil {
@@ -188,8 +188,8 @@
 	return body, nil, err
 }
 
-// answerMargin is how long before its client's timeout a request is due to be answered, because an answer that is made at
+// responseMargin is how long before its client's timeout a request is due to be answered, because an answer that is made at
 // the timeout comes too late.
-func answerMargin(budget time.Duration) time.Duration {
-	return min(MaxResponseMargin, budget/answerMarginShare)
+func responseMargin(budget time.Duration) time.Duration {
+	return min(MaxResponseMargin, budget/responseMarginDivisor)
 }
--- a/internal/inbound/request_test.go
+++ b/internal/inbound/request_test.go
@@ -10,7 +10,7 @@
 	for budget, want := range map[time.Duration]time.Duration{
 		2 * time.Second: MaxResponseMargin, 480 * time.Millisecond: MaxResponseMargin, 100 * time.Millisecond: 10 * time.Millisecond,
 	} {
-		if got := answerMargin(budget); got != want {
+		if got := responseMargin(budget); got != want {
 			t.Errorf("a budget of %v: margin %v, want %v", budget, got, want)
 		}
 	}
--- a/internal/inbound/response.go
+++ b/internal/inbound/response.go
@@ -9,20 +9,20 @@
 	"example.org/ryeloft/internal/metrics"
 )
 
-// answerWriteTimeout is how long a client may take to read an answer that is held.
-const answerWriteTimeout = 5 * time.Second
+// responseWriteTimeout is how long a client may take to read an answer that is held.
+const responseWriteTimeout = 5 * time.Second
 
-// answerBadRequest answers a request that is not well-formed.
-func (h *clientHandler) answerBadRequest(w http.ResponseWriter, bad *badRequestError) {
+// rejectBadRequest answers a request that is not well-formed.
+func (h *clientHandler) rejectBadRequest(w http.ResponseWriter, bad *badRequestError) {
 	h.metrics.BadRequest(bad.reason)
-	h.writeAnswer(w, dispatch.Response{Status: bad.status, ContentType: "text/plain", Body: []byte(bad.reason + "\n")})
+	h.writeResponse(w, dispatch.Response{Status: bad.status, ContentType: "text/plain", Body: []byte(bad.reason + "\n")})
 }
 
-// answer writes the answer to a request and counts it.
-func (h *clientHandler) answer(x *exchange, a dispatch.Response) {
+// respond writes the respond to a request and counts it.
+func (h *clientHandler) respond(x *exchange, a dispatch.Response) {
 	h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultOf(a.Status))
-	h.closeBehindUpload(x)
-	h.writeAnswer(x.w, a)
+	h.closeAfterUpload(x)
+	h.writeResponse(x.w, a)
 	upload := x.upload()
 	if upload != nil && !upload.Complete() && http.NewResponseController(x.w).Flush() == nil {
 		h.listener.requestAnswered(x.conn)
@@ -30,17 +30,17 @@
 	}
 }
 
-// closeBehindUpload has the connection close behind the answer if a long body has not come to its end, because the rest of
+// closeAfterUpload has the connection close behind the answer if a long body has not come to its end, because the rest of
 // it is in the way of a next request.
-func (h *clientHandler) closeBehindUpload(x *exchange) {
+func (h *clientHandler) closeAfterUpload(x *exchange) {
 	if upload := x.upload(); upload != nil && !upload.Complete() {
 		x.w.Header().Set("Connection", "close")
 	}
 }
 
-// passOn answers a request with a download and counts it by how that ends.
-func (h *clientHandler) passOn(x *exchange, a dispatch.Response) {
-	h.closeBehindUpload(x)
+// respondWithDownload answers a request with a download and counts it by how that ends.
+func (h *clientHandler) respondWithDownload(x *exchange, a dispatch.Response) {
+	h.closeAfterUpload(x)
 	h.writeHead(x.w, a, a.Download.Length())
 	err := a.Download.CopyTo(x.r.Context(), x.w, h.buffers)
 	if err == nil {
@@ -54,12 +54,12 @@
 	panic(http.ErrAbortHandler)
 }
 
-// writeAnswer writes an answer that is held. Whether the connection is to close is decided only now, so that a request that
+// writeResponse writes an answer that is held. Whether the connection is to close is decided only now, so that a request that
 // began before a drain does not leave a connection open on which the next one crosses the close.
-func (h *clientHandler) writeAnswer(w http.ResponseWriter, a dispatch.Response) {
+func (h *clientHandler) writeResponse(w http.ResponseWriter, a dispatch.Response) {
 	// A client that reads nothing would hold its answer without a limit. The deadline can only fail to be set on a connection
 	// that is closed.
-	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(answerWriteTimeout))
+	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	h.writeHead(w, a, int64(len(a.Body)))
 	// A client that does not read its answer has closed the connection.
 	_, _ = w.Write(a.Body)
--- a/internal/inbound/server.go
+++ b/internal/inbound/server.go
@@ -94,7 +94,7 @@
 // later, and idle connections after IdleGrace.
 func (s *Server) DrainAcceptQueue() {
 	s.drain.closeIdleAfter(IdleGrace)
-	s.listener.finishQueue()
+	s.listener.finishAccepting()
 }
 
 // CloseListener closes the listener, and idle connections after newConnGrace. It does not use http.Server.Shutdown, which
--- a/internal/stream/buffers.go
+++ b/internal/stream/buffers.go
@@ -4,14 +4,14 @@
 
 // Buffers holds the parts that all streams of the agent share. Any goroutine may call its methods.
 type Buffers struct {
-	parts chan []byte // nil stands for a part that is not allocated yet
+	free chan []byte // nil stands for a part that is not allocated yet
 }
 
 // NewBuffers returns a store that grows to so many bytes as streams need them, and to two parts at least.
 func NewBuffers(bytes int64) *Buffers {
-	b := &Buffers{parts: make(chan []byte, max(2, bytes/BufferBytes))}
-	for range cap(b.parts) {
-		b.parts <- nil
+	b := &Buffers{free: make(chan []byte, max(2, bytes/BufferBytes))}
+	for range cap(b.free) {
+		b.free <- nil
 	}
 	return b
 }
@@ -19,8 +19,8 @@
 // TryGet returns a part, or nil if none is free.
 func (b *Buffers) TryGet() []byte {
 	select {
-	case part := <-b.parts:
-		return allocated(part)
+	case part := <-b.free:
+		return ensureAllocated(part)
 	default:
 		return nil
 	}
@@ -29,20 +29,20 @@
 // Get waits for a part. It returns nil if the context ends first.
 func (b *Buffers) Get(ctx context.Context) []byte {
 	select {
-	case part := <-b.parts:
-		return allocated(part)
+	case part := <-b.free:
+		return ensureAllocated(part)
 	case <-ctx.Done():
 		return nil
 	}
 }
 
 // Put gives a part back.
-func (b *Buffers) Put(part []byte) { b.parts <- part }
+func (b *Buffers) Put(part []byte) { b.free <- part }
 
 // Free returns how many parts are free.
-func (b *Buffers) Free() int { return len(b.parts) }
+func (b *Buffers) Free() int { return len(b.free) }
 
-func allocated(part []byte) []byte {
+func ensureAllocated(part []byte) []byte {
 	if part == nil {
 		return make([]byte, BufferBytes)
 	}
--- a/internal/stream/download.go
+++ b/internal/stream/download.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// maxAnswerPause is the longest that a server may pause within a long answer.
-const maxAnswerPause = 3 * time.Second
+// maxResponsePause is the longest that a server may pause within a long answer.
+const maxResponsePause = 3 * time.Second
 
 // Download is an answer that is too long to be held, on its way from an attempt to a client's handler. The attempt owns the
 // connection and waits on Done; the handler, or whoever drops the answer, calls Finish once.
@@ -42,21 +42,21 @@
 func (d *Download) CopyTo(ctx context.Context, w http.ResponseWriter, buffers *Buffers) (err error) {
 	defer func() { d.Finish(err) }()
 	defer context.AfterFunc(ctx, d.abort)()
-	part := buffers.Get(ctx)
-	if part == nil {
+	buffer := buffers.Get(ctx)
+	if buffer == nil {
 		return ErrNotRead
 	}
-	defer buffers.Put(part)
-	if err := writePart(w, d.prefix); err != nil {
+	defer buffers.Put(buffer)
+	if err := writeAndFlush(w, d.prefix); err != nil {
 		return err
 	}
 	for {
-		if err := d.conn.SetReadDeadline(time.Now().Add(maxAnswerPause)); err != nil {
+		if err := d.conn.SetReadDeadline(time.Now().Add(maxResponsePause)); err != nil {
 			return err
 		}
-		n, err := d.source.Read(part)
+		n, err := d.source.Read(buffer)
 		if n > 0 {
-			if err := writePart(w, part[:n]); err != nil {
+			if err := writeAndFlush(w, buffer[:n]); err != nil {
 				return err
 			}
 		}
@@ -69,13 +69,13 @@
 	}
 }
 
-// writePart writes a part of an answer and sends it at once.
-func writePart(w http.ResponseWriter, part []byte) error {
+// writeAndFlush writes a part of an answer and sends it at once.
+func writeAndFlush(w http.ResponseWriter, b []byte) error {
 	conn := http.NewResponseController(w)
-	if err := conn.SetWriteDeadline(time.Now().Add(partWriteTimeout)); err != nil {
+	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return fmt.Errorf("%w: %w", ErrNotRead, err)
 	}
-	if _, err := w.Write(part); err != nil {
+	if _, err := w.Write(b); err != nil {
 		return fmt.Errorf("%w: %w", ErrNotRead, err)
 	}
 	if err := conn.Flush(); err != nil {
--- a/internal/stream/pacedreader.go
+++ b/internal/stream/pacedreader.go
@@ -26,14 +26,14 @@
 type PacedReader struct {
 	body     io.Reader
 	conn     ReadDeadliner
-	begun    time.Time // the request did
+	start    time.Time // the request did
 	received int64     // bytes
 	waited   time.Duration
 }
 
 // NewPacedReader returns a reader of a body that comes on a connection and belongs to a request that began then.
-func NewPacedReader(body io.Reader, conn ReadDeadliner, begun time.Time) *PacedReader {
-	return &PacedReader{body: body, conn: conn, begun: begun}
+func NewPacedReader(body io.Reader, conn ReadDeadliner, start time.Time) *PacedReader {
+	return &PacedReader{body: body, conn: conn, start: start}
 }
 
 // Read reads what has come. At the end of the body it takes the connection's deadline away, because from then on the
@@ -56,7 +56,7 @@
 
 // remaining returns how long the next bytes may take.
 func (p *PacedReader) remaining(now time.Time) time.Duration {
-	byPace := BodyGrace + time.Duration(p.received)*time.Second/minBodyBytesPerSecond - p.waited
-	byStart := p.begun.Add(minRequestTime).Sub(now)
-	return max(byPace, byStart)
+	byRate := BodyGrace + time.Duration(p.received)*time.Second/minBodyBytesPerSecond - p.waited
+	byStart := p.start.Add(minRequestTime).Sub(now)
+	return max(byRate, byStart)
 }
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -15,8 +15,8 @@
 	MaxBytes = 40 << 20
 	// BufferBytes is what a stream holds at once.
 	BufferBytes = 32 << 10
-	// partWriteTimeout is how long a client or a server may take to read a part.
-	partWriteTimeout = 10 * time.Second
+	// writeTimeout is how long a client or a server may take to read a part.
+	writeTimeout = 10 * time.Second
 )
 
 var (
--- a/internal/stream/upload.go
+++ b/internal/stream/upload.go
@@ -24,7 +24,7 @@
 	length   int64  // below 0: not stated
 	prefix   []byte // read already
 	buffers  *Buffers
-	part     []byte
+	buffer   []byte
 	complete atomic.Bool // the body was read to its end
 
 	mu      sync.Mutex
@@ -46,8 +46,8 @@
 // Reserve takes a buffer for the body, if one is free.
 func (u *Upload) Reserve(from *Buffers) bool {
 	u.buffers = from
-	u.part = from.TryGet()
-	return u.part != nil
+	u.buffer = from.TryGet()
+	return u.buffer != nil
 }
 
 // Claim takes the body for an attempt, or for its end without one. The first caller gets it, and has to Release it.
@@ -63,13 +63,13 @@
 
 // Release gives the buffer back. Only the attempt that claimed the body may do so, because it may still be writing from the
 // buffer when the client's handler has returned.
-func (u *Upload) Release() { u.buffers.Put(u.part) }
+func (u *Upload) Release() { u.buffers.Put(u.buffer) }
 
 // Close keeps the body from being read any further, because the connection is the next request's once the client's
 // handler has returned. It gives the buffer back if no attempt has claimed the body.
 func (u *Upload) Close(conn ReadDeadliner) {
 	u.stop(conn)
-	if u.part != nil && u.Claim() {
+	if u.buffer != nil && u.Claim() {
 		u.Release()
 	}
 }
@@ -102,9 +102,9 @@
 // Discard reads the rest of the body and drops it, because a client that is still sending when its connection closes may
 // never see the answer.
 func (u *Upload) Discard() {
-	var part [4 << 10]byte
+	var b [4 << 10]byte
 	for {
-		if _, err := u.read(part[:]); err != nil {
+		if _, err := u.read(b[:]); err != nil {
 			return
 		}
 	}
@@ -130,8 +130,8 @@
 	}
 	u.prefix = nil
 	for {
-		n, err := u.read(u.part)
-		if werr := out.write(u.part[:n]); werr != nil {
+		n, err := u.read(u.buffer)
+		if werr := out.write(u.buffer[:n]); werr != nil {
 			return werr
 		}
 		if err == io.EOF { //nolint:errorlint // a wrapped end is that of a body that was cut
@@ -151,14 +151,14 @@
 	chunks   io.WriteCloser // nil if the length is stated
 }
 
-func (w *uploadWriter) write(part []byte) error {
-	if len(part) == 0 {
+func (w *uploadWriter) write(b []byte) error {
+	if len(b) == 0 {
 		return nil // an empty chunk would end the body
 	}
-	if err := w.conn.SetWriteDeadline(time.Now().Add(partWriteTimeout)); err != nil {
+	if err := w.conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
-	if _, err := w.body.Write(part); err != nil {
+	if _, err := w.body.Write(b); err != nil {
 		return err
 	}
 	return w.buffered.Flush()
