--- a/internal/dispatch/adopt.go
+++ b/internal/dispatch/adopt.go
@@ -8,8 +8,8 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// adopt swaps the settings for others, in the balancer and here, or leaves all as it is. Handlers read requests by the settings from
-// the swap on, so all that these requests need is there before it.
+// adopt puts new settings in force in the balancer and the loop. If it returns an error, nothing has changed. Handlers parse
+// requests by the new settings as soon as they are swapped, so the pool and the metrics are updated before that.
 func (l *Loop) adopt(ctx context.Context, next *settings.Settings) error {
 	if err := l.balancer.Adopt(next.Balancer); err != nil {
 		return err
@@ -21,15 +21,15 @@
 	if sameNames || l.members.Len() == 0 {
 		return nil
 	}
-	// Zones and kinds are positions in the settings' lists, which have changed under the endpoints.
+	// Endpoints refer to zones and kinds by their positions in the settings' lists, which have changed.
 	l.handle(ctx, balancer.Event{
 		Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: l.updateEndpoints(l.members.Members()),
 	})
 	return nil
 }
 
-// translate finds a request's class and tenant in the settings now in force, by their names. It is false if there is no such
-// class any more or its idempotency has changed, because the request was checked against the old one.
+// translate looks up a request's class and tenant by name in the settings now in force. It returns false if the class no
+// longer exists, or if its idempotency has changed, because the request was checked against the old one.
 func (r *Request) translate(to *settings.Settings) bool {
 	if r.Settings == to {
 		return true
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -12,7 +12,7 @@
 	"example.org/ryeloft/internal/upstream"
 )
 
-// actOnRequest carries out one action that concerns an open request.
+// actOnRequest executes one action on an open request.
 func (l *Loop) actOnRequest(ctx context.Context, r *openRequest, a *balancer.Action) {
 	switch a.Kind {
 	case balancer.ActionSend:
@@ -24,14 +24,16 @@
 		r.respond(Response{Status: protocol.StatusFailed})
 		l.removeIfDone(r)
 	case balancer.ActionCancel:
-		// The end of another attempt must not cut off the answer that the client is getting.
+		// When another attempt ends the request, the balancer cancels this one as well, but a download that the client is
+		// receiving must continue.
 		if a.Attempt < len(r.cancelAttempt) && r.streamingAttempt != a.Attempt {
 			r.cancelAttempt[a.Attempt]()
 		}
 	}
 }
 
-// startAttempt sends a request to a server. What cannot be sent any more has expired.
+// startAttempt sends a request to a server. The attempt expires without being sent if the request has ended, no time remains
+// or the server has no endpoint.
 func (l *Loop) startAttempt(ctx context.Context, r *openRequest, a *balancer.Action) {
 	attempt := len(r.cancelAttempt)
 	remaining := r.Deadline - l.clock.Now()
@@ -60,7 +62,7 @@
 	r.inFlight++
 	ended := attemptEnded{request: r.balancerID, attempt: attempt, server: a.Server}
 	request := r.Upstream
-	go func() { // ends with its context, at the latest with the loop's
+	go func() { // ends with its context, at the latest with the loop's context
 		result := l.pool.Exchange(ctx, endpoint, request, options)
 		options.Timer.Stop()
 		ended.outcome = result.Outcome
@@ -71,8 +73,8 @@
 	}()
 }
 
-// reportStreaming notifies the loop when an attempt uses an upload, and when its answer is a download. The attempt then
-// waits until the client's handler has finished the download.
+// reportStreaming has an attempt notify the loop when it uses an upload and when its response is a download. In the latter
+// case the attempt waits until the client's handler has finished the download.
 func (l *Loop) reportStreaming(options *upstream.Attempt, started streaming) {
 	options.OnStreaming = func() { l.send(started) }
 	options.PassOn = func(a upstream.Answer) error {
@@ -88,12 +90,12 @@
 	}
 }
 
-// clientResponse is a server's answer as the client gets it.
+// clientResponse returns a server's response as it is passed on to the client.
 func clientResponse(a upstream.Answer) Response {
 	return Response{Status: http.StatusOK, ContentType: a.ContentType, Body: a.Body, Download: a.Download}
 }
 
-// startHealthCheck checks a server. One that has no endpoint is not checked: the check has expired.
+// startHealthCheck starts a health check of a server. If the server has no endpoint, the check expires without being sent.
 func (l *Loop) startHealthCheck(ctx context.Context, server balancer.ServerID) {
 	endpoint := l.endpoints[server]
 	if endpoint == nil {
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -5,19 +5,19 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// updateEndpoints notes where the members of a list are and returns them in the balancer's terms.
+// updateEndpoints updates the endpoints by the members of a list and returns the members as the balancer's endpoints.
 func (l *Loop) updateEndpoints(members []discovery.Member) []balancer.Endpoint {
 	entries := l.members.Endpoints(l.settings.Load(), members)
 	for i, entry := range entries {
-		if entry.State != balancer.Removed { // which is forgotten once the balancer knows
+		if entry.State != balancer.Removed { // removeEndpoints removes these after the balancer has handled the list
 			l.updateEndpoint(entry, members[i].Address)
 		}
 	}
 	return entries
 }
 
-// updateEndpoint makes a new endpoint for a server whose process or address has changed, or that is ready again after it was
-// draining.
+// updateEndpoint creates an endpoint for a server that is new, whose process or address has changed, or that is ready again
+// after draining. It drains the endpoint of a server that is not ready.
 func (l *Loop) updateEndpoint(entry balancer.Endpoint, addr string) {
 	e := l.endpoints[entry.ID]
 	same := e != nil && e.Is(addr, entry.Start)
@@ -33,7 +33,7 @@
 	}
 }
 
-// removeEndpoints retires the endpoints that a list has removed.
+// removeEndpoints retires and deletes the endpoints that a list has removed.
 func (l *Loop) removeEndpoints(update balancer.DiscoveryUpdate, entries []balancer.Endpoint) {
 	for _, id := range l.members.RemoveGone(update, entries) {
 		if e := l.endpoints[id]; e != nil {
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -10,7 +10,7 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// input is something that has happened, on its way to the loop, whose goroutine calls handle.
+// input is an occurrence that the loop reacts to. The loop's goroutine calls handle.
 type input interface {
 	handle(ctx context.Context, l *Loop)
 }
@@ -18,11 +18,11 @@
 type (
 	// endpointsNotified is a watch event of discovery.
 	endpointsNotified struct{ discovery.WatchEvent }
-	// submitted is a request that a client has sent, completely or up to its upload.
+	// submitted is a request that has been read from a client, completely or up to its upload.
 	submitted struct{ request *Request }
-	// abandoned is a request whose answer nobody waits for.
+	// abandoned is a request whose response is no longer awaited.
 	abandoned struct{ request *Request }
-	// streaming says that an attempt uses an upload, or that its answer is a download.
+	// streaming reports that an attempt uses an upload, or that its response is a download.
 	streaming struct {
 		request  balancer.RequestID
 		attempt  int
@@ -37,7 +37,7 @@
 		outcome   balancer.Outcome
 		load      balancer.LoadReport
 		response  Response // if the outcome is OK
-		abandoned bool     // the attempt found that nobody waits for the answer
+		abandoned bool     // not sent, because the response is no longer awaited
 	}
 	// healthCheckEnded is the outcome of a health check.
 	healthCheckEnded struct {
@@ -45,10 +45,10 @@
 		outcome balancer.Outcome
 		load    balancer.LoadReport
 	}
-	// settingsReloaded are settings that are to be put in force.
+	// settingsReloaded requests that settings be put in force.
 	settingsReloaded struct {
 		next   *settings.Settings
-		result chan<- error // holds one
+		result chan<- error // capacity 1
 	}
 )
 
@@ -89,7 +89,7 @@
 		l.abandon(ctx, r)
 		return
 	}
-	// It crossed the answer, if there was one.
+	// The request was answered before the handler's notice arrived. The handler does not receive the response.
 	select {
 	case a := <-in.request.response:
 		if a.Download != nil {
@@ -102,7 +102,7 @@
 func (in streaming) handle(ctx context.Context, l *Loop) {
 	r := l.requests[in.request]
 	if in.response.Download != nil {
-		if !r.respond(in.response) { // another attempt's answer was first
+		if !r.respond(in.response) { // the request was answered or abandoned before
 			in.response.Download.Finish(stream.ErrNotRead)
 			return
 		}
@@ -138,7 +138,7 @@
 	in.result <- l.adopt(ctx, in.next)
 }
 
-// abandon ends a request whose client has closed its connection, and releases its handler if that still waits.
+// abandon ends a request whose client has closed its connection, and releases its handler if that is still waiting.
 func (l *Loop) abandon(ctx context.Context, r *openRequest) {
 	r.respond(Response{})
 	l.metrics.ClientClosed()
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -1,10 +1,11 @@
 // Package dispatch runs the event loop, the sole owner of the balancer and of all open requests.
 //
-// Clients' handlers, attempts, health checks and discovery send the loop inputs; it turns each into an event of the
-// balancer and carries out the actions that the balancer answers. It alone decides how a request ends. All state of the
-// Loop is its goroutine's but for the settings and two flags, which are atomic, and the ids of requests, which have a mutex
-// of their own; requests are shared as Request says. The loop itself waits for no connection: attempts and health checks
-// have goroutines of their own.
+// Client handlers, attempts, health checks and discovery send inputs to the loop. The loop turns each input into an event
+// for the balancer and executes the actions that the balancer returns. Only the loop decides how a request ends.
+//
+// The loop's goroutine owns all state of the Loop except the settings and two flags, which are atomic, and the request ids,
+// which have their own mutex. Request documents how requests are shared. The loop never waits for a connection: attempts and
+// health checks run in their own goroutines.
 package dispatch
 
 import (
@@ -26,35 +27,36 @@
 )
 
 const (
-	inputQueueSize         = 256 // further senders wait
+	inputQueueSize         = 256 // senders block when it is full
 	sweepInterval          = time.Second
-	logInterval            = 5 * time.Second // of the counters
+	logInterval            = 5 * time.Second // for the counters
 	gaugeInterval          = 100 * time.Millisecond
 	endpointsCheckInterval = 20 * time.Millisecond
-	// maxListWait is how long AwaitEndpoints waits for a list that is not the cached one.
+	// maxListWait is how long AwaitEndpoints waits for a list from discovery before it accepts the cached one.
 	maxListWait = 1500 * time.Millisecond
 )
 
-// Options are what a Loop is made of.
+// Options configures a Loop.
 type Options struct {
 	Settings *settings.Settings
-	Seed     uint64 // of the balancer's random choices
+	Seed     uint64 // for the balancer's random choices
 	Pool     *upstream.Pool
 	Metrics  *metrics.Metrics
 	Log      *slog.Logger
-	// PublishGauges has the loop publish what it knows of the endpoints at intervals.
+	// PublishGauges enables the periodic update of the endpoint gauges.
 	PublishGauges bool
-	// PollEndpoints asks discovery for the list. It must not wait.
+	// PollEndpoints requests a poll of discovery. It must not block.
 	PollEndpoints func()
-	// ClaimID returns whether the other processes of the agent have not taken the id with a hash; nil if there are none.
+	// ClaimID reports whether a request id, given by its hash, is unused in the agent's other processes. It is nil if there
+	// are none.
 	ClaimID func(hash uint64) bool
 }
 
 // Loop is the event loop. Its exported methods may be called by any goroutine.
 type Loop struct {
-	settings      atomic.Pointer[settings.Settings] // swapped by the loop
-	hasEndpoints  atomic.Bool                       // a list has come
-	hasSynced     atomic.Bool                       // and it is not the cached one
+	settings      atomic.Pointer[settings.Settings] // swapped by the loop's goroutine only
+	hasEndpoints  atomic.Bool                       // a list with endpoints has been received
+	hasSynced     atomic.Bool                       // and a list that is not the cached one
 	clock         clock.Anchored
 	balancer      *balancer.Balancer
 	pool          *upstream.Pool
@@ -66,18 +68,18 @@
 	inputs        chan input
 	done          chan struct{} // closed when Run returns
 
-	members   *membership.Table // as of the last list from discovery
+	members   *membership.Table // according to discovery
 	endpoints map[balancer.ServerID]*upstream.Endpoint
 	requests  map[balancer.RequestID]*openRequest
 	ids       *RequestIDs
 	lastID    balancer.RequestID
 	timers    timers
 	wallSteps clock.StepDetector
-	events    []balancer.Event // to be handed to the balancer
+	events    []balancer.Event // not yet passed to the balancer
 	actions   []balancer.Action
 }
 
-// New returns a loop that does not run yet.
+// New returns a loop that is not running yet.
 func New(o Options) (*Loop, error) {
 	b, err := balancer.New(o.Settings.Balancer, o.Seed)
 	if err != nil {
@@ -101,13 +103,14 @@
 // Settings returns the settings in force.
 func (l *Loop) Settings() *settings.Settings { return l.settings.Load() }
 
-// Now returns the loop's time, of which a request's deadline is one.
+// Now returns the time on the loop's clock, which request deadlines refer to.
 func (l *Loop) Now() time.Duration { return l.clock.Now() }
 
-// Ready says whether a list of endpoints has come.
+// Ready reports whether a list of endpoints has been received.
 func (l *Loop) Ready() bool { return l.hasEndpoints.Load() }
 
-// AwaitEndpoints waits until the list that discovery has now has come. After maxListWait a cached one will do.
+// AwaitEndpoints waits until discovery has delivered a list of endpoints. After maxListWait it also accepts the cached list.
+// It returns early if the context ends.
 func (l *Loop) AwaitEndpoints(ctx context.Context) {
 	ticker := time.NewTicker(endpointsCheckInterval)
 	defer ticker.Stop()
@@ -121,8 +124,8 @@
 	}
 }
 
-// Submit hands a request to the loop, which answers it on its Answered channel. One whose id is in use, here or at another process
-// of the agent, is answered at once.
+// Submit passes a request to the loop, which sends the response on the request's Response channel. Submit itself rejects a
+// request whose id is in use in this process or another process of the agent.
 func (l *Loop) Submit(r *Request) {
 	if !l.reserveID(r) {
 		r.response <- Response{Status: http.StatusConflict, ContentType: "text/plain", Body: []byte(protocol.HeaderRequestID + " is in use\n")}
@@ -131,7 +134,7 @@
 	l.send(submitted{r})
 }
 
-// reserveID notes the id of a request, and returns whether no other request has it.
+// reserveID records the id of a request, and reports whether no other request uses it.
 func (l *Loop) reserveID(r *Request) bool {
 	r.idHash = hashID(r.ID)
 	if !l.ids.add(r.idHash) {
@@ -144,16 +147,17 @@
 	return true
 }
 
-// RequestIDs returns the ids of the requests that this process has taken.
+// RequestIDs returns the ids of this process's requests.
 func (l *Loop) RequestIDs() *RequestIDs { return l.ids }
 
-// Abandon notifies the loop that nobody waits for a request's answer any more.
+// Abandon notifies the loop that a request's response is no longer awaited.
 func (l *Loop) Abandon(r *Request) { l.send(abandoned{r}) }
 
-// NotifyEndpoints notifies the loop of a list of endpoints, or of a poll that failed.
+// NotifyEndpoints passes a watch event from discovery to the loop, such as a list of endpoints or a failed poll.
 func (l *Loop) NotifyEndpoints(e discovery.WatchEvent) { l.send(endpointsNotified{e}) }
 
-// Adopt puts other settings in force, or returns why it does not. It returns the context's error if that ends first.
+// Adopt puts new settings in force, or returns an error and keeps the present ones. It returns the context's error if the
+// context ends first.
 func (l *Loop) Adopt(ctx context.Context, next *settings.Settings) error {
 	result := make(chan error, 1)
 	l.send(settingsReloaded{next: next, result: result})
@@ -165,7 +169,7 @@
 	}
 }
 
-// send hands an input to the loop, unless that has ended.
+// send passes an input to the loop. It drops the input if the loop has ended.
 func (l *Loop) send(in input) {
 	select {
 	case l.inputs <- in:
@@ -174,7 +178,7 @@
 }
 
 // Run handles inputs and timers until the context ends. It does not wait for attempts and health checks: they end with the
-// context, and with the loop nobody is left for what they bring.
+// context, and their results are not needed after the loop has ended.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	wake := time.NewTimer(0)
@@ -211,7 +215,7 @@
 	}
 }
 
-// resetWake sets a timer to the next of the balancer's.
+// resetWake sets wake to the balancer's next timer.
 func (l *Loop) resetWake(wake *time.Timer) {
 	if len(l.timers) == 0 {
 		wake.Stop()
@@ -220,7 +224,7 @@
 	wake.Reset(l.timers[0].due - l.clock.Now())
 }
 
-// fireTimers hands the timers that are due to the balancer.
+// fireTimers passes the timers that are due to the balancer.
 func (l *Loop) fireTimers(ctx context.Context) {
 	now := l.clock.Now()
 	for len(l.timers) > 0 && l.timers[0].due <= now {
@@ -236,10 +240,11 @@
 	}
 }
 
-// handle hands an event to the balancer and carries out what it answers, and so on with the events that come of that.
+// handle passes an event to the balancer and executes the resulting actions, and does the same for the events that these
+// actions cause.
 func (l *Loop) handle(ctx context.Context, ev balancer.Event) {
 	l.events = append(l.events, ev)
-	for i := 0; i < len(l.events); i++ { // act may add to them
+	for i := 0; i < len(l.events); i++ { // act may append events
 		l.actions = l.balancer.Handle(l.clock.Now(), l.events[i], l.actions[:0])
 		for j := range l.actions {
 			l.act(ctx, &l.actions[j])
@@ -248,7 +253,7 @@
 	l.events = l.events[:0]
 }
 
-// act carries out one action.
+// act executes one action.
 func (l *Loop) act(ctx context.Context, a *balancer.Action) {
 	switch a.Kind {
 	case balancer.ActionSend, balancer.ActionReject, balancer.ActionFail, balancer.ActionCancel:
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -11,52 +11,53 @@
 	"example.org/ryeloft/internal/upstream"
 )
 
-// Request is a client's request, which the client's handler shares with the loop. The handler fills in the exported fields
-// before it submits the request, and leaves them to the loop from then on.
+// Request is a client's request, which the client's handler shares with the loop. The handler sets the exported fields
+// before it submits the request; after that only the loop may change them.
 type Request struct {
-	ID        string // the client's
+	ID        string // as assigned by the client
 	ClassName string
-	Settings  *settings.Settings // by which it was read
-	Class     int                // position in the settings
-	Tenant    int                // likewise
-	Retry     bool               // the client repeats it
-	Deadline  time.Duration      // in the loop's time
+	Settings  *settings.Settings // by which it was parsed
+	Class     int                // index into the settings' classes
+	Tenant    int                // index into the settings' tenants
+	Retry     bool               // the client marked it as a retry
+	Deadline  time.Duration      // on the loop's clock
 	Upstream  *upstream.Request  // what is sent to a server
-	// ClientClosed says whether the client has closed its connection. Any goroutine may call it.
+	// ClientClosed reports whether the client has closed its connection. Any goroutine may call it.
 	ClientClosed func() bool
 
-	response   chan Response // holds one, so that the loop never waits for a handler
+	response   chan Response // capacity 1, so that the loop never waits for a handler
 	balancerID balancer.RequestID
 	idHash     uint64
-	ended      atomic.Bool // answered or abandoned; only the loop sets it
+	ended      atomic.Bool // answered or abandoned; set by the loop only
 }
 
-// NewRequest returns a request that was read by these settings.
+// NewRequest returns a request that is parsed by the given settings.
 func NewRequest(s *settings.Settings) *Request {
 	return &Request{Settings: s, response: make(chan Response, 1)}
 }
 
-// Response gives the request's only answer. A handler that does not wait for it has to abandon the request.
+// Response returns the channel on which the loop sends the request's only response. A handler that does not wait for the
+// response has to abandon the request.
 func (r *Request) Response() <-chan Response { return r.response }
 
-// hasEnded says that nothing may be begun for the request any more.
+// hasEnded reports whether the request has ended or its client has closed the connection, so that no attempt may be sent.
 func (r *Request) hasEnded() bool { return r.ended.Load() || r.ClientClosed() }
 
-// Response is what a client gets.
+// Response is the response to a client's request.
 type Response struct {
-	Status      int           // 0: no answer, because the client has closed its connection
-	RetryAfter  time.Duration // 0: no advice
+	Status      int           // 0: no response, because the client has closed its connection
+	RetryAfter  time.Duration // 0: no Retry-After header
 	ContentType string
 	Body        []byte
-	Download    *stream.Download // in place of a body that is held; nil otherwise
+	Download    *stream.Download // replaces Body if the body is too long to be buffered; nil otherwise
 }
 
-// openRequest is what the loop knows of a request until that is answered and its attempts have ended.
+// openRequest is the loop's state of a request until the request has ended and all its attempts have ended.
 type openRequest struct {
 	*Request
-	cancelAttempt    []context.CancelFunc // by the number of the attempt
-	inFlight         int                  // attempts
-	streamingAttempt int                  // whose answer is passed on to the client; noAttempt for none
+	cancelAttempt    []context.CancelFunc // by attempt number
+	inFlight         int                  // number of attempts in flight
+	streamingAttempt int                  // the attempt whose download the client receives, or noAttempt
 }
 
 const noAttempt = -1
@@ -65,7 +66,7 @@
 	return &openRequest{Request: r, streamingAttempt: noAttempt}
 }
 
-// respond hands the handler its respond. It is false if the request was answered or abandoned before.
+// respond sends the response to the handler. It returns false if the request was already answered or abandoned.
 func (r *openRequest) respond(a Response) bool {
 	if r.ended.Swap(true) {
 		return false
@@ -74,7 +75,7 @@
 	return true
 }
 
-// newBalancerID returns a number that no open request has.
+// newBalancerID returns an id that no open request has.
 func (l *Loop) newBalancerID() balancer.RequestID {
 	for {
 		l.lastID++
@@ -84,7 +85,7 @@
 	}
 }
 
-// removeIfDone drops a request of which nothing more is to be heard.
+// removeIfDone removes a request that has ended and has no attempts in flight.
 func (l *Loop) removeIfDone(r *openRequest) {
 	if r.ended.Load() && r.inFlight == 0 {
 		delete(l.requests, r.balancerID)
--- a/internal/dispatch/requestids.go
+++ b/internal/dispatch/requestids.go
@@ -7,16 +7,16 @@
 	"sync"
 )
 
-// maxRecentIDs is how many ids of ended requests are known, twice, and how many of another process.
+// maxRecentIDs bounds each of the two generations of ids of ended requests, and the ids that another process has claimed.
 const maxRecentIDs = 4096
 
-// RequestIDs knows the clients' ids of the open requests and of those that ended a short while ago, by their hashes. Servers and
-// clients distinguish requests by id, so a second request with the same one could get the first one's answer or run as its repeat.
-// While another process replaces this one, it also knows the ids that the other has taken. A mutex guards it.
+// RequestIDs holds the hashes of the ids of open requests and of recently ended ones. Servers and clients distinguish requests
+// by id, so a second request with the same id could get the first one's response or be executed as its retry. While another
+// process replaces this one, RequestIDs also holds the ids that the other process has claimed. Its mutex guards all fields.
 type RequestIDs struct {
 	mu                  sync.Mutex
-	open, recent, older map[uint64]struct{}
-	claimed             map[uint64]struct{} // of requests that the other process has
+	open, recent, older map[uint64]struct{} // recent and older are the two generations of ended requests
+	claimed             map[uint64]struct{} // by the other process
 }
 
 func newRequestIDs() *RequestIDs {
@@ -29,7 +29,7 @@
 	return h.Sum64()
 }
 
-// add notes the id of a request that begins, unless it is known.
+// add records the id of a new request. It returns false if the id is known.
 func (r *RequestIDs) add(id uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -40,7 +40,7 @@
 	return true
 }
 
-// known says whether an id is in use or was a short while ago. The mutex is held.
+// known reports whether an id is in use or was used recently. The caller holds the mutex.
 func (r *RequestIDs) known(id uint64) bool {
 	for _, ids := range []map[uint64]struct{}{r.open, r.recent, r.older, r.claimed} {
 		if _, found := ids[id]; found {
@@ -50,7 +50,7 @@
 	return false
 }
 
-// close notes that the request with an id has ended.
+// close records that the request with an id has ended.
 func (r *RequestIDs) close(id uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -58,7 +58,7 @@
 	r.addRecent(id)
 }
 
-// addRecent notes an id that is not in use here. The mutex is held.
+// addRecent records the id of an ended request. The caller holds the mutex.
 func (r *RequestIDs) addRecent(id uint64) {
 	r.recent[id] = struct{}{}
 	if len(r.recent) >= maxRecentIDs {
@@ -66,19 +66,20 @@
 	}
 }
 
-// expire forgets what was recent at the last call but one.
+// expire drops the ids of requests that ended before the previous call.
 func (r *RequestIDs) expire() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.rotate()
 }
 
+// rotate starts a new generation of recent ids and drops the older one. The caller holds the mutex.
 func (r *RequestIDs) rotate() {
 	r.older = r.recent
 	r.recent = map[uint64]struct{}{}
 }
 
-// Claim notes the id of a request that another process is to take, and returns whether it was free.
+// Claim records the id of a request that another process is about to accept. It returns false if the id is known.
 func (r *RequestIDs) Claim(id uint64) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,14 +93,14 @@
 	return true
 }
 
-// DropClaims forgets what another process has claimed, which has ended.
+// DropClaims drops the ids that another process has claimed. It is called when that process has ended.
 func (r *RequestIDs) DropClaims() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	clear(r.claimed)
 }
 
-// Known returns the ids of the open requests of this process and of those that ended a short while ago.
+// Known returns the ids of this process's open requests and of recently ended ones.
 func (r *RequestIDs) Known() []uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -108,7 +109,7 @@
 	return slices.AppendSeq(ids, maps.Keys(r.older))
 }
 
-// Add notes the id of a request that another process had, which has ended.
+// Add records the id of a request of another process, which has ended.
 func (r *RequestIDs) Add(id uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/dispatch/timers.go
+++ b/internal/dispatch/timers.go
@@ -6,13 +6,13 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// timer is an ActionSetTimer that is to fall due.
+// timer is a pending timer that the balancer has set by an ActionSetTimer.
 type timer struct {
 	due time.Duration
 	id  balancer.TimerID
 }
 
-// timers is a heap, the next one first.
+// timers is a min-heap ordered by due time.
 type timers []timer
 
 func (t timers) Len() int { return len(t) }
