--- a/internal/stream/buffers.go
+++ b/internal/stream/buffers.go
@@ -2,12 +2,12 @@
 
 import "context"
 
-// Buffers holds the parts that all streams of the agent share. Any goroutine may call its methods.
+// Buffers is a bounded pool of buffers that all streams of the agent share. Any goroutine may call its methods.
 type Buffers struct {
-	free chan []byte // nil stands for a part that is not allocated yet
+	free chan []byte // nil stands for a buffer that is not allocated yet
 }
 
-// NewBuffers returns a store that grows to so many bytes as streams need them, and to two parts at least.
+// NewBuffers returns a pool that allocates buffers on demand, up to the given number of bytes but at least two buffers.
 func NewBuffers(bytes int64) *Buffers {
 	b := &Buffers{free: make(chan []byte, max(2, bytes/BufferBytes))}
 	for range cap(b.free) {
@@ -16,35 +16,35 @@
 	return b
 }
 
-// TryGet returns a part, or nil if none is free.
+// TryGet returns a buffer, or nil if none is free.
 func (b *Buffers) TryGet() []byte {
 	select {
-	case part := <-b.free:
-		return ensureAllocated(part)
+	case buffer := <-b.free:
+		return ensureAllocated(buffer)
 	default:
 		return nil
 	}
 }
 
-// Get waits for a part. It returns nil if the context ends first.
+// Get waits for a buffer. It returns nil if the context ends first.
 func (b *Buffers) Get(ctx context.Context) []byte {
 	select {
-	case part := <-b.free:
-		return ensureAllocated(part)
+	case buffer := <-b.free:
+		return ensureAllocated(buffer)
 	case <-ctx.Done():
 		return nil
 	}
 }
 
-// Put gives a part back.
-func (b *Buffers) Put(part []byte) { b.free <- part }
+// Put returns a buffer to the pool.
+func (b *Buffers) Put(buffer []byte) { b.free <- buffer }
 
-// Free returns how many parts are free.
+// Free returns the number of free buffers.
 func (b *Buffers) Free() int { return len(b.free) }
 
-func ensureAllocated(part []byte) []byte {
-	if part == nil {
+func ensureAllocated(buffer []byte) []byte {
+	if buffer == nil {
 		return make([]byte, BufferBytes)
 	}
-	return part
+	return buffer
 }
--- a/internal/stream/buffers_test.go
+++ b/internal/stream/buffers_test.go
@@ -2,19 +2,19 @@
 
 import "testing"
 
-// Streams hold so much and no more.
+// The memory of all streams is bounded: no buffer is available beyond the limit until one is returned.
 func TestBuffersAreBounded(t *testing.T) {
 	buffers := NewBuffers(3 * BufferBytes)
 	for range 3 {
-		if part := buffers.TryGet(); len(part) != BufferBytes {
-			t.Fatalf("a buffer of %d bytes", len(part))
+		if buffer := buffers.TryGet(); len(buffer) != BufferBytes {
+			t.Fatalf("got a buffer of %d bytes, want %d", len(buffer), BufferBytes)
 		}
 	}
 	if buffers.TryGet() != nil {
-		t.Error("a fourth buffer of three")
+		t.Error("got a fourth buffer, want three at most")
 	}
 	buffers.Put(make([]byte, BufferBytes))
 	if buffers.Get(t.Context()) == nil {
-		t.Error("no buffer though one was put back")
+		t.Error("got no buffer after one was returned")
 	}
 }
--- a/internal/stream/download.go
+++ b/internal/stream/download.go
@@ -8,37 +8,37 @@
 	"time"
 )
 
-// maxResponsePause is the longest that a server may pause within a long answer.
+// maxResponsePause is how long a server may pause within a download.
 const maxResponsePause = 3 * time.Second
 
-// Download is an answer that is too long to be held, on its way from an attempt to a client's handler. The attempt owns the
-// connection and waits on Done; the handler, or whoever drops the answer, calls Finish once.
+// Download is a response that is too long to be buffered, passed from an attempt to a client's handler. The attempt owns the
+// connection and waits on Done. The handler, or the code that drops the response, calls Finish once.
 type Download struct {
-	length int64  // below 0: not stated
-	prefix []byte // read already
+	length int64  // negative if unknown
+	prefix []byte // the bytes read before the download was created
 	source io.Reader
 	conn   ReadDeadliner
-	done   chan error // holds one, so that the handler never waits
+	done   chan error // capacity 1, so that the handler never blocks
 	abort  func()
 }
 
-// NewDownload returns an answer of a length, below 0 if it is not stated, of which a prefix has been read already. The
-// source reads from the connection to the server, which abort closes.
+// NewDownload returns a download of the given length, negative if unknown, whose prefix has already been read. The source
+// reads the rest from conn, the connection to the server; abort closes that connection.
 func NewDownload(length int64, prefix []byte, source io.Reader, conn ReadDeadliner, abort func()) *Download {
 	return &Download{length: length, prefix: prefix, source: source, conn: conn, done: make(chan error, 1), abort: abort}
 }
 
-// Length returns the length that the server has stated, below 0 if none.
+// Length returns the length that the server has declared, or a negative number if it has not.
 func (d *Download) Length() int64 { return d.length }
 
-// Finish reports to the attempt how the answer ended; nil if the client has read it completely.
+// Finish reports to the attempt how the download ended: nil if it was written to the client completely.
 func (d *Download) Finish(err error) { d.done <- err }
 
-// Done gives what Finish was called with.
+// Done returns a channel that receives the error that Finish was called with.
 func (d *Download) Done() <-chan error { return d.done }
 
-// CopyTo passes the answer on to its client as the client reads it, and finishes it. The error says what broke it off; it
-// wraps ErrNotRead if that is the client. A client that closes its connection ends the context.
+// CopyTo copies the response to its client at the client's pace, and calls Finish. It returns the error that interrupted the
+// copy, which wraps ErrNotRead if the client caused it. The context ends when the client closes its connection.
 func (d *Download) CopyTo(ctx context.Context, w http.ResponseWriter, buffers *Buffers) (err error) {
 	defer func() { d.Finish(err) }()
 	defer context.AfterFunc(ctx, d.abort)()
@@ -64,12 +64,12 @@
 			return d.conn.SetReadDeadline(time.Time{})
 		}
 		if err != nil {
-			return fmt.Errorf("reading the rest of an answer: %w", err)
+			return fmt.Errorf("reading the rest of a response: %w", err)
 		}
 	}
 }
 
-// writeAndFlush writes a part of an answer and sends it at once.
+// writeAndFlush writes a piece of a response and flushes it.
 func writeAndFlush(w http.ResponseWriter, b []byte) error {
 	conn := http.NewResponseController(w)
 	if err := conn.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -1,6 +1,7 @@
-// Package stream passes on request bodies and answers that are too long to be held: a few kilobytes of each are in memory
-// at any time, out of Buffers that all streams of the agent share. An Upload is read from a client and written to a server,
-// a Download the other way round. The package opens no connection and decides nothing.
+// Package stream forwards request and response bodies that are too long to be buffered completely. Of each stream only a few
+// kilobytes are in memory at any time, in Buffers that all streams of the agent share. An Upload is read from a client and
+// written to a server, a Download is read from a server and written to a client. The package opens no connections and makes
+// no routing decisions.
 package stream
 
 import (
@@ -9,21 +10,23 @@
 )
 
 const (
-	// MaxBufferedBytes is the longest body of a request or an answer that is held completely; longer ones are streams.
+	// MaxBufferedBytes is the length of the longest request or response body that is buffered completely. Longer bodies are
+	// streamed.
 	MaxBufferedBytes = 64 << 10
-	// MaxBytes is the longest body of a request or an answer at all; those of the service have up to 32 MB.
+	// MaxBytes is the length of the longest request or response body that is accepted. The service's bodies have up to 32 MB.
 	MaxBytes = 40 << 20
-	// BufferBytes is what a stream holds at once.
+	// BufferBytes is the size of a stream's buffer.
 	BufferBytes = 32 << 10
-	// writeTimeout is how long a client or a server may take to read a part.
+	// writeTimeout is how long a client or a server may take to read the content of one buffer.
 	writeTimeout = 10 * time.Second
 )
 
 var (
-	// ErrNotRead says that a stream has ended because its client does not read it: the server is not to blame.
-	ErrNotRead = errors.New("answer not read by its client")
-	// ErrBodyIncomplete says that the rest of a body has not come: the request cannot have run, and the server is not to blame.
+	// ErrNotRead is returned when a response is not read by its client. It is not the server's fault.
+	ErrNotRead = errors.New("response not read by its client")
+	// ErrBodyIncomplete is returned when the rest of a request body does not arrive. The request cannot have run, and it is not
+	// the server's fault.
 	ErrBodyIncomplete = errors.New("request body incomplete")
-	// ErrClosed says that the request that a body belongs to has ended.
+	// ErrClosed is returned when an upload is read after its request has ended.
 	ErrClosed = errors.New("upload closed")
 )
--- a/internal/stream/upload.go
+++ b/internal/stream/upload.go
@@ -12,45 +12,47 @@
 	"example.org/ryeloft/internal/clock"
 )
 
-// Upload is a request body that is too long to be held, on its way from a client to a server. It is sent once: the first
-// attempt that claims it owns its buffer and gives it back. The mutex guards the source between that attempt and the
-// client's handler, which closes the upload.
+// Upload is a request body that is too long to be buffered, passed from a client to a server. It is sent at most once: the
+// first attempt that claims it owns its buffer and returns it. The mutex guards the source against concurrent use by that
+// attempt and the client's handler, which closes the upload.
 type Upload struct {
-	// Budget is the time that the request has from its last byte on. It is set before the first attempt.
+	// Budget is the request's time budget, counted from its last byte. It is set before the first attempt.
 	Budget time.Duration
-	// OnComplete is called once, when the body was read to its end. It is set before the first attempt.
+	// OnComplete is called once, when the body has been read completely. It is set before the first attempt.
 	OnComplete func()
 
-	length   int64  // below 0: not stated
-	prefix   []byte // read already
+	length   int64  // negative if unknown
+	prefix   []byte // the bytes read before the upload was created
 	buffers  *Buffers
 	buffer   []byte
-	complete atomic.Bool // the body was read to its end
+	complete atomic.Bool // the body has been read completely
 
 	mu      sync.Mutex
 	source  io.Reader // nil once the request has ended
 	claimed bool
 }
 
-// NewUpload returns an upload of a length, below 0 if it is not stated, of which a prefix has been read already.
+// NewUpload returns an upload of the given length, negative if unknown, whose prefix has already been read. The rest is read
+// from source.
 func NewUpload(length int64, prefix []byte, source io.Reader) *Upload {
 	return &Upload{length: length, prefix: prefix, source: source, OnComplete: func() {}}
 }
 
-// Length returns the length that the client has stated, below 0 if none.
+// Length returns the length that the client has declared, or a negative number if it has not.
 func (u *Upload) Length() int64 { return u.length }
 
-// Complete says whether the body was read to its end.
+// Complete reports whether the body has been read completely.
 func (u *Upload) Complete() bool { return u.complete.Load() }
 
-// Reserve takes a buffer for the body, if one is free.
+// Reserve reserves a buffer for the body. It returns false if none is free.
 func (u *Upload) Reserve(from *Buffers) bool {
 	u.buffers = from
 	u.buffer = from.TryGet()
 	return u.buffer != nil
 }
 
-// Claim takes the body for an attempt, or for its end without one. The first caller gets it, and has to Release it.
+// Claim claims the body for an attempt, or for Close if there was no attempt. Only the first call returns true, and its
+// caller must call Release.
 func (u *Upload) Claim() bool {
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -61,12 +63,12 @@
 	return true
 }
 
-// Release gives the buffer back. Only the attempt that claimed the body may do so, because it may still be writing from the
+// Release returns the buffer. Only the attempt that claimed the body may call it, because it may still be writing from the
 // buffer when the client's handler has returned.
 func (u *Upload) Release() { u.buffers.Put(u.buffer) }
 
-// Close keeps the body from being read any further, because the connection is the next request's once the client's
-// handler has returned. It gives the buffer back if no attempt has claimed the body.
+// Close prevents further reads of the body, because the connection belongs to the next request once the client's handler has
+// returned. It returns the buffer if no attempt has claimed the body.
 func (u *Upload) Close(conn ReadDeadliner) {
 	u.stop(conn)
 	if u.buffer != nil && u.Claim() {
@@ -78,8 +80,8 @@
 	if u.Complete() {
 		return
 	}
-	// This ends a read that waits, and all use of the connection, because net/http takes it for the client's end. It fails
-	// only on a connection that is closed, on which no read waits.
+	// This interrupts a pending read and ends all use of the connection, because net/http takes the timeout for a close by the
+	// client. It fails only on a closed connection, on which no read is pending.
 	_ = conn.SetReadDeadline(clock.Past())
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -99,8 +101,8 @@
 	return n, err
 }
 
-// Discard reads the rest of the body and drops it, because a client that is still sending when its connection closes may
-// never see the answer.
+// Discard reads and discards the rest of the body, because a client that is still sending when its connection closes may
+// never receive the response.
 func (u *Upload) Discard() {
 	var b [4 << 10]byte
 	for {
@@ -110,14 +112,14 @@
 	}
 }
 
-// ServerConn is the connection to which a body is written.
+// ServerConn is the server connection to which a body is written.
 type ServerConn interface {
 	io.Writer
 	SetWriteDeadline(time.Time) error
 }
 
-// SendTo passes the body on to a server as the server reads it. The error wraps ErrBodyIncomplete if the client is what
-// broke it off.
+// SendTo copies the body to a server at the server's pace. The error wraps ErrBodyIncomplete if the rest of the body could
+// not be read from the client.
 func (u *Upload) SendTo(server ServerConn) error {
 	out := &uploadWriter{conn: server, buffered: bufio.NewWriter(server)}
 	out.body = out.buffered
@@ -134,7 +136,7 @@
 		if werr := out.write(u.buffer[:n]); werr != nil {
 			return werr
 		}
-		if err == io.EOF { //nolint:errorlint // a wrapped end is that of a body that was cut
+		if err == io.EOF { //nolint:errorlint // a wrapped io.EOF means a truncated body
 			return out.close()
 		}
 		if err != nil {
@@ -143,12 +145,12 @@
 	}
 }
 
-// uploadWriter writes a body in the framing that its length asks for.
+// uploadWriter writes a body as is if its length is known, and chunked otherwise.
 type uploadWriter struct {
 	conn     ServerConn
 	buffered *bufio.Writer
 	body     io.Writer
-	chunks   io.WriteCloser // nil if the length is stated
+	chunks   io.WriteCloser // nil if the length is known
 }
 
 func (w *uploadWriter) write(b []byte) error {
@@ -164,7 +166,7 @@
 	return w.buffered.Flush()
 }
 
-// close writes the end of the body and takes the deadline away.
+// close writes the end of the body and clears the write deadline.
 func (w *uploadWriter) close() error {
 	if w.chunks != nil {
 		if err := w.chunks.Close(); err != nil {
