--- a/internal/dispatch/adopt.go
+++ b/internal/dispatch/adopt.go
@@ -8,8 +8,8 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// adopt puts new settings in force in the balancer and the loop. If it returns an error, nothing has changed. Handlers parse
-// requests by the new settings as soon as they are swapped, so the pool and the metrics are updated before that.
+// adopt puts new settings in force in the balancer and the loop. If it returns an error, nothing has changed. Handlers
+// parse requests by the new settings as soon as they are swapped, so the pool and the metrics are updated before that.
 func (l *Loop) adopt(ctx context.Context, next *settings.Settings) error {
 	if err := l.balancer.Adopt(next.Balancer); err != nil {
 		return err
@@ -28,8 +28,8 @@
 	return nil
 }
 
-// translate looks up a request's class and tenant by name in the settings now in force. It returns false if the class no
-// longer exists, or if its idempotency has changed, because the request was checked against the old one.
+// translate looks up a request's class and tenant by name in the settings now in force. It returns false if the class
+// no longer exists, or if its idempotency has changed, because the request was checked against the old one.
 func (r *Request) translate(to *settings.Settings) bool {
 	if r.Settings == to {
 		return true
--- a/internal/dispatch/adopt_test.go
+++ b/internal/dispatch/adopt_test.go
@@ -34,7 +34,8 @@
 	return len(p), nil
 }
 
-// Settings are visible only once the metrics know their classes: a handler that rejects a request of a new class counts it at once.
+// Settings are visible only once the metrics know their classes: a handler that rejects a request of a new class counts
+// it at once.
 func TestClassesAreAddedBeforeSettingsAreVisible(t *testing.T) {
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -24,16 +24,16 @@
 		r.respond(Response{Status: protocol.StatusFailed})
 		l.removeIfDone(r)
 	case balancer.ActionCancel:
-		// When another attempt ends the request, the balancer cancels this one as well, but a download that the client is
-		// receiving must continue.
+		// When another attempt ends the request, the balancer cancels this one as well, but a download that the client
+		// is receiving must continue.
 		if a.Attempt < len(r.cancelAttempt) && r.streamingAttempt != a.Attempt {
 			r.cancelAttempt[a.Attempt]()
 		}
 	}
 }
 
-// startAttempt sends a request to a server. The attempt expires without being sent if the request has ended, no time remains
-// or the server has no endpoint.
+// startAttempt sends a request to a server. The attempt expires without being sent if the request has ended, no time
+// remains or the server has no endpoint.
 func (l *Loop) startAttempt(ctx context.Context, r *openRequest, a *balancer.Action) {
 	attempt := len(r.cancelAttempt)
 	remaining := r.Deadline - l.clock.Now()
@@ -73,8 +73,8 @@
 	}()
 }
 
-// reportStreaming has an attempt notify the loop when it uses an upload and when its response is a download. In the latter
-// case the attempt waits until the client's handler has finished the download.
+// reportStreaming has an attempt notify the loop when it uses an upload and when its response is a download. In the
+// latter case the attempt waits until the client's handler has finished the download.
 func (l *Loop) reportStreaming(options *upstream.Attempt, started streaming) {
 	options.OnStreaming = func() { l.send(started) }
 	options.PassOn = func(a upstream.Answer) error {
@@ -95,7 +95,8 @@
 	return Response{Status: http.StatusOK, ContentType: a.ContentType, Body: a.Body, Download: a.Download}
 }
 
-// startHealthCheck starts a health check of a server. If the server has no endpoint, the check expires without being sent.
+// startHealthCheck starts a health check of a server. If the server has no endpoint, the check expires without being
+// sent.
 func (l *Loop) startHealthCheck(ctx context.Context, server balancer.ServerID) {
 	endpoint := l.endpoints[server]
 	if endpoint == nil {
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -16,8 +16,8 @@
 	return entries
 }
 
-// updateEndpoint creates an endpoint for a server that is new, whose process or address has changed, or that is ready again
-// after draining. It drains the endpoint of a server that is not ready.
+// updateEndpoint creates an endpoint for a server that is new, whose process or address has changed, or that is ready
+// again after draining. It drains the endpoint of a server that is not ready.
 func (l *Loop) updateEndpoint(entry balancer.Endpoint, addr string) {
 	e := l.endpoints[entry.ID]
 	same := e != nil && e.Is(addr, entry.Start)
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -1,11 +1,11 @@
 // Package dispatch runs the event loop, the sole owner of the balancer and of all open requests.
 //
-// Client handlers, attempts, health checks and discovery send inputs to the loop. The loop turns each input into an event
-// for the balancer and executes the actions that the balancer returns. Only the loop decides how a request ends.
+// Client handlers, attempts, health checks and discovery send inputs to the loop. The loop turns each input into an
+// event for the balancer and executes the actions that the balancer returns. Only the loop decides how a request ends.
 //
-// The loop's goroutine owns all state of the Loop except the settings and two flags, which are atomic, and the request ids,
-// which have their own mutex. Request documents how requests are shared. The loop never waits for a connection: attempts and
-// health checks run in their own goroutines.
+// The loop's goroutine owns all state of the Loop except the settings and two flags, which are atomic, and the request
+// ids, which have their own mutex. Request documents how requests are shared. The loop never waits for a connection:
+// attempts and health checks run in their own goroutines.
 package dispatch
 
 import (
@@ -47,8 +47,8 @@
 	PublishGauges bool
 	// PollEndpoints requests a poll of discovery. It must not block.
 	PollEndpoints func()
-	// ClaimID reports whether a request id, given by its hash, is unused in the agent's other processes. It is nil if there
-	// are none.
+	// ClaimID reports whether a request id, given by its hash, is unused in the agent's other processes. It is nil if
+	// there are none.
 	ClaimID func(hash uint64) bool
 }
 
@@ -109,8 +109,8 @@
 // Ready reports whether a list of endpoints has been received.
 func (l *Loop) Ready() bool { return l.hasEndpoints.Load() }
 
-// AwaitEndpoints waits until discovery has delivered a list of endpoints. After maxListWait it also accepts the cached list.
-// It returns early if the context ends.
+// AwaitEndpoints waits until discovery has delivered a list of endpoints. After maxListWait it also accepts the cached
+// list. It returns early if the context ends.
 func (l *Loop) AwaitEndpoints(ctx context.Context) {
 	ticker := time.NewTicker(endpointsCheckInterval)
 	defer ticker.Stop()
@@ -124,8 +124,8 @@
 	}
 }
 
-// Submit passes a request to the loop, which sends the response on the request's Response channel. Submit itself rejects a
-// request whose id is in use in this process or another process of the agent.
+// Submit passes a request to the loop, which sends the response on the request's Response channel. Submit itself
+// rejects a request whose id is in use in this process or another process of the agent.
 func (l *Loop) Submit(r *Request) {
 	if !l.reserveID(r) {
 		r.response <- Response{Status: http.StatusConflict, ContentType: "text/plain", Body: []byte(protocol.HeaderRequestID + " is in use\n")}
@@ -156,8 +156,8 @@
 // NotifyEndpoints passes a watch event from discovery to the loop, such as a list of endpoints or a failed poll.
 func (l *Loop) NotifyEndpoints(e discovery.WatchEvent) { l.send(endpointsNotified{e}) }
 
-// Adopt puts new settings in force, or returns an error and keeps the present ones. It returns the context's error if the
-// context ends first.
+// Adopt puts new settings in force, or returns an error and keeps the present ones. It returns the context's error if
+// the context ends first.
 func (l *Loop) Adopt(ctx context.Context, next *settings.Settings) error {
 	result := make(chan error, 1)
 	l.send(settingsReloaded{next: next, result: result})
@@ -177,8 +177,8 @@
 	}
 }
 
-// Run handles inputs and timers until the context ends. It does not wait for attempts and health checks: they end with the
-// context, and their results are not needed after the loop has ended.
+// Run handles inputs and timers until the context ends. It does not wait for attempts and health checks: they end with
+// the context, and their results are not needed after the loop has ended.
 func (l *Loop) Run(ctx context.Context) {
 	defer close(l.done)
 	wake := time.NewTimer(0)
@@ -240,8 +240,8 @@
 	}
 }
 
-// handle passes an event to the balancer and executes the resulting actions, and does the same for the events that these
-// actions cause.
+// handle passes an event to the balancer and executes the resulting actions, and does the same for the events that
+// these actions cause.
 func (l *Loop) handle(ctx context.Context, ev balancer.Event) {
 	l.events = append(l.events, ev)
 	for i := 0; i < len(l.events); i++ { // act may append events
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -36,11 +36,12 @@
 	return &Request{Settings: s, response: make(chan Response, 1)}
 }
 
-// Response returns the channel on which the loop sends the request's only response. A handler that does not wait for the
-// response has to abandon the request.
+// Response returns the channel on which the loop sends the request's only response. A handler that does not wait for
+// the response has to abandon the request.
 func (r *Request) Response() <-chan Response { return r.response }
 
-// hasEnded reports whether the request has ended or its client has closed the connection, so that no attempt may be sent.
+// hasEnded reports whether the request has ended or its client has closed the connection, so that no attempt may be
+// sent.
 func (r *Request) hasEnded() bool { return r.ended.Load() || r.ClientClosed() }
 
 // Response is the response to a client's request.
--- a/internal/dispatch/requestids.go
+++ b/internal/dispatch/requestids.go
@@ -7,12 +7,14 @@
 	"sync"
 )
 
-// maxRecentIDs bounds each of the two generations of ids of ended requests, and the ids that another process has claimed.
+// maxRecentIDs bounds each of the two generations of ids of ended requests, and the ids that another process has
+// claimed.
 const maxRecentIDs = 4096
 
-// RequestIDs holds the hashes of the ids of open requests and of recently ended ones. Servers and clients distinguish requests
-// by id, so a second request with the same id could get the first one's response or be executed as its retry. While another
-// process replaces this one, RequestIDs also holds the ids that the other process has claimed. Its mutex guards all fields.
+// RequestIDs holds the hashes of the ids of open requests and of recently ended ones. Servers and clients distinguish
+// requests by id, so a second request with the same id could get the first one's response or be executed as its retry.
+// While another process replaces this one, RequestIDs also holds the ids that the other process has claimed. Its mutex
+// guards all fields.
 type RequestIDs struct {
 	mu                  sync.Mutex
 	open, recent, older map[uint64]struct{} // recent and older are the two generations of ended requests
--- a/internal/inbound/admission.go
+++ b/internal/inbound/admission.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	// IdleGrace is how long the protocol lets a connection be without a request before the agent may close it.
+	// IdleGrace is how long the protocol allows a connection to be idle before the agent may close it.
 	IdleGrace = 2 * time.Second
-	// newConnGrace is how long a connection that has just come may take to bring its first request.
+	// newConnGrace is how long a new connection may take to send its first request before it may be closed.
 	newConnGrace = 250 * time.Millisecond
-	// emptyCheckInterval is how often AwaitEmpty looks.
+	// emptyCheckInterval is how often awaitEmpty checks the number of connections.
 	emptyCheckInterval = 20 * time.Millisecond
 )
 
-// Resize changes how many connections there may be, and how many where all have a request.
+// Resize sets the maximum number of connections, and the maximum when all of them have a request.
 func (l *Listener) Resize(maxConns, maxActive int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -30,18 +30,19 @@
 	l.maxActive = maxActive
 }
 
-// UpdateLimits sets how many connections there may be, and how many where all have a request, to what decide returns, in
-// one step with the look at how many are open and whether more are accepted.
+// UpdateLimits sets the same limits as Resize, to the values that decide returns. decide gets the number of open
+// connections and whether more are accepted; neither changes before the limits are set.
 func (l *Listener) UpdateLimits(decide func(open int, accepting bool) (maxConns, maxActive int)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.maxConns, l.maxActive = decide(l.open, !l.stopped)
 }
 
-// Released returns a channel that receives a value after a connection has ended; several ends may share one.
+// Released returns a channel that receives a value after connections have ended. One value may stand for several
+// connections.
 func (l *Listener) Released() <-chan struct{} { return l.released }
 
-// notifyReleased says that a connection has ended, unless that is said already.
+// notifyReleased sends a value to the Released channel, unless one is pending.
 func (l *Listener) notifyReleased() {
 	select {
 	case l.released <- struct{}{}:
@@ -49,14 +50,14 @@
 	}
 }
 
-// count returns how many connections there are, and how many of them have no request.
+// count returns the number of open connections, and how many of them have no request.
 func (l *Listener) count() (open, idle int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.open, l.idle.Len()
 }
 
-// awaitEmpty waits until all connections have ended, or the context has.
+// awaitEmpty waits until all connections or the context have ended.
 func (l *Listener) awaitEmpty(ctx context.Context) {
 	ticker := time.NewTicker(emptyCheckInterval)
 	defer ticker.Stop()
@@ -72,7 +73,7 @@
 	}
 }
 
-// admit counts a connection in, and closes an idle one for it if the limit asks for that. It is false if none may be closed.
+// admit adds a connection. At the limit it closes another one in its place, or returns false if none may be closed.
 func (l *Listener) admit(c *clientConn) bool {
 	l.mu.Lock()
 	var victim *clientConn
@@ -95,10 +96,11 @@
 	return true
 }
 
-// evictable returns the connection to close for a new one, nil if none may be closed. On a connection that was answered a
-// moment ago the next request may have arrived already, so it has IdleGrace; one that has just connected is about to send
-// its first. If the limit leaves no choice, connections without a complete request are closed all the same, those that are
-// sending one last. The mutex is held.
+// evictable returns the connection to close for a new one, or nil if none may be closed. On a connection whose last
+// request was answered a moment ago the next one may have arrived already, so it is kept for IdleGrace. A new
+// connection is kept for newConnGrace because it is about to send its first request. If the number of connections has
+// reached both limits, a new connection is returned all the same, or else one that is sending a request. The caller
+// holds the mutex.
 func (l *Listener) evictable() *clientConn {
 	if e := l.closing.Front(); e != nil {
 		return e.Value.(*clientConn)
@@ -122,22 +124,22 @@
 	return cmp.Or(unused, reading)
 }
 
-// pushIdle puts a connection behind all that are idle. The mutex is held.
+// pushIdle appends a connection to the idle list. The caller holds the mutex.
 func (l *Listener) pushIdle(c *clientConn) {
 	c.element = l.idle.PushBack(c)
 	c.idleSince = time.Now()
 }
 
-// removeFromList takes a connection out of the list that it is in. The mutex is held.
+// removeFromList removes a connection from the list that it is in. The caller holds the mutex.
 func (l *Listener) removeFromList(c *clientConn) {
 	if c.element != nil {
-		l.idle.Remove(c.element) // each list leaves the other's elements alone
+		l.idle.Remove(c.element) // a list ignores the elements of another
 		l.closing.Remove(c.element)
 		c.element = nil
 	}
 }
 
-// remove takes a connection out of the count. The mutex is held.
+// remove removes a connection from the count and its list. The caller holds the mutex.
 func (l *Listener) remove(c *clientConn) {
 	if c.removed {
 		return
@@ -148,7 +150,7 @@
 	l.notifyReleased()
 }
 
-// markEnded notes that a connection is closing, which makes it the first to be evicted. The mutex is held.
+// markEnded records that a connection is closing, so that it is evicted before all others. The caller holds the mutex.
 func (l *Listener) markEnded(c *clientConn) {
 	if !c.ended && !c.removed {
 		c.ended = true
@@ -157,8 +159,8 @@
 	}
 }
 
-// endConn is the step from which on nothing is read from a connection and no request of it begins. It says whether the
-// connection is to close at once, because it is idle or the agent ends.
+// endConn ends a connection: from then on nothing is read from it and no request starts on it. It reports whether the
+// connection should close immediately, because it is idle or the agent is ending.
 func (l *Listener) endConn(c *clientConn) (immediately bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -166,12 +168,13 @@
 	return !c.reading || l.aborted.Load()
 }
 
-// abort makes connections close without waiting for their clients, because the agent ends.
+// abort makes connections close without waiting for their clients, because the agent is ending.
 func (l *Listener) abort() { l.aborted.Store(true) }
 
-// readConn reads from a connection and notes that it did, in one step: a connection that was chosen to close is not read
-// any more. The client of a request that was read but not answered cannot know whether it ran; one that was not read is
-// answered by the kernel with a reset, on which the client sends it again.
+// readConn atomically reads from a connection and records that it has a request; it reports whether the request begins
+// with these bytes. A connection that was chosen to close is not read any more: the client of a request that was read
+// but not answered cannot know whether it ran, whereas the kernel resets the connection of a request that was not read,
+// and the client sends it again.
 func (l *Listener) readConn(c *clientConn, fd int, p []byte) (n int, begins bool, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -191,8 +194,9 @@
 	return n, begins, nil
 }
 
-// beginRequest notes that a complete request has arrived on a connection, which is not closed until the request is
-// answered. It is false if the connection was ended first: the request must not be sent then, as nobody can be answered.
+// beginRequest records that a complete request has arrived on a connection, which then stays open until the request is
+// answered. It returns false if the connection was ended before. Such a request must not be sent, because it cannot be
+// answered.
 func (l *Listener) beginRequest(c *clientConn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -203,14 +207,15 @@
 	return true
 }
 
-// uploadComplete notes that what was read after a request began was its body, and not a pipelined request.
+// uploadComplete records that the bytes read after the start of a request were its body, not a pipelined request.
 func (l *Listener) uploadComplete(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	c.pipelined = false
 }
 
-// requestAnswered notes that a connection stays open only to read what its client goes on to send, so it may be evicted.
+// requestAnswered records that a connection stays open only to discard what its client still sends, so it may be
+// evicted.
 func (l *Listener) requestAnswered(c *clientConn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -219,7 +224,7 @@
 	}
 }
 
-// connState follows what net/http makes of a connection.
+// connState implements http.Server.ConnState.
 func (l *Listener) connState(conn net.Conn, state http.ConnState) {
 	c := conn.(*clientConn)
 	l.mu.Lock()
@@ -235,8 +240,8 @@
 	}
 }
 
-// connIdle notes that a connection waits for its next request, of which part may have come behind the last one. The mutex
-// is held.
+// connIdle records that a connection waits for its next request, whose first bytes may have arrived with the last
+// request. The caller holds the mutex.
 func (l *Listener) connIdle(c *clientConn) {
 	c.idleSince = time.Now()
 	c.reading = c.pipelined
@@ -252,8 +257,8 @@
 	}
 }
 
-// closeIdle closes the connections that have been without a request since then or longer; those that bring one just now
-// only if evenReading is set.
+// closeIdle closes the connections that have been without a complete request since the given time or longer. It closes
+// those that are sending a request only if includeReading is set.
 func (l *Listener) closeIdle(since time.Time, includeReading bool) {
 	var idle []*clientConn
 	l.mu.Lock()
@@ -267,13 +272,13 @@
 	}
 	l.mu.Unlock()
 	for _, c := range idle {
-		go func() { // waits for the client, for lingerTimeout at most
+		go func() { // ends after lingerTimeout at the latest
 			_ = c.Close() // the client sees the close
 		}()
 	}
 }
 
-// readDescriptor reads from a descriptor, again if a signal interrupts it.
+// readDescriptor reads from a descriptor, and retries if a signal interrupts the read.
 func readDescriptor(fd int, p []byte) (int, error) {
 	for {
 		n, err := syscall.Read(fd, p)
--- a/internal/inbound/admission_test.go
+++ b/internal/inbound/admission_test.go
@@ -13,8 +13,8 @@
 	"example.org/ryeloft/internal/metrics"
 )
 
-// Between a request that was read and the end of its resting connection one step decides, whichever comes first: what is
-// ended first is never sent, and what is taken first is answered before its connection ends.
+// Between a request that was read and the end of its resting connection one step decides, whichever comes first: what
+// is ended first is never sent, and what is taken first is answered before its connection ends.
 func TestRequestStartsOrConnectionCloses(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -120,8 +120,9 @@
 	}
 }
 
-// A connection that has had an answer a moment ago, on which the next request may be there already, is not evicted. Once
-// one was chosen to, nothing of it is read: its client sees a reset, by which it knows that its request did not run.
+// A connection that has had an answer a moment ago, on which the next request may be there already, is not evicted.
+// Once one was chosen to, nothing of it is read: its client sees a reset, by which it knows that its request did not
+// run.
 func TestEvictionBetweenRequests(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -178,8 +179,8 @@
 	}
 }
 
-// A process that is replaced takes what waits in its listener's queue a few at a time, as the queue may hold more than it has
-// descriptors, leaves none behind, and closes the listener behind the last.
+// A process that is replaced takes what waits in its listener's queue a few at a time, as the queue may hold more than
+// it has descriptors, leaves none behind, and closes the listener behind the last.
 func TestAcceptQueueIsDrainedBeforeClose(t *testing.T) {
 	const queued = 5*finalAcceptBatch + 3
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -214,8 +215,8 @@
 	}
 }
 
-// The limits are changed in one step with the look at what is open, and whoever passes on what becomes free is told of each
-// connection that ends.
+// The limits are changed in one step with the look at what is open, and whoever passes on what becomes free is told of
+// each connection that ends.
 func TestLimitsFollowOpenConnections(t *testing.T) {
 	a := &Listener{metrics: &metrics.Metrics{}, released: make(chan struct{}, 1), maxConns: 2, maxActive: 2}
 	active := func() *clientConn { return &clientConn{reading: true} }
--- a/internal/inbound/clientconn.go
+++ b/internal/inbound/clientconn.go
@@ -17,16 +17,17 @@
 )
 
 const (
-	// headTimeout is how long a client may take to send a request's head, from its first byte, or from when it connected:
-	// 2 s, and what a busy core may add.
+	// headTimeout is how long a client may take to send a request's head, counted from its first byte, or for the first
+	// request from when the client connected. It is 2 s plus the delay that a busy core may add.
 	headTimeout = 2600 * time.Millisecond
-	// lingerTimeout and lingerBytes are how long a client may go on sending on a connection that the agent has ended, and
-	// how much.
+	// lingerTimeout and lingerBytes bound how long and how much a client may still send on a connection that the agent
+	// has ended.
 	lingerTimeout = 500 * time.Millisecond
 	lingerBytes   = 1 << 20
 )
 
-// clientConn is a connection of a client. What the listener's mutex does not guard is the goroutine's that reads.
+// clientConn is a client's connection. The reading goroutine owns the fields that the listener's mutex does not guard,
+// except startInstant, which is atomic.
 type clientConn struct {
 	*net.TCPConn
 	raw       syscall.RawConn
@@ -34,14 +35,14 @@
 	closeOnce sync.Once
 
 	// The listener's mutex guards these.
-	element   *list.Element // of the idle or the closing ones; nil while a request is open
+	element   *list.Element // in the idle or the closing list; nil while a request is open
 	idleSince time.Time
-	removed   bool // out of the count
-	ended     bool // nothing more is read of it
-	reading   bool // part of a request has come
-	pipelined bool // and of one more behind the present one
+	removed   bool // not counted any more
+	ended     bool // not read any more
+	reading   bool // the first bytes of a request have been read
+	pipelined bool // so have the first bytes of the request after that
 
-	startInstant atomic.Int64 // clock.Instant at which a request did; before the first, when the connection came
+	startInstant atomic.Int64 // clock.Instant when the current request began, or when the client connected if none has
 	head         headScanner
 }
 
@@ -55,8 +56,8 @@
 	return c, nil
 }
 
-// Read notes that a request begins, because net/http reports only a complete head and applies the idle timeout to the first
-// bytes of one.
+// Read implements net.Conn. It detects the start of a request, because net/http reports a request only when its head is
+// complete, and applies the idle timeout to its first bytes.
 func (c *clientConn) Read(p []byte) (n int, err error) {
 	begins := false
 	if rawErr := c.raw.Read(func(fd uintptr) bool {
@@ -75,22 +76,22 @@
 	return n, nil
 }
 
-// startRequest notes that a request does, and gives its head headTimeout.
+// startRequest records the start of a request, and sets the read deadline for its head.
 func (c *clientConn) startRequest() {
 	now := time.Now()
 	c.startInstant.Store(int64(clock.InstantOf(now)))
-	// It fails only on a connection that is closed, where the next read fails as well.
+	// This fails only on a closed connection, on which the next read fails as well.
 	_ = c.SetReadDeadline(now.Add(headTimeout))
 }
 
-// requestStart returns when the present request began.
+// requestStart returns when the current request began.
 func (c *clientConn) requestStart() time.Time {
 	return clock.Instant(c.startInstant.Load()).Time()
 }
 
-// Close ends the connection. Behind an answer, or within a request, it ends its own side first, and the other when the
-// client has ended its own or has had time to: a close over bytes that were not read resets the connection, and the client
-// may lose an answer that it has not read yet.
+// Close closes the connection. After a response or within a request it first closes the write side only, and the rest
+// when the client has closed its side or lingerTimeout has passed: closing a connection with unread bytes resets it,
+// and the client may lose a response that it has not read yet.
 func (c *clientConn) Close() (err error) {
 	c.closeOnce.Do(func() {
 		if !c.listener.endConn(c) && c.CloseWrite() == nil {
@@ -101,7 +102,8 @@
 	return err
 }
 
-// linger reads what the client still sends, to its end or for lingerTimeout. However that ends, the connection closes next.
+// linger discards what the client still sends, until it closes its side, or lingerTimeout or lingerBytes is reached.
+// Errors are ignored because the connection is closed next.
 func (c *clientConn) linger() {
 	if err := c.SetReadDeadline(time.Now().Add(lingerTimeout)); err != nil {
 		return
@@ -109,32 +111,32 @@
 	_, _ = io.Copy(io.Discard, io.LimitReader(c.TCPConn, lingerBytes))
 }
 
-// reset resets the connection, so that its client sees that what it got is not all.
+// reset resets the connection, so that its client detects that the response is incomplete.
 func (c *clientConn) reset() {
-	// It fails only on a connection that is closed.
+	// This fails only on a closed connection.
 	_ = c.SetLinger(0)
 	c.closeNow()
 }
 
-// closeNow closes the connection without any wait. Whoever waits for its client sees that.
+// closeNow closes the connection immediately. Pending reads and writes fail.
 func (c *clientConn) closeNow() { _ = c.TCPConn.Close() }
 
-// pollRDHUP is an event of poll(2), which package syscall leaves out.
+// pollRDHUP is the POLLRDHUP event of poll(2), which package syscall does not define.
 const pollRDHUP = 0x2000
 
-// pollDescriptor is a struct pollfd of poll(2).
+// pollDescriptor is the struct pollfd of poll(2).
 type pollDescriptor struct {
 	fd              int32
 	events, revents int16
 }
 
-// closedByClient says whether the client has closed its connection, or its own side of it. Reading would show that only
-// behind all that was sent before it, and net/http reads one byte ahead of the present request and no more.
+// closedByClient reports whether the client has closed its connection or its write side. A read would show this only
+// after all bytes sent before it, and net/http reads only one byte beyond the current request.
 func (c *clientConn) closedByClient() bool {
 	poll := pollDescriptor{events: pollRDHUP}
 	if err := c.raw.Control(func(fd uintptr) {
 		poll.fd = int32(fd)
-		// It does not wait; if it fails nothing has happened.
+		// The zero timeout makes the call return immediately. If it fails, revents stays 0.
 		_, _, _ = syscall.Syscall6(syscall.SYS_PPOLL, uintptr(unsafe.Pointer(&poll)), 1, uintptr(unsafe.Pointer(&syscall.Timespec{})), 0, 0, 0)
 	}); err != nil {
 		return true // closed here
@@ -142,7 +144,7 @@
 	return poll.revents != 0
 }
 
-// connKey is the context's key of a request's connection.
+// connKey is the context key of a request's connection.
 type connKey struct{}
 
 func withConn(ctx context.Context, c net.Conn) context.Context {
--- a/internal/inbound/drain.go
+++ b/internal/inbound/drain.go
@@ -9,23 +9,24 @@
 
 const (
 	idleCloseInterval = 50 * time.Millisecond
-	// drainLimit is how long after a drain began a client that is slow to send may still be served: operators expect no
-	// request on any connection from 4 s on.
+	// drainLimit is how long after the start of a drain a client that is slow to send may still be served. Operators
+	// expect no request on any connection after 4 s.
 	drainLimit = 3800 * time.Millisecond
-	// killExemption is how long after SIGTERM the platform forgives a request that is open when it kills the process:
-	// 0.7 s, less what a request may take to come here.
+	// killExemption is how long after SIGTERM a request may begin without counting as failed if it is open when the
+	// platform kills the process. The platform exempts 0.7 s, which includes the time that the request takes to arrive.
 	killExemption = 600 * time.Millisecond
 )
 
 var (
-	// ErrShuttingDown says that the process is to end.
+	// ErrShuttingDown is returned when the process is shutting down.
 	ErrShuttingDown = errors.New("the process is leaving")
-	// ErrDraining says that the operators drain the agent.
+	// ErrDraining is returned when the operators drain the agent.
 	ErrDraining = errors.New("clients are sent away")
 )
 
-// drainer is the sole owner of whether the agent drains: because the operators want it, who may end that, or because the
-// process shuts down, which is for good. Its mutex guards all but the fields that are set when it is made.
+// drainer is the sole owner of the drain state. The agent drains because the operators have started a drain, which they
+// may stop, or because the process shuts down, which is permanent. Its mutex guards all fields below it; those above it
+// do not change.
 type drainer struct {
 	listener *Listener
 	done     <-chan struct{} // closed when the agent has ended
@@ -33,13 +34,13 @@
 
 	mu            sync.Mutex
 	drainSince    time.Time     // the zero time if the operators do not drain
-	shutdownSince time.Time     // the zero time if the process is not to end
-	killedAfter   time.Duration // from then on
-	grace         time.Duration // that connections may be idle for
-	closingIdle   bool          // a goroutine closes idle connections
+	shutdownSince time.Time     // the zero time if the process does not shut down
+	killedAfter   time.Duration // counted from shutdownSince
+	grace         time.Duration // how long connections may be idle
+	closingIdle   bool          // the goroutine that closes idle connections is running
 }
 
-// reason returns why the agent drains, nil if it does not.
+// reason returns ErrShuttingDown or ErrDraining if the agent drains, and nil if it does not.
 func (d *drainer) reason() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// start begins a drain by the operators; it has no further effect on one that has begun.
+// start starts a drain by the operators. It does not restart a drain that has already started.
 func (d *drainer) start() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -62,7 +63,8 @@
 	d.startClosingIdle(IdleGrace)
 }
 
-// stop ends a drain by the operators. It returns ErrShuttingDown if the process shuts down all the same.
+// stop stops a drain by the operators. It returns ErrShuttingDown if the agent still drains because the process shuts
+// down.
 func (d *drainer) stop() error {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,7 +75,7 @@
 	return nil
 }
 
-// shutDown drains for good; the platform kills the process after so long.
+// shutDown starts the permanent drain of a shutdown. The platform kills the process after killedAfter.
 func (d *drainer) shutDown(killedAfter time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -81,14 +83,14 @@
 	d.killedAfter = killedAfter
 }
 
-// closeIdleAfter closes from now on what has been idle for so long, as a drain does.
+// closeIdleAfter starts closing connections that have been idle for the given time, as a drain does.
 func (d *drainer) closeIdleAfter(grace time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.startClosingIdle(grace)
 }
 
-// startClosingIdle starts the goroutine that closes idle connections, or changes its grace. The mutex is held.
+// startClosingIdle starts the goroutine that closes idle connections, or changes its grace. The caller holds the mutex.
 func (d *drainer) startClosingIdle(grace time.Duration) {
 	d.grace = grace
 	if d.closingIdle {
@@ -98,11 +100,11 @@
 	go d.closeIdle() // ends with the drain, at the latest with the agent
 }
 
-// closeIdle closes connections that are idle for longer than the grace, for as long as the agent drains.
+// closeIdle closes connections that are idle for longer than the grace, as long as the agent drains.
 func (d *drainer) closeIdle() {
 	ticker := time.NewTicker(idleCloseInterval)
 	defer ticker.Stop()
-	var logged time.Time // the drain whose limit was logged
+	var logged time.Time // start of the drain whose limit was logged
 	for {
 		since, grace, draining := d.idleLimits()
 		if !draining {
@@ -110,7 +112,7 @@
 		}
 		d.listener.closeIdle(time.Now().Add(-grace), false)
 		if !since.IsZero() && time.Since(since) > drainLimit {
-			// A client that came before the limit and is still sending a request never ends.
+			// Without this a client that connected before the limit could go on sending its request forever.
 			d.listener.closeIdle(since.Add(drainLimit), true)
 			if since != logged {
 				d.logDrainLimit()
@@ -130,8 +132,8 @@
 	d.log.Info("drain limit reached", "after", drainLimit, "still_open", open, "without_request", idle)
 }
 
-// idleLimits returns when the operators' drain began, if there is one, for how long connections may be idle, and whether the
-// agent still drains.
+// idleLimits returns when the operators' drain began (the zero time if there is none), how long connections may be
+// idle, and whether the agent still drains. If it does not, the caller must stop closing idle connections.
 func (d *drainer) idleLimits() (drainSince time.Time, grace time.Duration, draining bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -139,9 +141,10 @@
 	return d.drainSince, d.grace, d.closingIdle
 }
 
-// requestLimit returns how long a request that begins now may last, and whether that is limited: in a drain from the time
-// on when idle connections have been closed, so that only clients that are slow to send are left; in a shutdown from when
-// on the platform counts a request that is cut off by the kill.
+// requestLimit returns how long a request that begins now may take, and whether that is limited. In a drain requests
+// are limited once idle connections have been closed, because only clients that are slow to send are left then. In a
+// shutdown they are limited after killExemption, because from then on the platform counts requests that the kill
+// interrupts.
 func (d *drainer) requestLimit() (remaining time.Duration, limited bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -156,7 +159,7 @@
 	return 0, false
 }
 
-// limitsRequests says whether requests that begin now are limited.
+// limitsRequests reports whether requests that begin now are limited.
 func (d *drainer) limitsRequests() bool {
 	_, limited := d.requestLimit()
 	return limited
--- a/internal/inbound/handler.go
+++ b/internal/inbound/handler.go
@@ -14,13 +14,13 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// overLimitRetryAfter is the Retry-After of a request that is over the agent's own limit.
+// overLimitRetryAfter is the Retry-After for a request that exceeds the agent's own limit.
 const overLimitRetryAfter = time.Second
 
-// ErrNotReady says that the agent cannot serve clients yet.
+// ErrNotReady is returned when the agent cannot serve clients yet.
 var ErrNotReady = errors.New("not up yet: no list of backends, or no listener")
 
-// Dispatcher answers requests; dispatch.Loop implements it and documents the methods.
+// Dispatcher answers requests. dispatch.Loop implements it and documents the methods.
 type Dispatcher interface {
 	Settings() *settings.Settings
 	Now() time.Duration
@@ -29,8 +29,8 @@
 	Abandon(*dispatch.Request)
 }
 
-// clientHandler turns clients' requests into those of the dispatcher, and its answers into responses. net/http calls it on
-// a goroutine for each connection.
+// clientHandler submits clients' requests to the dispatcher and writes its responses to the clients. net/http calls it
+// from one goroutine per connection.
 type clientHandler struct {
 	dispatcher  Dispatcher
 	metrics     *metrics.Metrics
@@ -38,13 +38,13 @@
 	buffers     *stream.Buffers
 	maxRequests int64
 	drain       *drainer
-	failOpen    chan struct{} // closed when all open requests are to fail, because the process is about to be killed
+	failOpen    chan struct{} // closed to fail all open requests, because the process is about to be killed
 
 	openRequests atomic.Int64
 	accepting    atomic.Bool
 }
 
-// exchange is a request that has begun, on its way through the handler.
+// exchange is a request that has begun, with the connection and the writer for its response.
 type exchange struct {
 	w       http.ResponseWriter
 	r       *http.Request
@@ -52,13 +52,13 @@
 	request *dispatch.Request
 }
 
-// upload returns the request's body if that is too long to be held, and otherwise nil.
+// upload returns the request's body if it is too long to be buffered, and otherwise nil.
 func (x *exchange) upload() *stream.Upload { return x.request.Upstream.Upload() }
 
 // ServeHTTP implements http.Handler.
 func (h *clientHandler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	// net/http reads what is left of a body after the answer, and would wait for it without a limit. The deadline can only
-	// fail to be set on a connection that is closed.
+	// net/http reads the rest of a body after the response, and would wait for it without a limit. Setting the deadline
+	// fails only on a closed connection.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(stream.BodyGrace))
 	if bad := checkFraming(r); bad != nil {
 		h.rejectBadRequest(w, bad)
@@ -75,13 +75,13 @@
 		return
 	}
 	x := &exchange{w: w, r: r, conn: connOf(r), request: request}
-	if err != nil || !h.listener.beginRequest(x.conn) { // the connection is gone
+	if err != nil || !h.listener.beginRequest(x.conn) { // the connection has ended
 		panic(http.ErrAbortHandler)
 	}
 	h.serve(x)
 }
 
-// serveReady answers whether the agent accepts clients.
+// serveReady answers a readiness check.
 func (h *clientHandler) serveReady(w http.ResponseWriter) {
 	if err := h.checkReady(); err != nil {
 		w.Header().Set("Connection", "close")
@@ -89,7 +89,7 @@
 	}
 }
 
-// checkReady returns why clients are not accepted, nil if they are.
+// checkReady returns the reason why clients are not accepted, or nil if they are.
 func (h *clientHandler) checkReady() error {
 	if err := h.drain.reason(); err != nil {
 		return err
@@ -100,7 +100,7 @@
 	return nil
 }
 
-// serve answers a request that has begun.
+// serve submits a request to the dispatcher and answers it, or rejects it if the agent is at its limit.
 func (h *clientHandler) serve(x *exchange) {
 	if upload := x.upload(); upload != nil {
 		upload.OnComplete = func() {
@@ -125,7 +125,7 @@
 	h.awaitResponse(x)
 }
 
-// closeUpload ends all use of a long body, whose request has ended.
+// closeUpload closes the upload of a request that has ended.
 func (h *clientHandler) closeUpload(x *exchange) {
 	upload := x.upload()
 	upload.Close(http.NewResponseController(x.w))
@@ -134,7 +134,8 @@
 	}
 }
 
-// awaitResponse answers a request that was submitted, or abandons it.
+// awaitResponse waits for the response to a submitted request and writes it. It abandons the request if its time limit
+// is reached, if all open requests are to fail, or if the client closes the connection.
 func (h *clientHandler) awaitResponse(x *exchange) {
 	var limit <-chan time.Time
 	if remaining, limited := h.drain.requestLimit(); limited {
@@ -149,14 +150,14 @@
 		h.failRequest(x)
 	case <-x.r.Context().Done():
 		h.dispatcher.Abandon(x.request)
-		// net/http answers 200 for a handler that returns without an answer, and a client that has closed only its own side
-		// would see that.
+		// If a handler returns without a response, net/http sends status 200, which a client that has closed only its
+		// write side would receive.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// deliver gives the client the dispatcher's answer. A download does not begin if the request is limited, because it may last
-// for any time and cannot be undone.
+// deliver writes the dispatcher's response to the client. If the request's time is limited, it does not start a
+// download, because that may take any time and its status cannot be changed once it has started.
 func (h *clientHandler) deliver(x *exchange, a dispatch.Response, limited bool) {
 	switch {
 	case a.Status == 0:
@@ -171,13 +172,13 @@
 	}
 }
 
-// failRequest abandons a request that can wait no longer and answers it as failed.
+// failRequest abandons a request that cannot wait any longer and answers it as failed.
 func (h *clientHandler) failRequest(x *exchange) {
 	h.dispatcher.Abandon(x.request)
 	h.respond(x, dispatch.Response{Status: protocol.StatusFailed})
 }
 
-// rejectOverLimit rejects a request because the agent itself is at its limit, with Retry-After if the settings allow it.
+// rejectOverLimit rejects a request because the agent is at its own limit, with Retry-After if the settings allow it.
 func (h *clientHandler) rejectOverLimit(x *exchange) {
 	h.metrics.RequestOverLimit()
 	rejected := dispatch.Response{Status: protocol.StatusRejected}
--- a/internal/inbound/handler_test.go
+++ b/internal/inbound/handler_test.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// A request that is rejected over the agent's own limit has its answer, though the metrics do not know its class yet: a reload
-// makes the settings visible to handlers in that order.
+// A request that is rejected over the agent's own limit has its answer, though the metrics do not know its class yet: a
+// reload makes the settings visible to handlers in that order.
 func TestRequestOfAnUnknownClassIsAnswered(t *testing.T) {
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	dispatcher := &countingDispatcher{settings: &cfg.Settings}
--- a/internal/inbound/headscanner.go
+++ b/internal/inbound/headscanner.go
@@ -2,23 +2,23 @@
 
 import "bytes"
 
-// headScanner finds in a request's head what net/http does not report: which of the two framings of a body it states. It is
-// the goroutine's that reads the connection.
+// headScanner detects which of Content-Length and Transfer-Encoding a request's head contains, which net/http does not
+// report. Only the goroutine that reads the connection uses it.
 type headScanner struct {
-	line             []byte // the present one, as far as a name in question reaches
+	line             []byte // the current line, cut to the length of the longer header name
 	lines            int
-	reused           bool // the request is not its connection's first
-	ended            bool // all of the head has been seen
+	reused           bool // the request is not the first on its connection
+	ended            bool // the head is complete
 	contentLength    bool
 	transferEncoding bool
 }
 
-// reset begins with the head of the next request.
+// reset prepares for the head of the next request.
 func (h *headScanner) reset() {
 	*h = headScanner{line: h.line[:0], reused: true}
 }
 
-// scan takes in what was read, which may go beyond the head.
+// scan processes bytes that were read, which may extend beyond the head.
 func (h *headScanner) scan(text []byte) {
 	for _, b := range text {
 		if h.ended {
--- a/internal/inbound/listener.go
+++ b/internal/inbound/listener.go
@@ -13,41 +13,42 @@
 	"example.org/ryeloft/internal/metrics"
 )
 
-// finalAcceptBatch is how many connections are taken at once out of the queue of a listener that is to close. It is no more
-// than a process keeps free of its quota, because the queue may hold more than there are descriptors.
+// finalAcceptBatch is how many connections are accepted at a time from the queue of a listener that is about to close.
+// It is no more than the part of its quota that a process keeps free, because the queue may hold more connections than
+// there are descriptors.
 const finalAcceptBatch = 8
 
-// Listener admits the connections of clients and holds them to their number. When there are too many, the one that has
-// been idle longest closes: a listener that merely stops accepting would let clients that keep idle connections shut out
-// all others.
+// Listener admits client connections and limits their number. At the limit it closes the connection that has been idle
+// longest: if it merely stopped accepting, clients that keep idle connections could lock out all others.
 //
-// Its mutex orders what happens to a connection: reading from it, taking a request of it and choosing it to end are one
-// step each, so that a request is either answered or was never read.
+// Under its mutex, reading from a connection, starting a request on it and choosing it to close are atomic steps, so
+// that a request is either answered or was never read.
 type Listener struct {
 	metrics   *metrics.Metrics
-	released  chan struct{} // holds a value when a connection has ended
-	finishing atomic.Bool   // no connection is waited for any more
-	aborted   atomic.Bool   // connections close at once, because the agent ends
+	released  chan struct{} // has a value pending when a connection has ended
+	finishing atomic.Bool   // Accept returns only the connections that are left in the queue
+	aborted   atomic.Bool   // connections close immediately, because the agent is ending
 
-	// These are the goroutine's that accepts.
+	// The accepting goroutine owns these.
 	tcp         *net.TCPListener
-	queued      []*net.TCPConn // taken out of the queue before it was closed
+	queued      []*net.TCPConn // accepted by drainQueue, not yet returned by Accept
 	queueClosed bool
 
+	// mu guards these and the fields of clientConn that say so.
 	mu        sync.Mutex
-	maxConns  int // beyond which an idle connection closes for each further one
-	maxActive int // beyond which none is admitted
+	maxConns  int // above this, an idle connection is closed for each new one
+	maxActive int // above this, no connection is admitted unless another can be closed
 	stopped   bool
 	open      int
-	idle      list.List // of *clientConn: those without a request, the longest first
-	closing   list.List // of *clientConn: those that only wait for their client's end, likewise
+	idle      list.List // of *clientConn: without a request, longest idle first
+	closing   list.List // of *clientConn: waiting only for the client's close, oldest first
 }
 
 func newListener(m *metrics.Metrics) *Listener {
 	return &Listener{metrics: m, released: make(chan struct{}, 1)}
 }
 
-// Accept returns the next connection that is admitted. It is called from one goroutine.
+// Accept returns the next connection that is admitted. Only one goroutine may call it.
 func (l *Listener) Accept() (net.Conn, error) {
 	for {
 		tcp, err := l.nextConn()
@@ -65,13 +66,14 @@
 	}
 }
 
-// Close closes the listener, not the connections.
+// Close closes the listener but not its connections.
 func (l *Listener) Close() error { return l.tcp.Close() }
 
 // Addr returns the listener's address.
 func (l *Listener) Addr() net.Addr { return l.tcp.Addr() }
 
-// nextConn returns the next connection; the last ones once the listener is to close.
+// nextConn returns the next connection. Once the listener is finishing, it returns the connections that are left in the
+// queue, and then net.ErrClosed.
 func (l *Listener) nextConn() (*net.TCPConn, error) {
 	if !l.finishing.Load() {
 		tcp, err := l.tcp.AcceptTCP()
@@ -96,7 +98,7 @@
 	return tcp, nil
 }
 
-// stop notes that no connection is admitted any more.
+// stop records that no more connections are admitted.
 func (l *Listener) stop() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,16 +106,17 @@
 	l.notifyReleased()
 }
 
-// finishAccepting has the next Accept that finds no connection waiting close the listener, so that clients that come later find
-// another process. It breaks off the wait of the present one.
+// finishAccepting makes Accept close the listener as soon as no connection is waiting, so that later clients connect to
+// another process. It interrupts an Accept that is blocked.
 func (l *Listener) finishAccepting() {
 	l.finishing.Store(true)
-	// It fails only on a listener that is closed, where nobody waits.
+	// This fails only on a closed listener, on which no Accept is blocked.
 	_ = l.tcp.SetDeadline(clock.Past())
 }
 
-// drainQueue takes connections that wait, and closes the listener if it finds no more. Nothing may come between the look
-// that finds none and the close, because the kernel resets what is in the queue of a listener that closes.
+// drainQueue accepts a batch of the waiting connections, and closes the listener if no more are waiting. Nothing may
+// happen between the accept that finds the queue empty and the close, because the kernel resets the connections that
+// are in the queue of a listener when it closes.
 func (l *Listener) drainQueue() (conns []*net.TCPConn, closed bool, err error) {
 	raw, err := l.tcp.SyscallConn()
 	if err != nil {
@@ -133,7 +136,7 @@
 	return conns, closed, nil
 }
 
-// acceptWaiting accepts a batch of the connections that wait, and ends the listening if there are no more.
+// acceptWaiting accepts a batch of the waiting connections, and shuts the listener down if no more are waiting.
 func acceptWaiting(listener int) (fds []int, closed bool) {
 	for len(fds) < finalAcceptBatch {
 		fd, _, err := syscall.Accept4(listener, syscall.SOCK_NONBLOCK|syscall.SOCK_CLOEXEC)
@@ -142,7 +145,7 @@
 			fds = append(fds, fd)
 		case errors.Is(err, syscall.EINTR), errors.Is(err, syscall.ECONNABORTED):
 		default:
-			// It fails only on a listener that does not listen any more.
+			// This fails only on a listener that has already been shut down.
 			_ = syscall.Shutdown(listener, syscall.SHUT_RD)
 			return fds, true
 		}
@@ -150,10 +153,10 @@
 	return fds, false
 }
 
-// connOfDescriptor returns the connection of a descriptor, which it takes over.
+// connOfDescriptor returns a connection for a descriptor, which it takes ownership of.
 func connOfDescriptor(fd int) (*net.TCPConn, error) {
 	file := os.NewFile(uintptr(fd), "client")
-	// The connection has a descriptor of its own.
+	// net.FileConn duplicates the descriptor.
 	defer func() { _ = file.Close() }()
 	conn, err := net.FileConn(file)
 	if err != nil {
--- a/internal/inbound/request.go
+++ b/internal/inbound/request.go
@@ -18,24 +18,25 @@
 )
 
 const (
-	// MaxRequestIDBytes is the longest id that a request may have.
+	// MaxRequestIDBytes is the maximum length of a request id.
 	MaxRequestIDBytes = 256
-	// MaxResponseMargin is the most that an answer is due before its client gives up.
+	// MaxResponseMargin is the maximum time between the deadline of a response and its client's timeout.
 	MaxResponseMargin = 25 * time.Millisecond
-	// responseMarginDivisor is the part of a budget that is its margin at most.
+	// responseMarginDivisor limits the margin to the budget divided by it.
 	responseMarginDivisor = 10
 )
 
 var (
-	// hopHeaders concern one connection only and are not passed on.
+	// hopHeaders are the hop-by-hop headers, which are not forwarded.
 	hopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
 		"Upgrade", "Expect", "Content-Length"}
-	// singleHeaders may stand in a request once only, because servers could take the other of two.
+	// singleHeaders may occur only once in a request, because of two values a server could use the other one than the
+	// agent.
 	singleHeaders = []string{protocol.HeaderRequestID, protocol.HeaderClass, protocol.HeaderTenant,
 		protocol.HeaderBudget, protocol.HeaderRetry, protocol.HeaderIdempotencyKey}
 )
 
-// badRequestError is a request that is not well-formed, with the status and the text of its answer.
+// badRequestError is the error for a malformed request, with the status and the text of the response.
 type badRequestError struct {
 	status int
 	reason string
@@ -47,8 +48,9 @@
 	return &badRequestError{http.StatusBadRequest, fmt.Sprintf(format, args...)}
 }
 
-// checkFraming checks the framing of a request's body before any of it is read. net/http ignores a length beside chunks, and
-// chunks where they are not allowed, so a request could be smuggled in a body that a server frames the other way.
+// checkFraming checks the framing of a request's body before any of it is read. net/http ignores a Content-Length
+// beside a chunked Transfer-Encoding, and a Transfer-Encoding where it is not allowed, so a request could be smuggled
+// in a body that a server frames the other way.
 func checkFraming(r *http.Request) *badRequestError {
 	head := &connOf(r).head
 	chunked := len(r.TransferEncoding) > 0
@@ -61,8 +63,8 @@
 	return nil
 }
 
-// readRequest checks a request's head, and then reads it to its last byte, from which its budget counts. An error that is
-// no badRequestError is the connection's.
+// readRequest checks a request's head and then reads the request to its last byte, from which its budget counts. An
+// error other than a badRequestError is one of the connection.
 func (h *clientHandler) readRequest(w http.ResponseWriter, r *http.Request) (*dispatch.Request, error) {
 	removeHopHeaders(r.Header)
 	request, budget, err := parseHead(r, h.dispatcher.Settings())
@@ -81,15 +83,15 @@
 	if upload != nil {
 		upload.Budget = budget
 	} else if err := control.SetReadDeadline(time.Time{}); err != nil {
-		// From here on net/http watches the connection for its client's end, for as long as the answer takes.
+		// From here on net/http watches the connection for a close by the client, for as long as the response takes.
 		return nil, err
 	}
 	request.Upstream = upstream.NewRequest(r.Method, r.RequestURI, r.Host, r.Header, body, upload)
 	return request, nil
 }
 
-// removeHopHeaders removes the headers that concern the connection only, before any check, because the Connection header may
-// name one that is checked.
+// removeHopHeaders removes the hop-by-hop headers. This precedes all checks, because the Connection header may name a
+// header that is checked.
 func removeHopHeaders(header http.Header) {
 	for _, names := range header["Connection"] {
 		for name := range strings.SplitSeq(names, ",") {
@@ -101,7 +103,7 @@
 	}
 }
 
-// parseHead reads what a request's head says by these settings, and its budget.
+// parseHead parses a request's head by the given settings, and returns the request and its budget.
 func parseHead(r *http.Request, set *settings.Settings) (*dispatch.Request, time.Duration, error) {
 	for _, name := range singleHeaders {
 		if len(r.Header[name]) > 1 {
@@ -127,7 +129,7 @@
 	return request, budget, nil
 }
 
-// parseClass finds a request's class, and checks that the request is sent as the class asks.
+// parseClass sets a request's class, and checks that the path and the method are those that the class requires.
 func parseClass(r *http.Request, request *dispatch.Request) error {
 	set := request.Settings
 	request.Class = slices.Index(set.ClassNames, r.Header.Get(protocol.HeaderClass))
@@ -142,8 +144,8 @@
 	return checkIdempotency(set.Balancer.Classes[request.Class].Idempotency, r)
 }
 
-// checkIdempotency checks that a request has the method and the key that its class's idempotency asks for: without a key
-// servers could not recognize a repeat.
+// checkIdempotency checks that a request has the method and the key that its class's idempotency requires. Without a
+// key, servers could not recognize a retry.
 func checkIdempotency(idempotency balancer.Idempotency, r *http.Request) error {
 	method := http.MethodPost
 	if idempotency == balancer.Idempotent {
@@ -158,7 +160,7 @@
 	return nil
 }
 
-// parseTenant finds a request's tenant, if the settings name any.
+// parseTenant sets a request's tenant, if the settings define any tenants.
 func parseTenant(r *http.Request, request *dispatch.Request) error {
 	names := request.Settings.TenantNames
 	if len(names) == 0 {
@@ -171,7 +173,8 @@
 	return nil
 }
 
-// readBody returns a body that can be held, or else an upload of which nothing, or as much as can be held, has been read.
+// readBody reads a body that is short enough to be buffered, or returns an upload. Of an upload's body nothing has been
+// read, or if its length is unknown just more than can be buffered.
 func readBody(r *http.Request, source io.Reader) (body []byte, upload *stream.Upload, err error) {
 	if r.ContentLength > stream.MaxBufferedBytes {
 		return nil, stream.NewUpload(r.ContentLength, nil, source), nil
@@ -188,8 +191,8 @@
 	return body, nil, err
 }
 
-// responseMargin is how long before its client's timeout a request is due to be answered, because an answer that is made at
-// the timeout comes too late.
+// responseMargin returns how long before its client's timeout a request must be answered, because a response that is
+// sent at the timeout arrives too late.
 func responseMargin(budget time.Duration) time.Duration {
 	return min(MaxResponseMargin, budget/responseMarginDivisor)
 }
--- a/internal/inbound/response.go
+++ b/internal/inbound/response.go
@@ -9,16 +9,16 @@
 	"example.org/ryeloft/internal/metrics"
 )
 
-// responseWriteTimeout is how long a client may take to read an answer that is held.
+// responseWriteTimeout is how long a client may take to read a buffered response.
 const responseWriteTimeout = 5 * time.Second
 
-// rejectBadRequest answers a request that is not well-formed.
+// rejectBadRequest answers a malformed request.
 func (h *clientHandler) rejectBadRequest(w http.ResponseWriter, bad *badRequestError) {
 	h.metrics.BadRequest(bad.reason)
 	h.writeResponse(w, dispatch.Response{Status: bad.status, ContentType: "text/plain", Body: []byte(bad.reason + "\n")})
 }
 
-// respond writes the respond to a request and counts it.
+// respond writes a buffered response to a request and counts it.
 func (h *clientHandler) respond(x *exchange, a dispatch.Response) {
 	h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultOf(a.Status))
 	h.closeAfterUpload(x)
@@ -30,15 +30,15 @@
 	}
 }
 
-// closeAfterUpload has the connection close behind the answer if a long body has not come to its end, because the rest of
-// it is in the way of a next request.
+// closeAfterUpload makes the connection close after the response if an upload has not been read completely, because the
+// rest of it would precede the next request.
 func (h *clientHandler) closeAfterUpload(x *exchange) {
 	if upload := x.upload(); upload != nil && !upload.Complete() {
 		x.w.Header().Set("Connection", "close")
 	}
 }
 
-// respondWithDownload answers a request with a download and counts it by how that ends.
+// respondWithDownload answers a request with a download, and counts the response by how the download ends.
 func (h *clientHandler) respondWithDownload(x *exchange, a dispatch.Response) {
 	h.closeAfterUpload(x)
 	h.writeHead(x.w, a, a.Download.Length())
@@ -49,33 +49,33 @@
 	}
 	h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultErrors)
 	h.metrics.AnswerBroken(false, err)
-	// The client has to see that the answer is incomplete, also where only the end of the connection would end it.
+	// The client must detect that the response is incomplete, even if only the end of the connection delimits it.
 	x.conn.reset()
 	panic(http.ErrAbortHandler)
 }
 
-// writeResponse writes an answer that is held. Whether the connection is to close is decided only now, so that a request that
-// began before a drain does not leave a connection open on which the next one crosses the close.
+// writeResponse writes a buffered response. Whether the connection closes is decided only now, so that a request that
+// began before a drain does not leave a connection open on which the next request crosses the close.
 func (h *clientHandler) writeResponse(w http.ResponseWriter, a dispatch.Response) {
-	// A client that reads nothing would hold its answer without a limit. The deadline can only fail to be set on a connection
-	// that is closed.
+	// Without the deadline a client that reads nothing would block the response forever. Setting it fails only on a
+	// closed connection.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
 	h.writeHead(w, a, int64(len(a.Body)))
-	// A client that does not read its answer has closed the connection.
+	// The write fails only if the client has closed the connection or does not read the response.
 	_, _ = w.Write(a.Body)
 }
 
-// writeHead writes the head of an answer with a body of so many bytes, or of as many as will come if that is below 0.
+// writeHead writes the head of a response whose body has the given length, negative if unknown.
 func (h *clientHandler) writeHead(w http.ResponseWriter, a dispatch.Response, length int64) {
 	header := w.Header()
-	// What follows a bad request on its connection is not to be trusted either.
+	// Whatever follows a bad request on its connection cannot be trusted either.
 	if h.drain.reason() != nil || a.Status/100 == 4 {
 		header.Set("Connection", "close")
 	}
 	if a.RetryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
 	}
-	header["Content-Type"] = nil // or net/http guesses one
+	header["Content-Type"] = nil // keeps net/http from guessing one
 	if a.ContentType != "" {
 		header.Set("Content-Type", a.ContentType)
 	}
--- a/internal/inbound/server.go
+++ b/internal/inbound/server.go
@@ -1,9 +1,9 @@
 // Package inbound serves the clients: it admits their connections, reads and checks their requests, submits them to a
-// Dispatcher and writes the answers.
+// Dispatcher and writes the responses.
 //
-// The Listener owns the connections, whose states its mutex orders; the drainer owns whether the agent drains. Each
-// connection has a goroutine of net/http's, which runs the clientHandler. Of a request the package decides only whether it
-// is well-formed and whether the agent can hold it.
+// The Listener owns the connections, and its mutex guards their states. The drainer owns the drain state. Each
+// connection has a net/http goroutine, which runs the clientHandler. The package decides only whether a request is
+// well-formed and whether the agent has capacity for it.
 package inbound
 
 import (
@@ -18,16 +18,16 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// IdleTimeout is how long a client's connection may be without a request: what the protocol grants it, and what an answer
-// takes to reach its client. Connections that are used once and kept would otherwise use up the sockets.
+// IdleTimeout is how long a client's connection may be idle: the protocol's IdleGrace plus the time that a response
+// takes to reach its client. Without it, connections that are used once and kept open would exhaust the sockets.
 const IdleTimeout = IdleGrace + 100*time.Millisecond
 
-// Options are what a Server is made of.
+// Options configures a Server.
 type Options struct {
 	Dispatcher  Dispatcher
 	Metrics     *metrics.Metrics
 	Buffers     *stream.Buffers
-	MaxRequests int // that are held at once; more are rejected
+	MaxRequests int // the maximum number of open requests; more are rejected
 	Log         *slog.Logger
 	// Done is closed when the agent has ended.
 	Done <-chan struct{}
@@ -41,7 +41,7 @@
 	http     *http.Server
 }
 
-// New returns a server that does not listen yet.
+// New returns a server that is not serving yet.
 func New(o Options) *Server {
 	listener := newListener(o.Metrics)
 	drain := &drainer{listener: listener, done: o.Done, log: o.Log}
@@ -59,11 +59,11 @@
 	}
 }
 
-// Listener returns what limits the connections.
+// Listener returns the listener that limits the connections.
 func (s *Server) Listener() *Listener { return s.listener }
 
-// Serve starts to serve the connections of a listener. The channel gets the error that ends that, at the latest when the
-// server closes.
+// Serve starts serving the connections of a listener. The channel receives the error with which serving ends, at the
+// latest when the server closes.
 func (s *Server) Serve(tcp *net.TCPListener) <-chan error {
 	s.listener.tcp = tcp
 	ended := make(chan error, 1)
@@ -71,49 +71,50 @@
 	return ended
 }
 
-// SetAccepting has the agent be ready, if it has endpoints and does not drain.
+// SetAccepting marks the agent as accepting clients. It is then ready if it has endpoints and does not drain.
 func (s *Server) SetAccepting() { s.handler.accepting.Store(true) }
 
-// CheckReady returns why clients are not accepted, nil if they are.
+// CheckReady returns the reason why clients are not accepted, or nil if they are.
 func (s *Server) CheckReady() error { return s.handler.checkReady() }
 
-// StartDrain drains the agent until StopDrain. It has no further effect on a drain that has begun.
+// StartDrain drains the agent until StopDrain. It does not restart a drain that has already started.
 func (s *Server) StartDrain() { s.drain.start() }
 
-// StopDrain ends the drain. It returns ErrShuttingDown if the process shuts down all the same.
+// StopDrain stops the drain. It returns ErrShuttingDown if the agent still drains because the process shuts down.
 func (s *Server) StopDrain() error { return s.drain.stop() }
 
-// StartShutdown drains the agent for good. No request that begins late lasts beyond killedAfter, when the caller is to call
-// FailOpenRequests.
+// StartShutdown drains the agent permanently. A request that begins after killExemption ends by killedAfter, when the
+// caller has to call FailOpenRequests.
 func (s *Server) StartShutdown(killedAfter time.Duration) { s.drain.shutDown(killedAfter) }
 
-// FailOpenRequests answers all open requests as failed, except those whose answer is a download that has begun. It is called once.
+// FailOpenRequests answers all open requests as failed, except those whose download has started. It must be called only
+// once.
 func (s *Server) FailOpenRequests() { close(s.handler.failOpen) }
 
-// DrainAcceptQueue closes the listener after the last connection that waits there, for another process to accept those that come
-// later, and idle connections after IdleGrace.
+// DrainAcceptQueue accepts the connections that wait in the listener's queue and then closes the listener, so that
+// another process accepts later ones. It closes idle connections after IdleGrace.
 func (s *Server) DrainAcceptQueue() {
 	s.drain.closeIdleAfter(IdleGrace)
 	s.listener.finishAccepting()
 }
 
-// CloseListener closes the listener, and idle connections after newConnGrace. It does not use http.Server.Shutdown, which
-// would close a connection whose next request has just been read.
+// CloseListener closes the listener, and idle connections after newConnGrace. It does not use http.Server.Shutdown,
+// which would close a connection whose next request has just been read.
 func (s *Server) CloseListener() {
 	s.drain.closeIdleAfter(newConnGrace)
-	// It fails only on a listener that is closed.
+	// This fails only on a closed listener.
 	_ = s.listener.Close()
 }
 
-// Count returns how many connections there are, and how many of them have no request.
+// Count returns the number of open connections, and how many of them have no request.
 func (s *Server) Count() (open, idle int) { return s.listener.count() }
 
-// AwaitEmpty waits until all connections have ended, or the context has.
+// AwaitEmpty waits until all connections or the context have ended.
 func (s *Server) AwaitEmpty(ctx context.Context) { s.listener.awaitEmpty(ctx) }
 
-// Close closes all connections without any wait.
+// Close closes all connections immediately.
 func (s *Server) Close() {
 	s.listener.abort()
-	// What fails to close is closed by the end of the process.
+	// A connection that fails to close ends with the process.
 	_ = s.http.Close()
 }
--- a/internal/stream/download.go
+++ b/internal/stream/download.go
@@ -11,8 +11,8 @@
 // maxResponsePause is how long a server may pause within a download.
 const maxResponsePause = 3 * time.Second
 
-// Download is a response that is too long to be buffered, passed from an attempt to a client's handler. The attempt owns the
-// connection and waits on Done. The handler, or the code that drops the response, calls Finish once.
+// Download is a response that is too long to be buffered, passed from an attempt to a client's handler. The attempt
+// owns the connection and waits on Done. The handler, or the code that drops the response, calls Finish once.
 type Download struct {
 	length int64  // negative if unknown
 	prefix []byte // the bytes read before the download was created
@@ -22,8 +22,8 @@
 	abort  func()
 }
 
-// NewDownload returns a download of the given length, negative if unknown, whose prefix has already been read. The source
-// reads the rest from conn, the connection to the server; abort closes that connection.
+// NewDownload returns a download of the given length, negative if unknown, whose prefix has already been read. The
+// source reads the rest from conn, the connection to the server; abort closes that connection.
 func NewDownload(length int64, prefix []byte, source io.Reader, conn ReadDeadliner, abort func()) *Download {
 	return &Download{length: length, prefix: prefix, source: source, conn: conn, done: make(chan error, 1), abort: abort}
 }
@@ -37,8 +37,9 @@
 // Done returns a channel that receives the error that Finish was called with.
 func (d *Download) Done() <-chan error { return d.done }
 
-// CopyTo copies the response to its client at the client's pace, and calls Finish. It returns the error that interrupted the
-// copy, which wraps ErrNotRead if the client caused it. The context ends when the client closes its connection.
+// CopyTo copies the response to its client at the client's pace, and calls Finish. It returns the error that
+// interrupted the copy, which wraps ErrNotRead if the client caused it. The context ends when the client closes its
+// connection.
 func (d *Download) CopyTo(ctx context.Context, w http.ResponseWriter, buffers *Buffers) (err error) {
 	defer func() { d.Finish(err) }()
 	defer context.AfterFunc(ctx, d.abort)()
--- a/internal/stream/pacedreader.go
+++ b/internal/stream/pacedreader.go
@@ -21,8 +21,9 @@
 	SetReadDeadline(time.Time) error
 }
 
-// PacedReader reads a client's body and fails if the client is slower than minBodyBytesPerSecond allows. Only time spent in
-// reads counts, because between reads the server is the slow side. A PacedReader must not be used concurrently.
+// PacedReader reads a client's body and fails if the client is slower than minBodyBytesPerSecond allows. Only time
+// spent in reads counts, because between reads the server is the slow side. A PacedReader must not be used
+// concurrently.
 type PacedReader struct {
 	body     io.Reader
 	conn     ReadDeadliner
@@ -36,8 +37,8 @@
 	return &PacedReader{body: body, conn: conn, start: start}
 }
 
-// Read implements io.Reader. At the end of the body it clears the connection's read deadline, because from then on net/http
-// watches the connection for a close by the client, for as long as the response takes.
+// Read implements io.Reader. At the end of the body it clears the connection's read deadline, because from then on
+// net/http watches the connection for a close by the client, for as long as the response takes.
 func (p *PacedReader) Read(b []byte) (int, error) {
 	now := time.Now()
 	if err := p.conn.SetReadDeadline(now.Add(min(p.remaining(now), maxBodyPause))); err != nil {
--- a/internal/stream/stream.go
+++ b/internal/stream/stream.go
@@ -1,7 +1,7 @@
-// Package stream forwards request and response bodies that are too long to be buffered completely. Of each stream only a few
-// kilobytes are in memory at any time, in Buffers that all streams of the agent share. An Upload is read from a client and
-// written to a server, a Download is read from a server and written to a client. The package opens no connections and makes
-// no routing decisions.
+// Package stream forwards request and response bodies that are too long to be buffered completely. Of each stream only
+// a few kilobytes are in memory at any time, in Buffers that all streams of the agent share. An Upload is read from a
+// client and written to a server, a Download is read from a server and written to a client. The package opens no
+// connections and makes no routing decisions.
 package stream
 
 import (
@@ -10,10 +10,11 @@
 )
 
 const (
-	// MaxBufferedBytes is the length of the longest request or response body that is buffered completely. Longer bodies are
-	// streamed.
+	// MaxBufferedBytes is the length of the longest request or response body that is buffered completely. Longer bodies
+	// are streamed.
 	MaxBufferedBytes = 64 << 10
-	// MaxBytes is the length of the longest request or response body that is accepted. The service's bodies have up to 32 MB.
+	// MaxBytes is the length of the longest request or response body that is accepted. The service's bodies have up to
+	// 32 MB.
 	MaxBytes = 40 << 20
 	// BufferBytes is the size of a stream's buffer.
 	BufferBytes = 32 << 10
@@ -24,8 +25,8 @@
 var (
 	// ErrNotRead is returned when a response is not read by its client. It is not the server's fault.
 	ErrNotRead = errors.New("response not read by its client")
-	// ErrBodyIncomplete is returned when the rest of a request body does not arrive. The request cannot have run, and it is not
-	// the server's fault.
+	// ErrBodyIncomplete is returned when the rest of a request body does not arrive. The request cannot have run, and
+	// it is not the server's fault.
 	ErrBodyIncomplete = errors.New("request body incomplete")
 	// ErrClosed is returned when an upload is read after its request has ended.
 	ErrClosed = errors.New("upload closed")
--- a/internal/stream/upload.go
+++ b/internal/stream/upload.go
@@ -12,9 +12,9 @@
 	"example.org/ryeloft/internal/clock"
 )
 
-// Upload is a request body that is too long to be buffered, passed from a client to a server. It is sent at most once: the
-// first attempt that claims it owns its buffer and returns it. The mutex guards the source against concurrent use by that
-// attempt and the client's handler, which closes the upload.
+// Upload is a request body that is too long to be buffered, passed from a client to a server. It is sent at most once:
+// the first attempt that claims it owns its buffer and returns it. The mutex guards the source against concurrent use
+// by that attempt and the client's handler, which closes the upload.
 type Upload struct {
 	// Budget is the request's time budget, counted from its last byte. It is set before the first attempt.
 	Budget time.Duration
@@ -32,8 +32,8 @@
 	claimed bool
 }
 
-// NewUpload returns an upload of the given length, negative if unknown, whose prefix has already been read. The rest is read
-// from source.
+// NewUpload returns an upload of the given length, negative if unknown, whose prefix has already been read. The rest is
+// read from source.
 func NewUpload(length int64, prefix []byte, source io.Reader) *Upload {
 	return &Upload{length: length, prefix: prefix, source: source, OnComplete: func() {}}
 }
@@ -63,12 +63,12 @@
 	return true
 }
 
-// Release returns the buffer. Only the attempt that claimed the body may call it, because it may still be writing from the
-// buffer when the client's handler has returned.
+// Release returns the buffer. Only the attempt that claimed the body may call it, because it may still be writing from
+// the buffer when the client's handler has returned.
 func (u *Upload) Release() { u.buffers.Put(u.buffer) }
 
-// Close prevents further reads of the body, because the connection belongs to the next request once the client's handler has
-// returned. It returns the buffer if no attempt has claimed the body.
+// Close prevents further reads of the body, because the connection belongs to the next request once the client's
+// handler has returned. It returns the buffer if no attempt has claimed the body.
 func (u *Upload) Close(conn ReadDeadliner) {
 	u.stop(conn)
 	if u.buffer != nil && u.Claim() {
@@ -80,8 +80,8 @@
 	if u.Complete() {
 		return
 	}
-	// This interrupts a pending read and ends all use of the connection, because net/http takes the timeout for a close by the
-	// client. It fails only on a closed connection, on which no read is pending.
+	// This interrupts a pending read and ends all use of the connection, because net/http takes the timeout for a close
+	// by the client. It fails only on a closed connection, on which no read is pending.
 	_ = conn.SetReadDeadline(clock.Past())
 	u.mu.Lock()
 	defer u.mu.Unlock()
@@ -101,8 +101,8 @@
 	return n, err
 }
 
-// Discard reads and discards the rest of the body, because a client that is still sending when its connection closes may
-// never receive the response.
+// Discard reads and discards the rest of the body, because a client that is still sending when its connection closes
+// may never receive the response.
 func (u *Upload) Discard() {
 	var b [4 << 10]byte
 	for {
@@ -118,8 +118,8 @@
 	SetWriteDeadline(time.Time) error
 }
 
-// SendTo copies the body to a server at the server's pace. The error wraps ErrBodyIncomplete if the rest of the body could
-// not be read from the client.
+// SendTo copies the body to a server at the server's pace. The error wraps ErrBodyIncomplete if the rest of the body
+// could not be read from the client.
 func (u *Upload) SendTo(server ServerConn) error {
 	out := &uploadWriter{conn: server, buffered: bufio.NewWriter(server)}
 	out.body = out.buffered
