--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -19,7 +19,7 @@
 	"example.org/ryeloft/internal/upstream"
 )
 
-// newTestLoop returns a loop that does not run, with a pool of four connections.
+// newTestLoop returns a loop that is not running, with a pool of four connections.
 func newTestLoop(t *testing.T, set *settings.Settings) *Loop {
 	t.Helper()
 	counters := &metrics.Metrics{}
@@ -32,7 +32,7 @@
 	return l
 }
 
-// newTestRequest returns a request of a client that does not go.
+// newTestRequest returns a request of a client that keeps its connection open.
 func newTestRequest(l *Loop, class int, uri string) *Request {
 	r := NewRequest(l.Settings())
 	r.Class = class
@@ -42,7 +42,7 @@
 	return r
 }
 
-// submit has the loop handle a request as Submit hands it over.
+// submit makes the loop handle a request as if it came from Submit.
 func submit(ctx context.Context, t *testing.T, l *Loop, r *Request) {
 	t.Helper()
 	if !l.reserveID(r) {
@@ -51,12 +51,12 @@
 	submitted{r}.handle(ctx, l)
 }
 
-// watchEvent is what discovery tells of a list.
+// watchEvent returns the input for a list from discovery.
 func watchEvent(update balancer.DiscoveryUpdate, members ...discovery.Member) input {
 	return endpointsNotified{discovery.WatchEvent{Update: update, Members: members}}
 }
 
-// idOf is the number of the server with a name.
+// idOf returns the id of the server with the given name.
 func idOf(t *testing.T, l *Loop, name string) balancer.ServerID {
 	t.Helper()
 	for id := range l.endpoints {
@@ -68,14 +68,15 @@
 	return 0
 }
 
-// The loop keeps a repeat from being sent too late, and forgets servers that are gone.
+// The loop executes the balancer's actions: an attempt whose time to send has passed expires unsent, and so does an
+// attempt to a server that discovery has removed, whose connections are closed.
 func TestActionsAreExecuted(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
 	ctx := t.Context()
-	list := func(mode balancer.DiscoveryUpdate, phase string) {
-		watchEvent(mode, discovery.Member{ID: "x", Address: b.Addr, State: phase}).handle(ctx, l)
+	list := func(mode balancer.DiscoveryUpdate, state string) {
+		watchEvent(mode, discovery.Member{ID: "x", Address: b.Addr, State: state}).handle(ctx, l)
 	}
 	list(balancer.EndpointsReplaced, "Ready")
 	x := idOf(t, l, "x")
@@ -85,26 +86,26 @@
 	send := balancer.Action{Kind: balancer.ActionSend, Request: r.balancerID, Server: x, Timeout: agenttest.Timeout}
 	l.act(ctx, &send)
 	if in := agenttest.Receive(t, "outcome", l.inputs).(attemptEnded); in.outcome != balancer.OutcomeOK {
-		t.Fatalf("outcome %d", in.outcome)
+		t.Fatalf("got outcome %d, want %d", in.outcome, balancer.OutcomeOK)
 	}
-	send.DispatchWithin = 1 // a nanosecond, which is over before a connection can be had
+	send.DispatchWithin = 1 // a nanosecond, which passes before a connection is available
 	l.act(ctx, &send)
 	if in := agenttest.Receive(t, "outcome", l.inputs).(attemptEnded); in.outcome != balancer.OutcomeExpired {
-		t.Errorf("sent too late: outcome %d", in.outcome)
+		t.Errorf("too late to send: got outcome %d, want %d", in.outcome, balancer.OutcomeExpired)
 	}
 	list(balancer.EndpointsChanged, "Gone")
 	agenttest.Receive(t, "close of the idle connection", b.Closed)
 	if len(l.endpoints) > 0 || l.pool.Endpoints() > 0 || l.members.Len() > 0 {
-		t.Errorf("still known: %v %v", l.endpoints, l.members.Members())
+		t.Errorf("got endpoints %v and members %v, want none", l.endpoints, l.members.Members())
 	}
 	send.DispatchWithin = 0
 	l.act(ctx, &send)
 	if n := len(l.events); n != 1 || l.events[0].Outcome != balancer.OutcomeExpired {
-		t.Errorf("to a server that is gone: %+v", l.events)
+		t.Errorf("sent to a removed server: got events %+v, want one with outcome %d", l.events, balancer.OutcomeExpired)
 	}
 }
 
-// A request is answered once: the outcome of an attempt that crosses the close of its client changes nothing.
+// The outcome of an attempt that arrives after the client has closed its connection must not answer the request.
 func TestLateOutcomeIsDropped(t *testing.T) {
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
@@ -119,12 +120,12 @@
 	attemptEnded{request: c.balancerID, response: Response{Status: http.StatusOK}}.handle(ctx, l)
 	abandoned{c}.handle(ctx, l)
 	if len(c.response) != 0 || len(l.requests) != 0 {
-		t.Errorf("%d answers, %d requests left", len(c.response), len(l.requests))
+		t.Errorf("got %d responses and %d open requests, want none", len(c.response), len(l.requests))
 	}
 }
 
-// A server that swallows a request while it lives is not waited for: another gets a copy, whose answer is served, and
-// the first is given up.
+// A server that is alive but never answers a request must not delay it: the request is hedged, the client gets the
+// response of the second attempt, and the first attempt is cancelled.
 func TestUnansweredRequestIsHedged(t *testing.T) {
 	var got atomic.Int64
 	script := func(int, *http.Request) (string, bool) {
@@ -147,34 +148,36 @@
 	case <-time.After(agenttest.Timeout):
 		t.Fatal("no request")
 	}
-	for range 2 { // the balancer's looks at the attempt without an answer, due or not
+	for range 2 { // fire the balancer's timers for the unanswered attempt, due or not
 		due := heap.Pop(&l.timers).(timer)
 		l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: due.id})
 	}
-	for range 2 { // the copy's answer, and the end of the first attempt
+	for range 2 { // the hedge's response, and the end of the first attempt
 		agenttest.Receive(t, "outcome", l.inputs).handle(ctx, l)
 	}
-	if a := agenttest.Receive(t, "answer", c.response); a.Status != http.StatusOK {
-		t.Errorf("answered %d", a.Status)
+	if a := agenttest.Receive(t, "response", c.response); a.Status != http.StatusOK {
+		t.Errorf("got status %d, want %d", a.Status, http.StatusOK)
 	}
-	select { // a busy machine may have the two servers' scripts run the other way round
+	select { // on a busy machine the two servers' scripts may run in the other order
 	case <-x.Closed:
 	case <-y.Closed:
 	case <-time.After(agenttest.Timeout):
 		t.Error("the unanswered connection is not closed")
 	}
 	if n := got.Load(); n != 2 || len(l.requests) > 0 {
-		t.Errorf("%d attempts, %d requests left", n, len(l.requests))
+		t.Errorf("got %d attempts and %d open requests, want 2 and none", n, len(l.requests))
 	}
 }
 
-// Whatever order a close and the ends of two attempts come in, a request gets one answer or none, and is forgotten.
+// In whatever order a client's close and the outcomes of two attempts arrive, a request gets at most one response, and
+// the loop removes it and its id.
 func TestOneResponseInAnyOrderOfOutcomes(t *testing.T) {
 	orders := [][]int{{0, 1, 2}, {0, 2, 1}, {1, 0, 2}, {1, 2, 0}, {2, 0, 1}, {2, 1, 0}}
 	for _, order := range orders {
 		for _, first := range []balancer.Outcome{balancer.OutcomeOK, balancer.OutcomeTimeout, balancer.OutcomeReset, balancer.OutcomeExpired} {
 			for _, second := range []balancer.Outcome{balancer.OutcomeOK, balancer.OutcomeTimeout, balancer.OutcomeCancelled} {
-				for _, clientGone := range []bool{false, true} { // an attempt may find the client gone before its handler does
+				// An attempt may detect the client's close before the handler does.
+				for _, clientGone := range []bool{false, true} {
 					cfg := agenttest.Config(t, "127.0.0.1:1", strings.Replace(agenttest.Settings, `"maxAttempts":3`, `"maxAttempts":2`, 1))
 					l := newTestLoop(t, &cfg.Settings)
 					ctx := t.Context()
@@ -182,28 +185,30 @@
 						discovery.Member{ID: "y", Address: "127.0.0.1:1", State: "Ready"}).handle(ctx, l)
 					c := newTestRequest(l, 0, "/keyed/1")
 					submit(ctx, t, l, c)
-					for l.requests[c.balancerID].inFlight < 2 { // the balancer's looks at the attempt without an answer, due or not
+					// Fire the balancer's timers for the unanswered attempt, due or not, until it is hedged.
+					for l.requests[c.balancerID].inFlight < 2 {
 						due := heap.Pop(&l.timers).(timer)
 						l.handle(ctx, balancer.Event{Kind: balancer.EventTimer, TimerID: due.id})
 					}
-					ended := func(n int, how balancer.Outcome) input {
-						return attemptEnded{request: c.balancerID, attempt: n, outcome: how, response: Response{Status: http.StatusOK},
-							abandoned: clientGone && how == balancer.OutcomeExpired}
+					ended := func(n int, outcome balancer.Outcome) input {
+						return attemptEnded{request: c.balancerID, attempt: n, outcome: outcome, response: Response{Status: http.StatusOK},
+							abandoned: clientGone && outcome == balancer.OutcomeExpired}
 					}
 					ends := []input{ended(0, first), ended(1, second), abandoned{c}}
-					answers := 0
+					responses := 0
 					for _, i := range order {
 						ends[i].handle(ctx, l)
 						select {
 						case a := <-c.response:
 							if a.Status != 0 {
-								answers++
+								responses++
 							}
 						default:
 						}
 					}
-					if answers > 1 || len(l.requests) > 0 || len(l.ids.open) > 0 {
-						t.Errorf("order %v, outcomes %d and %d, found gone %v: %d answers, %d requests left", order, first, second, clientGone, answers, len(l.requests))
+					if responses > 1 || len(l.requests) > 0 || len(l.ids.open) > 0 {
+						t.Errorf("order %v, outcomes %d and %d, close detected by attempt %v: got %d responses, %d open requests and %d ids, want one response at most",
+							order, first, second, clientGone, responses, len(l.requests), len(l.ids.open))
 					}
 				}
 			}
@@ -211,8 +216,8 @@
 	}
 }
 
-// A server at the address of one that has gone has connections of its own: those of the old one close, the one in
-// use when it is back, and the new one's stay when the old one is forgotten.
+// A new server at the address of a removed one must not share its connections. The old server's connections close, the
+// one in use as soon as it is returned, and the new server's connections stay open when the old server is removed.
 func TestNewServerAtOldAddress(t *testing.T) {
 	release := make(chan struct{}, 1)
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
@@ -238,33 +243,34 @@
 	release <- struct{}{}
 	second := l.endpoints[idOf(t, l, "next")]
 	inUse2 := make(chan upstream.Result, 1)
-	agenttest.Receive(t, "answer of the old one", inUse)
+	agenttest.Receive(t, "response of the old server", inUse)
 	go func() { inUse2 <- l.pool.Exchange(ctx, second, m, plain) }()
 	agenttest.Receive(t, "request", b.Requests)
 	if n := len(b.Accepted); n != 2 {
-		t.Errorf("%d connections to two servers", n)
+		t.Errorf("got %d connections to two servers, want 2", n)
 	}
 	release <- struct{}{}
-	agenttest.Receive(t, "answer of the new one", inUse2)
+	agenttest.Receive(t, "response of the new server", inUse2)
 	old.State = "Gone"
 	list(balancer.EndpointsChanged, old)
 	if l.pool.IdleConns(first) != 0 || l.pool.IdleConns(second) != 1 || l.pool.OpenConns() != 1 {
-		t.Errorf("%d idle to the old one, %d to the new one, %d open", l.pool.IdleConns(first), l.pool.IdleConns(second), l.pool.OpenConns())
+		t.Errorf("got %d idle to the old server, %d to the new one and %d open, want 0, 1 and 1",
+			l.pool.IdleConns(first), l.pool.IdleConns(second), l.pool.OpenConns())
 	}
-	// A restart of the process at the same address is another endpoint as well, and what comes back late closes.
+	// A restarted process at the same address is a new endpoint as well: a connection that is returned late closes.
 	go func() { inUse2 <- l.pool.Exchange(ctx, second, m, plain) }()
 	agenttest.Receive(t, "request", b.Requests)
 	next.StartedAtMillis = 5
 	list(balancer.EndpointsChanged, next)
 	release <- struct{}{}
-	agenttest.Receive(t, "late answer", inUse2)
+	agenttest.Receive(t, "late response", inUse2)
 	if l.pool.IdleConns(second) != 0 || l.pool.OpenConns() != 0 {
-		t.Errorf("after a restart %d are idle, %d open", l.pool.IdleConns(second), l.pool.OpenConns())
+		t.Errorf("after a restart: got %d idle and %d open, want none", l.pool.IdleConns(second), l.pool.OpenConns())
 	}
 }
 
-// An answer that flows to the client is its only one: what another attempt brings is dropped, and ending that attempt's
-// rivals does not cut it off.
+// A download that the client is receiving is its only response: the download of another attempt is dropped, and
+// cancelling the attempts does not interrupt the first download.
 func TestDownloadIsTheOnlyResponse(t *testing.T) {
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
@@ -282,15 +288,15 @@
 	}
 	first, second := startDownload(0), startDownload(1)
 	if err := agenttest.Receive(t, "end of the second", second.Done()); !errors.Is(err, stream.ErrNotRead) || len(first.Done()) > 0 {
-		t.Errorf("the second ends with %v", err)
+		t.Errorf("the second download: got %v, want %v, and the first must not end", err, stream.ErrNotRead)
 	}
-	if got := agenttest.Receive(t, "answer", c.response); got.Download != first {
-		t.Errorf("answered %+v", got)
+	if got := agenttest.Receive(t, "response", c.response); got.Download != first {
+		t.Errorf("got %+v, want the first download", got)
 	}
 	for i := range cancelled {
 		l.act(t.Context(), &balancer.Action{Kind: balancer.ActionCancel, Request: 7, Attempt: i})
 	}
 	if cancelled != [2]bool{false, true} {
-		t.Errorf("cut off: %v", cancelled)
+		t.Errorf("cancelled attempts: got %v, want the second only", cancelled)
 	}
 }
--- a/internal/dispatch/requestids_test.go
+++ b/internal/dispatch/requestids_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The ids of ended requests are kept for a while, but not for good and not without a bound.
+// The ids of ended requests are kept for a limited time and in a limited number.
 func TestRequestIDsExpire(t *testing.T) {
 	ids := newRequestIDs()
 	for i := range 10 * maxRecentIDs {
@@ -14,9 +14,9 @@
 		ids.close(id)
 	}
 	if n := len(ids.open) + len(ids.recent) + len(ids.older); n > 2*maxRecentIDs {
-		t.Errorf("%d ids are kept", n)
+		t.Errorf("got %d ids, want %d at most", n, 2*maxRecentIDs)
 	}
 	if ids.expire(); !ids.add(hashID(fmt.Sprint(8*maxRecentIDs - 1))) {
-		t.Error("an id is kept for good")
+		t.Error("an id has not expired")
 	}
 }
--- a/internal/inbound/admission_test.go
+++ b/internal/inbound/admission_test.go
@@ -13,8 +13,8 @@
 	"example.org/ryeloft/internal/metrics"
 )
 
-// Between a request that was read and the end of its resting connection one step decides, whichever comes first: what
-// is ended first is never sent, and what is taken first is answered before its connection ends.
+// Starting a request and ending its idle connection exclude each other: on a connection that is ended first no request
+// starts, and a connection whose request starts first is not ended.
 func TestRequestStartsOrConnectionCloses(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -38,24 +38,24 @@
 	idle, _ := accept()
 	busy, _ := accept()
 	if !a.beginRequest(busy) {
-		t.Error("not taken")
+		t.Error("no request starts on an open connection")
 	}
 	a.closeIdle(time.Now(), true)
 	if a.beginRequest(idle) {
-		t.Error("taken after the end")
+		t.Error("a request starts on an ended connection")
 	}
 	if busy.ended {
-		t.Error("ended under a request")
+		t.Error("a connection with a request was ended")
 	}
-	// A connection that only waits for its client's end is evicted for a newcomer.
+	// A connection that only waits for its client's close is evicted for a new one.
 	_, client := accept()
 	if open, _ := a.count(); open != 2 || a.closing.Len() != 0 {
-		t.Errorf("%d open, %d of them ended", open, a.closing.Len())
+		t.Errorf("got %d open and %d of them closing, want 2 and none", open, a.closing.Len())
 	}
 	client.Close()
 }
 
-// Of the clients without a request those that are sending one are evicted last.
+// Among the connections without a complete request, those that are sending one are evicted last.
 func TestSendingClientsAreEvictedLast(t *testing.T) {
 	a := &Listener{metrics: &metrics.Metrics{}, maxConns: 2, maxActive: 3}
 	conn := func(reading bool) *clientConn {
@@ -68,17 +68,17 @@
 	a.admit(idle)
 	idle.idleSince = idle.idleSince.Add(-newConnGrace)
 	if third := conn(true); !a.admit(third) || sending.removed || !idle.removed {
-		t.Errorf("sending closed: %v, idle closed: %v", sending.removed, idle.removed)
+		t.Errorf("sending connection closed: %v, idle connection closed: %v, want only the idle one", sending.removed, idle.removed)
 	}
 	if !a.admit(conn(true)) || sending.removed || a.open != 3 {
-		t.Errorf("with room for one more that is busy: sending closed: %v, %d open", sending.removed, a.open)
+		t.Errorf("below maxActive: sending connection closed: %v, %d open, want false and 3", sending.removed, a.open)
 	}
 	if !a.admit(conn(true)) || !sending.removed || a.open != 3 {
-		t.Errorf("with no room: sending closed: %v, %d open", sending.removed, a.open)
+		t.Errorf("at maxActive: sending connection closed: %v, %d open, want true and 3", sending.removed, a.open)
 	}
 }
 
-// What was evicted is not sent on, though its request has been read meanwhile.
+// A request on an evicted connection does not start, even if it has been read.
 func TestNoRequestAfterEviction(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -101,28 +101,28 @@
 	x := accept()
 	y := accept()
 	if a.beginRequest(x) || !a.beginRequest(y) {
-		t.Error("the connection that was idle longest has not made room for the newcomer")
+		t.Error("the connection that was idle longest was not evicted for the new one")
 	}
 	if z := (&clientConn{}); a.admit(z) {
 		t.Error("a connection with an open request was evicted")
 	}
-	a.maxActive = 2 // where all have a request there is room for some more
+	a.maxActive = 2 // one more is admitted if all have a request
 	z := &clientConn{TCPConn: y.TCPConn}
 	if !a.admit(z) || !a.beginRequest(z) || a.admit(&clientConn{}) {
-		t.Errorf("%d connections are open where two may be busy", a.open)
+		t.Errorf("got %d open connections with maxActive 2, want 2 and no more", a.open)
 	}
 	a.connState(z, http.StateClosed)
 	a.connState(x, http.StateClosed)
 	a.connState(y, http.StateIdle)
 	a.connState(y, http.StateClosed)
 	if a.open != 0 || a.idle.Len() != 0 {
-		t.Errorf("%d open and %d idle are counted", a.open, a.idle.Len())
+		t.Errorf("got %d open and %d idle, want none", a.open, a.idle.Len())
 	}
 }
 
-// A connection that has had an answer a moment ago, on which the next request may be there already, is not evicted.
-// Once one was chosen to, nothing of it is read: its client sees a reset, by which it knows that its request did not
-// run.
+// A connection whose request was answered a moment ago is not evicted, because the next request may have arrived
+// already. Once a connection is chosen for eviction nothing is read from it: its client sees a reset, and so knows that
+// its request did not run.
 func TestEvictionBetweenRequests(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -146,41 +146,41 @@
 		t.Fatal(err)
 	}
 	used := conn.(*clientConn)
-	a.connState(used, http.StateIdle) // it has had an answer
+	a.connState(used, http.StateIdle) // as after a response
 	io.WriteString(client, partialRequest)
 	if other := (&clientConn{reading: true}); !a.admit(other) || used.removed {
-		t.Error("a connection was evicted right after its answer, with room for one more")
+		t.Error("a connection was evicted right after its response, below maxActive")
 	}
 	used.idleSince = used.idleSince.Add(-IdleGrace)
-	newcomer := dial()
+	newClient := dial()
 	if _, err := a.Accept(); err != nil || !used.removed {
-		t.Fatalf("no eviction of a connection that rested for %v: %v", IdleGrace, err)
+		t.Fatalf("a connection that was idle for %v was not evicted: %v", IdleGrace, err)
 	}
 	if n, err := used.Read(make([]byte, 100)); n > 0 || err == nil {
-		t.Errorf("%d bytes were read behind the end: %v", n, err)
+		t.Errorf("after the eviction: read %d bytes, error %v, want an error", n, err)
 	}
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the client whose request crossed the end sees %v", err)
+		t.Errorf("the client of the evicted connection: got %v, want %v", err, syscall.ECONNRESET)
 	}
-	// The same where a connection is ended without being in anybody's way.
-	client = newcomer
+	// The same holds for a connection that is ended without an eviction.
+	client = newClient
 	idle := a.idle.Back().Value.(*clientConn)
 	a.connState(idle, http.StateIdle)
 	io.WriteString(client, partialRequest)
 	a.mu.Lock()
 	a.markEnded(idle)
 	a.mu.Unlock()
-	if n, err := idle.Read(make([]byte, 100)); n > 0 || err != io.EOF { //nolint:errorlint // net/http compares it so
-		t.Errorf("%d bytes were read behind the end: %v", n, err)
+	if n, err := idle.Read(make([]byte, 100)); n > 0 || err != io.EOF { //nolint:errorlint // net/http compares with ==
+		t.Errorf("after the end: read %d bytes, error %v, want %v", n, err, io.EOF)
 	}
 	idle.Close()
 	if _, err := client.Read(make([]byte, 1)); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the client whose request crossed the end sees %v", err)
+		t.Errorf("the client of the ended connection: got %v, want %v", err, syscall.ECONNRESET)
 	}
 }
 
-// A process that is replaced takes what waits in its listener's queue a few at a time, as the queue may hold more than
-// it has descriptors, leaves none behind, and closes the listener behind the last.
+// A process that is replaced accepts all connections that wait in its listener's queue before it closes the listener.
+// It accepts a few at a time, because the queue may hold more connections than the process has descriptors.
 func TestAcceptQueueIsDrainedBeforeClose(t *testing.T) {
 	const queued = 5*finalAcceptBatch + 3
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -203,42 +203,42 @@
 		}
 		defer c.Close()
 		if len(a.queued) >= finalAcceptBatch {
-			t.Fatalf("%d more are taken at once", len(a.queued))
+			t.Fatalf("got %d accepted in advance, want fewer than %d", len(a.queued), finalAcceptBatch)
 		}
 	}
 	if _, err := a.nextConn(); !errors.Is(err, net.ErrClosed) || !a.stopped {
-		t.Errorf("behind the last: %v, shut %v", err, a.stopped)
+		t.Errorf("after the last connection: got error %v, stopped %v, want %v and true", err, a.stopped, net.ErrClosed)
 	}
 	if c, err := net.Dial("tcp", l.Addr().String()); err == nil {
 		c.Close()
-		t.Error("the listener is open")
+		t.Error("the listener is still open")
 	}
 }
 
-// The limits are changed in one step with the look at what is open, and whoever passes on what becomes free is told of
-// each connection that ends.
+// UpdateLimits sets the limits by the number of open connections, and Released reports each connection that ends, so
+// that its place in the quota can be released to another process.
 func TestLimitsFollowOpenConnections(t *testing.T) {
 	a := &Listener{metrics: &metrics.Metrics{}, released: make(chan struct{}, 1), maxConns: 2, maxActive: 2}
 	active := func() *clientConn { return &clientConn{reading: true} }
 	first := active()
 	if !a.admit(first) || !a.beginRequest(first) {
-		t.Fatal("not admitted")
+		t.Fatal("not admitted below the limit")
 	}
 	a.UpdateLimits(func(open int, accepting bool) (maxConns, maxActive int) {
 		if open != 1 || !accepting {
-			t.Errorf("%d open, accepting %v", open, accepting)
+			t.Errorf("got %d open, accepting %v, want 1 and true", open, accepting)
 		}
 		return 1, 1
 	})
 	if a.admit(active()) {
-		t.Error("admitted beyond the new limit")
+		t.Error("admitted above the new limit")
 	}
 	if len(a.Released()) != 0 {
-		t.Error("told of a connection that has not ended")
+		t.Error("Released has a value before a connection has ended")
 	}
 	a.connState(first, http.StateClosed)
 	if len(a.Released()) != 1 {
-		t.Error("not told of a connection that has ended")
+		t.Error("Released has no value after a connection has ended")
 	}
 	a.Resize(2, 3)
 	a.mu.Lock()
@@ -246,7 +246,7 @@
 	a.mu.Unlock()
 	a.UpdateLimits(func(open int, accepting bool) (maxConns, maxActive int) {
 		if open != 0 || accepting || a.maxConns != 2 || a.maxActive != 3 {
-			t.Errorf("%d open, accepting %v, limits %d and %d", open, accepting, a.maxConns, a.maxActive)
+			t.Errorf("got %d open, accepting %v, limits %d and %d, want 0, false, 2 and 3", open, accepting, a.maxConns, a.maxActive)
 		}
 		return 0, 0
 	})
--- a/internal/inbound/handler_test.go
+++ b/internal/inbound/handler_test.go
@@ -16,7 +16,7 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// countingDispatcher counts what it is given and answers nothing.
+// countingDispatcher counts calls of Submit and Abandon, and answers no request.
 type countingDispatcher struct {
 	settings *settings.Settings
 	calls    atomic.Int64
@@ -28,7 +28,7 @@
 func (d *countingDispatcher) Submit(*dispatch.Request)     { d.calls.Add(1) }
 func (d *countingDispatcher) Abandon(*dispatch.Request)    { d.calls.Add(1) }
 
-// newTestServer starts a server whose dispatcher answers nothing, and returns its address.
+// newTestServer starts a server with the given dispatcher, and returns its address.
 func newTestServer(t *testing.T, dispatcher Dispatcher, counters *metrics.Metrics, buffers *stream.Buffers, maxRequests int) string {
 	t.Helper()
 	s := New(Options{
@@ -65,7 +65,7 @@
 	return resp
 }
 
-// A long body that finds no buffer is rejected and never sent.
+// A request with a long body is rejected and not submitted if no buffer is free.
 func TestLongBodyWithoutBufferIsRejected(t *testing.T) {
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	dispatcher := &countingDispatcher{settings: &cfg.Settings}
@@ -77,17 +77,18 @@
 	addr := newTestServer(t, dispatcher, counters, exhausted, 10)
 	resp := post(t, addr, agenttest.Pattern(100_000))
 	if resp.StatusCode != protocol.StatusRejected || dispatcher.calls.Load() > 0 {
-		t.Errorf("answered %d with %d calls of the dispatcher", resp.StatusCode, dispatcher.calls.Load())
+		t.Errorf("got status %d and %d dispatcher calls, want %d and none",
+			resp.StatusCode, dispatcher.calls.Load(), protocol.StatusRejected)
 	}
 }
 
-// A request that is rejected over the agent's own limit has its answer, though the metrics do not know its class yet: a
-// reload makes the settings visible to handlers in that order.
+// A request that is rejected at the agent's own limit is answered even if the metrics do not know its class: counting
+// the response must not make the request fail.
 func TestRequestOfAnUnknownClassIsAnswered(t *testing.T) {
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	dispatcher := &countingDispatcher{settings: &cfg.Settings}
 	addr := newTestServer(t, dispatcher, &metrics.Metrics{}, stream.NewBuffers(0), 0)
 	if resp := post(t, addr, []byte("body")); resp.StatusCode != protocol.StatusRejected {
-		t.Errorf("answered %d, want %d", resp.StatusCode, protocol.StatusRejected)
+		t.Errorf("got status %d, want %d", resp.StatusCode, protocol.StatusRejected)
 	}
 }
