--- a/internal/dispatch/adopt_test.go
+++ b/internal/dispatch/adopt_test.go
@@ -46,7 +46,7 @@
 	agenttest.Receive(t, "write", writer.writing)
 	adopted := make(chan error, 1)
 	go func() { adopted <- l.adopt(t.Context(), &next.Settings) }()
-	for begun := time.Now(); time.Since(begun) < 200*time.Millisecond; time.Sleep(time.Millisecond) {
+	for start := time.Now(); time.Since(start) < 200*time.Millisecond; time.Sleep(time.Millisecond) {
 		if l.Settings() != &cfg.Settings {
 			t.Error("the settings are visible before the metrics have their classes")
 			break
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -89,7 +89,8 @@
 		l.abandon(ctx, r)
 		return
 	}
-	// The request was answered before the handler's notice arrived. The handler does not receive the response.
+	// The request ended before this input was handled. The handler does not receive its response any more, if there is
+	// one.
 	select {
 	case a := <-in.request.response:
 		if a.Download != nil {
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -68,7 +68,7 @@
 	inputs        chan input
 	done          chan struct{} // closed when Run returns
 
-	members   *membership.Table // according to discovery
+	members   *membership.Table // as of the last update from discovery
 	endpoints map[balancer.ServerID]*upstream.Endpoint
 	requests  map[balancer.RequestID]*openRequest
 	ids       *RequestIDs
@@ -114,8 +114,8 @@
 func (l *Loop) AwaitEndpoints(ctx context.Context) {
 	ticker := time.NewTicker(endpointsCheckInterval)
 	defer ticker.Stop()
-	begun := time.Now()
-	for !l.hasSynced.Load() && (time.Since(begun) < maxListWait || !l.Ready()) {
+	start := time.Now()
+	for !l.hasSynced.Load() && (time.Since(start) < maxListWait || !l.Ready()) {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -197,9 +197,9 @@
 		l.resetWake(wake)
 		select {
 		case in := <-l.inputs:
-			begun := time.Now()
+			start := time.Now()
 			in.handle(ctx, l)
-			l.metrics.LoopBusy(time.Since(begun))
+			l.metrics.LoopBusy(time.Since(start))
 		case <-wake.C:
 		case <-sweep.C:
 			l.pool.Sweep()
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -40,8 +40,8 @@
 // the response has to abandon the request.
 func (r *Request) Response() <-chan Response { return r.response }
 
-// hasEnded reports whether the request has ended or its client has closed the connection, so that no attempt may be
-// sent.
+// hasEnded reports whether the request has ended or its client has closed the connection. In either case no attempt may
+// be sent.
 func (r *Request) hasEnded() bool { return r.ended.Load() || r.ClientClosed() }
 
 // Response is the response to a client's request.
--- a/internal/inbound/admission.go
+++ b/internal/inbound/admission.go
@@ -57,7 +57,7 @@
 	return l.open, l.idle.Len()
 }
 
-// awaitEmpty waits until all connections or the context have ended.
+// awaitEmpty waits until all connections have ended or the context is done.
 func (l *Listener) awaitEmpty(ctx context.Context) {
 	ticker := time.NewTicker(emptyCheckInterval)
 	defer ticker.Stop()
@@ -99,7 +99,7 @@
 // evictable returns the connection to close for a new one, or nil if none may be closed. On a connection whose last
 // request was answered a moment ago the next one may have arrived already, so it is kept for IdleGrace. A new
 // connection is kept for newConnGrace because it is about to send its first request. If the number of connections has
-// reached both limits, a new connection is returned all the same, or else one that is sending a request. The caller
+// reached both limits, evictable returns a new connection anyway, or else one that is sending a request. The caller
 // holds the mutex.
 func (l *Listener) evictable() *clientConn {
 	if e := l.closing.Front(); e != nil {
--- a/internal/inbound/drain.go
+++ b/internal/inbound/drain.go
@@ -18,9 +18,9 @@
 )
 
 var (
-	// ErrShuttingDown is returned when the process is shutting down.
+	// ErrShuttingDown is returned while the process shuts down.
 	ErrShuttingDown = errors.New("the process is leaving")
-	// ErrDraining is returned when the operators drain the agent.
+	// ErrDraining is returned while the operators drain the agent.
 	ErrDraining = errors.New("clients are sent away")
 )
 
@@ -35,7 +35,7 @@
 	mu            sync.Mutex
 	drainSince    time.Time     // the zero time if the operators do not drain
 	shutdownSince time.Time     // the zero time if the process does not shut down
-	killedAfter   time.Duration // counted from shutdownSince
+	failAfter     time.Duration // when open requests fail, counted from shutdownSince
 	grace         time.Duration // how long connections may be idle
 	closingIdle   bool          // the goroutine that closes idle connections is running
 }
@@ -75,12 +75,13 @@
 	return nil
 }
 
-// shutDown starts the permanent drain of a shutdown. The platform kills the process after killedAfter.
-func (d *drainer) shutDown(killedAfter time.Duration) {
+// shutDown starts the permanent drain of a shutdown. A request that begins after killExemption fails
+// if it is still open after failAfter.
+func (d *drainer) shutDown(failAfter time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.shutdownSince = time.Now()
-	d.killedAfter = killedAfter
+	d.failAfter = failAfter
 }
 
 // closeIdleAfter starts closing connections that have been idle for the given time, as a drain does.
@@ -151,7 +152,7 @@
 	switch {
 	case !d.shutdownSince.IsZero():
 		elapsed := time.Since(d.shutdownSince)
-		return d.killedAfter - elapsed, elapsed > killExemption
+		return d.failAfter - elapsed, elapsed > killExemption
 	case !d.drainSince.IsZero():
 		elapsed := time.Since(d.drainSince)
 		return drainLimit - elapsed, elapsed > IdleGrace-idleCloseInterval && elapsed < drainLimit
--- a/internal/inbound/drain_test.go
+++ b/internal/inbound/drain_test.go
@@ -52,8 +52,8 @@
 		{"early in a drain", &drainer{drainSince: ago(time.Second)}, false, 0},
 		{"before the drain limit", &drainer{drainSince: ago(3 * time.Second)}, true, 800 * time.Millisecond},
 		{"long after the drain limit", &drainer{drainSince: ago(time.Minute)}, false, 0},
-		{"early in a shutdown", &drainer{shutdownSince: ago(100 * time.Millisecond), killedAfter: 3 * time.Second}, false, 0},
-		{"after the kill exemption", &drainer{shutdownSince: ago(time.Second), killedAfter: 3 * time.Second}, true, 2 * time.Second},
+		{"early in a shutdown", &drainer{shutdownSince: ago(100 * time.Millisecond), failAfter: 3 * time.Second}, false, 0},
+		{"after the kill exemption", &drainer{shutdownSince: ago(time.Second), failAfter: 3 * time.Second}, true, 2 * time.Second},
 	} {
 		got, limited := c.d.requestLimit()
 		if limited != c.limited || limited && (got > c.maxLimit || got < c.maxLimit-time.Second) {
--- a/internal/inbound/request.go
+++ b/internal/inbound/request.go
@@ -30,8 +30,7 @@
 	// hopHeaders are the hop-by-hop headers, which are not forwarded.
 	hopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
 		"Upgrade", "Expect", "Content-Length"}
-	// singleHeaders may occur only once in a request, because of two values a server could use the other one than the
-	// agent.
+	// singleHeaders may occur only once in a request, because of two values a server could use a different one.
 	singleHeaders = []string{protocol.HeaderRequestID, protocol.HeaderClass, protocol.HeaderTenant,
 		protocol.HeaderBudget, protocol.HeaderRetry, protocol.HeaderIdempotencyKey}
 )
@@ -173,8 +172,8 @@
 	return nil
 }
 
-// readBody reads a body that is short enough to be buffered, or returns an upload. Of an upload's body nothing has been
-// read, or if its length is unknown just more than can be buffered.
+// readBody reads a body that is short enough to be buffered, or returns an upload. Nothing of an upload's body has been
+// read yet, or just more than can be buffered if its length is unknown.
 func readBody(r *http.Request, source io.Reader) (body []byte, upload *stream.Upload, err error) {
 	if r.ContentLength > stream.MaxBufferedBytes {
 		return nil, stream.NewUpload(r.ContentLength, nil, source), nil
--- a/internal/inbound/response.go
+++ b/internal/inbound/response.go
@@ -55,7 +55,7 @@
 }
 
 // writeResponse writes a buffered response. Whether the connection closes is decided only now, so that a request that
-// began before a drain does not leave a connection open on which the next request crosses the close.
+// began before a drain does not leave a connection open on which the next request races with the close.
 func (h *clientHandler) writeResponse(w http.ResponseWriter, a dispatch.Response) {
 	// Without the deadline a client that reads nothing would block the response forever. Setting it fails only on a
 	// closed connection.
--- a/internal/inbound/server.go
+++ b/internal/inbound/server.go
@@ -83,12 +83,12 @@
 // StopDrain stops the drain. It returns ErrShuttingDown if the agent still drains because the process shuts down.
 func (s *Server) StopDrain() error { return s.drain.stop() }
 
-// StartShutdown drains the agent permanently. A request that begins after killExemption ends by killedAfter, when the
-// caller has to call FailOpenRequests.
-func (s *Server) StartShutdown(killedAfter time.Duration) { s.drain.shutDown(killedAfter) }
+// StartShutdown drains the agent permanently. A request that begins after killExemption fails if it is still open after
+// failAfter, when the caller has to call FailOpenRequests.
+func (s *Server) StartShutdown(failAfter time.Duration) { s.drain.shutDown(failAfter) }
 
-// FailOpenRequests answers all open requests as failed, except those whose download has started. It must be called only
-// once.
+// FailOpenRequests answers all open requests as failed, except those whose download has started. It must not be called
+// twice.
 func (s *Server) FailOpenRequests() { close(s.handler.failOpen) }
 
 // DrainAcceptQueue accepts the connections that wait in the listener's queue and then closes the listener, so that
@@ -109,7 +109,7 @@
 // Count returns the number of open connections, and how many of them have no request.
 func (s *Server) Count() (open, idle int) { return s.listener.count() }
 
-// AwaitEmpty waits until all connections or the context have ended.
+// AwaitEmpty waits until all connections have ended or the context is done.
 func (s *Server) AwaitEmpty(ctx context.Context) { s.listener.awaitEmpty(ctx) }
 
 // Close closes all connections immediately.
