--- a/internal/agent/clientclosed_test.go
+++ b/internal/agent/clientclosed_test.go
@@ -58,7 +58,7 @@
 func TestNoAttemptForClosedClient(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		for _, mode := range closeModes {
-			for _, size := range []int{10, stream.MaxHeldBytes + 1000} {
+			for _, size := range []int{10, stream.MaxBufferedBytes + 1000} {
 				t.Run(fmt.Sprintf("%s/cancel %v/%d bytes", mode, cancel, size), func(t *testing.T) {
 					t.Parallel()
 					addr, fd := agenttest.FullListener(t)
--- a/internal/agent/outcomes_test.go
+++ b/internal/agent/outcomes_test.go
@@ -127,7 +127,7 @@
 // A truncated response is never forwarded as complete, whatever its framing and wherever it breaks off: a short one
 // becomes a failure, and the client can tell that a long one is incomplete.
 func TestTruncatedResponses(t *testing.T) {
-	long := string(agenttest.Pattern(stream.MaxHeldBytes + 1000))
+	long := string(agenttest.Pattern(stream.MaxBufferedBytes + 1000))
 	for name, text := range map[string]string{
 		"no length":             "HTTP/1.1 200 OK\r\n\r\nhalf",
 		"no length and nothing": "HTTP/1.1 200 OK\r\n\r\n",
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -98,7 +98,7 @@
 	}()
 	sent := agenttest.Receive(t, "request", b.Requests)
 	remaining, err := protocol.ParseBudget(sent.Header.Get(protocol.HeaderBudget))
-	if latest := 20*time.Second - inbound.MaxAnswerMargin; err != nil || remaining > latest || remaining < latest-time.Since(started) {
+	if latest := 20*time.Second - inbound.MaxResponseMargin; err != nil || remaining > latest || remaining < latest-time.Since(started) {
 		t.Errorf("got a forwarded budget of %v, error %v, want at most %v", remaining, err, latest)
 	}
 }
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -28,7 +28,7 @@
 func (a *agent) shutDown(workCtx context.Context, served <-chan error) error {
 	started := time.Now()
 	failOpenAfter := a.killDelay() - finalResponseMargin
-	failOpen := time.AfterFunc(failOpenAfter, a.clients.FailOpen)
+	failOpen := time.AfterFunc(failOpenAfter, a.clients.FailOpenRequests)
 	defer failOpen.Stop()
 	// After failOpenAfter only downloads are still open, and the platform may cut those off.
 	shutdownCtx, cancel := context.WithDeadline(workCtx, started.Add(maxShutdown))
@@ -45,7 +45,7 @@
 	}
 	if a.peers.Leave() {
 		a.log.Info("clients handed over to another process")
-		a.clients.FinishQueue()
+		a.clients.DrainAcceptQueue()
 	} else {
 		a.clients.CloseListener()
 	}
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -10,7 +10,7 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// input is something that has happened, on its way to the loop, whose goroutine calls handle.
+// input is an occurrence that the loop reacts to. The loop's goroutine calls handle.
 type input interface {
 	handle(ctx context.Context, l *Loop)
 }
@@ -18,16 +18,16 @@
 type (
 	// endpointsNotified is a watch event of discovery.
 	endpointsNotified struct{ discovery.WatchEvent }
-	// submitted is a request that a client has sent, completely or up to its upload.
+	// submitted is a request that has been read from a client, completely or up to its upload.
 	submitted struct{ request *Request }
-	// abandoned is a request whose answer nobody waits for.
+	// abandoned is a request whose response is no longer awaited.
 	abandoned struct{ request *Request }
-	// streaming says that an attempt uses an upload, or that its answer is a download.
+	// streaming reports that an attempt uses an upload, or that its response is a download.
 	streaming struct {
-		request balancer.RequestID
-		attempt int
-		server  balancer.ServerID
-		answer  Answer // its Download is nil if the attempt uses an upload
+		request  balancer.RequestID
+		attempt  int
+		server   balancer.ServerID
+		response Response // its Download is nil if the attempt uses an upload
 	}
 	// attemptEnded is the outcome of an attempt.
 	attemptEnded struct {
@@ -36,8 +36,8 @@
 		server    balancer.ServerID
 		outcome   balancer.Outcome
 		load      balancer.LoadReport
-		answer    Answer // if the outcome is OK
-		abandoned bool   // the attempt found that nobody waits for the answer
+		response  Response // if the outcome is OK
+		abandoned bool     // not sent, because the response is no longer awaited
 	}
 	// healthCheckEnded is the outcome of a health check.
 	healthCheckEnded struct {
@@ -45,10 +45,10 @@
 		outcome balancer.Outcome
 		load    balancer.LoadReport
 	}
-	// settingsReloaded are settings that are to be put in force.
+	// settingsReloaded requests that settings be put in force.
 	settingsReloaded struct {
 		next   *settings.Settings
-		result chan<- error // holds one
+		result chan<- error // capacity 1
 	}
 )
 
@@ -72,26 +72,27 @@
 	l.metrics.RequestDispatched()
 	if !r.translate(l.settings.Load()) {
 		l.ids.close(r.idHash)
-		r.answered <- Answer{Status: protocol.StatusRejected}
+		r.response <- Response{Status: protocol.StatusRejected}
 		return
 	}
-	r.number = l.newNumber()
-	l.requests[r.number] = newOpenRequest(r)
+	r.balancerID = l.newBalancerID()
+	l.requests[r.balancerID] = newOpenRequest(r)
 	l.handle(ctx, balancer.Event{
-		Kind: balancer.EventRequest, Request: r.number, Class: r.Class, Tenant: r.Tenant, Retry: r.Retry,
+		Kind: balancer.EventRequest, Request: r.balancerID, Class: r.Class, Tenant: r.Tenant, Retry: r.Retry,
 		Remaining: r.Deadline - l.clock.Now(),
 	})
 }
 
 func (in abandoned) handle(ctx context.Context, l *Loop) {
-	r := l.requests[in.request.number]
+	r := l.requests[in.request.balancerID]
 	if r != nil && !r.ended.Load() {
 		l.abandon(ctx, r)
 		return
 	}
-	// It crossed the answer, if there was one.
+	// The request ended before this input was handled. The handler does not receive its response any more, if there is
+	// one.
 	select {
-	case a := <-in.request.answered:
+	case a := <-in.request.response:
 		if a.Download != nil {
 			a.Download.Finish(stream.ErrNotRead)
 		}
@@ -101,9 +102,9 @@
 
 func (in streaming) handle(ctx context.Context, l *Loop) {
 	r := l.requests[in.request]
-	if in.answer.Download != nil {
-		if !r.answer(in.answer) { // another attempt's answer was first
-			in.answer.Download.Finish(stream.ErrNotRead)
+	if in.response.Download != nil {
+		if !r.respond(in.response) { // the request was answered or abandoned before
+			in.response.Download.Finish(stream.ErrNotRead)
 			return
 		}
 		r.streamingAttempt = in.attempt
@@ -120,13 +121,13 @@
 		l.abandon(ctx, r)
 	}
 	if in.outcome == balancer.OutcomeOK {
-		r.answer(in.answer)
+		r.respond(in.response)
 	}
 	l.handle(ctx, balancer.Event{
 		Kind: balancer.EventOutcome, Request: in.request, Attempt: in.attempt, Server: in.server,
 		Outcome: in.outcome, Load: in.load, Answered: r.ended.Load(),
 	})
-	l.forget(r)
+	l.removeIfDone(r)
 }
 
 func (in healthCheckEnded) handle(ctx context.Context, l *Loop) {
@@ -138,10 +139,10 @@
 	in.result <- l.adopt(ctx, in.next)
 }
 
-// abandon ends a request whose client has closed its connection, and releases its handler if that still waits.
+// abandon ends a request whose client has closed its connection, and releases its handler if that is still waiting.
 func (l *Loop) abandon(ctx context.Context, r *openRequest) {
-	r.answer(Answer{})
+	r.respond(Response{})
 	l.metrics.ClientClosed()
-	l.handle(ctx, balancer.Event{Kind: balancer.EventClientClosed, Request: r.number})
-	l.forget(r)
+	l.handle(ctx, balancer.Event{Kind: balancer.EventClientClosed, Request: r.balancerID})
+	l.removeIfDone(r)
 }
