--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -93,7 +93,7 @@
 			for _, n := range []int{1000, 2000} { // whoever waits for all of a short answer has waited enough
 				w.Write(body[n-1000 : n])
 				w.(http.Flusher).Flush()
-				time.Sleep(2 * upstream.CompleteWait)
+				time.Sleep(2 * upstream.MaxBufferTime)
 			}
 			<-goOn
 			w.Write(body[2000:])
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -65,7 +65,7 @@
 		options.Timer.Stop()
 		ended.outcome = result.Outcome
 		ended.load = result.Load
-		ended.answer = clientAnswer(result.Answer)
+		ended.answer = clientAnswer(result.Response)
 		ended.abandoned = result.Abandoned
 		l.send(ended)
 	}()
@@ -75,7 +75,7 @@
 // waits until the client's handler has finished the download.
 func (l *Loop) reportStreaming(options *upstream.Attempt, begun streaming) {
 	options.OnStreaming = func() { l.send(begun) }
-	options.PassOn = func(a upstream.Answer) error {
+	options.Forward = func(a upstream.Response) error {
 		in := begun
 		in.answer = clientAnswer(a)
 		l.send(in)
@@ -89,7 +89,7 @@
 }
 
 // clientAnswer is a server's answer as the client gets it.
-func clientAnswer(a upstream.Answer) Answer {
+func clientAnswer(a upstream.Response) Answer {
 	return Answer{Status: http.StatusOK, ContentType: a.ContentType, Body: a.Body, Download: a.Download}
 }
 
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -94,7 +94,7 @@
 	}
 	list(balancer.EndpointsChanged, "Gone")
 	agenttest.Receive(t, "close of the idle connection", b.Closed)
-	if len(l.endpoints) > 0 || l.pool.Endpoints() > 0 || l.members.Len() > 0 {
+	if len(l.endpoints) > 0 || l.pool.EndpointCount() > 0 || l.members.Len() > 0 {
 		t.Errorf("still known: %v %v", l.endpoints, l.members.Members())
 	}
 	send.DispatchWithin = 0
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -18,8 +18,8 @@
 	errAbandoned     = errors.New("request abandoned")
 )
 
-// Answer is a server's answer with status 200.
-type Answer struct {
+// Response is a server's answer with status 200.
+type Response struct {
 	ContentType string
 	Body        []byte
 	Download    *stream.Download // in place of a body that is held; nil otherwise
@@ -29,8 +29,8 @@
 type Result struct {
 	Outcome   balancer.Outcome
 	Load      balancer.LoadReport
-	Answer    Answer // a complete one, if the outcome is OK
-	Abandoned bool   // nothing was sent, because nobody waits for the answer
+	Response  Response // a complete one, if the outcome is OK
+	Abandoned bool     // nothing was sent, because nobody waits for the answer
 }
 
 // Attempt holds the terms of one exchange.
@@ -47,9 +47,9 @@
 	LoadFields []string
 	// OnStreaming is called before the first of an upload is used.
 	OnStreaming func()
-	// PassOn passes on an answer that is too long to be held, and returns when that has ended. If it is nil such an answer
+	// Forward passes on an answer that is too long to be held, and returns when that has ended. If it is nil such an answer
 	// counts as broken.
-	PassOn func(Answer) error
+	Forward func(Response) error
 }
 
 // written is how much of a request was written: on its last byte it depends whether the request can have run.
@@ -77,7 +77,7 @@
 		Load:    parseLoadReport(answer.head.Header.Get(protocol.HeaderLoadReport), a.LoadFields),
 	}
 	if result.Outcome == balancer.OutcomeOK {
-		result.Answer = Answer{ContentType: answer.head.Header.Get("Content-Type"), Body: answer.body}
+		result.Response = Response{ContentType: answer.head.Header.Get("Content-Type"), Body: answer.body}
 	}
 	return result
 }
@@ -208,13 +208,13 @@
 		answer.head.Close = true // nobody reads the rest
 		return nil
 	}
-	if a.PassOn == nil {
+	if a.Forward == nil {
 		return errAnswerTooLong
 	}
 	if !a.Timer.Stop() {
 		return context.DeadlineExceeded // the context may not have ended yet
 	}
-	return a.PassOn(Answer{
+	return a.Forward(Response{
 		ContentType: answer.head.Header.Get("Content-Type"),
 		Download:    stream.NewDownload(answer.head.ContentLength, answer.body, answer.rest, c, func() { c.Close() }),
 	})
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -155,7 +155,7 @@
 	}
 	r := p.Exchange(t.Context(), p.AddEndpoint(b.Addr, 0), m, &Attempt{
 		Deadline: time.Now().Add(agenttest.Timeout), Timer: fired,
-		PassOn: func(Answer) error { t.Error("passed on"); return nil },
+		Forward: func(Response) error { t.Error("passed on"); return nil },
 	})
 	if r.Outcome != balancer.OutcomeTimeout {
 		t.Errorf("outcome %d", r.Outcome)
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -26,7 +26,7 @@
 	deadline, _ := ctx.Deadline()
 	result := p.Exchange(ctx, e, request, &Attempt{Deadline: deadline, LoadFields: s.ReportFields})
 	if result.Outcome == balancer.OutcomeOK && reports {
-		result.Load = parseLoadReport(string(result.Answer.Body), s.ReportFields)
+		result.Load = parseLoadReport(string(result.Response.Body), s.ReportFields)
 	}
 	return result
 }
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -100,8 +100,8 @@
 	return len(e.idle)
 }
 
-// Endpoints returns how many endpoints there are that are not retired.
-func (p *Pool) Endpoints() int {
+// EndpointCount returns how many endpoints there are that are not retired.
+func (p *Pool) EndpointCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.endpoints)
--- a/internal/upstream/readanswer.go
+++ b/internal/upstream/readanswer.go
@@ -19,9 +19,9 @@
 	answerHeadTimeout = time.Second
 	// maxAnswerPause is how long a server may pause within a short answer.
 	maxAnswerPause = time.Second
-	// CompleteWait is how long the beginning of an answer that is long, or does not state its length, is held back: it may
+	// MaxBufferTime is how long the beginning of an answer that is long, or does not state its length, is held back: it may
 	// be short after all, or break off.
-	CompleteWait = 50 * time.Millisecond
+	MaxBufferTime = 50 * time.Millisecond
 )
 
 var (
@@ -85,7 +85,7 @@
 }
 
 // readBody reads a body to its end if it is short, and otherwise its beginning: as much as can be held, or has come within
-// CompleteWait. A break within the beginning shows here, where nothing was passed on that could not be taken back.
+// MaxBufferTime. A break within the beginning shows here, where nothing was passed on that could not be taken back.
 func (c *conn) readBody(head *http.Response) (body []byte, complete bool, err error) {
 	short := head.ContentLength >= 0 && head.ContentLength <= stream.MaxHeldBytes
 	if short {
@@ -93,7 +93,7 @@
 	}
 	begun := time.Now()
 	for {
-		if !short && !c.readableBefore(begun.Add(CompleteWait)) {
+		if !short && !c.readableBefore(begun.Add(MaxBufferTime)) {
 			return body, false, nil
 		}
 		if err := c.SetReadDeadline(time.Now().Add(maxAnswerPause)); err != nil {
