--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// conn is a connection to a server. It carries one request at a time and is its exchange's, or the pool's while it is idle.
+// conn is a connection to a server. It carries one request at a time. It is owned by the exchange that uses it, and by
+// the pool while it is idle.
 type conn struct {
 	net.Conn
 	endpoint  *Endpoint
-	limit     io.LimitedReader // bounds what one answer may hold, headers included
+	limit     io.LimitedReader // bounds the size of a response head; unlimited for the body
 	buffered  *bufio.Reader
 	idleSince time.Time
-	used      bool          // it has carried an answer
-	idleAge   time.Duration // how long it was idle when it was taken
-	readErr   error         // why nothing more can be read
+	used      bool          // it has carried at least one response
+	idleAge   time.Duration // how long it had been idle when it was last taken from the pool
+	readErr   error         // the first read error, returned by all later reads
 }
 
 func newConn(raw net.Conn, e *Endpoint) *conn {
@@ -29,8 +30,9 @@
 	return c
 }
 
-// Read keeps what ended the connection. The kernel reports a reset once and an orderly end from then on, so an answer that
-// ends with its connection would look complete to whoever reads next.
+// Read reads from the connection and returns its first error, other than a timeout, on every later call. The kernel
+// reports a reset only once and end of file from then on, so after a reset a response that is delimited by the end of
+// its connection would look complete to the next read.
 func (c *conn) Read(b []byte) (int, error) {
 	if c.readErr != nil {
 		return 0, c.readErr
@@ -42,8 +44,8 @@
 	return n, err
 }
 
-// stale says that the server has closed the connection, or sent something without a request. It peeks into the socket,
-// because a request that is written to a closed connection cannot be told from one that has run.
+// stale reports whether the server has closed the idle connection or sent data without a request. It peeks into the
+// socket, because a request written to a closed connection cannot be distinguished from one that has run.
 func (c *conn) stale() bool {
 	sys, ok := c.Conn.(syscall.Conn)
 	if !ok {
@@ -53,12 +55,12 @@
 	if err != nil {
 		return true
 	}
-	quiet := false
+	noInput := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
+		noInput = errors.Is(err, syscall.EAGAIN) || errors.Is(err, syscall.EINTR)
 		return true
 	})
-	return err != nil || !quiet
+	return err != nil || !noInput
 }
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -13,77 +13,80 @@
 )
 
 var (
-	// errRepeatTooLate says that the servers no longer remember a request that was to be repeated.
-	errRepeatTooLate = errors.New("too late to repeat the request")
-	errAbandoned     = errors.New("request abandoned")
+	// errSendTooLate is returned for an attempt after Attempt.SendBefore: the servers may have forgotten the request's
+	// earlier attempts and would not deduplicate it.
+	errSendTooLate = errors.New("too late to send another attempt")
+	errAbandoned   = errors.New("request abandoned")
 )
 
-// Response is a server's answer with status 200.
+// Response is a server's response with status 200.
 type Response struct {
 	ContentType string
 	Body        []byte
-	Download    *stream.Download // in place of a body that is held; nil otherwise
+	Download    *stream.Download // replaces Body if the body is too large to buffer; nil otherwise
 }
 
-// Result is how an attempt or a health check ended.
+// Result is the result of an attempt or a health check.
 type Result struct {
 	Outcome   balancer.Outcome
 	Load      balancer.LoadReport
-	Response  Response // a complete one, if the outcome is OK
-	Abandoned bool     // nothing was sent, because nobody waits for the answer
+	Response  Response // complete if the outcome is OK; otherwise zero
+	Abandoned bool     // nothing was sent, because nobody waits for the response
 }
 
-// Attempt holds the terms of one exchange.
+// Attempt holds the deadlines and callbacks of one exchange.
 type Attempt struct {
-	// Deadline is when the answer's first bytes have to be there; for a request with an upload it counts from its last byte.
+	// Deadline is when the first bytes of the response must have arrived. A request with an upload has its
+	// Upload.Budget instead, counted from its last byte.
 	Deadline time.Time
-	// Timer ends the exchange's context at the deadline. It may be nil if neither request nor answer can be a stream.
+	// Timer ends the exchange's context at the deadline. It may be nil if neither request nor response can be a stream.
 	Timer *time.Timer
-	// SendBefore is when it is too late to send; the zero time stands for never.
+	// SendBefore is when it is too late to send the request; the zero time means never.
 	SendBefore time.Time
-	// Abandoned says whether nobody waits for the answer any more; nil stands for never.
+	// Abandoned reports whether nobody waits for the response any more; nil means never.
 	Abandoned func() bool
-	// LoadFields are the names that a load report may have.
+	// LoadFields are the field names that a load report may contain.
 	LoadFields []string
-	// OnStreaming is called before the first of an upload is used.
+	// OnStreaming is called before any of an upload is sent.
 	OnStreaming func()
-	// Forward passes on an answer that is too long to be held, and returns when that has ended. If it is nil such an answer
-	// counts as broken.
+	// Forward streams a response that is too large to buffer, and returns when the stream has ended. If it is nil, such
+	// a response counts as broken.
 	Forward func(Response) error
 }
 
-// written is how much of a request was written: on its last byte it depends whether the request can have run.
-type written int
+// writeProgress is how much of a request was written. A request cannot have run before its last byte was written.
+type writeProgress int
 
 const (
-	writtenNothing written = iota
+	writtenNothing writeProgress = iota
 	writtenPart
 	writtenAll
 )
 
-// Exchange sends a request once and waits for its answer until the context ends, whose cause is context.Canceled or
-// context.DeadlineExceeded.
+// Exchange sends a request once and waits for its response until the context ends. The cause of the context must be
+// context.Canceled or context.DeadlineExceeded.
 func (p *Pool) Exchange(ctx context.Context, e *Endpoint, r *Request, a *Attempt) Result {
-	answer, sent, err := p.roundTrip(ctx, e, r, a)
+	response, sent, err := p.roundTrip(ctx, e, r, a)
 	if err != nil {
 		return Result{
-			Outcome:   outcomeOfError(err, context.Cause(ctx), sent),
+			Outcome:   outcomeForError(err, context.Cause(ctx), sent),
 			Load:      settings.UnknownLoad(),
 			Abandoned: errors.Is(err, errAbandoned),
 		}
 	}
 	result := Result{
-		Outcome: outcomeOfAnswer(answer.head),
-		Load:    parseLoadReport(answer.head.Header.Get(protocol.HeaderLoadReport), a.LoadFields),
+		Outcome: outcomeForResponse(response.head),
+		Load:    parseLoadReport(response.head.Header.Get(protocol.HeaderLoadReport), a.LoadFields),
 	}
 	if result.Outcome == balancer.OutcomeOK {
-		result.Response = Response{ContentType: answer.head.Header.Get("Content-Type"), Body: answer.body}
+		result.Response = Response{ContentType: response.head.Header.Get("Content-Type"), Body: response.body}
 	}
 	return result
 }
 
-// outcomeOfError returns the outcome of an exchange that failed. What was not written completely cannot have run.
-func outcomeOfError(err, cause error, sent written) balancer.Outcome {
+// outcomeForError returns the outcome of an exchange that failed. A request that was not written completely cannot have
+// run.
+func outcomeForError(err, cause error, sent writeProgress) balancer.Outcome {
 	switch {
 	case errors.Is(err, errAbandoned):
 		return balancer.OutcomeExpired
@@ -93,7 +96,7 @@
 		return balancer.OutcomeCancelled
 	case errors.Is(err, errServerDraining):
 		return balancer.OutcomeServerDraining
-	case errors.Is(err, errRepeatTooLate), errors.Is(err, stream.ErrBodyIncomplete), isLocalShortage(err):
+	case errors.Is(err, errSendTooLate), errors.Is(err, stream.ErrBodyIncomplete), isSocketShortage(err):
 		return balancer.OutcomeExpired
 	case sent != writtenAll:
 		return balancer.OutcomeConnectFailed
@@ -103,9 +106,9 @@
 	return balancer.OutcomeReset
 }
 
-// outcomeOfAnswer returns what a complete answer means. A request with a status that the protocol does not name may have
-// run.
-func outcomeOfAnswer(head *http.Response) balancer.Outcome {
+// outcomeForResponse returns the outcome for a complete response. A request may have run if its response has a status
+// that the protocol does not name.
+func outcomeForResponse(head *http.Response) balancer.Outcome {
 	switch head.StatusCode {
 	case http.StatusOK:
 		return balancer.OutcomeOK
@@ -117,14 +120,15 @@
 	return balancer.OutcomeError
 }
 
-// roundTrip returns a complete answer, or one whose body has been passed on, or an error and how much was written before it.
-func (p *Pool) roundTrip(ctx context.Context, e *Endpoint, r *Request, a *Attempt) (*serverAnswer, written, error) {
+// roundTrip sends a request and returns a response that is complete or whose body has been forwarded. With an error it
+// returns how much of the request was written.
+func (p *Pool) roundTrip(ctx context.Context, e *Endpoint, r *Request, a *Attempt) (*serverResponse, writeProgress, error) {
 	c, err := p.get(ctx, e)
 	if err != nil {
 		return nil, writtenNothing, err
 	}
 	reusable := false
-	stop := context.AfterFunc(ctx, func() { c.Close() }) // which ends a read or write that waits
+	stop := context.AfterFunc(ctx, func() { c.Close() }) // unblocks a pending read or write
 	defer func() {
 		if stop() && reusable {
 			p.put(c)
@@ -142,7 +146,7 @@
 	if !r.healthCheck {
 		p.metrics.AttemptSent()
 	}
-	answer, err := c.receive(a)
+	response, err := c.receive(a)
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, stream.ErrNotRead) {
 			p.metrics.AnswerBroken(c.used, err)
@@ -151,18 +155,19 @@
 		return nil, writtenAll, err
 	}
 	p.recordLoss(c, false)
-	// Bytes that follow an answer would be read as the next request's answer.
-	reusable = !answer.head.Close && c.buffered.Buffered() == 0
-	return answer, writtenAll, nil
+	// Bytes after a response would be read as the response to the next request.
+	reusable = !response.head.Close && c.buffered.Buffered() == 0
+	return response, writtenAll, nil
 }
 
-// checkSendable is the last look before a request's first byte, because its connection may have been slow to come up.
+// checkSendable returns an error if a request must no longer be sent. It runs right before the first byte is written,
+// because connecting may have taken long.
 func checkSendable(e *Endpoint, r *Request, a *Attempt) error {
 	switch {
 	case e.Draining():
 		return errServerDraining
 	case !a.SendBefore.IsZero() && !time.Now().Before(a.SendBefore):
-		return errRepeatTooLate
+		return errSendTooLate
 	case a.Abandoned != nil && a.Abandoned():
 		return errAbandoned
 	case r.upload != nil && !r.upload.Claim():
@@ -171,7 +176,7 @@
 	return nil
 }
 
-// writeRequest writes a request to its last byte. The attempt's time begins with the last byte of an upload.
+// writeRequest writes a request up to its last byte. For an upload the attempt's timer restarts after the last byte.
 func (c *conn) writeRequest(r *Request, a *Attempt) error {
 	if r.upload == nil {
 		_, err := c.Write(r.encode(time.Until(a.Deadline)))
@@ -190,32 +195,33 @@
 	return nil
 }
 
-// receive reads an answer, and passes it on if it is too long to be held.
-func (c *conn) receive(a *Attempt) (*serverAnswer, error) {
-	answer, err := c.readAnswer()
-	if err != nil || answer.rest == nil {
-		return answer, err
+// receive reads a response, and forwards it if it is too large to buffer.
+func (c *conn) receive(a *Attempt) (*serverResponse, error) {
+	response, err := c.readResponse()
+	if err != nil || response.rest == nil {
+		return response, err
 	}
-	if err := c.passOn(answer, a); err != nil {
+	if err := c.forward(response, a); err != nil {
 		return nil, err
 	}
-	return &serverAnswer{head: answer.head}, nil
+	return &serverResponse{head: response.head}, nil
 }
 
-// passOn passes on an answer that is too long to be held. Its first bytes were in time, and no deadline holds from here on.
-func (c *conn) passOn(answer *serverAnswer, a *Attempt) error {
-	if outcomeOfAnswer(answer.head) != balancer.OutcomeOK {
-		answer.head.Close = true // nobody reads the rest
+// forward streams a response that is too large to buffer. Its first bytes arrived before the deadline, which no longer
+// applies.
+func (c *conn) forward(response *serverResponse, a *Attempt) error {
+	if outcomeForResponse(response.head) != balancer.OutcomeOK {
+		response.head.Close = true // nobody reads the rest
 		return nil
 	}
 	if a.Forward == nil {
-		return errAnswerTooLong
+		return errResponseTooLarge
 	}
 	if !a.Timer.Stop() {
 		return context.DeadlineExceeded // the context may not have ended yet
 	}
 	return a.Forward(Response{
-		ContentType: answer.head.Header.Get("Content-Type"),
-		Download:    stream.NewDownload(answer.head.ContentLength, answer.body, answer.rest, c, func() { c.Close() }),
+		ContentType: response.head.Header.Get("Content-Type"),
+		Download:    stream.NewDownload(response.head.ContentLength, response.body, response.rest, c, func() { c.Close() }),
 	})
 }
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -162,7 +162,8 @@
 	}
 }
 
-// The buffer of a body goes back once: by the attempt that has claimed the body, however it ends, or else by the handler.
+// The buffer of a body goes back once: by the attempt that has claimed the body, however it ends, or else by the
+// handler.
 func TestBufferIsGivenBack(t *testing.T) {
 	none := func(net.Conn) {}
 	for what, play := range map[string]func(net.Conn){"taken": none, "cut off": func(c net.Conn) { c.Close() }} {
--- a/internal/upstream/healthcheck.go
+++ b/internal/upstream/healthcheck.go
@@ -12,7 +12,8 @@
 
 const healthCheckTimeout = 300 * time.Millisecond
 
-// HealthCheck asks an endpoint for its load report if the settings want reports, and otherwise only whether it is alive.
+// HealthCheck requests an endpoint's load report if the settings enable reports, and otherwise only checks that the
+// endpoint is alive.
 func (p *Pool) HealthCheck(ctx context.Context, e *Endpoint, s *settings.Settings) Result {
 	path := protocol.PathLive
 	reports := s.Balancer.Reports != balancer.ReportsOff
--- a/internal/upstream/idleage.go
+++ b/internal/upstream/idleage.go
@@ -6,52 +6,55 @@
 )
 
 const (
-	// firstIdleBand is the first band of idle ages; each further one is twice as long as the one before.
-	firstIdleBand = 8 * time.Millisecond
-	idleBands     = 12
-	// A band is bad if minLostRequests were lost on its connections and they are more than maxLostShare of all. The share
-	// is well above the resets that servers cause at any age.
+	// firstIdleBucket is the width of the first bucket of idle ages. Each further bucket ends at twice the age of the
+	// one before.
+	firstIdleBucket = 8 * time.Millisecond
+	idleBuckets     = 12
+	// A bucket is bad if at least minLostRequests requests were lost on its connections and their share exceeds
+	// maxLossRate. This is well above the rate of resets that servers cause at any idle age.
 	minLostRequests = 2.0
-	maxLostShare    = 0.15
-	// idleAgeDecay is what a sweep keeps of the counts, so that a bad band is tried again within half a minute.
+	maxLossRate     = 0.15
+	// idleAgeDecay is the factor that each sweep applies to the counts, so that a bad bucket is retried within half a
+	// minute.
 	idleAgeDecay = 0.96
 )
 
-// idleAge learns how long a connection may have been idle and still carry a request. The settings state only when servers
-// close one at the latest; some servers, or middleboxes, drop it far sooner without notice. Its owner guards it.
-type idleAge struct {
-	used, lost [idleBands]float64
+// idleAgeStats estimates how long a connection may be idle and still be reused. The idle timeout in the settings is
+// only an upper bound: some servers or middleboxes drop idle connections far sooner without notice. The owner
+// synchronizes access.
+type idleAgeStats struct {
+	used, lost [idleBuckets]float64 // decayed request counts by idle age
 }
 
-// idleBand is the band that an idle age falls into.
-func idleBand(age time.Duration) int {
-	return min(bits.Len64(uint64(max(0, age)/firstIdleBand)), idleBands-1)
+// idleBucket returns the index of the bucket for an idle age.
+func idleBucket(age time.Duration) int {
+	return min(bits.Len64(uint64(max(0, age)/firstIdleBucket)), idleBuckets-1)
 }
 
-// record takes in whether a request was lost on a connection that had been idle for so long.
-func (a *idleAge) record(age time.Duration, lost bool) {
-	band := idleBand(age)
-	a.used[band]++
+// record counts a request on a connection of the given idle age, and whether it was lost.
+func (a *idleAgeStats) record(age time.Duration, lost bool) {
+	bucket := idleBucket(age)
+	a.used[bucket]++
 	if lost {
-		a.lost[band]++
+		a.lost[bucket]++
 	}
 }
 
-// allows says whether a connection that has been idle for so long may be used: no band up to its own is bad.
-func (a *idleAge) allows(age time.Duration) bool {
-	// The first band is left out, because what breaks without idle time breaks on a new connection too.
-	for band := 1; band <= idleBand(age); band++ {
-		if a.lost[band] >= minLostRequests && a.lost[band] > maxLostShare*a.used[band] {
+// allows reports whether a connection of the given idle age may be reused: no bucket up to its own is bad.
+func (a *idleAgeStats) allows(age time.Duration) bool {
+	// The first bucket is skipped: a request that fails without idle time would also fail on a new connection.
+	for bucket := 1; bucket <= idleBucket(age); bucket++ {
+		if a.lost[bucket] >= minLostRequests && a.lost[bucket] > maxLossRate*a.used[bucket] {
 			return false
 		}
 	}
 	return true
 }
 
-// decay lets the counts fade.
-func (a *idleAge) decay() {
-	for band := range a.used {
-		a.used[band] *= idleAgeDecay
-		a.lost[band] *= idleAgeDecay
+// decay reduces the counts by idleAgeDecay.
+func (a *idleAgeStats) decay() {
+	for bucket := range a.used {
+		a.used[bucket] *= idleAgeDecay
+		a.lost[bucket] *= idleAgeDecay
 	}
 }
--- a/internal/upstream/idleage_test.go
+++ b/internal/upstream/idleage_test.go
@@ -21,7 +21,7 @@
 		{"all break from a second on", func(idle time.Duration, _ int) bool { return idle >= 1024*time.Millisecond },
 			1024 * time.Millisecond},
 	} {
-		var l idleAge
+		var l idleAgeStats
 		idles := []time.Duration{0, 20 * time.Millisecond, 50 * time.Millisecond, 100 * time.Millisecond,
 			150 * time.Millisecond, 300 * time.Millisecond, 600 * time.Millisecond, 2 * time.Second}
 		for n := range 40 {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -1,8 +1,8 @@
-// Package upstream keeps the connections to servers and exchanges one request for one answer over them.
+// Package upstream pools the connections to servers and exchanges requests and responses over them.
 //
-// The Pool owns all connections; its mutex guards the idle ones and the endpoints. A connection in use belongs to the one
-// exchange that took it. The package never sends a request twice: whether one may be repeated is the balancer's to decide,
-// by the outcome that an exchange reports.
+// The Pool owns all connections; its mutex guards the idle ones and the endpoints. A connection in use belongs to the
+// exchange that took it. The package never sends a request twice: the balancer decides whether to retry, based on the
+// outcome that an exchange returns.
 package upstream
 
 import (
@@ -18,43 +18,43 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// idleMargin is how long before a server may close an idle connection it is no longer used, because a request that crosses
-// the close ends as a reset, and may have run.
+// idleMargin is subtracted from the idle timeout of servers: a connection is no longer reused this long before the
+// server may close it. A request that crosses the close ends in a reset and may have run.
 const idleMargin = 500 * time.Millisecond
 
 var (
-	errSocketLimit    = errors.New("limit of connections to servers reached")
+	errSocketLimit    = errors.New("server connection limit reached")
 	errServerDraining = errors.New("server is draining")
 )
 
-// isLocalShortage says whether an error is the agent's own want of sockets.
-func isLocalShortage(err error) bool {
+// isSocketShortage reports whether err means that the agent itself has no socket left.
+func isSocketShortage(err error) bool {
 	return errors.Is(err, errSocketLimit) || errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE)
 }
 
-// Pool keeps the connections to all servers. It does not use net/http's transport, which retries by itself on a stale
-// connection and does not report whether a request's last byte was written, on which it depends whether the request may
-// have run. Any goroutine may call its methods.
+// Pool holds the connections to all servers. It does not use http.Transport, which retries on a stale connection by
+// itself and does not report whether the last byte of a request was written: only a request that was written completely
+// may have run. Any goroutine may call its methods.
 type Pool struct {
 	metrics *metrics.Metrics
 
 	mu             sync.Mutex
 	connectTimeout time.Duration
-	idleTimeout    time.Duration          // of the servers; 0: they never close
-	maxConns       int                    // idle and in use
-	endpoints      map[*Endpoint]struct{} // those not retired
-	open           int                    // connections
-	idleAge        idleAge
+	idleTimeout    time.Duration          // after which servers close idle connections; 0 means never
+	maxConns       int                    // limit of open
+	endpoints      map[*Endpoint]struct{} // without the retired ones
+	open           int                    // connections, idle and in use
+	idleAges       idleAgeStats
 }
 
-// NewPool returns a pool of so many connections at most.
+// NewPool returns a pool of at most maxConns connections.
 func NewPool(s *settings.Settings, maxConns int, m *metrics.Metrics) *Pool {
 	p := &Pool{metrics: m, maxConns: maxConns, endpoints: map[*Endpoint]struct{}{}}
 	p.Configure(s)
 	return p
 }
 
-// Configure takes the settings that concern connections.
+// Configure applies the connection settings.
 func (p *Pool) Configure(s *settings.Settings) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -62,7 +62,7 @@
 	p.idleTimeout = s.IdleTimeout
 }
 
-// Resize changes how many connections there may be. Idle ones close if they are too many; those in use stay.
+// Resize changes the connection limit. It closes idle connections above the limit; connections in use stay open.
 func (p *Pool) Resize(maxConns int) {
 	var dropped []*conn
 	p.mu.Lock()
@@ -78,36 +78,36 @@
 	closeAll(dropped)
 }
 
-// UpdateLimit sets how many connections there may be to what decide returns, in one step with the count of open ones that
-// decide is given.
+// UpdateLimit sets the connection limit to the result of decide, which receives the number of open connections. No
+// connection is opened or closed in between.
 func (p *Pool) UpdateLimit(decide func(open int) (maxConns int)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.maxConns = decide(p.open)
 }
 
-// OpenConns returns how many connections there are, idle and in use.
+// OpenConns returns the number of open connections, idle and in use.
 func (p *Pool) OpenConns() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.open
 }
 
-// IdleConns returns how many idle connections to an endpoint there are.
+// IdleConns returns the number of idle connections to an endpoint.
 func (p *Pool) IdleConns(e *Endpoint) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(e.idle)
 }
 
-// EndpointCount returns how many endpoints there are that are not retired.
+// EndpointCount returns the number of endpoints that are not retired.
 func (p *Pool) EndpointCount() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.endpoints)
 }
 
-// AddEndpoint returns a new endpoint for the process that started then at an address.
+// AddEndpoint adds and returns an endpoint for the process at addr with the given start time.
 func (p *Pool) AddEndpoint(addr string, start time.Duration) *Endpoint {
 	e := &Endpoint{addr: addr, start: start}
 	e.draining, e.drain = context.WithCancel(context.Background())
@@ -117,7 +117,8 @@
 	return e
 }
 
-// Retire closes the idle connections to an endpoint, and those in use once they are back.
+// Retire drains an endpoint and removes it. It closes the idle connections now, and those in use when they are
+// returned.
 func (p *Pool) Retire(e *Endpoint) {
 	e.Drain()
 	p.mu.Lock()
@@ -127,14 +128,14 @@
 	p.closeIdle(e)
 }
 
-// get returns a connection to an endpoint: the idle one that was used last, or a new one.
+// get returns a connection to an endpoint: the most recently used idle one, or a new one.
 func (p *Pool) get(ctx context.Context, e *Endpoint) (*conn, error) {
 	for {
 		c := p.takeIdle(e)
 		if c == nil {
 			return p.dial(ctx, e)
 		}
-		if p.fresh(c) && !c.stale() {
+		if p.checkIdleAge(c) && !c.stale() {
 			p.metrics.ConnectionReused()
 			return c, nil
 		}
@@ -155,34 +156,34 @@
 	return c
 }
 
-// expired says that a connection has been idle for too long to be used. The mutex is held.
+// expired reports whether a connection has been idle for too long to be reused. The caller holds the mutex.
 func (p *Pool) expired(c *conn) bool {
 	age := time.Since(c.idleSince)
 	if p.idleTimeout > 0 && age > p.idleTimeout-min(idleMargin, p.idleTimeout/4) {
 		return true
 	}
-	return !p.idleAge.allows(age)
+	return !p.idleAges.allows(age)
 }
 
-// fresh says whether a connection out of the idle list may be used, and notes how long it was idle.
-func (p *Pool) fresh(c *conn) bool {
+// checkIdleAge stores how long a connection taken from the idle list was idle, and reports whether it may be reused.
+func (p *Pool) checkIdleAge(c *conn) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c.idleAge = time.Since(c.idleSince)
 	return !p.expired(c)
 }
 
-// recordLoss notes whether a request over a reused connection was lost before any answer.
+// recordLoss records whether a request on a reused connection was lost before the first byte of its response.
 func (p *Pool) recordLoss(c *conn, lost bool) {
 	if !c.used {
 		return
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.idleAge.record(c.idleAge, lost)
+	p.idleAges.record(c.idleAge, lost)
 }
 
-// dial opens a connection, and closes the one that has been idle longest if there are too many.
+// dial opens a connection. At the connection limit it closes the connection that has been idle longest.
 func (p *Pool) dial(ctx context.Context, e *Endpoint) (*conn, error) {
 	dialer, err := p.reserve()
 	if err != nil {
@@ -205,7 +206,7 @@
 	return newConn(raw, e), nil
 }
 
-// reserve counts a connection that is about to be opened, and returns what opens it.
+// reserve counts a connection that is about to be opened, and returns the dialer for it.
 func (p *Pool) reserve() (*net.Dialer, error) {
 	p.mu.Lock()
 	var victim *conn
@@ -225,7 +226,8 @@
 	return dialer, nil
 }
 
-// removeLongestIdle takes out the connection that has been idle longest, nil if none is idle. The mutex is held.
+// removeLongestIdle removes and returns the connection that has been idle longest, or nil if none is idle. The caller
+// holds the mutex and closes the connection.
 func (p *Pool) removeLongestIdle() *conn {
 	var longest *Endpoint
 	for e := range p.endpoints {
@@ -242,7 +244,7 @@
 	return c
 }
 
-// put gives a connection back for the next request.
+// put returns a connection to the pool for the next request.
 func (p *Pool) put(c *conn) {
 	p.mu.Lock()
 	if c.endpoint.retired {
@@ -256,7 +258,7 @@
 	p.mu.Unlock()
 }
 
-// discard closes a connection that is in nobody's list.
+// discard closes a connection that is in no idle list.
 func (p *Pool) discard(c *conn) {
 	c.Close()
 	p.mu.Lock()
@@ -274,11 +276,11 @@
 	closeAll(dropped)
 }
 
-// Sweep closes what has been idle for too long to be used again, and lets what was learnt about idle ages fade.
+// Sweep closes connections that have been idle for too long to be reused, and decays the idle age statistics.
 func (p *Pool) Sweep() {
 	var dropped []*conn
 	p.mu.Lock()
-	p.idleAge.decay()
+	p.idleAges.decay()
 	for e := range p.endpoints {
 		for len(e.idle) > 0 && p.expired(e.idle[0]) {
 			dropped = append(dropped, e.idle[0])
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -38,7 +38,8 @@
 	}
 }
 
-// The limit follows what is open: it is decided by the count of open connections, idle and in use, and in force at once.
+// The limit follows what is open: it is decided by the count of open connections, idle and in use, and in force at
+// once.
 func TestLimitFollowsOpenConnections(t *testing.T) {
 	server := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
--- a/internal/upstream/readanswer.go
+++ b/internal/upstream/readanswer.go
@@ -15,57 +15,57 @@
 )
 
 const (
-	// answerHeadTimeout is how long the head of an answer may take from its first byte to its last.
-	answerHeadTimeout = time.Second
-	// maxAnswerPause is how long a server may pause within a short answer.
-	maxAnswerPause = time.Second
-	// MaxBufferTime is how long the beginning of an answer that is long, or does not state its length, is held back: it may
-	// be short after all, or break off.
+	// responseHeadTimeout is how long the head of a response may take from its first byte to its last.
+	responseHeadTimeout = time.Second
+	// maxResponsePause is how long a server may pause within a response that is being buffered.
+	maxResponsePause = time.Second
+	// MaxBufferTime is how long the beginning of a response that is long or of unknown length is buffered before it is
+	// forwarded: in this time the response may turn out to be short, or the connection may break.
 	MaxBufferTime = 50 * time.Millisecond
 )
 
 var (
-	errOtherProtocol = errors.New("server switched protocols")
-	errAnswerTooLong = errors.New("answer too long to be held")
+	errProtocolSwitched = errors.New("server switched protocols")
+	errResponseTooLarge = errors.New("response too large to buffer")
 )
 
-// serverAnswer is what was read of an answer: all of it, or the beginning of one that is too long to be held or slow to
-// end.
-type serverAnswer struct {
+// serverResponse is a response that was read completely, or the beginning of one that is too large to buffer or takes
+// too long to end.
+type serverResponse struct {
 	head *http.Response
 	body []byte
-	rest io.Reader // nil if the body is complete
+	rest io.Reader // the unread rest of the body; nil if body is complete
 }
 
-// readAnswer reads one answer.
-func (c *conn) readAnswer() (*serverAnswer, error) {
+// readResponse reads one response.
+func (c *conn) readResponse() (*serverResponse, error) {
 	c.limit.N = protocol.MaxHeadBytes
 	head, err := c.readHead()
 	if err != nil {
 		return nil, err
 	}
 	if head.ContentLength > stream.MaxBytes {
-		return nil, fmt.Errorf("answer of %d bytes: over the limit of %d", head.ContentLength, stream.MaxBytes)
+		return nil, fmt.Errorf("response of %d bytes exceeds the limit of %d", head.ContentLength, stream.MaxBytes)
 	}
 	c.limit.N = math.MaxInt64
 	body, complete, err := c.readBody(head)
 	if err != nil {
 		return nil, err
 	}
-	answer := &serverAnswer{head: head, body: body}
+	response := &serverResponse{head: head, body: body}
 	if !complete {
-		answer.rest = head.Body
+		response.rest = head.Body
 	}
-	return answer, nil
+	return response, nil
 }
 
-// readHead reads the head of an answer, and skips those that only announce one.
+// readHead reads the head of a response and skips informational (1xx) responses.
 func (c *conn) readHead() (*http.Response, error) {
 	for {
 		if _, err := c.buffered.Peek(1); err != nil {
 			return nil, err
 		}
-		if err := c.SetReadDeadline(time.Now().Add(answerHeadTimeout)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(responseHeadTimeout)); err != nil {
 			return nil, err
 		}
 		head, err := http.ReadResponse(c.buffered, nil)
@@ -73,7 +73,7 @@
 			return nil, err
 		}
 		if head.StatusCode == http.StatusSwitchingProtocols {
-			return nil, errOtherProtocol
+			return nil, errProtocolSwitched
 		}
 		if head.StatusCode/100 != 1 {
 			return head, nil
@@ -84,19 +84,20 @@
 	}
 }
 
-// readBody reads a body to its end if it is short, and otherwise its beginning: as much as can be held, or has come within
-// MaxBufferTime. A break within the beginning shows here, where nothing was passed on that could not be taken back.
+// readBody reads a short body to its end. Of any other body it reads the beginning: as much as can be buffered, or
+// arrives within MaxBufferTime. If the connection breaks in the beginning, the attempt fails here, before any of the
+// response was forwarded to the client.
 func (c *conn) readBody(head *http.Response) (body []byte, complete bool, err error) {
 	short := head.ContentLength >= 0 && head.ContentLength <= stream.MaxHeldBytes
 	if short {
 		body = make([]byte, 0, head.ContentLength+1)
 	}
-	begun := time.Now()
+	start := time.Now()
 	for {
-		if !short && !c.readableBefore(begun.Add(MaxBufferTime)) {
+		if !short && !c.readableBefore(start.Add(MaxBufferTime)) {
 			return body, false, nil
 		}
-		if err := c.SetReadDeadline(time.Now().Add(maxAnswerPause)); err != nil {
+		if err := c.SetReadDeadline(time.Now().Add(maxResponsePause)); err != nil {
 			return nil, false, err
 		}
 		if len(body) == cap(body) {
@@ -115,15 +116,15 @@
 	}
 }
 
-// readableBefore says whether more of an answer comes until then. It leaves the body's reader alone, which a deadline would
-// end.
-func (c *conn) readableBefore(until time.Time) bool {
-	if c.SetReadDeadline(until) != nil {
+// readableBefore reports whether more of a response arrives before the deadline. It does not read from the body,
+// because the body's reader would fail permanently at the deadline.
+func (c *conn) readableBefore(deadline time.Time) bool {
+	if c.SetReadDeadline(deadline) != nil {
 		return true // the next read fails
 	}
 	_, err := c.buffered.Peek(1)
 	return !errors.Is(err, os.ErrDeadlineExceeded)
 }
 
-// nothingRead says that no byte of the present answer has come.
+// nothingRead reports whether no byte of the current response has been read.
 func (c *conn) nothingRead() bool { return c.limit.N == protocol.MaxHeadBytes }
--- a/internal/upstream/request.go
+++ b/internal/upstream/request.go
@@ -10,18 +10,18 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// Request is a client's request as it goes on to a server, unchanged but for its budget. It is not changed once it is made,
-// so that several attempts may share it.
+// Request is a client's request as it is forwarded to servers. Only its budget header differs between attempts. A
+// Request is immutable, so several attempts may share it.
 type Request struct {
-	head        []byte // the request line and the headers but for the budget
+	head        []byte // the request line and the headers without the budget header
 	body        []byte
-	upload      *stream.Upload // in place of a body that is held; nil otherwise
-	healthCheck bool           // the agent's own, no attempt
+	upload      *stream.Upload // replaces body if the body is too large to buffer; nil otherwise
+	healthCheck bool           // sent by the agent itself; not counted as an attempt
 }
 
-// NewRequest makes a request. An upload stands in place of a body that is too long to be held.
+// NewRequest returns a request. A non-nil upload replaces a body that is too large to buffer.
 func NewRequest(method, uri, host string, header http.Header, body []byte, upload *stream.Upload) *Request {
-	var head bytes.Buffer // takes all that is written
+	var head bytes.Buffer // its writes never fail
 	fmt.Fprintf(&head, "%s %s HTTP/1.1\r\nHost: %s\r\n", method, uri, host)
 	switch {
 	case upload != nil && upload.Length() < 0:
@@ -35,10 +35,11 @@
 	return &Request{head: head.Bytes(), body: body, upload: upload}
 }
 
-// Upload returns the body that is too long to be held, nil if there is none.
+// Upload returns the body that is too large to buffer, or nil if there is none.
 func (r *Request) Upload() *stream.Upload { return r.upload }
 
-// encode writes the request with the time that is left for it.
+// encode returns the bytes of the request with the given remaining time in its budget header. An upload is not
+// included.
 func (r *Request) encode(budget time.Duration) []byte {
 	text := make([]byte, 0, len(r.head)+len(protocol.HeaderBudget)+32+len(r.body))
 	text = append(text, r.head...)
