--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -19,14 +19,14 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// exchangeBy exchanges a request with nothing but a time before which it is to be sent; the context bounds it.
-func exchangeBy(p *Pool, ctx context.Context, to *Endpoint, m *Request, sendBy time.Time) Result {
-	return p.Exchange(ctx, to, m, &Attempt{Deadline: time.Now().Add(agenttest.Timeout), SendBefore: sendBy})
+// exchangeBefore exchanges a request with the given SendBefore and no callbacks. Only the context ends it early.
+func exchangeBefore(p *Pool, ctx context.Context, endpoint *Endpoint, request *Request, sendBefore time.Time) Result {
+	return p.Exchange(ctx, endpoint, request, &Attempt{Deadline: time.Now().Add(agenttest.Timeout), SendBefore: sendBefore})
 }
 
-// A health check that brings reports returns the load that the server states.
-func TestHealthCheckBringsLoad(t *testing.T) {
-	b := agenttest.NewServer(t, func(_ int, r *http.Request) (string, bool) {
+// A health check with reports enabled returns the load that the server reports.
+func TestHealthCheckReturnsLoad(t *testing.T) {
+	server := agenttest.NewServer(t, func(_ int, r *http.Request) (string, bool) {
 		if r.URL.Path != protocol.PathLoad {
 			return "HTTP/1.1 404 No\r\nContent-Length: 0\r\n\r\n", false
 		}
@@ -34,139 +34,144 @@
 	})
 	cfg := agenttest.Config(t, "127.0.0.1:1", strings.Replace(agenttest.Settings, `"off"`, `"on_probe"`, 1))
 	p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
-	r := p.HealthCheck(context.Background(), p.AddEndpoint(b.Addr, 0), &cfg.Settings)
+	r := p.HealthCheck(context.Background(), p.AddEndpoint(server.Addr, 0), &cfg.Settings)
 	if r.Outcome != balancer.OutcomeOK || r.Load.InFlight != 7 || r.Load.ServiceTime != 12*time.Millisecond || r.Load.Queue != -1 {
-		t.Errorf("got %+v", r)
+		t.Errorf("got %+v, want outcome %d with 7 in flight and a service time of 12 ms", r, balancer.OutcomeOK)
 	}
 }
 
-func TestBadReportsAreAbsent(t *testing.T) {
+// A malformed load report counts as none, and its values do not reach the balancer.
+func TestInvalidLoadReportIsIgnored(t *testing.T) {
 	for _, text := range []string{"", "=", "outstanding", "outstanding=x", "outstanding=NaN", "outstanding=-1", "other=3", ",,,"} {
 		if l := parseLoadReport(text, []string{"outstanding"}); l.Known {
-			t.Errorf("%q is taken for %+v", text, l)
+			t.Errorf("report %q: got %+v, want an unknown load", text, l)
 		}
 	}
 }
 
-// A repeat that comes up too late to be dropped is not sent, and so has not run.
-func TestLateRepeatIsNotSent(t *testing.T) {
-	b := agenttest.NewServer(t, agenttest.Serve)
+// An attempt after SendBefore is not sent, because the server might no longer deduplicate it. It is reported as not
+// run.
+func TestNothingSentAfterSendBefore(t *testing.T) {
+	server := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
-	to := p.AddEndpoint(b.Addr, 0)
-	m := NewRequest("POST", "/keyed/1", "x", nil, nil, nil)
+	endpoint := p.AddEndpoint(server.Addr, 0)
+	request := NewRequest("POST", "/keyed/1", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Timeout)
 	defer cancel()
-	if r := exchangeBy(p, ctx, to, m, time.Now()); r.Outcome != balancer.OutcomeExpired || len(b.Requests) > 0 {
-		t.Errorf("outcome %d, %d sent", r.Outcome, len(b.Requests))
+	if r := exchangeBefore(p, ctx, endpoint, request, time.Now()); r.Outcome != balancer.OutcomeExpired || len(server.Requests) > 0 {
+		t.Errorf("too late: got outcome %d with %d requests sent, want %d with none", r.Outcome, len(server.Requests), balancer.OutcomeExpired)
 	}
-	if r := exchangeBy(p, ctx, to, m, time.Now().Add(agenttest.Timeout)); r.Outcome != balancer.OutcomeOK {
-		t.Errorf("in time: outcome %d", r.Outcome)
+	if r := exchangeBefore(p, ctx, endpoint, request, time.Now().Add(agenttest.Timeout)); r.Outcome != balancer.OutcomeOK {
+		t.Errorf("in time: got outcome %d, want %d", r.Outcome, balancer.OutcomeOK)
 	}
 }
 
-// A request that waits for a connection when its time is up or when it is cancelled never ran.
-func TestConnectionThatNeverComesUp(t *testing.T) {
+// A request whose deadline passes or that is cancelled before its connection is open is reported as not run, and its
+// connection is no longer counted.
+func TestContextEndsBeforeConnect(t *testing.T) {
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
-	to := p.AddEndpoint("127.0.0.1:1", 0)
-	m := NewRequest("GET", "/", "x", nil, nil, nil)
-	over, cancel := context.WithDeadline(context.Background(), time.Now())
+	endpoint := p.AddEndpoint("127.0.0.1:1", 0)
+	request := NewRequest("GET", "/", "x", nil, nil, nil)
+	expired, cancel := context.WithDeadline(context.Background(), time.Now())
 	defer cancel()
-	if r := exchangeBy(p, over, to, m, time.Time{}); r.Outcome != balancer.OutcomeConnectFailed {
-		t.Errorf("out of time: outcome %d", r.Outcome)
+	if r := exchangeBefore(p, expired, endpoint, request, time.Time{}); r.Outcome != balancer.OutcomeConnectFailed {
+		t.Errorf("deadline exceeded: got outcome %d, want %d", r.Outcome, balancer.OutcomeConnectFailed)
 	}
-	given, giveUp := context.WithCancel(context.Background())
-	giveUp()
-	if r := exchangeBy(p, given, to, m, time.Time{}); r.Outcome != balancer.OutcomeExpired {
-		t.Errorf("given up: outcome %d", r.Outcome)
+	cancelled, cancelNow := context.WithCancel(context.Background())
+	cancelNow()
+	if r := exchangeBefore(p, cancelled, endpoint, request, time.Time{}); r.Outcome != balancer.OutcomeExpired {
+		t.Errorf("cancelled: got outcome %d, want %d", r.Outcome, balancer.OutcomeExpired)
 	}
 	if p.open != 0 {
-		t.Errorf("%d connections are counted as open", p.open)
+		t.Errorf("got %d open connections, want 0", p.open)
 	}
 }
 
-// A server that resets whatever comes on a connection idle for a while costs a few requests, not one in two.
-func TestEarlyClosesAreLearnt(t *testing.T) {
-	b := agenttest.NewServer(t, agenttest.Serve)
+// If a server resets requests on connections that were idle for some time, the pool stops reusing such connections
+// after a few losses instead of losing every second request.
+func TestPoolAvoidsIdleAgesWithLosses(t *testing.T) {
+	server := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
-	to := p.AddEndpoint(b.Addr, 0)
+	endpoint := p.AddEndpoint(server.Addr, 0)
 	const idle = 200 * time.Millisecond
-	for range 3 { // lost on a connection that had been idle for so long
+	for range 3 {
 		p.recordLoss(&conn{used: true, idleAge: idle}, true)
 	}
-	m := NewRequest("GET", "/", "x", nil, nil, nil)
+	request := NewRequest("GET", "/", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Timeout)
 	defer cancel()
 	for _, c := range []struct {
 		idle   time.Duration
 		dialed int
 	}{{0, 1}, {0, 1}, {2 * idle, 2}, {0, 2}} {
-		for _, old := range to.idle {
+		for _, old := range endpoint.idle {
 			old.idleSince = old.idleSince.Add(-c.idle)
 		}
-		if r := exchangeBy(p, ctx, to, m, time.Time{}); r.Outcome != balancer.OutcomeOK {
-			t.Fatalf("outcome %d", r.Outcome)
+		if r := exchangeBefore(p, ctx, endpoint, request, time.Time{}); r.Outcome != balancer.OutcomeOK {
+			t.Fatalf("got outcome %d, want %d", r.Outcome, balancer.OutcomeOK)
 		}
-		<-b.Requests
-		if n := len(b.Accepted); n != c.dialed {
-			t.Errorf("after %v without use: %d connections, want %d", c.idle, n, c.dialed)
+		<-server.Requests
+		if n := len(server.Accepted); n != c.dialed {
+			t.Errorf("after %v idle: got %d connections, want %d", c.idle, n, c.dialed)
 		}
 	}
 }
 
-// Nothing is written to a server that drains, on no kind of connection, and its idle ones stay.
-func TestNothingNewToLeaving(t *testing.T) {
-	b := agenttest.NewServer(t, agenttest.Serve)
+// Nothing is sent to a draining server, neither on a new connection nor on an idle one, and idle connections stay open.
+func TestNothingSentToDrainingServer(t *testing.T) {
+	server := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	for _, idle := range []bool{false, true} {
 		p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
-		to := p.AddEndpoint(b.Addr, 0)
-		m := NewRequest("GET", "/", "x", nil, nil, nil)
+		endpoint := p.AddEndpoint(server.Addr, 0)
+		request := NewRequest("GET", "/", "x", nil, nil, nil)
 		if idle {
-			if r := exchangeBy(p, t.Context(), to, m, time.Time{}); r.Outcome != balancer.OutcomeOK {
-				t.Fatalf("outcome %d", r.Outcome)
+			if r := exchangeBefore(p, t.Context(), endpoint, request, time.Time{}); r.Outcome != balancer.OutcomeOK {
+				t.Fatalf("got outcome %d, want %d", r.Outcome, balancer.OutcomeOK)
 			}
-			<-b.Requests
+			<-server.Requests
 		}
-		tries := p.metrics.AttemptsSent()
-		to.Drain()
-		if r := exchangeBy(p, t.Context(), to, m, time.Time{}); r.Outcome != balancer.OutcomeServerDraining {
-			t.Errorf("idle connection %v: outcome %d", idle, r.Outcome)
+		attempts := p.metrics.AttemptsSent()
+		endpoint.Drain()
+		if r := exchangeBefore(p, t.Context(), endpoint, request, time.Time{}); r.Outcome != balancer.OutcomeServerDraining {
+			t.Errorf("idle connection %v: got outcome %d, want %d", idle, r.Outcome, balancer.OutcomeServerDraining)
 		}
-		if len(b.Requests) > 0 || p.metrics.AttemptsSent() != tries || p.open != len(to.idle) {
-			t.Errorf("idle connection %v: %d sent, %d tries counted, %d connections open and %d idle", idle, len(b.Requests), p.metrics.AttemptsSent(), p.open, len(to.idle))
+		if len(server.Requests) > 0 || p.metrics.AttemptsSent() != attempts || p.open != len(endpoint.idle) {
+			t.Errorf("idle connection %v: got %d requests sent, %d attempts counted, %d connections open and %d idle; want none sent, %d counted and all open ones idle", idle, len(server.Requests), p.metrics.AttemptsSent(), p.open, len(endpoint.idle), attempts)
 		}
 	}
 }
 
-// An answer whose time is up as it begins to flow is a time-out, and nothing of it is passed on.
-func TestLongAnswerAtTheLastMoment(t *testing.T) {
-	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
+// If the timer fires just before a long response would be forwarded, the outcome is a timeout and nothing is forwarded,
+// even though the context has not ended yet.
+func TestLongResponseAtDeadline(t *testing.T) {
+	server := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		return "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\nhalf", false
 	})
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
-	m := NewRequest("GET", "/", "x", nil, nil, nil)
-	fired := time.AfterFunc(0, func() {}) // but the context has not heard of it
+	request := NewRequest("GET", "/", "x", nil, nil, nil)
+	fired := time.AfterFunc(0, func() {}) // does not end the context
 	for fired.Stop() {
 		fired.Reset(0)
 	}
-	r := p.Exchange(t.Context(), p.AddEndpoint(b.Addr, 0), m, &Attempt{
+	r := p.Exchange(t.Context(), p.AddEndpoint(server.Addr, 0), request, &Attempt{
 		Deadline: time.Now().Add(agenttest.Timeout), Timer: fired,
-		Forward: func(Response) error { t.Error("passed on"); return nil },
+		Forward: func(Response) error { t.Error("response was forwarded after its deadline"); return nil },
 	})
 	if r.Outcome != balancer.OutcomeTimeout {
-		t.Errorf("outcome %d", r.Outcome)
+		t.Errorf("got outcome %d, want %d", r.Outcome, balancer.OutcomeTimeout)
 	}
 }
 
-// The buffer of a body goes back once: by the attempt that has claimed the body, however it ends, or else by the
-// handler.
-func TestBufferIsGivenBack(t *testing.T) {
-	none := func(net.Conn) {}
-	for what, play := range map[string]func(net.Conn){"taken": none, "cut off": func(c net.Conn) { c.Close() }} {
+// The buffer of an upload is released exactly once, by the attempt that claimed the body, whether the attempt succeeds
+// or its connection breaks.
+func TestUploadBufferReleasedOnce(t *testing.T) {
+	noop := func(net.Conn) {}
+	for name, onAccept := range map[string]func(net.Conn){"accepted": noop, "closed": func(c net.Conn) { c.Close() }} {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
@@ -178,7 +183,7 @@
 				if err != nil {
 					return
 				}
-				play(c)
+				onAccept(c)
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
 					io.WriteString(c, agenttest.OKAnswer)
 				}
@@ -186,17 +191,17 @@
 		}()
 		cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 		p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
-		store := stream.NewBuffers(2 * stream.PartBytes)
-		u := stream.NewUpload(100_000, nil, stream.NewPacedReader(bytes.NewReader(agenttest.Pattern(100_000)), http.NewResponseController(httptest.NewRecorder()), time.Time{}))
-		u.Budget = agenttest.Timeout
-		if !u.Reserve(store) || store.Free() != 1 {
+		buffers := stream.NewBuffers(2 * stream.PartBytes)
+		upload := stream.NewUpload(100_000, nil, stream.NewPacedReader(bytes.NewReader(agenttest.Pattern(100_000)), http.NewResponseController(httptest.NewRecorder()), time.Time{}))
+		upload.Budget = agenttest.Timeout
+		if !upload.Reserve(buffers) || buffers.Free() != 1 {
 			t.Fatal("no buffer")
 		}
-		m := NewRequest("POST", "/", "x", nil, nil, u)
-		on := &Attempt{OnStreaming: func() {}, Timer: time.AfterFunc(agenttest.Timeout, func() {}), Deadline: time.Now().Add(agenttest.Timeout)}
-		p.Exchange(t.Context(), p.AddEndpoint(l.Addr().String(), 0), m, on)
-		if store.Free() != 2 || u.Claim() {
-			t.Errorf("%s: %d buffers are free", what, store.Free())
+		request := NewRequest("POST", "/", "x", nil, nil, upload)
+		attempt := &Attempt{OnStreaming: func() {}, Timer: time.AfterFunc(agenttest.Timeout, func() {}), Deadline: time.Now().Add(agenttest.Timeout)}
+		p.Exchange(t.Context(), p.AddEndpoint(l.Addr().String(), 0), request, attempt)
+		if buffers.Free() != 2 || upload.Claim() {
+			t.Errorf("%s: got %d free buffers, want 2 and the upload claimed", name, buffers.Free())
 		}
 	}
 }
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -12,35 +12,35 @@
 	"example.org/ryeloft/internal/metrics"
 )
 
-// A pool that is given a lower limit closes what is idle at once.
+// Lowering the connection limit immediately closes the connections that have been idle longest.
 func TestPoolResize(t *testing.T) {
-	b := agenttest.NewServer(t, agenttest.Serve)
+	server := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
-	to := p.AddEndpoint(b.Addr, 0)
-	var held []*conn
+	endpoint := p.AddEndpoint(server.Addr, 0)
+	var conns []*conn
 	for range 4 {
-		c, err := p.get(t.Context(), to)
+		c, err := p.get(t.Context(), endpoint)
 		if err != nil {
 			t.Fatal(err)
 		}
-		held = append(held, c)
+		conns = append(conns, c)
 	}
-	for _, c := range held {
+	for _, c := range conns {
 		p.put(c)
 	}
 	p.Resize(1)
 	for range 3 {
-		agenttest.Receive(t, "close of an idle connection", b.Closed)
+		agenttest.Receive(t, "close of an idle connection", server.Closed)
 	}
-	if p.open != 1 || len(to.idle) != 1 || to.idle[0] != held[3] {
-		t.Errorf("%d connections", p.open)
+	if p.open != 1 || len(endpoint.idle) != 1 || endpoint.idle[0] != conns[3] {
+		t.Errorf("got %d open and %d idle connections, want only the most recently used one", p.open, len(endpoint.idle))
 	}
 }
 
-// The limit follows what is open: it is decided by the count of open connections, idle and in use, and in force at
-// once.
-func TestLimitFollowsOpenConnections(t *testing.T) {
+// UpdateLimit passes the number of open connections, idle and in use, to its callback, and the returned limit applies
+// immediately.
+func TestUpdateLimit(t *testing.T) {
 	server := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	pool := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
@@ -58,20 +58,20 @@
 		maxConns, wantOpen int
 		want               error
 	}{
-		{maxConns: 2, wantOpen: 3, want: nil},            // the idle one makes way
+		{maxConns: 2, wantOpen: 3, want: nil},            // the idle connection is evicted
 		{maxConns: 3, wantOpen: 3, want: errSocketLimit}, // all are in use
-		{maxConns: 4, wantOpen: 3, want: nil},            // there is one more
-		{maxConns: 4, wantOpen: 4, want: errSocketLimit}, // and no other
+		{maxConns: 4, wantOpen: 3, want: nil},            // one more may be opened
+		{maxConns: 4, wantOpen: 4, want: errSocketLimit}, // the limit is reached again
 	} {
 		pool.UpdateLimit(func(open int) int {
 			if open != test.wantOpen {
-				t.Errorf("%d connections are open, want %d", open, test.wantOpen)
+				t.Errorf("got %d open connections, want %d", open, test.wantOpen)
 			}
 			return test.maxConns
 		})
 		c, err := pool.get(t.Context(), other)
 		if !errors.Is(err, test.want) {
-			t.Errorf("limit %d with %d open: error %v, want %v", test.maxConns, test.wantOpen, err, test.want)
+			t.Errorf("limit %d with %d open: got error %v, want %v", test.maxConns, test.wantOpen, err, test.want)
 		}
 		if c != nil {
 			inUse = append(inUse, c)
@@ -82,81 +82,82 @@
 	}
 }
 
-// The pool keeps to its sockets: an idle connection is evicted, one in use is not.
-func TestPoolIsBounded(t *testing.T) {
+// The pool never exceeds its connection limit: it evicts an idle connection to open another one, and fails the request
+// if all are in use.
+func TestPoolLimit(t *testing.T) {
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return "", false })
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := NewPool(&cfg.Settings, 1, &metrics.Metrics{})
 	toX, toY := p.AddEndpoint(x.Addr, 0), p.AddEndpoint(y.Addr, 0)
-	m := NewRequest("GET", "/", "x", nil, nil, nil)
+	request := NewRequest("GET", "/", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Timeout)
 	defer cancel()
-	if r := exchangeBy(p, ctx, toX, m, time.Time{}); r.Outcome != balancer.OutcomeOK {
-		t.Fatalf("outcome %d", r.Outcome)
+	if r := exchangeBefore(p, ctx, toX, request, time.Time{}); r.Outcome != balancer.OutcomeOK {
+		t.Fatalf("got outcome %d, want %d", r.Outcome, balancer.OutcomeOK)
 	}
 	cancelled := make(chan Result, 1)
-	held, giveUp := context.WithCancel(ctx)
-	go func() { cancelled <- exchangeBy(p, held, toY, m, time.Time{}) }()
+	heldCtx, cancelHeld := context.WithCancel(ctx)
+	go func() { cancelled <- exchangeBefore(p, heldCtx, toY, request, time.Time{}) }()
 	agenttest.Receive(t, "close of the idle connection", x.Closed)
 	agenttest.Receive(t, "request", y.Requests)
-	if r := exchangeBy(p, ctx, toX, m, time.Time{}); r.Outcome != balancer.OutcomeExpired {
-		t.Errorf("with the only socket in use: outcome %d", r.Outcome)
+	if r := exchangeBefore(p, ctx, toX, request, time.Time{}); r.Outcome != balancer.OutcomeExpired {
+		t.Errorf("with the only socket in use: got outcome %d, want %d", r.Outcome, balancer.OutcomeExpired)
 	}
-	giveUp()
+	cancelHeld()
 	if r := agenttest.Receive(t, "cancelled attempt", cancelled); r.Outcome != balancer.OutcomeCancelled {
-		t.Errorf("given up: outcome %d", r.Outcome)
+		t.Errorf("cancelled: got outcome %d, want %d", r.Outcome, balancer.OutcomeCancelled)
 	}
-	if r := exchangeBy(p, ctx, toX, m, time.Time{}); r.Outcome != balancer.OutcomeOK {
-		t.Errorf("with the socket free again: outcome %d", r.Outcome)
+	if r := exchangeBefore(p, ctx, toX, request, time.Time{}); r.Outcome != balancer.OutcomeOK {
+		t.Errorf("with the socket free again: got outcome %d, want %d", r.Outcome, balancer.OutcomeOK)
 	}
 }
 
-// What may be closed by the server before a request has crossed is not used, and is swept away; Retire closes
-// what is idle.
-func TestIdleConnectionsEnd(t *testing.T) {
-	b := agenttest.NewServer(t, agenttest.Serve)
+// A connection that the server may close before a request arrives is not reused, and Sweep closes it. closeIdle closes
+// all idle connections to an endpoint.
+func TestIdleConnectionsClose(t *testing.T) {
+	server := agenttest.NewServer(t, agenttest.Serve)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	p := NewPool(&cfg.Settings, 4, &metrics.Metrics{})
-	to := p.AddEndpoint(b.Addr, 0)
-	m := NewRequest("GET", "/", "x", nil, nil, nil)
+	endpoint := p.AddEndpoint(server.Addr, 0)
+	request := NewRequest("GET", "/", "x", nil, nil, nil)
 	ctx, cancel := context.WithTimeout(context.Background(), agenttest.Timeout)
 	defer cancel()
-	for i, end := range []func(c *conn){
-		func(c *conn) { // no sweep has come
+	for i, afterExchange := range []func(c *conn){
+		func(c *conn) { // expired, without a sweep
 			c.idleSince = c.idleSince.Add(-p.idleTimeout + idleMargin/2)
 		},
 		func(c *conn) {
 			c.idleSince = c.idleSince.Add(-p.idleTimeout + idleMargin/2)
 			p.Sweep()
-			agenttest.Receive(t, "close by the sweep", b.Closed)
+			agenttest.Receive(t, "close by the sweep", server.Closed)
 		},
 		func(*conn) {
-			p.closeIdle(to)
-			agenttest.Receive(t, "close of the idle connection", b.Closed)
+			p.closeIdle(endpoint)
+			agenttest.Receive(t, "close of the idle connection", server.Closed)
 		},
 		func(*conn) {},
 	} {
-		if r := exchangeBy(p, ctx, to, m, time.Time{}); r.Outcome != balancer.OutcomeOK {
-			t.Fatalf("exchange %d: outcome %d", i, r.Outcome)
+		if r := exchangeBefore(p, ctx, endpoint, request, time.Time{}); r.Outcome != balancer.OutcomeOK {
+			t.Fatalf("exchange %d: got outcome %d, want %d", i, r.Outcome, balancer.OutcomeOK)
 		}
-		if n := len(b.Accepted); n != i+1 {
-			t.Errorf("exchange %d: %d connections", i, n)
+		if n := len(server.Accepted); n != i+1 {
+			t.Errorf("exchange %d: got %d connections, want %d", i, n, i+1)
 		}
-		end(to.idle[0])
+		afterExchange(endpoint.idle[0])
 	}
 	if p.open != 1 {
-		t.Errorf("%d connections are counted as open", p.open)
+		t.Errorf("got %d open connections, want 1", p.open)
 	}
 }
 
-// The connection that was used last is the least likely to be closed by the server.
-func TestNewestConnectionFirst(t *testing.T) {
+// The pool reuses the most recently used connection first, which the server is least likely to have closed.
+func TestMostRecentlyUsedFirst(t *testing.T) {
 	p := NewPool(&agenttest.Config(t, "127.0.0.1:1", agenttest.Settings).Settings, 4, &metrics.Metrics{})
 	x := p.AddEndpoint("x", 0)
 	older, newer := &conn{endpoint: x}, &conn{endpoint: x}
 	p.put(older)
 	p.put(newer)
 	if p.takeIdle(x) != newer || p.takeIdle(x) != older || p.takeIdle(x) != nil {
-		t.Error("not the one used last first")
+		t.Error("connections were not taken in the order of last use, most recent first")
 	}
 }
