--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter hosts instances of the balancer for the simulator, which sends batches of events on standard input and
-// reads one reply to each from standard output. It exits with 0 at the end of the input and with 1 at an error.
+// Command simadapter hosts instances of the balancer for the simulator. The simulator sends batches of events on
+// standard input and reads one reply per batch from standard output. The exit status is 0 at the end of the input and 1
+// on an error.
 package main
 
 import (
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -19,7 +19,8 @@
 	os.Exit(m.Run())
 }
 
-// The program answers on standard output, and ends with 0 at the end of its input and with 1 and one line at an error.
+// The simulator relies on one reply per batch on standard output, exit status 0 at the end of the input, and exit
+// status 1 with one line on standard error after a malformed batch.
 func TestExitStatus(t *testing.T) {
 	const batch = "\x00\x00\x00\x01\x00\x00\x00\x0c\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00\x00"
 	const reply = "\x00\x00\x00\x01\x00\x00\x00\x00"
@@ -45,7 +46,8 @@
 			t.Fatal(err)
 		}
 		if status != c.status || string(output) != c.output || stderr.String() != c.stderr {
-			t.Errorf("%s: status %d, output %x, errors %q", name, status, output, stderr.String())
+			t.Errorf("%s: got status %d, output %x, stderr %q; want status %d, output %x, stderr %q",
+				name, status, output, stderr.String(), c.status, c.output, c.stderr)
 		}
 	}
 }
--- a/internal/simwire/decoder.go
+++ b/internal/simwire/decoder.go
@@ -13,10 +13,10 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// DecodeError says what is wrong with a batch, and where.
+// DecodeError describes an error in a batch and its position.
 type DecodeError struct {
 	Batch  uint32
-	Offset int // of the first byte that was not read, from the start of the batch
+	Offset int // offset of the first unread byte from the start of the batch
 	Err    error
 }
 
@@ -26,18 +26,19 @@
 
 func (e *DecodeError) Unwrap() error { return e.Err }
 
-// Decoder reads batches from a stream. After an error, which is a *DecodeError, it reads no more.
+// Decoder reads batches from a stream. Its errors other than io.EOF are of type *DecodeError; after the first of them it
+// must not be used.
 type Decoder struct {
 	in          io.Reader
-	body        bytes.Buffer // of the batch, reused
+	body        bytes.Buffer // body of the current batch; reused
 	batch       uint32
 	now         time.Duration
-	unread      []byte // the rest of body
-	size        int    // of body as read
-	recordsLeft uint32 // in the batch
+	unread      []byte // unread rest of body
+	size        int    // size of body in bytes
+	recordsLeft uint32 // unread records of the batch
 	err         error
-	lists       [endpointLists][]balancer.Endpoint
-	loadFields  map[uint32][]string // instance -> names of the values in its load reports
+	lists       [maxEndpointLists][]balancer.Endpoint
+	loadFields  map[uint32][]string // names of load report values, by instance
 }
 
 // NewDecoder returns a decoder that reads from in.
@@ -45,10 +46,11 @@
 	return &Decoder{in: in, loadFields: map[uint32][]string{}}
 }
 
-// Batch reads the next batch and returns its number and clock. It returns io.EOF at a clean end of input.
+// Batch reads the next batch and returns its number and clock. It returns io.EOF if the input ends between batches. All
+// records of the previous batch must have been read.
 func (d *Decoder) Batch() (uint32, time.Duration, error) {
 	if d.recordsLeft > 0 || len(d.unread) > 0 {
-		return 0, 0, d.failed("records left unread")
+		return 0, 0, d.failWith("previous batch has unread records")
 	}
 	var header [batchHeaderBytes]byte
 	if n, err := io.ReadFull(d.in, header[:]); err != nil {
@@ -56,23 +58,24 @@
 			return 0, 0, io.EOF
 		}
 		d.batch++
-		return 0, 0, d.failed("truncated header")
+		return 0, 0, d.failWith("truncated header")
 	}
 	length, err := d.parseHeader(&header)
 	if err != nil {
 		return 0, 0, err
 	}
 	d.body.Reset()
-	// The buffer grows with what arrives, never by the length that the frame claims.
-	if _, err := io.CopyN(&d.body, d.in, int64(length-countedHeaderBytes)); err != nil {
-		return 0, 0, d.failed("truncated batch")
+	// The buffer grows with the received bytes; the length field is not trusted for an allocation.
+	if _, err := io.CopyN(&d.body, d.in, int64(length-headerBytesInLength)); err != nil {
+		return 0, 0, d.failWith("truncated batch")
 	}
 	d.unread = d.body.Bytes()
 	d.size = d.body.Len()
 	return d.batch, d.now, nil
 }
 
-// parseHeader begins a batch and returns the value of its length field.
+// parseHeader parses a batch header, resets the decoder's state for the batch and returns the value of the length
+// field.
 func (d *Decoder) parseHeader(header *[batchHeaderBytes]byte) (length uint32, err error) {
 	d.batch = binary.BigEndian.Uint32(header[0:])
 	length = binary.BigEndian.Uint32(header[4:])
@@ -80,17 +83,17 @@
 	d.recordsLeft = binary.BigEndian.Uint32(header[16:])
 	d.size = 0
 	d.unread = nil
-	if length < countedHeaderBytes {
-		return 0, d.failed("length is shorter than the header")
+	if length < headerBytesInLength {
+		return 0, d.failWith("length is shorter than the header")
 	}
 	if math.IsNaN(clock) || math.Abs(clock) > settings.MaxMilliseconds || settings.Milliseconds(clock) < d.now {
-		return 0, d.failed("clock is no time or runs backwards")
+		return 0, d.failWith("clock is not a valid time or runs backwards")
 	}
 	d.now = settings.Milliseconds(clock)
 	return length, nil
 }
 
-// Next returns the next record of the batch, or io.EOF behind the last one.
+// Next returns the next record of the batch, or io.EOF after the last one.
 func (d *Decoder) Next() (Record, error) {
 	for d.recordsLeft > 0 {
 		d.recordsLeft--
@@ -103,25 +106,25 @@
 		}
 	}
 	if len(d.unread) > 0 {
-		return Record{}, d.failed("bytes behind the last record")
+		return Record{}, d.failWith("extra bytes after the last record")
 	}
 	return Record{}, io.EOF
 }
 
-// fail keeps the first problem and where it stands in the batch.
+// fail stores err with the current offset as the decoder's error, unless there is an earlier error.
 func (d *Decoder) fail(err error) {
 	if d.err == nil {
 		d.err = &DecodeError{Batch: d.batch, Offset: batchHeaderBytes + d.size - len(d.unread), Err: err}
 	}
 }
 
-// failed has the decoder fail and returns its first error.
-func (d *Decoder) failed(problem string) error {
-	d.fail(errors.New(problem))
+// failWith calls fail with the given text and returns the decoder's first error.
+func (d *Decoder) failWith(text string) error {
+	d.fail(errors.New(text))
 	return d.err
 }
 
-// bytes takes the next n bytes of the batch; they live until the next batch is read.
+// bytes reads the next n bytes of the batch. They are valid until the next batch is read.
 func (d *Decoder) bytes(n uint32) []byte {
 	if d.err != nil || uint64(n) > uint64(len(d.unread)) {
 		d.fail(errors.New("truncated record"))
@@ -132,7 +135,7 @@
 	return b
 }
 
-// skip passes over the next n bytes.
+// skip skips the next n bytes.
 func (d *Decoder) skip(n uint32) { d.bytes(n) }
 
 func (d *Decoder) u8() uint8 {
--- a/internal/simwire/encoder.go
+++ b/internal/simwire/encoder.go
@@ -8,7 +8,7 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// Encoder builds one reply at a time.
+// Encoder encodes one reply at a time.
 type Encoder struct{ buf []byte }
 
 // Begin starts the reply to a batch.
@@ -18,13 +18,13 @@
 	e.buf = append(e.buf[:0], header[:]...)
 }
 
-// Finish returns the whole reply, which lives until the next Begin.
+// Finish returns the complete reply. It is valid until the next call of Begin.
 func (e *Encoder) Finish() []byte {
 	binary.BigEndian.PutUint32(e.buf[4:], uint32(len(e.buf)-replyHeaderBytes))
 	return e.buf
 }
 
-// InternalError writes that the balancer of an instance has failed.
+// InternalError writes an action that reports a failure of an instance's balancer.
 func (e *Encoder) InternalError(instance uint32, text string) {
 	e.begin(actionInternalError, instance)
 	e.text(text)
@@ -58,7 +58,7 @@
 		e.u32(uint32(a.Server))
 	case balancer.ActionPollEndpoints:
 		e.begin(actionPollEndpoints, instance)
-		e.u8(1) // on; the balancer never asks to be told no more
+		e.u8(1) // on; the balancer never turns it off
 	case balancer.ActionLog:
 		e.begin(actionLog, instance)
 		e.text(a.Text)
--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,7 +8,7 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// record reads one record; ok says that it is one for an instance.
+// record reads one record. ok reports whether the record is for an instance; other records are handled by the decoder.
 func (d *Decoder) record() (record Record, ok bool) {
 	code := eventCode(d.u8())
 	if code == eventEndpointList {
@@ -66,16 +66,16 @@
 
 func (d *Decoder) discovery(event *balancer.Event) {
 	event.Kind = balancer.EventDiscovery
-	d.skip(8) // the list's version
+	d.skip(8) // version of the list
 	update := balancer.DiscoveryUpdate(d.u8())
 	list := d.u8()
 	event.Update = update
 	switch {
 	case update > balancer.PollFailed:
 		d.fail(errors.New("unknown list mode"))
-	case update == balancer.PollFailed: // the number of the list is void
-	case list >= endpointLists:
-		d.fail(errors.New("no such list number"))
+	case update == balancer.PollFailed: // has no list; its list number is ignored
+	case list >= maxEndpointLists:
+		d.fail(errors.New("list number out of range"))
 	default:
 		event.Endpoints = d.lists[list]
 	}
@@ -87,8 +87,8 @@
 	event.Tenant = int(d.u16())
 	event.Remaining = d.duration()
 	flags := d.u8()
-	d.skip(8) // the request's subject
-	d.skip(8) // the work that it is expected to take
+	d.skip(8) // subject of the request
+	d.skip(8) // expected work
 	event.Retry = flags&retryFlag != 0
 	event.Class = int(d.u16())
 }
@@ -96,7 +96,7 @@
 func (d *Decoder) streaming(event *balancer.Event) {
 	event.Kind = balancer.EventStreaming
 	event.Request = balancer.RequestID(d.u32())
-	d.skip(8) // how long ago the attempt was sent
+	d.skip(8) // time since the attempt was sent
 	event.Attempt = int(d.u8())
 	event.Server = balancer.ServerID(d.u32())
 }
@@ -107,7 +107,7 @@
 	event.Attempt = int(d.u8())
 	event.Server = balancer.ServerID(d.u32())
 	event.Outcome = d.outcome()
-	d.skip(8) // how long ago the attempt was sent
+	d.skip(8) // time since the attempt was sent
 	event.Answered = d.u8() != 0
 	event.Load = d.loadReport(instance)
 }
@@ -116,26 +116,26 @@
 	event.Kind = balancer.EventHealthCheck
 	event.Server = balancer.ServerID(d.u32())
 	event.Outcome = d.outcome()
-	d.skip(8) // how long ago the check was sent
+	d.skip(8) // time since the check was sent
 	event.Load = d.loadReport(instance)
 }
 
-// peerMessage skips what another agent says: the balancer has no use for it.
+// peerMessage skips a message from another agent, which the balancer does not use.
 func (d *Decoder) peerMessage() {
 	d.skip(4) // the sender
 	d.skip(uint32(d.u16()))
 }
 
-// endpointList reads a numbered list, which takes the place of the one that had its number.
+// endpointList reads a numbered endpoint list, which replaces any earlier list with that number.
 func (d *Decoder) endpointList() {
 	number := d.u8()
 	n := d.u32()
-	if d.err == nil && number >= endpointLists {
-		d.fail(errors.New("no such list number"))
+	if d.err == nil && number >= maxEndpointLists {
+		d.fail(errors.New("list number out of range"))
 	}
-	// What the frame claims is checked against what has arrived before memory is reserved for it.
+	// The count is checked against the received bytes before memory is allocated for it.
 	if d.err == nil && uint64(n)*endpointBytes > uint64(len(d.unread)) {
-		d.fail(errors.New("more entries than the frame holds"))
+		d.fail(errors.New("more endpoints than the frame contains"))
 	}
 	if d.err != nil {
 		return
@@ -172,7 +172,8 @@
 	return outcome
 }
 
-// loadReport reads values that are named by the settings of the instance; those without a name are skipped.
+// loadReport reads a load report. The settings of the instance name its values in order; values without a name are
+// skipped.
 func (d *Decoder) loadReport(instance uint32) balancer.LoadReport {
 	n := int(d.u8())
 	report := settings.UnknownLoad()
--- a/internal/simwire/host.go
+++ b/internal/simwire/host.go
@@ -11,10 +11,11 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// readBufferBytes holds a common batch whole; batches may reach megabytes.
+// readBufferBytes is enough for a typical batch; batches may reach megabytes.
 const readBufferBytes = 1 << 20
 
-// Serve answers the batches of in until its end. A reply is written whole or, after an error, not at all.
+// Serve reads batches from in until its end and writes one reply per batch to out. A reply is written completely or,
+// after an error in its batch, not at all.
 func Serve(in io.Reader, out io.Writer) error {
 	decoder := NewDecoder(bufio.NewReaderSize(in, readBufferBytes))
 	h := newHost()
@@ -26,7 +27,7 @@
 		if err != nil {
 			return err
 		}
-		reply, err := h.answer(decoder, batch, now)
+		reply, err := h.reply(decoder, batch, now)
 		if err != nil {
 			return err
 		}
@@ -36,19 +37,19 @@
 	}
 }
 
-// host owns the instances of this process. They share nothing: each has a Balancer of its own and no other state.
+// host owns the instances of this process. Each instance is a separate Balancer; instances share no state.
 type host struct {
 	instances map[uint32]*balancer.Balancer
 	encoder   Encoder
-	actions   []balancer.Action // of one event, reused
+	actions   []balancer.Action // actions of one event; reused
 }
 
 func newHost() *host {
 	return &host{instances: map[uint32]*balancer.Balancer{}}
 }
 
-// answer handles all records of a batch and returns the reply, which lives until the next call.
-func (h *host) answer(decoder *Decoder, batch uint32, now time.Duration) ([]byte, error) {
+// reply handles all records of a batch and returns the reply, which is valid until the next call.
+func (h *host) reply(decoder *Decoder, batch uint32, now time.Duration) ([]byte, error) {
 	h.encoder.Begin(batch)
 	for {
 		record, err := decoder.Next()
@@ -79,19 +80,19 @@
 		if b == nil {
 			return nil
 		}
-		if fault := h.deliver(b, now, record); fault != "" {
-			h.encoder.InternalError(record.Instance, fault)
+		if failure := h.deliver(b, now, record); failure != "" {
+			h.encoder.InternalError(record.Instance, failure)
 		}
 	}
 	return nil
 }
 
-// deliver hands one event to the balancer of its instance and writes what it answers. A panic is returned as text, because
-// the wire has an action that reports it and ends the simulated day; the process has to go on until its input ends.
-func (h *host) deliver(b *balancer.Balancer, now time.Duration, record *Record) (fault string) {
+// deliver passes one event to a balancer and encodes the resulting actions. It returns the text of a panic, which the
+// wire protocol reports in an action that ends the simulated day. The process must not exit before its input ends.
+func (h *host) deliver(b *balancer.Balancer, now time.Duration, record *Record) (failure string) {
 	defer func() {
 		if p := recover(); p != nil {
-			fault = fmt.Sprint("panic: ", p)
+			failure = fmt.Sprint("panic: ", p)
 		}
 	}()
 	h.actions = b.Handle(now, record.Event, h.actions[:0])
--- a/internal/simwire/simwire.go
+++ b/internal/simwire/simwire.go
@@ -1,6 +1,6 @@
-// Package simwire hosts balancers behind the simulator's binary frames: it decodes batches of events, hands them to the balancer of
-// their instance and encodes its actions. It makes no decisions and reads no clock but that of the batches. One goroutine does
-// all of it and owns the instances.
+// Package simwire runs balancers for the simulator. It decodes batches of events from binary frames, passes each event
+// to the balancer of its instance and encodes the resulting actions. It makes no decisions and uses only the clock in
+// the batches. A single goroutine does all work and owns the instances.
 package simwire
 
 import "example.org/ryeloft/internal/balancer"
@@ -8,7 +8,7 @@
 // eventCode is the code of an event in a batch.
 type eventCode uint8
 
-// The codes of events, with the names that the wire gives them.
+// The event codes. The comments give the names in the wire protocol.
 const (
 	eventStart        eventCode = 10  // Create
 	eventDiscovery    eventCode = 20  // View
@@ -23,10 +23,10 @@
 	eventEndpointList eventCode = 110 // Manifest
 )
 
-// actionCode is the code of an action in a reply.
+// actionCode is the code of an action in a reply frame.
 type actionCode uint8
 
-// The codes of actions, with the names that the wire gives them.
+// The action codes. The comments give the names in the wire protocol.
 const (
 	actionReject        actionCode = 10  // Refuse
 	actionLog           actionCode = 20  // Log
@@ -39,7 +39,7 @@
 	actionHealthCheck   actionCode = 110 // Probe
 )
 
-// outcomeByCode maps the codes of outcomes.
+// outcomeByCode maps the outcome codes of the wire protocol to outcomes.
 var outcomeByCode = map[uint8]balancer.Outcome{
 	10: balancer.OutcomeOK,
 	20: balancer.OutcomeError,
@@ -52,26 +52,26 @@
 }
 
 const (
-	batchHeaderBytes   = 20
-	countedHeaderBytes = 12 // of the batch header that its length field counts: clock and number of records
-	replyHeaderBytes   = 8
-	endpointBytes      = 21
-	maxTextBytes       = 400 // a longer text is cut
-	endpointLists      = 16  // numbers that a list may have
-	retryFlag          = 2   // of a request: the client marks it as a retry
+	batchHeaderBytes    = 20
+	headerBytesInLength = 12 // part of the batch header that the length field includes: clock and record count
+	replyHeaderBytes    = 8
+	endpointBytes       = 21
+	maxTextBytes        = 400 // longer texts are truncated
+	maxEndpointLists    = 16  // list numbers are below this
+	retryFlag           = 2   // request flag: the client marks the request as a retry
 )
 
-// Kind tells what a Record asks of the adapter.
+// Kind is the kind of a Record.
 type Kind uint8
 
 // The kinds of records.
 const (
 	Start   Kind = iota // start an instance with Seed and Settings
-	Stop                // drop the instance
-	Deliver             // hand Event to the instance
+	Stop                // remove the instance
+	Deliver             // pass Event to the instance
 )
 
-// Record is one event for one instance.
+// Record is a decoded record for one instance.
 type Record struct {
 	Kind     Kind
 	Instance uint32
--- a/internal/simwire/simwire_test.go
+++ b/internal/simwire/simwire_test.go
@@ -14,11 +14,12 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-const clock = "40c06e2000000000"
+// clockHex is the clock of all batches made by frame.
+const clockHex = "40c06e2000000000"
 
-// frame builds batch 12 of records given as hex, spaces ignored.
+// frame returns batch 12 with count records, given in hex; spaces are ignored.
 func frame(count int, records string) []byte {
-	body, err := hex.DecodeString(clock + strings.ReplaceAll(strings.ReplaceAll("0000000X", "X", string(rune('0'+count)))+records, " ", ""))
+	body, err := hex.DecodeString(clockHex + strings.ReplaceAll(strings.ReplaceAll("0000000X", "X", string(rune('0'+count)))+records, " ", ""))
 	if err != nil {
 		panic(err)
 	}
@@ -26,7 +27,8 @@
 	return append(head, body...)
 }
 
-func all(data []byte) (recs []Record, err error) {
+// decodeAll decodes records up to the first error, which is io.EOF for valid data.
+func decodeAll(data []byte) (recs []Record, err error) {
 	d := NewDecoder(bytes.NewReader(data))
 	for {
 		if _, _, err = d.Batch(); err != nil {
@@ -46,24 +48,26 @@
 }
 
 const (
-	ask      = "1e 00000003 5d3a91c4 0002 406e000000000000 03 91f03b7c55d20a64 4028000000000000 0001"
-	manifest = "6e 00 00000002 03124a07 00 00 0000 01 3f800000 0000000000000000" +
+	requestRecord      = "1e 00000003 5d3a91c4 0002 406e000000000000 03 91f03b7c55d20a64 4028000000000000 0001"
+	endpointListRecord = "6e 00 00000002 03124a07 00 00 0000 01 3f800000 0000000000000000" +
 		" 2c9011f2 01 02 0005 02 3fc00000 40b7d40000000000"
-	view   = "14 00000003 0000000000000029 02 00"
-	create = `{"categories":[{"aim":380,"deadline":949,"credit":8,"effect":"token","dedupScope":"cell",` +
+	discoveryRecord = "14 00000003 0000000000000029 02 00"
+	settingsJSON    = `{"categories":[{"aim":380,"deadline":949,"credit":8,"effect":"token","dedupScope":"cell",` +
 		`"repeatWindow":600,"localitiesOnly":[1],"boundTo":[],"unknown":[1]}],"localities":["x","y"],"limits":{"maxAttempts":6,"idleClose":15000,"cancel":true},"rank":2,"replicasOfMe":3,` +
 		`"report":{"fields":["outstanding","backlog","utilization"],"how":"inline"},"discovery":"subscribe",` +
 		`"rules":{"extraWindow":5000,"extraFloor":3,"resendRatio":0.2,"coldFrom":0.12,"mustAskIn":10000,"overloadFactor":2.5,"warmAfter":21000},"tick":1.5,` +
 		`"accounts":[{"portion":0.34,"allowancePerS":16}],"worthBy":"work","weights":"live"}`
 )
 
-func createRecord(text string) string {
+// startRecordHex returns the hex of a record that starts instance 3 with seed 7 and the given settings.
+func startRecordHex(text string) string {
 	n := binary.BigEndian.AppendUint32(nil, uint32(len(text)))
 	return "0a 00000003 0000000000000007" + hex.EncodeToString(n) + hex.EncodeToString([]byte(text))
 }
 
-func TestEvents(t *testing.T) {
-	recs, err := all(frame(9, createRecord(create)+manifest+view+ask+
+// A batch of several records decodes to the events in their order, with the settings and load reports of the instance.
+func TestDecodeEvents(t *testing.T) {
+	recs, err := decodeAll(frame(9, startRecordHex(settingsJSON)+endpointListRecord+discoveryRecord+requestRecord+
 		"46 00000003 000000000000004d"+"3c 00000005 0e6f2b19"+
 		"32 00000003 5d3a91c4 01 03124a07 1e 4032800000000000 01 03 40e00000 40400000 3f1eb852"+
 		"50 00000003 2c9011f2 0a 3ff6666666666666 00"+"5a 00000003 00000002 0004 68692037"))
@@ -94,11 +98,12 @@
 		t.Errorf("outcome %+v", o)
 	}
 	if p := recs[6].Event; p.Kind != balancer.EventHealthCheck || p.Load.Known {
-		t.Errorf("probe %+v", p)
+		t.Errorf("health check %+v", p)
 	}
 }
 
-func TestActions(t *testing.T) {
+// A reply contains its actions in order and their length in its header.
+func TestEncodeActions(t *testing.T) {
 	var e Encoder
 	e.Begin(12)
 	for _, a := range []balancer.Action{
@@ -122,57 +127,59 @@
 	}
 }
 
-// A list number is reused: events see the list as it was when they came.
-func TestManifestNumbersAreReused(t *testing.T) {
-	recs, err := all(frame(4, manifest+view+"6e 00 00000000"+view))
+// The simulator reuses list numbers: an event keeps the list that had its number when the event was read.
+func TestEndpointListNumberIsReused(t *testing.T) {
+	recs, err := decodeAll(frame(4, endpointListRecord+discoveryRecord+"6e 00 00000000"+discoveryRecord))
 	if !errors.Is(err, io.EOF) || len(recs) != 2 || len(recs[0].Event.Endpoints) != 2 || len(recs[1].Event.Endpoints) != 0 {
 		t.Fatalf("records %+v, error %v", recs, err)
 	}
 }
 
-func TestMalformed(t *testing.T) {
-	good := frame(1, ask)
-	long := bytes.Clone(good)
-	long[7] += 4
-	short := bytes.Clone(good)
-	short[7] = 3
-	back := append(bytes.Clone(good), frame(0, "")...)
-	copy(back[len(good)+8:], make([]byte, 8))
-	for name, data := range map[string][]byte{
-		"truncated header":            good[:7],
-		"truncated batch":             long,
-		"shorter than the header":     short,
-		"clock is no time":            back,
-		"truncated record":            frame(1, ask[:40]),
-		"unknown event code 99":       frame(1, "63 00000003"),
-		"behind the last record":      frame(1, ask+"00"),
-		"more entries than the frame": frame(1, "6e 00 ffffffff 03124a07"),
-		"no such list number":         frame(1, "6e 10 00000000"),
-		"unknown list mode":           frame(1, "14 00000003 0000000000000029 09 00"),
-		"unknown outcome 31":          frame(1, "50 00000003 2c9011f2 1f 3ff6666666666666 00"),
-		"unknown server state":        frame(1, "6e 00 00000001 03124a07 00 00 0000 07 3f800000 0000000000000000"),
-		"settings: ":                  frame(1, createRecord("{")),
-		`categories[0].effect "odd"`:  frame(1, createRecord(`{"categories":[{"effect":"odd"}]}`)),
-		"categories[0].localitiesOnly: 2 is no": frame(1, createRecord(`{"localities":["x","y"],"categories":[`+
+// A malformed batch fails with an error that names the problem and the offset.
+func TestDecodeMalformed(t *testing.T) {
+	valid := frame(1, requestRecord)
+	lengthTooLarge := bytes.Clone(valid)
+	lengthTooLarge[7] += 4
+	lengthTooSmall := bytes.Clone(valid)
+	lengthTooSmall[7] = 3
+	clockBackwards := append(bytes.Clone(valid), frame(0, "")...)
+	copy(clockBackwards[len(valid)+8:], make([]byte, 8))
+	for wantErr, data := range map[string][]byte{
+		"truncated header":              valid[:7],
+		"truncated batch":               lengthTooLarge,
+		"shorter than the header":       lengthTooSmall,
+		"clock is not a valid time":     clockBackwards,
+		"truncated record":              frame(1, requestRecord[:40]),
+		"unknown event code 99":         frame(1, "63 00000003"),
+		"after the last record":         frame(1, requestRecord+"00"),
+		"more endpoints than the frame": frame(1, "6e 00 ffffffff 03124a07"),
+		"list number out of range":      frame(1, "6e 10 00000000"),
+		"unknown list mode":             frame(1, "14 00000003 0000000000000029 09 00"),
+		"unknown outcome 31":            frame(1, "50 00000003 2c9011f2 1f 3ff6666666666666 00"),
+		"unknown server state":          frame(1, "6e 00 00000001 03124a07 00 00 0000 07 3f800000 0000000000000000"),
+		"settings: ":                    frame(1, startRecordHex("{")),
+		`categories[0].effect "odd"`:    frame(1, startRecordHex(`{"categories":[{"effect":"odd"}]}`)),
+		"categories[0].localitiesOnly: 2 is no": frame(1, startRecordHex(`{"localities":["x","y"],"categories":[`+
 			`{"effect":"pure","localitiesOnly":[2]}]}`)),
-		"categories[0].boundTo: -1 is no": frame(1, createRecord(`{"skus":["x"],"categories":[`+
+		"categories[0].boundTo: -1 is no": frame(1, startRecordHex(`{"skus":["x"],"categories":[`+
 			`{"effect":"pure","boundTo":[-1]}]}`)),
-		"boundTo: 0.5 is no":             frame(1, createRecord(`{"skus":["x"],"categories":[{"effect":"pure","boundTo":[0.5]}]}`)),
-		`report.how "odd" is unknown`:    frame(1, createRecord(`{"report":{"how":"odd"}}`)),
+		"boundTo: 0.5 is no":             frame(1, startRecordHex(`{"skus":["x"],"categories":[{"effect":"pure","boundTo":[0.5]}]}`)),
+		`report.how "odd" is unknown`:    frame(1, startRecordHex(`{"report":{"how":"odd"}}`)),
 		"batch 12, offset 20: truncated": frame(2, ""),
 	} {
-		if _, err := all(data); err == nil || !strings.Contains(err.Error(), name) || !strings.Contains(err.Error(), "offset") {
-			t.Errorf("%s: error %v", name, err)
+		if _, err := decodeAll(data); err == nil || !strings.Contains(err.Error(), wantErr) || !strings.Contains(err.Error(), "offset") {
+			t.Errorf("got error %v, want one with %q and an offset", err, wantErr)
 		}
 	}
 }
 
+// FuzzDecode checks that decoding any input ends with an error, io.EOF included, and returns at most one record per byte.
 func FuzzDecode(f *testing.F) {
-	f.Add(frame(1, ask))
-	f.Add(frame(3, manifest+view+createRecord(create)))
+	f.Add(frame(1, requestRecord))
+	f.Add(frame(3, endpointListRecord+discoveryRecord+startRecordHex(settingsJSON)))
 	f.Add(frame(1, "6e 00 ffffffff 03124a07"))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		recs, err := all(data)
+		recs, err := decodeAll(data)
 		if err == nil || len(recs) > len(data) {
 			t.Fatalf("%d records of %d bytes, error %v", len(recs), len(data), err)
 		}
--- a/internal/simwire/wire_test.go
+++ b/internal/simwire/wire_test.go
@@ -14,11 +14,11 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// The bytes of each event, by themselves, are read into each of its fields.
-func TestBytesOfEvents(t *testing.T) {
+// Each event layout of the wire protocol decodes to the right fields.
+func TestDecodeEventBytes(t *testing.T) {
 	event := func(ev balancer.Event) Record { return Record{Kind: Deliver, Instance: 3, Event: ev} }
-	none := settings.UnknownLoad()
-	two := []balancer.Endpoint{
+	unknownLoad := settings.UnknownLoad()
+	endpoints := []balancer.Endpoint{
 		{ID: 0x03124a07, State: balancer.Ready, Weight: 1},
 		{ID: 0x2c9011f2, Zone: 1, Kind: 2, Cell: 5, State: balancer.Draining, Weight: 1.5, Start: 6100 * time.Millisecond},
 	}
@@ -27,72 +27,72 @@
 		records string
 		want    []Record
 	}{
-		"create": {1, createRecord(`{"tick":1.5}`),
+		"start": {1, startRecordHex(`{"tick":1.5}`),
 			[]Record{{Kind: Start, Instance: 3, Seed: 7, Settings: balancer.Settings{Zone: -1, Tick: 1500 * time.Microsecond}}}},
-		"detach":   {1, "64 00000005", []Record{{Kind: Stop, Instance: 5}}},
-		"manifest": {1, manifest, nil},
-		"view, changes": {2, manifest + "14 00000003 0000000000000029 00 00",
-			[]Record{event(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsChanged, Endpoints: two})}},
-		"view, whole": {2, manifest + "14 00000003 0000000000000029 01 00",
-			[]Record{event(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: two})}},
-		"view, cached": {2, manifest + "14 00000003 0000000000000029 02 00",
-			[]Record{event(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsCached, Endpoints: two})}},
-		"view, last number": {2, "6e 0f 00000001 03124a07 00 00 0000 01 3f800000 0000000000000000" + "14 00000003 0000000000000029 02 0f",
-			[]Record{event(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsCached, Endpoints: two[:1]})}},
-		"view, failed": {1, "14 00000003 0000000000000029 03 ff",
+		"stop":          {1, "64 00000005", []Record{{Kind: Stop, Instance: 5}}},
+		"endpoint list": {1, endpointListRecord, nil},
+		"discovery, changed": {2, endpointListRecord + "14 00000003 0000000000000029 00 00",
+			[]Record{event(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsChanged, Endpoints: endpoints})}},
+		"discovery, replaced": {2, endpointListRecord + "14 00000003 0000000000000029 01 00",
+			[]Record{event(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: endpoints})}},
+		"discovery, cached": {2, endpointListRecord + "14 00000003 0000000000000029 02 00",
+			[]Record{event(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsCached, Endpoints: endpoints})}},
+		"discovery, highest list number": {2, "6e 0f 00000001 03124a07 00 00 0000 01 3f800000 0000000000000000" + "14 00000003 0000000000000029 02 0f",
+			[]Record{event(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.EndpointsCached, Endpoints: endpoints[:1]})}},
+		"discovery, poll failed": {1, "14 00000003 0000000000000029 03 ff",
 			[]Record{event(balancer.Event{Kind: balancer.EventDiscovery, Update: balancer.PollFailed})}},
-		"ask, first": {1, "1e 00000003 5d3a91c4 0002 406e000000000000 05 91f03b7c55d20a64 4028000000000000 0001",
+		"request": {1, "1e 00000003 5d3a91c4 0002 406e000000000000 05 91f03b7c55d20a64 4028000000000000 0001",
 			[]Record{event(balancer.Event{Kind: balancer.EventRequest, Request: 0x5d3a91c4, Tenant: 2, Class: 1, Remaining: 240 * time.Millisecond})}},
-		"ask, retry": {1, "1e 00000003 5d3a91c4 0000 406e000000000000 02 0000000000000000 0000000000000000 0000",
+		"request, retry": {1, "1e 00000003 5d3a91c4 0000 406e000000000000 02 0000000000000000 0000000000000000 0000",
 			[]Record{event(balancer.Event{Kind: balancer.EventRequest, Request: 0x5d3a91c4, Retry: true, Remaining: 240 * time.Millisecond})}},
-		"begun": {1, "28 00000003 5d3a91c4 4032800000000000 01 03124a07",
+		"streaming": {1, "28 00000003 5d3a91c4 4032800000000000 01 03124a07",
 			[]Record{event(balancer.Event{Kind: balancer.EventStreaming, Request: 0x5d3a91c4, Attempt: 1, Server: 0x03124a07})}},
-		"reply": {1, "32 00000003 5d3a91c4 02 03124a07 0a 4032800000000000 01 00",
-			[]Record{event(balancer.Event{Kind: balancer.EventOutcome, Request: 0x5d3a91c4, Attempt: 2, Server: 0x03124a07, Answered: true, Load: none})}},
-		"hangup": {1, "3c 00000003 0e6f2b19", []Record{event(balancer.Event{Kind: balancer.EventClientClosed, Request: 0x0e6f2b19})}},
-		"timer":  {1, "46 00000003 010000000000004d", []Record{event(balancer.Event{Kind: balancer.EventTimer, TimerID: 0x010000000000004d})}},
-		"check": {1, "50 00000003 2c9011f2 28 3ff6666666666666 00",
-			[]Record{event(balancer.Event{Kind: balancer.EventHealthCheck, Server: 0x2c9011f2, Outcome: balancer.OutcomeTimeout, Load: none})}},
-		"datagram": {1, "5a 00000003 00000002 0004 68692037", nil},
+		"outcome": {1, "32 00000003 5d3a91c4 02 03124a07 0a 4032800000000000 01 00",
+			[]Record{event(balancer.Event{Kind: balancer.EventOutcome, Request: 0x5d3a91c4, Attempt: 2, Server: 0x03124a07, Answered: true, Load: unknownLoad})}},
+		"client closed": {1, "3c 00000003 0e6f2b19", []Record{event(balancer.Event{Kind: balancer.EventClientClosed, Request: 0x0e6f2b19})}},
+		"timer":         {1, "46 00000003 010000000000004d", []Record{event(balancer.Event{Kind: balancer.EventTimer, TimerID: 0x010000000000004d})}},
+		"health check": {1, "50 00000003 2c9011f2 28 3ff6666666666666 00",
+			[]Record{event(balancer.Event{Kind: balancer.EventHealthCheck, Server: 0x2c9011f2, Outcome: balancer.OutcomeTimeout, Load: unknownLoad})}},
+		"peer message": {1, "5a 00000003 00000002 0004 68692037", nil},
 	} {
-		if got, err := all(frame(c.count, c.records)); !errors.Is(err, io.EOF) || !reflect.DeepEqual(got, c.want) {
+		if got, err := decodeAll(frame(c.count, c.records)); !errors.Is(err, io.EOF) || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s: error %v\ngot  %+v\nwant %+v", name, err, got, c.want)
 		}
 	}
 }
 
-// The values of load reports go by the names that the instance's settings give them, in replies and in checks.
-func TestBytesOfLoadReports(t *testing.T) {
-	create := createRecord(`{"report":{"fields":["recent_ms","utilization","outstanding"],"how":"inline"}}`)
+// Load report values get their meaning from the instance's settings, in outcomes and in health checks alike.
+func TestDecodeLoadReportBytes(t *testing.T) {
+	start := startRecordHex(`{"report":{"fields":["recent_ms","utilization","outstanding"],"how":"inline"}}`)
 	load := balancer.LoadReport{Known: true, InFlight: 7, Queue: -1, ServiceTime: 3 * time.Millisecond}
-	const report = "04 40400000 3f1eb852 40e00000 41000000" // one value more than there are names
-	recs, err := all(frame(3, create+"32 00000003 5d3a91c4 00 03124a07 0a 4032800000000000 00"+report+
+	const report = "04 40400000 3f1eb852 40e00000 41000000" // one value more than the settings name
+	recs, err := decodeAll(frame(3, start+"32 00000003 5d3a91c4 00 03124a07 0a 4032800000000000 00"+report+
 		"50 00000003 2c9011f2 0a 3ff6666666666666"+report))
 	if !errors.Is(err, io.EOF) || len(recs) != 3 {
 		t.Fatalf("%d records, error %v", len(recs), err)
 	}
 	for _, rec := range recs[1:] {
 		if rec.Event.Load != load {
-			t.Errorf("%+v, want the load %+v", rec.Event, load)
+			t.Errorf("got %+v, want load %+v", rec.Event, load)
 		}
 	}
 }
 
-// Each code of an outcome has its meaning, in replies and in checks.
-func TestBytesOfOutcomes(t *testing.T) {
+// Each outcome code decodes to its outcome, in attempts and in health checks alike.
+func TestDecodeOutcomeBytes(t *testing.T) {
 	for code, want := range map[string]balancer.Outcome{
 		"0a": balancer.OutcomeOK, "14": balancer.OutcomeError, "1e": balancer.OutcomeRejected, "28": balancer.OutcomeTimeout,
 		"32": balancer.OutcomeConnectFailed, "3c": balancer.OutcomeReset, "46": balancer.OutcomeCancelled, "50": balancer.OutcomeExpired,
 	} {
-		recs, err := all(frame(2, "32 00000003 5d3a91c4 02 03124a07"+code+"4032800000000000 00 00"+"50 00000003 2c9011f2"+code+"3ff6666666666666 00"))
+		recs, err := decodeAll(frame(2, "32 00000003 5d3a91c4 02 03124a07"+code+"4032800000000000 00 00"+"50 00000003 2c9011f2"+code+"3ff6666666666666 00"))
 		if !errors.Is(err, io.EOF) || len(recs) != 2 || recs[0].Event.Outcome != want || recs[1].Event.Outcome != want {
-			t.Errorf("%s: %+v, error %v, want %v", code, recs, err, want)
+			t.Errorf("code %s: got %+v, error %v; want outcome %v in both", code, recs, err, want)
 		}
 	}
 }
 
-// Each action is written as these bytes.
-func TestBytesOfActions(t *testing.T) {
+// Each action encodes to the exact bytes of the wire protocol, with a text truncated to 400 bytes.
+func TestEncodeActionBytes(t *testing.T) {
 	long := strings.Repeat("x", 401)
 	for _, c := range []struct {
 		action balancer.Action
@@ -115,22 +115,22 @@
 		e.Begin(12)
 		e.Action(3, &c.action)
 		if got, want := hex.EncodeToString(e.Finish()), replyFrame(c.want); got != want {
-			t.Errorf("%+v\ngot  %s\nwant %s", c.action, got, want)
+			t.Errorf("action %+v\ngot  %s\nwant %s", c.action, got, want)
 		}
 	}
 	var e Encoder
 	e.Begin(12)
 	e.InternalError(3, "panic: x")
 	if got, want := hex.EncodeToString(e.Finish()), replyFrame("1e 00000003 0008 70616e69633a2078"); got != want {
-		t.Errorf("fault\ngot  %s\nwant %s", got, want)
+		t.Errorf("internal error\ngot  %s\nwant %s", got, want)
 	}
 	e.Begin(12)
 	if got, want := hex.EncodeToString(e.Finish()), replyFrame(""); got != want {
-		t.Errorf("empty\ngot  %s\nwant %s", got, want)
+		t.Errorf("empty reply\ngot  %s\nwant %s", got, want)
 	}
 }
 
-// replyFrame is the hex of the reply to batch 12 that holds records given as hex, spaces ignored.
+// replyFrame returns the hex of the reply to batch 12 with the given records in hex; spaces are ignored.
 func replyFrame(records string) string {
 	records = strings.ReplaceAll(records, " ", "")
 	return fmt.Sprintf("0000000c%08x%s", len(records)/2, records)
