--- a/internal/handover/claims.go
+++ b/internal/handover/claims.go
@@ -8,46 +8,46 @@
 	"time"
 )
 
-// While two processes run, a client may send two requests with one id, one to each. The older process owns the ids: the newer
-// claims the id of each request from it before it takes the request. Each kind of line is sent only to a process that has said
-// that it knows them, which one of an earlier release does not.
+// While two processes run, a client may send two requests with the same id, one to each process. The older process owns
+// the ids: the newer one claims the id of each request from it before it accepts the request. The words below, other
+// than claimsWord, are sent only to a process that has sent claimsWord, which one of an earlier release does not.
 const (
-	// claimsWord asks an older process whether it answers claims, and is its answer.
+	// claimsWord asks an older process whether it answers claims. The older process answers with the same word.
 	claimsWord = "claims"
-	// claimWord claims an id; freeWord and takenWord answer that.
+	// claimWord claims an id; freeWord and takenWord are the answers.
 	claimWord = "claim"
 	freeWord  = "free"
 	takenWord = "taken"
-	// seenWord names ids of requests that the older process had, as it ends.
+	// seenWord is followed by ids of requests of the older process. It is sent when that process ends.
 	seenWord = "seen"
 
-	// claimTimeout bounds the wait for the answer to a claim. A process that is slower is not asked again: a request is not
-	// held up for the sake of ids, which clients are not to repeat.
+	// claimTimeout bounds the wait for the answer to a claim. No further claims are sent to a process that is slower:
+	// requests must not be delayed to detect duplicate ids, because clients should not reuse ids anyway.
 	claimTimeout = 50 * time.Millisecond
-	// seenPerLine is how many ids go into one line.
+	// seenPerLine is the number of ids in one line.
 	seenPerLine = 3
 )
 
-// RequestIDs are the ids of the requests that this process has taken, as hashes.
+// RequestIDs stores the ids of the requests that this process has accepted, as hashes.
 type RequestIDs interface {
-	// Claim notes the id of a request that another process is to take, and returns whether it was free.
+	// Claim records an id for a request of another process and reports whether the id was free.
 	Claim(id uint64) bool
-	// DropClaims forgets the claimed ids.
+	// DropClaims removes the claimed ids.
 	DropClaims()
-	// Known returns the ids of requests that this process has taken lately.
+	// Known returns the ids of the requests that this process has recently accepted.
 	Known() []uint64
-	// Add notes the id of a request that another process has taken.
+	// Add records the id of a request that another process has accepted.
 	Add(id uint64)
 }
 
-// Claim returns whether this process may take a request with an id: no older process has taken one with the same id. On a nil
-// Handover, that of a process without others, it may.
+// Claim reports whether this process may accept a request with the given id, because no older process has accepted one
+// with the same id. On a nil Handover, which a process without peers has, it returns true.
 func (h *Handover) Claim(id uint64) bool {
 	if h == nil {
 		return true
 	}
-	for _, answer := range h.sendClaims(id) {
-		if !h.awaitClaim(id, answer) {
+	for _, claim := range h.sendClaims(id) {
+		if !h.awaitClaim(id, claim) {
 			return false
 		}
 	}
@@ -57,7 +57,7 @@
 // pendingClaim is a claim that an older process has not answered yet.
 type pendingClaim struct {
 	peer   *peerProcess
-	answer chan bool // holds one
+	answer chan bool // has a capacity of one
 }
 
 // sendClaims claims an id from each older process that answers claims.
@@ -77,31 +77,32 @@
 	return pending
 }
 
-// awaitClaim waits for the answer to a claim. A process that has ended, or does not answer, has no objection.
+// awaitClaim waits for the answer to a claim and reports whether the id is free. The id counts as free if the process
+// has ended or does not answer in time.
 func (h *Handover) awaitClaim(id uint64, claim pendingClaim) (free bool) {
-	limit := time.NewTimer(claimTimeout)
-	defer limit.Stop()
+	timer := time.NewTimer(claimTimeout)
+	defer timer.Stop()
 	select {
 	case free = <-claim.answer:
 		return free
-	case <-limit.C:
+	case <-timer.C:
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if claim.peer.answersClaims {
 		claim.peer.answersClaims = false
-		h.log.Warn("peer process does not answer claims of request ids", "within", claimTimeout)
+		h.log.Warn("peer process does not answer request id claims", "within", claimTimeout)
 	}
 	delete(claim.peer.claims, id)
 	return true
 }
 
-// receiveClaimLine takes a line about ids, and returns whether it is one.
+// receiveClaimLine handles a line about request ids, and reports whether the line is one.
 func (h *Handover) receiveClaimLine(conn net.Conn, p *peerProcess, line string) bool {
 	words := strings.Split(line, " ")
 	switch words[0] {
 	case claimsWord:
-		h.claimsAnswered(conn, p)
+		h.peerAnswersClaims(conn, p)
 	case claimWord:
 		for _, id := range parseIDs(words[1:]) {
 			answer := takenWord
@@ -112,7 +113,7 @@
 		}
 	case freeWord, takenWord:
 		for _, id := range parseIDs(words[1:]) {
-			h.settleClaim(p, id, words[0] == freeWord)
+			h.resolveClaim(p, id, words[0] == freeWord)
 		}
 	case seenWord:
 		for _, id := range parseIDs(words[1:]) {
@@ -124,8 +125,8 @@
 	return true
 }
 
-// claimsAnswered notes that the other process knows claims; an older one says so in answer.
-func (h *Handover) claimsAnswered(conn net.Conn, p *peerProcess) {
+// peerAnswersClaims records that the other process supports claims. An older process confirms it to a newer one.
+func (h *Handover) peerAnswersClaims(conn net.Conn, p *peerProcess) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	p.answersClaims = true
@@ -134,8 +135,8 @@
 	}
 }
 
-// settleClaim hands the answer to a claim to who waits for it, if anybody still does.
-func (h *Handover) settleClaim(p *peerProcess, id uint64, free bool) {
+// resolveClaim passes the answer to a claim to the goroutine that waits for it, if there still is one.
+func (h *Handover) resolveClaim(p *peerProcess, id uint64, free bool) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if answer := p.claims[id]; answer != nil {
@@ -144,8 +145,8 @@
 	}
 }
 
-// settleAllClaims answers what a process that has ended has left. The mutex is held.
-func (p *peerProcess) settleAllClaims() {
+// resolveAllClaims resolves all pending claims as free when a process has ended. The caller holds the mutex.
+func (p *peerProcess) resolveAllClaims() {
 	p.answersClaims = false
 	for id, answer := range p.claims {
 		answer <- true
@@ -153,7 +154,7 @@
 	}
 }
 
-// sendSeen notifies a newer process of the ids that this one has taken, as it ends. The mutex is held.
+// sendSeen sends the ids of this process's requests to a newer process when this one ends. The caller holds the mutex.
 func (h *Handover) sendSeen(conn net.Conn) {
 	var text strings.Builder
 	for i, id := range h.ids.Known() {
@@ -170,7 +171,7 @@
 	}
 }
 
-// parseIDs reads ids. What is none is left out.
+// parseIDs parses ids and skips invalid ones.
 func parseIDs(words []string) []uint64 {
 	var ids []uint64
 	for _, word := range words {
--- a/internal/handover/claims_test.go
+++ b/internal/handover/claims_test.go
@@ -12,17 +12,17 @@
 	"example.org/ryeloft/internal/config"
 )
 
-// await waits until something holds.
-func await(t *testing.T, what string, holds func() bool) {
+// await waits until a condition is true.
+func await(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for begun := time.Now(); !holds(); time.Sleep(time.Millisecond) {
-		if time.Since(begun) > agenttest.Timeout {
-			t.Fatalf("never: %s", what)
+	for start := time.Now(); !condition(); time.Sleep(time.Millisecond) {
+		if time.Since(start) > agenttest.Timeout {
+			t.Fatalf("timed out waiting until %s", what)
 		}
 	}
 }
 
-// answersClaims says whether an older process has said that it answers claims.
+// answersClaims reports whether an older process has confirmed that it answers claims.
 func (h *Handover) answersClaims() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -34,9 +34,9 @@
 	return false
 }
 
-// An id is one process's: what the older has taken the newer may not take, nor the older what the newer has. What the older has
-// taken is known to the newer when the older has ended.
-func TestIDsBelongToOneProcess(t *testing.T) {
+// Two processes must never both accept a request with the same id, whichever accepts one first. When the older process
+// ends, the newer one knows all ids that the older one had accepted.
+func TestRequestIDClaimedOnce(t *testing.T) {
 	cfg := &config.Config{MemoryMB: 1 << 20, Sockets: 384}
 	path := filepath.Join(t.TempDir(), "l")
 	olderIDs, newerIDs := &fakeIDs{}, &fakeIDs{}
@@ -52,23 +52,23 @@
 		olderIDs.Add(id)
 	}
 	if newer.Claim(first) || newer.Claim(last) {
-		t.Error("the newer process takes an id that the older has taken")
+		t.Error("the newer process accepts an id that the older one has accepted")
 	}
 	if !newer.Claim(last+1) || olderIDs.Claim(last+1) {
-		t.Error("the older process takes an id that the newer has taken")
+		t.Error("the newer process cannot claim a free id, or the older one accepts an id that the newer one has claimed")
 	}
 	if !older.Claim(last + 2) {
-		t.Error("the older process asks the newer")
+		t.Error("the older process does not accept a free id")
 	}
 	older.Close()
 	await(t, "the newer process knows the ids of the older", func() bool { return newerIDs.has(first) && newerIDs.has(last) })
 	if !newer.Claim(last + 3) {
-		t.Error("a process that has ended objects")
+		t.Error("a claim of a free id fails after the older process has ended")
 	}
 }
 
-// The end of a newer process ends its claims.
-func TestClaimsEndWithTheirProcess(t *testing.T) {
+// The older process must drop the claims of a newer process that has ended, or their ids would stay taken.
+func TestClaimsDroppedWhenNewerProcessEnds(t *testing.T) {
 	cfg := &config.Config{MemoryMB: 1 << 20, Sockets: 384}
 	path := filepath.Join(t.TempDir(), "l")
 	ids := &fakeIDs{}
@@ -86,17 +86,17 @@
 	})
 }
 
-// A process of an earlier release is asked once whether it answers claims, and sent nothing else; one that does but is silent
-// holds up one request, and for a bounded time.
-func TestClaimsOfOtherReleases(t *testing.T) {
+// A process of an earlier release is asked once whether it answers claims, and is sent nothing else. A process that
+// confirms it but does not answer delays only one request, by a limited time.
+func TestClaimsWithOtherReleases(t *testing.T) {
 	cfg := &config.Config{MemoryMB: 1 << 20, Sockets: 384}
 	for name, c := range map[string]struct {
-		says string
-		gets []string // after the first line
+		sends    string
+		receives []string // after the first line
 	}{
 		"an earlier release": {"pass 0 0\ny", nil},
-		"silent":             {"pass 0 0\nclaims\ny", []string{"claim 0000000000000007"}},
-		"nonsense":           {"claims\ntaken\nfree x\ntaken 0000000000000009\nseen\nseen -\n", []string{"claim 0000000000000007"}},
+		"does not answer":    {"pass 0 0\nclaims\ny", []string{"claim 0000000000000007"}},
+		"invalid lines":      {"claims\ntaken\nfree x\ntaken 0000000000000009\nseen\nseen -\n", []string{"claim 0000000000000007"}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			path := filepath.Join(t.TempDir(), "l")
@@ -105,7 +105,7 @@
 				t.Fatal(err)
 			}
 			defer l.Close()
-			k := Join(path, quotasFor(cfg), &fakeIDs{}, agenttest.DiscardLogger)
+			newer := Join(path, quotasFor(cfg), &fakeIDs{}, agenttest.DiscardLogger)
 			other, err := l.Accept()
 			if err != nil {
 				t.Fatal(err)
@@ -113,30 +113,30 @@
 			defer other.Close()
 			lines := bufio.NewScanner(other)
 			if !lines.Scan() || lines.Text() != "claims" {
-				t.Fatalf("begins with %q", lines.Text())
+				t.Fatalf("got first line %q, want %q", lines.Text(), "claims")
 			}
-			if _, err := other.Write([]byte(c.says)); err != nil {
+			if _, err := other.Write([]byte(c.sends)); err != nil {
 				t.Fatal(err)
 			}
-			if len(c.gets) > 0 {
-				await(t, "it answers claims", k.answersClaims)
+			if len(c.receives) > 0 {
+				await(t, "the older process answers claims", newer.answersClaims)
 			}
-			begun := time.Now()
+			start := time.Now()
 			for id := range uint64(3) {
-				if !k.Claim(id + 7) {
-					t.Errorf("%d is taken", id)
+				if !newer.Claim(id + 7) {
+					t.Errorf("id %d: got taken, want free", id+7)
 				}
 			}
-			if took := time.Since(begun); took > agenttest.Timeout/2 {
-				t.Errorf("held up for %v", took)
+			if took := time.Since(start); took > agenttest.Timeout/2 {
+				t.Errorf("claims took %v, want at most %v", took, agenttest.Timeout/2)
 			}
-			k.Close()
+			newer.Close()
 			var got []string
 			for lines.Scan() {
 				got = append(got, lines.Text())
 			}
-			if strings.Join(got, "|") != strings.Join(c.gets, "|") {
-				t.Errorf("sent %q, want %q", got, c.gets)
+			if strings.Join(got, "|") != strings.Join(c.receives, "|") {
+				t.Errorf("older process received %q, want %q", got, c.receives)
 			}
 		})
 	}
--- a/internal/handover/fakeconns_test.go
+++ b/internal/handover/fakeconns_test.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// fakeClientConns counts clients' connections that are not there.
+// fakeClientConns is a ClientConns that only counts connections.
 type fakeClientConns struct {
 	released chan struct{}
 
@@ -37,7 +37,7 @@
 	return f.maxConns, f.maxActive
 }
 
-// stopAccepting leaves so many connections open and lets in no more.
+// stopAccepting sets the number of open connections and accepts no more.
 func (f *fakeClientConns) stopAccepting(open int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,7 +45,7 @@
 	f.closed = true
 }
 
-// close ends one connection.
+// close closes one connection.
 func (f *fakeClientConns) close() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -56,7 +56,7 @@
 	}
 }
 
-// fakeServerConns stands for connections to servers, of which none is open.
+// fakeServerConns is a ServerConns without open connections.
 type fakeServerConns struct {
 	mu       sync.Mutex
 	maxConns int
@@ -80,10 +80,10 @@
 	return f.maxConns
 }
 
-// fakeIDs are ids of requests that are never forgotten.
+// fakeIDs is a RequestIDs that never forgets an id.
 type fakeIDs struct {
 	mu      sync.Mutex
-	ids     map[uint64]bool // whether it is a claim
+	ids     map[uint64]bool // true for claimed ids
 	dropped int
 }
 
@@ -93,11 +93,11 @@
 	if _, known := f.ids[id]; known {
 		return false
 	}
-	f.put(id, true)
+	f.set(id, true)
 	return true
 }
 
-func (f *fakeIDs) put(id uint64, claim bool) {
+func (f *fakeIDs) set(id uint64, claim bool) {
 	if f.ids == nil {
 		f.ids = map[uint64]bool{}
 	}
@@ -125,7 +125,7 @@
 func (f *fakeIDs) Add(id uint64) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.put(id, false)
+	f.set(id, false)
 }
 
 func (f *fakeIDs) has(id uint64) bool {
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,9 +1,9 @@
-// Package handover connects the processes of one agent while one replaces the other. They share the connections that the
-// platform grants them together, and notify each other over a Unix socket when they accept clients and which places in
-// their quotas they release.
+// Package handover coordinates the processes of one agent while a new process replaces an old one. They share the
+// connection limits that the platform sets for the agent. Over a Unix socket they notify each other when they accept
+// clients and which connection slots of their quotas they release.
 //
 // A Handover owns the socket, the connections to the other processes and the Quotas; its mutex guards them. It never
-// accepts or closes a client's connection: it only changes how many there may be.
+// accepts or closes a client's connection: it only changes the limits.
 package handover
 
 import (
@@ -23,17 +23,19 @@
 
 const (
 	socketTimeout = 200 * time.Millisecond
-	// releaseInterval is how often a process looks for servers' connections that have become free.
+	// releaseInterval is how often a process checks for server connections that have become free.
 	releaseInterval = 20 * time.Millisecond
-	// readyWord is what a process sends once it accepts clients.
+	// readyWord is sent by a process once it accepts clients.
 	readyWord = 'y'
-	// releaseWord begins a line that releases places to a newer process: so many of clients and of servers. A process of
-	// an earlier release reads any readyWord as that word, so a line must not contain one.
+	// releaseWord begins a line that releases slots to a newer process. It is followed by the number of client slots
+	// and the number of server slots. A process of an earlier release takes readyWord anywhere in its input for that
+	// word, so a line must not contain it.
 	releaseWord  = "pass"
 	maxLineBytes = 64
 )
 
-// Handover is this process's side. The end of a connection is the end of the other process, however that came.
+// Handover is this process's side of a handover. When a connection ends, for whatever reason, the process at its other
+// end counts as ended.
 type Handover struct {
 	path string
 	ids  RequestIDs
@@ -41,30 +43,30 @@
 
 	mu       sync.Mutex
 	quotas   *Quotas
-	listener *net.UnixListener // behind the path, if it is this process's
+	listener *net.UnixListener // at path; nil until this process accepts clients
 	peers    map[net.Conn]*peerProcess
 	ready    bool // this process accepts clients
-	leaving  bool
+	leaving  bool // this process is about to end
 }
 
-// peerProcess is another process that runs. The Handover's mutex guards it.
+// peerProcess is another running process of the agent. The Handover's mutex guards it.
 type peerProcess struct {
-	newer         bool // it started after this process
-	ready         bool // it accepts clients
-	releasesQuota bool // it has sent a line, be it of no places
-	answersClaims bool // it knows claims of request ids
-	claims        map[uint64]chan bool
+	newer         bool                 // it started after this process
+	ready         bool                 // it accepts clients
+	releasesQuota bool                 // it has sent a release line, even one with no slots
+	answersClaims bool                 // it supports claims of request ids and answers them in time
+	claims        map[uint64]chan bool // pending claims by request id
 }
 
-// SocketPath is where the processes of one agent meet.
+// SocketPath returns the path of the Unix socket on which the processes of an agent find each other.
 func SocketPath(agentName string) string {
 	h := fnv.New64a()
 	h.Write([]byte(agentName))
 	return filepath.Join(os.TempDir(), fmt.Sprintf("link-%x.sock", h.Sum64()))
 }
 
-// Join finds the process that runs already, if there is one. A file that a killed process has left behind is as good as no
-// file, because nobody answers there.
+// Join connects to the process that is already running, if there is one. A socket file left behind by a killed process
+// counts as no process, because nothing listens on it.
 func Join(path string, quotas *Quotas, ids RequestIDs, log *slog.Logger) *Handover {
 	h := &Handover{path: path, quotas: quotas, ids: ids, log: log, peers: map[net.Conn]*peerProcess{}}
 	if conn, err := net.DialTimeout("unix", path, socketTimeout); err == nil {
@@ -73,7 +75,8 @@
 	return h
 }
 
-// Announce notes that this process accepts clients now: newer processes find it from now on, and older ones are notified.
+// Announce records that this process now accepts clients. It notifies the older processes, and from now on newer
+// processes connect to this one.
 func (h *Handover) Announce() error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -84,8 +87,8 @@
 	return h.listen()
 }
 
-// Leave notes that this process is to end, and says whether another one accepts its clients. It may be called more than
-// once, and on a nil Handover, that of a process without others.
+// Leave records that this process is about to end, and reports whether another process accepts its clients. It may be
+// called more than once, and on a nil Handover, which a process without peers has.
 func (h *Handover) Leave() (replaced bool) {
 	if h == nil {
 		return false
@@ -99,8 +102,8 @@
 	return replaced
 }
 
-// Close closes all connections, by which the other processes learn that this one ends. It does not wait for the
-// goroutines that follow them, which end with their connections and change nothing but the quotas of this process.
+// Close closes all connections, which tells the other processes that this one has ended. It does not wait for the
+// goroutines that serve the connections: they end with them and change only this process's quotas.
 func (h *Handover) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -116,17 +119,17 @@
 	}
 }
 
-// listen puts a listener of this process behind the path. The mutex is held.
+// listen replaces the socket at the path with a new listener of this process. The caller holds the mutex.
 func (h *Handover) listen() error {
-	own := fmt.Sprintf("%s.%d", h.path, os.Getpid())
-	// A process of the same number may have left it; if it cannot be removed, listening fails.
-	_ = os.Remove(own)
-	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: own, Net: "unix"})
+	tempPath := fmt.Sprintf("%s.%d", h.path, os.Getpid())
+	// An earlier process with the same process id may have left the file. If it cannot be removed, ListenUnix fails.
+	_ = os.Remove(tempPath)
+	l, err := net.ListenUnix("unix", &net.UnixAddr{Name: tempPath, Net: "unix"})
 	if err != nil {
 		return fmt.Errorf("listening on the handover socket: %w", err)
 	}
-	l.SetUnlinkOnClose(false) // the name may be the next process's by then
-	if err := os.Rename(own, h.path); err != nil {
+	l.SetUnlinkOnClose(false) // by then the path may belong to the next process
+	if err := os.Rename(tempPath, h.path); err != nil {
 		l.Close()
 		return fmt.Errorf("replacing the handover socket: %w", err)
 	}
@@ -138,7 +141,8 @@
 	return nil
 }
 
-// accept takes in newer processes until the listener closes, which the Handover does when it gets another or is closed.
+// accept adds newer processes as they connect. It returns when the listener is closed, because a new listener has
+// replaced it or the Handover is closed.
 func (h *Handover) accept(l *net.UnixListener) {
 	for {
 		conn, err := l.Accept()
@@ -149,7 +153,7 @@
 	}
 }
 
-// addPeer takes in another process and starts the goroutines that follow it to its end.
+// addPeer adds another process and starts the goroutines that serve its connection until it ends.
 func (h *Handover) addPeer(conn net.Conn, newer bool) {
 	p := &peerProcess{newer: newer, claims: map[uint64]chan bool{}}
 	h.mu.Lock()
@@ -157,7 +161,7 @@
 	processes := 1 + len(h.peers)
 	if newer {
 		h.quotas.split(processes)
-		h.releaseTo(conn, p, true) // before all else, by which the other knows that places are released
+		h.releaseTo(conn, p, true) // sent first, so that the peer knows that this process releases slots
 	} else {
 		h.quotas.join(processes)
 		send(conn, claimsWord+"\n")
@@ -178,11 +182,11 @@
 	}()
 }
 
-// removePeer takes out a process that has ended.
+// removePeer removes a process that has ended.
 func (h *Handover) removePeer(conn net.Conn) {
 	conn.Close()
 	h.mu.Lock()
-	h.peers[conn].settleAllClaims()
+	h.peers[conn].resolveAllClaims()
 	if h.peers[conn].newer {
 		h.ids.DropClaims()
 	}
@@ -190,14 +194,14 @@
 	processes := 1 + len(h.peers)
 	var err error
 	if h.ready && !h.leaving {
-		err = h.listen() // the other may have had the name
+		err = h.listen() // the path may have belonged to the process that has ended
 	}
 	h.quotas.peerEnded(processes)
 	h.mu.Unlock()
 	h.log.Info("peer process ended", "processes", processes, "error", err)
 }
 
-// receive reads what another process sends, to its end. What makes no sense is left out.
+// receive handles the input from another process until its connection ends. It ignores invalid lines.
 func (h *Handover) receive(conn net.Conn, p *peerProcess) {
 	in := bufio.NewReader(conn)
 	var line []byte
@@ -219,7 +223,7 @@
 	}
 }
 
-// peerReady notes that another process accepts clients.
+// peerReady handles the notification that another process accepts clients.
 func (h *Handover) peerReady(conn net.Conn, p *peerProcess) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -227,12 +231,12 @@
 	switch {
 	case p.newer:
 		h.releaseTo(conn, p, false)
-	case !p.releasesQuota: // of an earlier release
-		h.quotas.addEntitled()
+	case !p.releasesQuota: // an earlier release, which does not send release lines
+		h.quotas.addShare()
 	}
 }
 
-// peerReleased takes the places that an older process has released.
+// peerReleased adds the slots that an older process has released. It ignores lines that are not release lines.
 func (h *Handover) peerReleased(p *peerProcess, line string) {
 	clients, servers, ok := parseRelease(line)
 	if !ok || p.newer {
@@ -244,8 +248,8 @@
 	h.quotas.add(clients, servers)
 }
 
-// releaseUntil releases places to a newer process until that has ended, as clients leave them and as servers' connections
-// are found free.
+// releaseUntil releases slots to a newer process until that process has ended: whenever a client connection ends, and
+// every releaseInterval for server connections that have become free.
 func (h *Handover) releaseUntil(ended <-chan struct{}, conn net.Conn, p *peerProcess) {
 	ticker := time.NewTicker(releaseInterval)
 	defer ticker.Stop()
@@ -264,8 +268,8 @@
 	}
 }
 
-// releaseTo releases the places that there are to release; if there are none it says so only if always is set. The mutex
-// is held.
+// releaseTo releases the slots that this process can give up to a newer process. If there are none, it sends a line
+// only if always is set. The caller holds the mutex.
 func (h *Handover) releaseTo(conn net.Conn, p *peerProcess, always bool) {
 	clients, servers := h.quotas.release(p.ready)
 	if always || clients+servers > 0 {
@@ -273,24 +277,25 @@
 	}
 }
 
-// parseRelease reads a line that releases places.
+// parseRelease parses a release line.
 func parseRelease(line string) (clients, servers int, ok bool) {
 	words := strings.Split(line, " ")
 	if len(line) > maxLineBytes || len(words) != 3 || words[0] != releaseWord {
 		return 0, 0, false
 	}
-	ofClients, err := strconv.ParseUint(words[1], 10, 16)
+	clientSlots, err := strconv.ParseUint(words[1], 10, 16)
 	if err != nil {
 		return 0, 0, false
 	}
-	ofServers, err := strconv.ParseUint(words[2], 10, 16)
+	serverSlots, err := strconv.ParseUint(words[2], 10, 16)
 	if err != nil {
 		return 0, 0, false
 	}
-	return int(ofClients), int(ofServers), true
+	return int(clientSlots), int(serverSlots), true
 }
 
-// send writes to another process. What that does not read in time is lost, places included, until one of the two ends.
+// send writes to another process. Text that the other process does not read in time is lost, and the slots that it
+// releases stay unused until one of the two processes ends.
 func send(conn net.Conn, text string) {
 	conn.SetWriteDeadline(time.Now().Add(socketTimeout))
 	_, _ = io.WriteString(conn, text)
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -10,91 +10,94 @@
 	"example.org/ryeloft/internal/config"
 )
 
-// Two processes share the limits for as long as both live, whichever ends, and files that were left behind are no
-// process.
+// Two processes share the limits while both run, and the survivor gets all of them, whichever process ends and at
+// whatever stage. A socket file left behind by a killed process does not count as a process.
 func TestProcessesShareLimits(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "link.sock")
-	if err := os.WriteFile(path, nil, 0o600); err != nil { // as a process that was killed leaves it
+	if err := os.WriteFile(path, nil, 0o600); err != nil { // as left behind by a killed process
 		t.Fatal(err)
 	}
-	cfg := &config.Config{MemoryMB: 1 << 20, Sockets: 384} // not the tests' memory
+	cfg := &config.Config{MemoryMB: 1 << 20, Sockets: 384} // memory limit too high to affect the tests
 	one, two := LimitsFor(cfg, 1), LimitsFor(cfg, 2)
 	join := func() *Handover {
-		k := Join(path, quotasFor(cfg), &fakeIDs{}, agenttest.DiscardLogger)
-		t.Cleanup(k.Close)
-		return k
+		h := Join(path, quotasFor(cfg), &fakeIDs{}, agenttest.DiscardLogger)
+		t.Cleanup(h.Close)
+		return h
 	}
 	first := join()
 	if first.quotas.processes != 1 {
-		t.Fatal("a file that nobody listens behind counts as a process")
+		t.Fatal("a socket file without a listener counts as a process")
 	}
 	if err := first.Announce(); err != nil {
 		t.Fatal(err)
 	}
-	expect := func(what string, k *Handover, processes, clients, servers int) {
+	expect := func(what string, h *Handover, processes, clients, servers int) {
 		t.Helper()
 		var q Quotas
-		for begun := time.Now(); time.Since(begun) < agenttest.Timeout; time.Sleep(time.Millisecond) {
-			k.mu.Lock()
-			q = *k.quotas
+		for start := time.Now(); time.Since(start) < agenttest.Timeout; time.Sleep(time.Millisecond) {
+			h.mu.Lock()
+			q = *h.quotas
 			maxConns, maxActive := q.clientConns.(*fakeClientConns).limits()
 			maxServers := q.serverConns.(*fakeServerConns).limit()
-			k.mu.Unlock()
+			h.mu.Unlock()
 			if q.processes == processes && q.clients.limit == clients && q.servers.limit == servers {
 				want := one.withActiveClientConns(clients)
 				if maxConns != want.ClientConns || maxActive != want.ActiveClientConns || maxServers != servers {
-					t.Errorf("%s: %d, %d and %d are in force", what, maxConns, maxActive, maxServers)
+					t.Errorf("%s: got limits %d, %d and %d, want %d, %d and %d",
+						what, maxConns, maxActive, maxServers, want.ClientConns, want.ActiveClientConns, servers)
 				}
 				return
 			}
 		}
-		t.Errorf("%s: %d processes, %+v, %+v, want %d, %d and %d", what, q.processes, q.clients, q.servers, processes, clients, servers)
+		t.Errorf("%s: got %d processes, %+v, %+v, want %d processes with limits %d and %d", what, q.processes, q.clients, q.servers, processes, clients, servers)
 	}
-	// One that dies before it takes clients leaves the first as it was, and to be found.
+	// A process that ends before it accepts clients does not change the first, which newer processes still find.
 	second := join()
-	expect("the second", second, 2, minQuota, two.ServerConns)
-	expect("the first beside it", first, 2, one.ActiveClientConns, two.ServerConns)
+	expect("second", second, 2, minQuota, two.ServerConns)
+	expect("first beside second", first, 2, one.ActiveClientConns, two.ServerConns)
 	second.Close()
-	expect("the first after it", first, 1, one.ActiveClientConns, one.ServerConns)
-	// One that takes clients, and dies then, too.
+	expect("first after second", first, 1, one.ActiveClientConns, one.ServerConns)
+	// The same holds for a process that ends after it accepts clients.
 	third := join()
 	if err := third.Announce(); err != nil {
 		t.Fatal(err)
 	}
-	expect("the third", third, 2, two.ActiveClientConns, two.ServerConns)
-	expect("the first beside it", first, 2, two.ActiveClientConns, two.ServerConns)
+	expect("third", third, 2, two.ActiveClientConns, two.ServerConns)
+	expect("first beside third", first, 2, two.ActiveClientConns, two.ServerConns)
 	third.Close()
-	expect("the first after it", first, 1, one.ActiveClientConns, one.ServerConns)
-	// The first goes when one that takes clients is there, and passes on what its clients leave.
+	expect("first after third", first, 1, one.ActiveClientConns, one.ServerConns)
+	// The first process leaves once another accepts clients, and releases the slots of its clients as they disconnect.
 	fourth := join()
 	if err := fourth.Announce(); err != nil {
 		t.Fatal(err)
 	}
-	for begun := time.Now(); !first.Leave(); time.Sleep(time.Millisecond) {
-		if time.Since(begun) > agenttest.Timeout {
-			t.Fatal("the first does not hear that another takes clients")
+	for start := time.Now(); !first.Leave(); time.Sleep(time.Millisecond) {
+		if time.Since(start) > agenttest.Timeout {
+			t.Fatal("the first process is not notified that another accepts clients")
 		}
 	}
-	expect("the fourth", fourth, 2, two.ActiveClientConns, two.ServerConns)
+	expect("fourth", fourth, 2, two.ActiveClientConns, two.ServerConns)
 	firstClients := first.quotas.clientConns.(*fakeClientConns)
 	firstClients.stopAccepting(50)
-	expect("the first, leaving", first, 2, 50, two.ServerConns)
-	expect("the fourth meanwhile", fourth, 2, 2*two.ActiveClientConns-50, two.ServerConns)
+	expect("first, leaving", first, 2, 50, two.ServerConns)
+	expect("fourth beside leaving first", fourth, 2, 2*two.ActiveClientConns-50, two.ServerConns)
 	firstClients.close()
-	expect("the fourth after one more has gone", fourth, 2, 2*two.ActiveClientConns-49, two.ServerConns)
+	expect("fourth after one more client disconnected", fourth, 2, 2*two.ActiveClientConns-49, two.ServerConns)
 	first.Close()
-	expect("the fourth alone", fourth, 1, one.ActiveClientConns, one.ServerConns)
+	expect("fourth alone", fourth, 1, one.ActiveClientConns, one.ServerConns)
 }
 
-func TestLimitsOfTwo(t *testing.T) {
+// The limits of two processes together must not exceed the descriptors and the memory of one agent.
+func TestLimitsOfTwoProcesses(t *testing.T) {
 	for _, sockets := range []int{config.MinSockets, 128, 256, 384, 1024} {
 		cfg := &config.Config{MemoryMB: 64, Sockets: sockets}
 		one, two := LimitsFor(cfg, 1), LimitsFor(cfg, 2)
 		if sum := 2 * (two.ActiveClientConns + two.ServerConns + config.ReservedSockets); sum > sockets || two.ActiveClientConns < minQuota {
-			t.Errorf("%d descriptors: two hold %d, and of clients %d each", sockets, sum, two.ActiveClientConns)
+			t.Errorf("%d descriptors: got %d for two processes with %d client connections each, want at most %d with at least %d each",
+				sockets, sum, two.ActiveClientConns, sockets, minQuota)
 		}
 		if 2*two.StreamBytes > one.StreamBytes || 2*two.HeapBytes > one.HeapBytes {
-			t.Errorf("memory of one %+v, of each of two %+v", one, two)
+			t.Errorf("got memory limits of each of two processes %+v, want at most half of %+v", two, one)
 		}
 	}
 }
--- a/internal/handover/limits.go
+++ b/internal/handover/limits.go
@@ -5,40 +5,40 @@
 )
 
 const (
-	// extraClientConns are for clients other than the application.
+	// extraClientConns is the number of connections for clients other than the application.
 	extraClientConns = 8
-	// minQuota is what a newer process starts with, of either kind of connections, and what a process that accepts clients
-	// keeps free for them if it can.
+	// minQuota is the number of slots that a newer process starts with, for clients and for servers each. A process
+	// that accepts clients also keeps this many client slots free if it can.
 	minQuota = extraClientConns
-	// streamShare is the part of the memory that streams may hold.
-	streamShare = 16
-	// heapShare of the memory is the collector's; the rest is for what that does not count, such as stacks of the kernel
-	// and the text of the program.
-	heapShare = 0.7
+	// streamMemoryDivisor limits the buffers of streams to this fraction (1/16) of the memory.
+	streamMemoryDivisor = 16
+	// heapFraction is the garbage collector's fraction of the memory. The rest is for memory that it does not count,
+	// such as kernel stacks and the program text.
+	heapFraction = 0.7
 )
 
-// Limits are what one of several processes of an agent is entitled to of what the platform grants them together.
+// Limits is one process's share of the limits that the platform sets for all processes of an agent.
 type Limits struct {
 	ServerConns int
-	// ClientConns is from how many connections on an idle one closes for each further one.
+	// ClientConns is the number of client connections at which each new connection closes an idle one.
 	ClientConns int
-	// ActiveClientConns is how many connections there may be where all have a request.
+	// ActiveClientConns is the limit of client connections when all of them have a request in progress.
 	ActiveClientConns int
-	StreamBytes       int64 // it stays as it was at the start
+	StreamBytes       int64 // not changed after the start of the process
 	HeapBytes         int64
 }
 
-// LimitsFor shares out a configuration's limits. The application holds a third of the descriptors at most for its requests,
-// whichever process they are at. Were more granted, connections that it has used once and keeps would leave it none for
-// the next request.
+// LimitsFor returns the limits of each process when the configuration's limits are divided among the given number of
+// processes. The application uses at most a third of the descriptors for its requests, whichever process they are sent
+// to. If it were granted more, connections that it has used once and keeps open would leave none for its next request.
 func LimitsFor(cfg *config.Config, processes int) Limits {
 	memory := int64(cfg.MemoryMB) << 20 / int64(processes)
 	l := Limits{
 		ServerConns:       max(1, (cfg.Sockets/processes-config.ReservedSockets)/2),
 		ClientConns:       min((cfg.Sockets-config.ReservedSockets)/2, cfg.Sockets*3/10),
 		ActiveClientConns: min((cfg.Sockets-config.ReservedSockets)/2, cfg.Sockets/3+extraClientConns),
-		StreamBytes:       memory / streamShare,
-		HeapBytes:         int64(heapShare * float64(memory)),
+		StreamBytes:       memory / streamMemoryDivisor,
+		HeapBytes:         int64(heapFraction * float64(memory)),
 	}
 	if processes > 1 {
 		left := cfg.Sockets - processes*(config.ReservedSockets+l.ServerConns)
@@ -47,8 +47,7 @@
 	return l
 }
 
-// withActiveClientConns returns the limits with another number of active connections, and as large a part of it for the
-// idle ones.
+// withActiveClientConns returns the limits with ActiveClientConns set to active and ClientConns scaled in proportion.
 func (l Limits) withActiveClientConns(active int) Limits {
 	l.ClientConns = l.ClientConns * active / l.ActiveClientConns
 	l.ActiveClientConns = active
--- a/internal/handover/quota.go
+++ b/internal/handover/quota.go
@@ -6,37 +6,37 @@
 	"example.org/ryeloft/internal/config"
 )
 
-// quota is how many connections of one kind a process may hold. Each place in it belongs to one process at a time: a process
-// gives it up before it notifies the other, so that together they never hold more than the total.
+// quota limits the connections of one kind of a process. Each slot belongs to one process at a time: a process gives it
+// up before it notifies the other, so that together they never have more connections than the total.
 type quota struct {
-	total    int // of a process that is alone
-	entitled int // each of the present number of processes
-	limit    int // of this one, now
-	excess   int // places to drop before any is released, because all processes together hold so many too many
+	total  int // limit of a process that is alone
+	share  int // share of each of the current processes
+	limit  int // current limit of this process
+	excess int // slots to drop before any is released: the processes' limits together are too high by this many
 }
 
-// takeAll gives the total to a process that is alone.
+// takeAll sets the quota of a process that is alone to the total.
 func (q *quota) takeAll() {
-	q.entitled = q.total
+	q.share = q.total
 	q.limit = q.total
 	q.excess = 0
 }
 
-// join starts the quota of a process that joins one that holds the total.
-func (q *quota) join(entitled int) {
-	q.entitled = entitled
-	q.limit = min(minQuota, entitled)
+// join sets the initial quota of a process that joins one that has the total.
+func (q *quota) join(share int) {
+	q.share = share
+	q.limit = min(minQuota, share)
 	q.excess = 0
 }
 
-// split notes that another process joins this one.
-func (q *quota) split(entitled, processes int) {
-	q.excess += min(minQuota, entitled) + max(0, q.entitled*(processes-1)-entitled*processes)
-	q.entitled = entitled
+// split adjusts the quota when another process joins this one. share is the new share of each process.
+func (q *quota) split(share, processes int) {
+	q.excess += min(minQuota, share) + max(0, q.share*(processes-1)-share*processes)
+	q.share = share
 }
 
-// release gives up the places that this process does not need, and returns how many another process may add.
-func (q *quota) release(needed int) (places int) {
+// release gives up the slots that this process does not need, and returns how many another process may add.
+func (q *quota) release(needed int) (slots int) {
 	unused := max(0, q.limit-needed)
 	q.limit -= unused
 	dropped := min(unused, q.excess)
@@ -44,30 +44,32 @@
 	return unused - dropped
 }
 
-// add takes places that another process has released.
-func (q *quota) add(places int) { q.limit = min(q.limit+max(0, places), q.total) }
+// add adds slots that another process has released, up to the total.
+func (q *quota) add(slots int) { q.limit = min(q.limit+max(0, slots), q.total) }
 
-// ClientConns are the connections of clients, which a Quotas limits.
+// ClientConns limits the connections of clients.
 type ClientConns interface {
-	// Resize changes how many connections there may be, and how many where all have a request.
+	// Resize changes the limits: idle connections are closed for new ones from maxConns on, and there are at most
+	// maxActive connections when all of them have a request.
 	Resize(maxConns, maxActive int)
-	// UpdateLimits sets these to what decide returns, in one step with the look at how many connections are open and
-	// whether more are accepted.
+	// UpdateLimits sets the same limits to the results of decide, which receives the number of open connections and
+	// whether more are accepted. Neither changes in between.
 	UpdateLimits(decide func(open int, accepting bool) (maxConns, maxActive int))
 	// Released returns a channel that receives a value after a connection has ended.
 	Released() <-chan struct{}
 }
 
-// ServerConns are the connections to servers, which a Quotas limits.
+// ServerConns limits the connections to servers.
 type ServerConns interface {
-	// Resize changes how many connections there may be, and closes idle ones that are too many.
+	// Resize changes the limit and closes idle connections above it.
 	Resize(maxConns int)
-	// UpdateLimit sets that to what decide returns, in one step with the look at how many connections are open.
+	// UpdateLimit sets the limit to the result of decide, which receives the number of open connections. No connection
+	// is opened or closed in between.
 	UpdateLimit(decide func(open int) (maxConns int))
 }
 
-// Quotas are a process's quotas, in force at its connections and its collector. It has no mutex: the Handover, if there is
-// one, calls one method at a time.
+// Quotas applies a process's quotas to its connections and its memory limit. It has no mutex: the Handover, if there is
+// one, calls its methods under its own.
 type Quotas struct {
 	cfg         *config.Config
 	clientConns ClientConns
@@ -77,7 +79,7 @@
 	servers     quota
 }
 
-// NewQuotas puts the limits of a process that is alone in force.
+// NewQuotas returns the quotas of a process that is alone, and applies them.
 func NewQuotas(cfg *config.Config, clients ClientConns, servers ServerConns) *Quotas {
 	alone := LimitsFor(cfg, 1)
 	q := &Quotas{
@@ -88,7 +90,7 @@
 	return q
 }
 
-// join notes that this process joins others.
+// join applies the initial quotas of a process that joins others.
 func (q *Quotas) join(processes int) {
 	l := q.limitMemory(processes)
 	q.clients.join(l.ActiveClientConns)
@@ -96,19 +98,19 @@
 	q.enforce()
 }
 
-// split notes that another process joins this one.
+// split adjusts the quotas when another process joins this one.
 func (q *Quotas) split(processes int) {
 	l := q.limitMemory(processes)
 	q.clients.split(l.ActiveClientConns, processes)
 	q.servers.split(l.ServerConns, processes)
 }
 
-// peerEnded notes that a process has ended and how many are left. What it held is known only if this one is alone, which
-// then takes the total.
+// peerEnded adjusts the quotas when a process has ended and the given number is left. The slots of the ended process
+// are known only if this process is alone, which then takes the total.
 func (q *Quotas) peerEnded(processes int) {
 	l := q.limitMemory(processes)
-	q.clients.entitled = l.ActiveClientConns
-	q.servers.entitled = l.ServerConns
+	q.clients.share = l.ActiveClientConns
+	q.servers.share = l.ServerConns
 	if processes == 1 {
 		q.clients.takeAll()
 		q.servers.takeAll()
@@ -116,7 +118,7 @@
 	q.enforce()
 }
 
-// limitMemory puts the memory's limit of one of so many processes in force, and returns all limits.
+// limitMemory applies the memory limit of one of the given number of processes, and returns all limits for that number.
 func (q *Quotas) limitMemory(processes int) Limits {
 	q.processes = processes
 	l := LimitsFor(q.cfg, processes)
@@ -124,19 +126,19 @@
 	return l
 }
 
-// add takes places that another process has released.
+// add adds slots that another process has released.
 func (q *Quotas) add(clients, servers int) {
 	q.clients.add(clients)
 	q.servers.add(servers)
 	q.enforce()
 }
 
-// addEntitled takes what this process is entitled to from a process that releases nothing.
-func (q *Quotas) addEntitled() {
-	q.add(q.clients.entitled-q.clients.limit, q.servers.entitled-q.servers.limit)
+// addShare raises the quotas to this process's share when the other process does not release slots.
+func (q *Quotas) addShare() {
+	q.add(q.clients.share-q.clients.limit, q.servers.share-q.servers.limit)
 }
 
-// enforce puts limits that have grown, or of which nothing is used yet, in force.
+// enforce applies the limits. It is only for limits that have grown or of which nothing is used yet.
 func (q *Quotas) enforce() {
 	q.clientConns.Resize(q.clientLimits())
 	q.serverConns.Resize(q.servers.limit)
@@ -147,23 +149,24 @@
 	return l.ClientConns, l.ActiveClientConns
 }
 
-// release gives up places for a newer process. Of the connections to servers these are the ones beyond what this process is
-// entitled to that are not in use; of the clients' likewise once the newer process accepts clients, and all that are not in
-// use once this process accepts none. The count of open connections and the new limit are one step.
+// release gives up slots for a newer process and returns how many. Server slots are released if they are above this
+// process's share and not in use. Client slots are released once the newer process accepts clients: first those above
+// the share that are neither in use nor kept free for new clients, and, once this process accepts no more clients, all
+// that are not in use. The number of open connections and the new limit are one atomic step.
 func (q *Quotas) release(peerAccepts bool) (clients, servers int) {
 	if peerAccepts {
 		q.clientConns.UpdateLimits(func(open int, accepting bool) (maxConns, maxActive int) {
 			needed := open
 			if accepting {
-				needed = max(q.clients.entitled, open+minQuota)
+				needed = max(q.clients.share, open+minQuota)
 			}
 			clients = q.clients.release(needed)
 			return q.clientLimits()
 		})
 	}
-	q.serverConns.Resize(min(q.servers.limit, q.servers.entitled))
+	q.serverConns.Resize(min(q.servers.limit, q.servers.share))
 	q.serverConns.UpdateLimit(func(open int) (maxConns int) {
-		servers = q.servers.release(max(q.servers.entitled, open))
+		servers = q.servers.release(max(q.servers.share, open))
 		return q.servers.limit
 	})
 	return clients, servers
