--- a/internal/handover/quota.go
+++ b/internal/handover/quota.go
@@ -63,8 +63,8 @@
 type ServerConns interface {
 	// Resize changes the limit and closes idle connections above it.
 	Resize(maxConns int)
-	// UpdateLimit sets the limit to the result of decide, which receives the number of open connections. No connection
-	// is opened or closed in between.
+	// UpdateLimit sets the limit to the result of decide, which receives the number of open connections. The number
+	// does not change in between.
 	UpdateLimit(decide func(open int) (maxConns int))
 }
 
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -20,7 +20,7 @@
 	idleSince time.Time
 	used      bool          // it has carried at least one response
 	idleAge   time.Duration // how long it had been idle when it was last taken from the pool
-	readErr   error         // the first read error, returned by all later reads
+	readErr   error         // the first read error other than a timeout, returned by all later reads
 }
 
 func newConn(raw net.Conn, e *Endpoint) *conn {
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -26,7 +26,7 @@
 	Download    *stream.Download // replaces Body if the body is too large to buffer; nil otherwise
 }
 
-// Result is the result of an attempt or a health check.
+// Result describes how an attempt or a health check ended.
 type Result struct {
 	Outcome   balancer.Outcome
 	Load      balancer.LoadReport
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -78,8 +78,8 @@
 	closeAll(dropped)
 }
 
-// UpdateLimit sets the connection limit to the result of decide, which receives the number of open connections. No
-// connection is opened or closed in between.
+// UpdateLimit sets the connection limit to the result of decide, which receives the number of open connections. The
+// number does not change in between.
 func (p *Pool) UpdateLimit(decide func(open int) (maxConns int)) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
