--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -93,7 +93,7 @@
 			for _, n := range []int{1000, 2000} { // the agent stops waiting for a short response to complete
 				w.Write(body[n-1000 : n])
 				w.(http.Flusher).Flush()
-				time.Sleep(2 * upstream.CompleteWait)
+				time.Sleep(2 * upstream.MaxBufferTime)
 			}
 			<-proceed
 			w.Write(body[2000:])
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -67,7 +67,7 @@
 		options.Timer.Stop()
 		ended.outcome = result.Outcome
 		ended.load = result.Load
-		ended.response = clientResponse(result.Answer)
+		ended.response = clientResponse(result.Response)
 		ended.abandoned = result.Abandoned
 		l.send(ended)
 	}()
@@ -77,7 +77,7 @@
 // latter case the attempt waits until the client's handler has finished the download.
 func (l *Loop) reportStreaming(options *upstream.Attempt, started streaming) {
 	options.OnStreaming = func() { l.send(started) }
-	options.PassOn = func(a upstream.Answer) error {
+	options.Forward = func(a upstream.Response) error {
 		in := started
 		in.response = clientResponse(a)
 		l.send(in)
@@ -91,7 +91,7 @@
 }
 
 // clientResponse returns a server's response as it is passed on to the client.
-func clientResponse(a upstream.Answer) Response {
+func clientResponse(a upstream.Response) Response {
 	return Response{Status: http.StatusOK, ContentType: a.ContentType, Body: a.Body, Download: a.Download}
 }
 
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -95,7 +95,7 @@
 	}
 	list(balancer.EndpointsChanged, "Gone")
 	agenttest.Receive(t, "close of the idle connection", b.Closed)
-	if len(l.endpoints) > 0 || l.pool.Endpoints() > 0 || l.members.Len() > 0 {
+	if len(l.endpoints) > 0 || l.pool.EndpointCount() > 0 || l.members.Len() > 0 {
 		t.Errorf("got endpoints %v and members %v, want none", l.endpoints, l.members.Members())
 	}
 	send.DispatchWithin = 0
