--- a/internal/clock/source_test.go
+++ b/internal/clock/source_test.go
@@ -18,12 +18,12 @@
 	"Round": true, "Truncate": true, "Local": true, "UTC": true, "In": true, "AddDate": true, "Date": true, "Parse": true,
 }
 
-// notTimes are packages whose functions have such names and no times.
-var notTimes = map[string]bool{"math": true, "filepath": true, "settings": true, "config": true, "netip": true, "discovery": true, "url": true, "json": true}
+// packagesWithoutTimes are packages whose functions have such names and no times.
+var packagesWithoutTimes = map[string]bool{"math": true, "filepath": true, "settings": true, "config": true, "netip": true, "discovery": true, "url": true, "json": true}
 
 // The agent and the relay read the wall clock in this package only: intervals measured on it elsewhere let clients trickle on
 // for an hour after a step, and failed good ones.
-func TestWallClockIsReadHereOnly(t *testing.T) {
+func TestWallClockIsReadOnlyInThisPackage(t *testing.T) {
 	files := 0
 	for _, folder := range agentSources(t) {
 		names, err := filepath.Glob(filepath.Join(folder, "*.go"))
@@ -62,7 +62,7 @@
 		if !ok || !wallReadings[what.Sel.Name] {
 			return true
 		}
-		if of, ok := what.X.(*ast.Ident); ok && notTimes[of.Name] {
+		if of, ok := what.X.(*ast.Ident); ok && packagesWithoutTimes[of.Name] {
 			return true
 		}
 		places = append(places, fmt.Sprintf("%s:%d: %s", name, set.Position(n.Pos()).Line, what.Sel.Name))
--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -14,18 +14,18 @@
 	// maxBackoffDoublings keeps the shift of minBackoff from overflowing.
 	maxBackoffDoublings = 10
 
-	// overloadAfter is for how long polls have to time out in a row to show that the service cannot answer all agents
+	// overloadTimeoutSpan is for how long polls have to time out in a row to show that the service cannot answer all agents
 	// within the bound. A service that is down may reject late as well; an outage that agents have to make up for is over
 	// after two bounds. The number of polls would say little, as they follow each other fast at the end of the bound.
-	overloadAfter = 2 * balancer.NotifyBoundAfterFailure
-	// overloadPolls timeouts in a row are enough if the answers say that the service cannot answer each agent within the bound.
-	overloadPolls = 4
-	// maxDiscoveryPauses bounds how often the pause in polls of an overloaded service doubles.
-	maxDiscoveryPauses = 4
+	overloadTimeoutSpan = 2 * balancer.NotifyBoundAfterFailure
+	// overloadTimeouts timeouts in a row are enough if the answers say that the service cannot answer each agent within the bound.
+	overloadTimeouts = 4
+	// maxPauseDoublings bounds how often the pause in polls of an overloaded service doubles.
+	maxPauseDoublings = 4
 
-	// loggedFailures is how many failures in a row are each logged; after them, and in push mode, where attempts follow
+	// initialLoggedFailures is how many failures in a row are each logged; after them, and in push mode, where attempts follow
 	// each other closely, from the first one on, only each that doubles their number is.
-	loggedFailures = 8
+	initialLoggedFailures = 8
 )
 
 // overload is the evidence that discovery itself has more callers than it can answer. Polls of relays say nothing about it.
@@ -48,21 +48,21 @@
 
 // detected says whether polls fail because the service cannot answer all agents within the bound.
 func (o *overload) detected(estimate *latencyEstimate, agents int) bool {
-	if estimate.exceeds(balancer.NotifyBoundAfterFailure, agents) && o.timeouts >= overloadPolls {
+	if estimate.exceeds(balancer.NotifyBoundAfterFailure, agents) && o.timeouts >= overloadTimeouts {
 		return true
 	}
-	return !o.since.IsZero() && time.Since(o.since) >= overloadAfter
+	return !o.since.IsZero() && time.Since(o.since) >= overloadTimeoutSpan
 }
 
 // possible says that polls may fail because the service has more callers than it can answer: no answer says otherwise, or polls time
 // out again and again.
 func (o *overload) possible(estimate *latencyEstimate, agents int) bool {
-	return estimate.assumed || estimate.exceeds(maxRound, agents) || o.timeouts >= overloadPolls
+	return estimate.assumed || estimate.exceeds(maxFleetPollTime, agents) || o.timeouts >= overloadTimeouts
 }
 
 // nextPause is for how long discovery is to be left alone now; each in a row is twice the last.
 func (o *overload) nextPause() time.Duration {
-	o.pauses = min(o.pauses+1, maxDiscoveryPauses)
+	o.pauses = min(o.pauses+1, maxPauseDoublings)
 	return balancer.NotifyBoundAfterFailure << o.pauses
 }
 
@@ -75,12 +75,12 @@
 	return backoff/2 + rand.N(backoff)
 }
 
-// logsFailure says whether the latest of so many failures in a row is logged.
-func logsFailure(failures int, pollMode bool) bool {
+// shouldLogFailure says whether the latest of so many failures in a row is logged.
+func shouldLogFailure(failures int, pollMode bool) bool {
 	if failures&(failures-1) == 0 {
 		return true
 	}
-	return pollMode && failures <= loggedFailures
+	return pollMode && failures <= initialLoggedFailures
 }
 
 // sleep waits, and returns false if the context ends first.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -68,14 +68,14 @@
 	route    *route
 	revision *uint64 // of the list that changes follow; nil when the full list is wanted
 
-	lastCall       callRecord
-	rejectedAtOnce bool // the last call that failed was, without work for it
-	failures       int  // in a row, each of them of all addresses that were to be tried
-	overload       overload
-	crowding       crowding
-	latency        latencyEstimate
-	deadline       notifyDeadline
-	firstRoundOver bool
+	lastCall            callRecord
+	rejectedImmediately bool // the last call that failed was, without work for it
+	failures            int  // in a row, each of them of all addresses that were to be tried
+	overload            overload
+	rejections          rejectionState
+	latency             latencyEstimate
+	deadline            notifyDeadline
+	firstRoundEnded     bool
 }
 
 // New makes a client, which calls nobody before Run.
@@ -117,8 +117,8 @@
 
 // endFirstRound notes that a round of calls has ended.
 func (c *Client) endFirstRound() {
-	if !c.firstRoundOver {
-		c.firstRoundOver = true
+	if !c.firstRoundEnded {
+		c.firstRoundEnded = true
 		close(c.firstRound)
 	}
 }
@@ -127,16 +127,16 @@
 // Notify, OnPoll and OnAnswer has returned, so that none of these may wait for Run.
 func (c *Client) Run(ctx context.Context, migrations <-chan Target) {
 	for {
-		targetCtx, leaveTarget := context.WithCancel(ctx)
-		followed := make(chan struct{})
+		targetCtx, cancelTarget := context.WithCancel(ctx)
+		done := make(chan struct{})
 		pollMode := c.pollMode()
 		go func() {
 			c.followList(ctx, targetCtx)
-			close(followed)
+			close(done)
 		}()
 		target, ok := c.awaitMigration(ctx, migrations, pollMode)
-		leaveTarget()
-		<-followed
+		cancelTarget()
+		<-done
 		if !ok {
 			return
 		}
@@ -168,8 +168,8 @@
 		c.recordMissed(now.Add(balancer.NotifyBoundAfterFailure)) // until now the watch would have brought it
 	} else {
 		c.revision = nil // the new service counts revisions of its own
-		c.deadline.migrated(now)
-		c.latency.migrated()
+		c.deadline.recordMigration(now)
+		c.latency.recordMigration()
 	}
 	if !target.equal(c.target) {
 		c.target = target
@@ -230,7 +230,7 @@
 		return sleep(ctx, pushBackoff(c.failures, c.settings().DrainGrace))
 	}
 	unusable := errors.Is(err, ErrMalformedList) || errors.Is(err, ErrTruncatedList)
-	if unusable && c.failures == 1 && !c.route.relayed() {
+	if unusable && c.failures == 1 && !c.route.atRelay() {
 		remaining = alreadyNotified // what discovery has written counts as notified, be it of use or not
 	}
 	// Agents that all insist on the bound would keep an overloaded service busy with polls that have timed out meanwhile. Only
@@ -245,7 +245,7 @@
 
 // logFailure logs that all addresses have just failed, and how long there is to make up for it.
 func (c *Client) logFailure(err error, remaining time.Duration) {
-	if !logsFailure(c.failures, c.pollMode()) {
+	if !shouldLogFailure(c.failures, c.pollMode()) {
 		return
 	}
 	c.log.Warn("discovery poll failed", "from", c.route.addr(), "failures", c.failures, "error", err,
@@ -261,12 +261,12 @@
 	case <-c.pollRequested:
 	default:
 	}
-	event := WatchEvent{Update: update, Remaining: remaining, RejectedAtOnce: c.rejectedAtOnce}
-	if !c.route.relayed() {
+	event := WatchEvent{Update: update, Remaining: remaining, RejectedImmediately: c.rejectedImmediately}
+	if !c.route.atRelay() {
 		if remaining == 0 && c.deadline.pending() {
 			event.Remaining = alreadyNotified
 		}
-		event.PollLatency = c.latency.round(c.agents()) / time.Duration(c.agents())
+		event.PollLatency = c.latency.fleetPollTime(c.agents()) / time.Duration(c.agents())
 		if update == balancer.PollFailed && !c.overload.possible(&c.latency, c.agents()) {
 			event.PollElapsed = c.lastCall.duration()
 		}
@@ -277,9 +277,9 @@
 // recordMissed notes that an update was missed that counts as notified at a time. At relays, which are called one after the other
 // without end, a new bound begins when the last one is over.
 func (c *Client) recordMissed(at time.Time) {
-	if c.route.relayed() && c.deadline.remaining() == 0 {
+	if c.route.atRelay() && c.deadline.remaining() == 0 {
 		c.deadline.restart(at)
 		return
 	}
-	c.deadline.missed(at)
+	c.deadline.recordMissed(at)
 }
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,15 +16,15 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// wait bounds what a test waits for; nothing passes by it.
-const wait = 20 * time.Second
+// testTimeout bounds what a test waits for; nothing passes by it.
+const testTimeout = 20 * time.Second
 
 func receive[T any](t *testing.T, what string, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(wait):
+	case <-time.After(testTimeout):
 		t.Fatalf("no %s", what)
 		panic("unreachable")
 	}
@@ -36,12 +36,12 @@
 
 // A call for the list that hangs is given up before the platform counts what it missed as notified, 6 s from its begin, with
 // time for another, be it a watch or not.
-func TestHangingCallsEndInTime(t *testing.T) {
+func TestHangingCallsTimeOut(t *testing.T) {
 	revision := uint64(41)
 	for _, c := range []struct {
-		pollMode bool
-		revision *uint64
-		most     time.Duration
+		pollMode   bool
+		revision   *uint64
+		maxTimeout time.Duration
 	}{
 		{true, nil, 4 * time.Second}, {false, nil, 4 * time.Second},
 		{true, &revision, 4 * time.Second}, {false, &revision, 4 * time.Second},
@@ -50,19 +50,19 @@
 		d := New(Options{Addr: "127.0.0.1:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
 		d.revision = c.revision
 		d.httpClient.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
-			if due, ok := r.Context().Deadline(); !ok || time.Until(due) > c.most {
-				t.Errorf("poll mode %v, list held %v: waits until %v, want %v at most", c.pollMode, c.revision != nil, due, c.most)
+			if due, ok := r.Context().Deadline(); !ok || time.Until(due) > c.maxTimeout {
+				t.Errorf("poll mode %v, list held %v: waits until %v, want %v at most", c.pollMode, c.revision != nil, due, c.maxTimeout)
 			}
 			return nil, errors.New("no discovery")
 		})
-		wait := defaultWatchWait
+		watchWait := defaultWatchWait
 		switch {
 		case c.revision == nil:
-			wait = 0
+			watchWait = 0
 		case c.pollMode:
-			wait = minWatchWait + watchCycle
+			watchWait = minWatchWait + watchCycle
 		}
-		d.pollOrWatch(t.Context(), t.Context(), wait)
+		d.pollOrWatch(t.Context(), t.Context(), watchWait)
 	}
 }
 
@@ -96,7 +96,7 @@
 
 // Each call is counted once, with its wait, its duration and its error, before its result is notified; the event says its revision;
 // and all calls go through the dial that the client is given.
-func TestCallsAreCountedAndDialed(t *testing.T) {
+func TestCallsAreReportedAndUseDial(t *testing.T) {
 	answers := make(chan string)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
@@ -142,7 +142,7 @@
 	} {
 		select {
 		case answers <- c.text:
-		case <-time.After(wait):
+		case <-time.After(testTimeout):
 			t.Fatalf("no call %d", i)
 		}
 		if !c.fails {
--- a/internal/discovery/crowded_test.go
+++ b/internal/discovery/crowded_test.go
@@ -6,24 +6,24 @@
 	"time"
 )
 
-// crowdedOutage is an outage that ends with a service that is slower than before it. Rejections come at once, as they did in
+// slowRecovery is an outage that ends with a service that is slower than before it. Rejections come at once, as they did in
 // incident-6221, and one ends its agent's other calls.
-type crowdedOutage struct {
-	agents  int
-	cost    time.Duration // of a call after the outage
-	outage  time.Duration
-	change  time.Duration // from the end of the outage to the change
-	maxWait time.Duration // of the service
+type slowRecovery struct {
+	agents      int
+	cost        time.Duration // of a call after the outage
+	outage      time.Duration
+	changeDelay time.Duration // from the end of the outage to the change
+	maxWait     time.Duration // of the service
 }
 
-func (c crowdedOutage) String() string {
-	return fmt.Sprintf("%d agents/%v a call/%v down/changed after %v/waits %v", c.agents, c.cost, c.outage, c.change, c.maxWait)
+func (c slowRecovery) String() string {
+	return fmt.Sprintf("%d agents/%v a call/%v down/changed after %v/waits %v", c.agents, c.cost, c.outage, c.changeDelay, c.maxWait)
 }
 
 // lateness plays a fleet and returns when each agent receives the change after that counts as notified.
-func (c crowdedOutage) lateness(t *testing.T, seed uint64) (by []time.Duration) {
+func (c slowRecovery) lateness(t *testing.T, seed uint64) (lateness []time.Duration) {
 	const idleCost = time.Millisecond
-	s := newOperatorsService(idleCost)
+	s := newServiceLikeOperators(idleCost)
 	s.maxWait = c.maxWait
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,"drainGrace":300,`)
 	list := listText(1, true, memberText("x", "10.0.0.1:80", "Ready", 1))
@@ -33,35 +33,35 @@
 	s.breakCalls(false)
 	time.Sleep(c.outage)
 	s.setCost(c.cost)
-	time.Sleep(c.change)
+	time.Sleep(c.changeDelay)
 	s.change()
-	notified := time.Now().Add(notifiesIn)
-	time.Sleep(notifiesIn + 20*time.Second)
+	notified := time.Now().Add(notifyBound)
+	time.Sleep(notifyBound + 20*time.Second)
 	return latenessOf(fleet, notified)
 }
 
 // Agents whose bound is over when an outage ends are answered by a service that has become slow and rejects those calls at once that would
 // wait for too long: a poll that it has taken is not ended by the agent's own hedge. In incident-6221 four agents heard nothing for
 // 19 s.
-func TestAgentsOverTheirBoundAreAnsweredByACrowdedService(t *testing.T) {
+func TestAgentsPastDeadlineAreAnsweredByOverloadedService(t *testing.T) {
 	const ms = time.Millisecond
 	seeds := uint64(20)
 	if testing.Short() {
 		seeds = 4
 	}
-	for _, c := range []crowdedOutage{
+	for _, c := range []slowRecovery{
 		{agents: 6, cost: 300 * ms, outage: 7 * time.Second, maxWait: maxServiceWait},
 		{agents: 6, cost: 500 * ms, outage: 7 * time.Second, maxWait: maxServiceWait},
 		{agents: 30, cost: 100 * ms, outage: 7 * time.Second, maxWait: maxServiceWait},
 		{agents: 60, cost: 50 * ms, outage: 7 * time.Second, maxWait: maxServiceWait},
 		{agents: 30, cost: 100 * ms, outage: 30 * time.Second, maxWait: maxServiceWait},
-		{agents: 32, cost: 200 * ms, outage: 7 * time.Second, change: 6400 * ms, maxWait: maxServiceWait}, // one round of the service later
-		{agents: 44, cost: 200 * ms, outage: 7 * time.Second, change: 8800 * ms, maxWait: maxServiceWait},
+		{agents: 32, cost: 200 * ms, outage: 7 * time.Second, changeDelay: 6400 * ms, maxWait: maxServiceWait}, // one round of the service later
+		{agents: 44, cost: 200 * ms, outage: 7 * time.Second, changeDelay: 8800 * ms, maxWait: maxServiceWait},
 		{agents: 6, cost: 300 * ms, outage: 7 * time.Second, maxWait: 2500 * ms},
 		{agents: 30, cost: 100 * ms, outage: 7 * time.Second, maxWait: 2500 * ms},
-		{agents: 44, cost: 200 * ms, outage: 7 * time.Second, change: 8800 * ms, maxWait: 2500 * ms},
+		{agents: 44, cost: 200 * ms, outage: 7 * time.Second, changeDelay: 8800 * ms, maxWait: 2500 * ms},
 	} {
-		if testing.Short() && c.agents > raceFleet {
+		if testing.Short() && c.agents > maxRaceFleet {
 			continue
 		}
 		t.Run(c.String(), func(t *testing.T) { expectInTime(t, seeds, c.lateness) })
--- a/internal/discovery/deadline.go
+++ b/internal/discovery/deadline.go
@@ -14,9 +14,9 @@
 	latest time.Time
 }
 
-// missed notes that an update was missed that counts as notified at a time. Of several in a row the first one sets the
-// deadline, also once it is over, since what it missed has still not arrived.
-func (d *notifyDeadline) missed(at time.Time) {
+// recordMissed notes that an update was recordMissed that counts as notified at a time. Of several in a row the first one sets the
+// deadline, also once it is over, since what it recordMissed has still not arrived.
+func (d *notifyDeadline) recordMissed(at time.Time) {
 	if !d.pending() {
 		d.restart(at)
 	}
@@ -28,9 +28,9 @@
 	d.latest = at
 }
 
-// migrated notes that discovery migrates: what the new service has by now counts as notified after NotifyBoundAfterMigration,
+// recordMigration notes that discovery migrates: what the new service has by now counts as notified after NotifyBoundAfterMigration,
 // and what came since the last sync within NotifyBoundAfterFailure of the first migration of a series.
-func (d *notifyDeadline) migrated(now time.Time) {
+func (d *notifyDeadline) recordMigration(now time.Time) {
 	if d.latest.IsZero() {
 		d.latest = now.Add(balancer.NotifyBoundAfterFailure)
 	}
@@ -40,8 +40,8 @@
 	}
 }
 
-// synced notes that nothing is missing any more.
-func (d *notifyDeadline) synced() { *d = notifyDeadline{} }
+// recordSync notes that nothing is missing any more.
+func (d *notifyDeadline) recordSync() { *d = notifyDeadline{} }
 
 // pending says whether anything was missed.
 func (d *notifyDeadline) pending() bool { return !d.at.IsZero() }
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -31,27 +31,27 @@
 type service struct {
 	queue discoverytest.Queue
 
-	mu             sync.Mutex
-	cost           time.Duration // of a call
-	down           bool
-	unreachable    bool       // connections do not come up
-	hangs          bool       // calls are taken and never answered
-	rejectsLate    bool       // calls while it is down are rejected after maxServiceWait, as those that timed out in the queue
-	rejectsUntil   time.Time  // calls until then,
-	rejectEvery    int        // all, or each so many-th
-	rejections     *rand.Rand // if not nil: by which a quarter of the calls is rejected at once
-	calls          int
-	worked         int // of the calls, those that cost work
-	revision       uint64
-	changed        chan struct{} // closed at the next change
-	broken         chan struct{} // closed when the calls that are open now break
-	silent         bool          // those that break hang
-	chargesWatches bool          // a watch behind a poll of the full list costs a call of its own
-	rejectsEarly   bool          // rejected calls cost nothing, and those that would take too long are rejected as they come
-	keepsWatches   bool          // a watch that continues is not rejected
-	failsTogether  bool          // a rejected call ends its caller's other calls, which are rejected with it
-	rejectionTime  time.Duration // from a call's begin to its rejection
-	maxWait        time.Duration // how long a call may take, its wait and its work; one that takes longer is rejected
+	mu                  sync.Mutex
+	cost                time.Duration // of a call
+	down                bool
+	unreachable         bool       // connections do not come up
+	hangs               bool       // calls are taken and never answered
+	rejectsLate         bool       // calls while it is down are rejected after maxServiceWait, as those that timed out in the queue
+	rejectsUntil        time.Time  // calls until then,
+	rejectEvery         int        // all, or each so many-th
+	rejections          *rand.Rand // if not nil: by which a quarter of the calls is rejected at once
+	calls               int
+	callsWithWork       int // of the calls, those that cost work
+	revision            uint64
+	changed             chan struct{} // closed at the next change
+	broken              chan struct{} // closed when the calls that are open now break
+	brokenCallsHang     bool          // those that break hang
+	chargesWatches      bool          // a watch behind a poll of the full list costs a call of its own
+	rejectsEarly        bool          // rejected calls cost nothing, and those that would take too long are rejected as they come
+	keepsWatches        bool          // a watch that continues is not rejected
+	rejectionEndsOthers bool          // a rejected call ends its caller's other calls, which are rejected with it
+	rejectionTime       time.Duration // from a call's begin to its rejection
+	maxWait             time.Duration // how long a call may take, its wait and its work; one that takes longer is rejected
 }
 
 func newService(cost time.Duration) *service {
@@ -61,12 +61,12 @@
 // rejectionTime is how long after a call the operators' service rejects it.
 const rejectionTime = 30 * time.Millisecond
 
-// newOperatorsService makes a service that rejects calls as the operators' does (trial f50a0546).
-func newOperatorsService(cost time.Duration) *service {
+// newServiceLikeOperators makes a service that rejects calls as the operators' does (trial f50a0546).
+func newServiceLikeOperators(cost time.Duration) *service {
 	s := newService(cost)
 	s.rejectsEarly = true
 	s.keepsWatches = true
-	s.failsTogether = true
+	s.rejectionEndsOthers = true
 	s.rejectionTime = rejectionTime
 	return s
 }
@@ -81,10 +81,10 @@
 }
 
 // breakCalls breaks the open calls: they hang or are reset.
-func (s *service) breakCalls(silent bool) {
+func (s *service) breakCalls(hang bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.silent = silent
+	s.brokenCallsHang = hang
 	close(s.broken)
 	s.broken = make(chan struct{})
 }
@@ -93,7 +93,7 @@
 func (s *service) workCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.worked
+	return s.callsWithWork
 }
 
 func (s *service) setDown(down bool) {
@@ -102,8 +102,8 @@
 	s.mu.Unlock()
 }
 
-// setSilent has calls swallowed from now on, or no more: they hang, or no connection comes up for them.
-func (s *service) setSilent(silent, hangs bool) {
+// setUnresponsive has calls swallowed from now on, or no more: they hang, or no connection comes up for them.
+func (s *service) setUnresponsive(silent, hangs bool) {
 	s.mu.Lock()
 	s.unreachable = silent && !hangs
 	s.hangs = silent && hangs
@@ -158,24 +158,24 @@
 	}
 	free := continues || s.down || s.unreachable || s.hangs || s.rejectsEarly && a.rejected
 	if !free {
-		s.worked++
+		s.callsWithWork++
 		_, a.done = s.queue.Reserve(s.cost)
 	}
 	return a
 }
 
-// caller is one agent as services see it.
-type caller struct {
-	mu         sync.Mutex
-	services   map[string]*service
-	spoilsNext bool          // the next answer that brings a change breaks off
-	answered   time.Time     // the last call
-	full       bool          // it was for the full list
-	rejected   chan struct{} // closed when the next call is rejected; nil until a call waits for that
+// agentTransport is one agent as services see it.
+type agentTransport struct {
+	mu           sync.Mutex
+	services     map[string]*service
+	truncateNext bool          // the next answer that brings a change breaks off
+	answered     time.Time     // the last call
+	full         bool          // it was for the full list
+	rejected     chan struct{} // closed when the next call is rejected; nil until a call waits for that
 }
 
 // continues says whether a call continues a watch, which costs the service nothing.
-func (c *caller) continues(s *service, now time.Time) bool {
+func (c *agentTransport) continues(s *service, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if s.chargesWatches && c.full {
@@ -184,7 +184,7 @@
 	return now.Sub(c.answered) <= 200*time.Millisecond
 }
 
-func (c *caller) setFull(full bool) {
+func (c *agentTransport) setFull(full bool) {
 	c.mu.Lock()
 	c.full = full
 	c.mu.Unlock()
@@ -193,8 +193,8 @@
 // dialTimeout is how long a dial of the agent's takes that nobody answers.
 const dialTimeout = time.Second
 
-// failDial is a dial that nobody answers.
-func failDial(ctx context.Context) error {
+// dialTimesOut is a dial that nobody answers.
+func dialTimesOut(ctx context.Context) error {
 	select {
 	case <-time.After(dialTimeout):
 		return &net.OpError{Op: "dial", Net: "tcp", Err: os.ErrDeadlineExceeded}
@@ -204,7 +204,7 @@
 }
 
 // awaitRejected returns a channel that is closed when a call of the caller is rejected.
-func (c *caller) awaitRejected() <-chan struct{} {
+func (c *agentTransport) awaitRejected() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rejected == nil {
@@ -214,7 +214,7 @@
 }
 
 // reject rejects a call, and the caller's others with it where the service does so.
-func (c *caller) reject(ctx context.Context, s *service) (*http.Response, error) {
+func (c *agentTransport) reject(ctx context.Context, s *service) (*http.Response, error) {
 	if s.rejectionTime > 0 {
 		select {
 		case <-time.After(s.rejectionTime):
@@ -224,7 +224,7 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if s.failsTogether && c.rejected != nil {
+	if s.rejectionEndsOthers && c.rejected != nil {
 		close(c.rejected)
 		c.rejected = nil
 	}
@@ -235,10 +235,10 @@
 	return &http.Response{StatusCode: http.StatusServiceUnavailable, Body: http.NoBody}
 }
 
-func (c *caller) RoundTrip(r *http.Request) (*http.Response, error) {
+func (c *agentTransport) RoundTrip(r *http.Request) (*http.Response, error) {
 	now := time.Now()
 	s := c.services[r.URL.Host]
-	held, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
+	after, _ := strconv.ParseUint(r.URL.Query().Get("after"), 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
 	wait := time.Duration(ms) * time.Millisecond
 	continues := c.continues(s, now)
@@ -246,7 +246,7 @@
 	a := s.admit(continues)
 	switch {
 	case a.unreachable:
-		return nil, failDial(r.Context())
+		return nil, dialTimesOut(r.Context())
 	case a.hangs:
 		<-r.Context().Done()
 		return nil, r.Context().Err()
@@ -275,19 +275,19 @@
 			return unavailable(), nil
 		}
 	}
-	return c.awaitChange(r.Context(), s, a.broken, held, wait > 0, end)
+	return c.awaitChange(r.Context(), s, a.broken, after, wait > 0, end)
 }
 
 // awaitChange answers a call at once if it does not watch, else with the change that comes first or at its end.
-func (c *caller) awaitChange(
-	ctx context.Context, s *service, broken chan struct{}, held uint64, watches bool, end time.Time,
+func (c *agentTransport) awaitChange(
+	ctx context.Context, s *service, broken chan struct{}, after uint64, watches bool, end time.Time,
 ) (*http.Response, error) {
 	for {
 		s.mu.Lock()
 		revision := s.revision
 		changed := s.changed
 		s.mu.Unlock()
-		if revision > held || !watches {
+		if revision > after || !watches {
 			return c.answer(revision), nil
 		}
 		select {
@@ -298,7 +298,7 @@
 			return nil, ctx.Err()
 		case <-broken:
 			s.mu.Lock()
-			silent := s.silent
+			silent := s.brokenCallsHang
 			s.mu.Unlock()
 			if !silent {
 				return nil, io.ErrUnexpectedEOF
@@ -310,23 +310,23 @@
 }
 
 // answer brings one endpoint, whose cell is the revision, so that whoever has the list knows which.
-func (c *caller) answer(revision uint64) *http.Response {
+func (c *agentTransport) answer(revision uint64) *http.Response {
 	c.mu.Lock()
 	c.answered = time.Now()
 	c.mu.Unlock()
 	text := listText(int(revision), true, memberText("x", "10.0.0.1:80", "Ready", int(revision)))
-	if c.takeSpoilsNext() {
+	if c.takeTruncateNext() {
 		text = text[:len(text)/2]
 	}
 	return &http.Response{StatusCode: http.StatusOK, Body: io.NopCloser(strings.NewReader(string(text)))}
 }
 
-func (c *caller) takeSpoilsNext() bool {
+func (c *agentTransport) takeTruncateNext() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	spoils := c.spoilsNext
-	c.spoilsNext = false
-	return spoils
+	truncate := c.truncateNext
+	c.truncateNext = false
+	return truncate
 }
 
 const testSettings = `{
@@ -354,17 +354,17 @@
 		id, addr, cell, state)
 }
 
-// firstRoundEnded is what a follower records, beside the cells of the lists, when its agent begins to serve.
-const firstRoundEnded = 1 << 40
+// firstRoundEndedRecord is what a follower records, beside the cells of the lists, when its agent begins to serve.
+const firstRoundEndedRecord = 1 << 40
 
-// follower is one agent of a fleet that follows the list. It records the cells that it is notified of.
-type follower struct {
-	caller
+// fleetAgent is one agent of a fleet that follows the list. It records the cells that it is notified of.
+type fleetAgent struct {
+	agentTransport
 	*discoverytest.Agent
 	migrations chan discovery.Target
 }
 
-func (f *follower) notify(ctx context.Context, event discovery.WatchEvent) {
+func (f *fleetAgent) notify(ctx context.Context, event discovery.WatchEvent) {
 	for _, m := range event.Members {
 		f.Record(uint64(m.Cell))
 	}
@@ -372,12 +372,12 @@
 }
 
 // startSynced starts so many agents with a settings text, each with the known list's revision 1, until the test ends.
-func startSynced(t *testing.T, agents int, text string, services map[string]*service) []*follower {
+func startSynced(t *testing.T, agents int, text string, services map[string]*service) []*fleetAgent {
 	return startFleet(t, agents, text, services, listText(1, true, memberText("x", "10.0.0.1:80", "Ready", 1)), 0)
 }
 
 // startFleet starts so many agents that know a list and draw their random numbers by a seed.
-func startFleet(t *testing.T, agents int, text string, services map[string]*service, list []byte, seed uint64) []*follower {
+func startFleet(t *testing.T, agents int, text string, services map[string]*service, list []byte, seed uint64) []*fleetAgent {
 	ranks := make([]int, agents)
 	for i := range ranks {
 		ranks[i] = i
@@ -388,7 +388,7 @@
 // startRanks is startFleet for some agents of a fleet, by their ranks.
 func startRanks(
 	t *testing.T, agents int, ranks []int, text string, services map[string]*service, list []byte, seed uint64,
-) []*follower {
+) []*fleetAgent {
 	known, err := discovery.Parse(list)
 	if err != nil {
 		t.Fatal(err)
@@ -396,13 +396,13 @@
 	ctx, stop := context.WithCancel(context.Background())
 	var ended sync.WaitGroup
 	t.Cleanup(func() { stop(); ended.Wait() })
-	fleet := make([]*follower, len(ranks))
+	fleet := make([]*fleetAgent, len(ranks))
 	for i, rank := range ranks {
-		own := strings.Replace(text, `"replicasOfMe":1,"rank":0`, fmt.Sprintf(`"replicasOfMe":%d,"rank":%d`, agents, rank), 1)
-		f := &follower{
-			caller:     caller{services: services},
-			Agent:      discoverytest.NewAgent(t, []byte(own), seed<<32+uint64(rank)),
-			migrations: make(chan discovery.Target),
+		agentText := strings.Replace(text, `"replicasOfMe":1,"rank":0`, fmt.Sprintf(`"replicasOfMe":%d,"rank":%d`, agents, rank), 1)
+		f := &fleetAgent{
+			agentTransport: agentTransport{services: services},
+			Agent:          discoverytest.NewAgent(t, []byte(agentText), seed<<32+uint64(rank)),
+			migrations:     make(chan discovery.Target),
 		}
 		client := discovery.New(discovery.Options{
 			Addr: "old", Settings: func() *settings.Settings { return &f.Settings }, Log: discard,
@@ -416,7 +416,7 @@
 		ended.Go(func() {
 			select {
 			case <-client.FirstRound():
-				f.Record(firstRoundEnded)
+				f.Record(firstRoundEndedRecord)
 			case <-ctx.Done():
 			}
 		})
@@ -426,16 +426,16 @@
 	return fleet
 }
 
-// raceFleet is the largest fleet that is played under the race detector, whose runtime breaks off at random with more ("CHECK
+// maxRaceFleet is the largest fleet that is played under the race detector, whose runtime breaks off at random with more ("CHECK
 // failed: tsan_rtl.cpp:346", or 282). test.sh plays the larger ones without it.
-const raceFleet = 6
+const maxRaceFleet = 6
 
 const drainGrace = 300 * time.Millisecond // from when a change counts as notified to when nothing more may be sent
 
 // Whatever happens to the calls for the list, each agent of a fleet receives a drain before that counts as notified by the terms
 // of the platform, and the fleet's calls do not overload the service. All watches begin together, as the drain follows another
 // change at once.
-func TestHearsBeforeItCountsAsTold(t *testing.T) {
+func TestChangesArriveBeforeDeadline(t *testing.T) {
 	for _, fleet := range []struct {
 		agents          int
 		maxPollInterval time.Duration // 0: lists are pushed
@@ -443,7 +443,7 @@
 		{3, 10 * time.Second}, {6, 3 * time.Second}, {60, 10 * time.Second}, {350, 10 * time.Second},
 		{350, 60 * time.Second}, {3, 60 * time.Second}, {3, 0}, {350, 0},
 	} {
-		if testing.Short() && fleet.agents > raceFleet {
+		if testing.Short() && fleet.agents > maxRaceFleet {
 			continue
 		}
 		mode := `"discovery":"automatic"`
@@ -541,10 +541,10 @@
 
 // A service that cannot answer all agents within the bound is polled less until it has: agents that insist on the bound would keep
 // it busy with calls that have timed out meanwhile, and none would be answered.
-func TestOverloadedServiceIsNotJammed(t *testing.T) {
+func TestOverloadedServiceAnswersAllAgents(t *testing.T) {
 	agents := 60
 	if testing.Short() {
-		agents = raceFleet
+		agents = maxRaceFleet
 	}
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,`)
 	synctest.Test(t, func(t *testing.T) {
@@ -565,7 +565,7 @@
 
 // An answer that breaks off or cannot be parsed counts as notified when it is written, so the next call follows at once, however
 // late in the fleet's order the agent is; if that answer is no better, the others follow in turn.
-func TestSpoiltAnswerIsMadeUpFor(t *testing.T) {
+func TestTruncatedResponseIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		text := testSettingsWith(pollMode, `"mustAskIn":10000,"drainGrace":300,`)
 		text = strings.Replace(text, `"replicasOfMe":1,"rank":0`, `"replicasOfMe":350,"rank":349`, 1)
@@ -573,7 +573,7 @@
 		f := startSynced(t, 1, text, map[string]*service{"old": s})[0]
 		time.Sleep(10 * time.Second)
 		f.mu.Lock()
-		f.spoilsNext = true
+		f.truncateNext = true
 		f.mu.Unlock()
 		s.change()
 		time.Sleep(drainGrace)
@@ -584,9 +584,9 @@
 }
 
 // After a migration by SIGHUP the agents poll the new service in turn, in time for a call that fails there, as some do.
-func TestMovesInTurn(t *testing.T) {
+func TestStaggersPollsAfterMigration(t *testing.T) {
 	for _, agents := range []int{1, 6, 60} {
-		if testing.Short() && agents > raceFleet {
+		if testing.Short() && agents > maxRaceFleet {
 			continue
 		}
 		for _, rejects := range []time.Duration{0, time.Second} {
@@ -617,7 +617,7 @@
 func TestReadyInTime(t *testing.T) {
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,`)
 	for _, agents := range []int{3, 35, 245} {
-		if testing.Short() && agents > raceFleet {
+		if testing.Short() && agents > maxRaceFleet {
 			continue
 		}
 		synctest.Test(t, func(t *testing.T) {
--- a/internal/discovery/migration_test.go
+++ b/internal/discovery/migration_test.go
@@ -76,7 +76,7 @@
 // A configuration that is reloaded names discovery's address again. Where it is the same, the watch that runs goes on, and
 // nobody polls the full list; where only the mode changes, the calls begin
 // anew with the revision held; where it is another address, the full list comes first.
-func TestOnlyAMoveAsksForTheWholeList(t *testing.T) {
+func TestOnlyMigrationPollsFullList(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after bool // poll mode
 		addr          string
--- a/internal/discovery/poll_test.go
+++ b/internal/discovery/poll_test.go
@@ -30,50 +30,50 @@
 
 // A poll hedges a call that is not answered, once, and only in poll mode and if none timed out before; the first answer counts, and one
 // that cannot be used ends the poll at once. At a crowded service it is hedged late, and not at all after a hedge that ended a poll.
-func TestInquiry(t *testing.T) {
+func TestPoll(t *testing.T) {
 	const first, second = `{"revision":4,"complete":true,"members":[]}`, `{"revision":5,"complete":true,"members":[]}`
 	for name, c := range map[string]struct {
-		pushed   bool
-		timeouts int
-		crowding crowding
-		left     time.Duration // until what was missed counts as notified; 0: nothing was missed
-		answer   time.Duration // that the service takes for a call; 0: not known
-		calls    []scriptedCall
-		took     time.Duration
-		want     uint64 // revision; 0: none
-		made     int    // calls
-		ended    bool   // by the hedge
+		pushed       bool
+		timeouts     int
+		crowding     rejectionState
+		remaining    time.Duration // until what was missed counts as notified; 0: nothing was missed
+		latency      time.Duration // that the service takes for a call; 0: not known
+		calls        []scriptedCall
+		took         time.Duration
+		wantRevision uint64 // revision; 0: none
+		wantCalls    int    // calls
+		endedByHedge bool   // by the hedge
 	}{
-		"answered":                    {calls: []scriptedCall{{after: time.Second, text: first}}, took: time.Second, want: 4, made: 1},
-		"slow":                        {calls: []scriptedCall{{after: 2 * time.Second, text: first}, {after: never}}, took: 2 * time.Second, want: 4, made: 2},
-		"lost":                        {calls: []scriptedCall{{after: never}, {after: time.Second, text: second}}, took: 2500 * time.Millisecond, want: 5, made: 2},
-		"lost, a slow service":        {left: time.Second, answer: 500 * time.Millisecond, calls: []scriptedCall{{after: never}, {after: 100 * time.Millisecond, text: second}}, took: 850 * time.Millisecond, want: 5, made: 2},
-		"lost, a quick service":       {left: time.Second, answer: 10 * time.Millisecond, calls: []scriptedCall{{after: never}, {after: 100 * time.Millisecond, text: second}}, took: 600 * time.Millisecond, want: 5, made: 2},
-		"both lost":                   {calls: []scriptedCall{{after: never}, {after: never}}, took: 4500 * time.Millisecond, made: 2},
-		"rejected":                    {calls: []scriptedCall{{after: time.Second, err: errReset}}, took: time.Second, made: 1},
-		"the first rejected, late":    {calls: []scriptedCall{{after: 2 * time.Second, err: errReset}, {after: time.Second, text: second}}, took: 2500 * time.Millisecond, want: 5, made: 2},
-		"the hedge rejected":          {calls: []scriptedCall{{after: 2 * time.Second, text: first}, {after: 0, err: errReset}}, took: 2 * time.Second, want: 4, made: 2},
-		"unusable, the hedge open":    {calls: []scriptedCall{{after: 2 * time.Second, text: "no list"}, {after: never}}, took: 2 * time.Second, made: 2},
-		"after a timeout":             {timeouts: 1, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, made: 1},
-		"after a rejection":           {crowding: crowding{rejected: true}, left: time.Millisecond, answer: time.Millisecond, calls: []scriptedCall{{after: 1400 * time.Millisecond, text: first}}, took: 1400 * time.Millisecond, want: 4, made: 1},
-		"lost after a rejection":      {crowding: crowding{rejected: true}, left: time.Millisecond, answer: time.Millisecond, calls: []scriptedCall{{after: never}, {after: time.Second, text: second}}, took: 2500 * time.Millisecond, want: 5, made: 2},
-		"both rejected":               {calls: []scriptedCall{{after: 1600 * time.Millisecond, err: rejectedError{}}, {after: 100 * time.Millisecond, err: rejectedError{}}}, took: 1600 * time.Millisecond, made: 2, ended: true},
-		"after a hedge ended a poll":  {crowding: crowding{rejected: true, endedPoll: true}, calls: []scriptedCall{{after: 2900 * time.Millisecond, text: first}}, took: 2900 * time.Millisecond, want: 4, made: 1},
-		"pushed":                      {pushed: true, calls: []scriptedCall{{after: never}}, took: time.Second, made: 1},
-		"pushed, after a timeout":     {pushed: true, timeouts: 1, calls: []scriptedCall{{after: 1500 * time.Millisecond, text: first}}, took: 1500 * time.Millisecond, want: 4, made: 1},
-		"pushed, after many timeouts": {pushed: true, timeouts: 9, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, made: 1},
+		"answered":                    {calls: []scriptedCall{{after: time.Second, text: first}}, took: time.Second, wantRevision: 4, wantCalls: 1},
+		"slow":                        {calls: []scriptedCall{{after: 2 * time.Second, text: first}, {after: never}}, took: 2 * time.Second, wantRevision: 4, wantCalls: 2},
+		"lost":                        {calls: []scriptedCall{{after: never}, {after: time.Second, text: second}}, took: 2500 * time.Millisecond, wantRevision: 5, wantCalls: 2},
+		"lost, a slow service":        {remaining: time.Second, latency: 500 * time.Millisecond, calls: []scriptedCall{{after: never}, {after: 100 * time.Millisecond, text: second}}, took: 850 * time.Millisecond, wantRevision: 5, wantCalls: 2},
+		"lost, a quick service":       {remaining: time.Second, latency: 10 * time.Millisecond, calls: []scriptedCall{{after: never}, {after: 100 * time.Millisecond, text: second}}, took: 600 * time.Millisecond, wantRevision: 5, wantCalls: 2},
+		"both lost":                   {calls: []scriptedCall{{after: never}, {after: never}}, took: 4500 * time.Millisecond, wantCalls: 2},
+		"rejected":                    {calls: []scriptedCall{{after: time.Second, err: errReset}}, took: time.Second, wantCalls: 1},
+		"the first rejected, late":    {calls: []scriptedCall{{after: 2 * time.Second, err: errReset}, {after: time.Second, text: second}}, took: 2500 * time.Millisecond, wantRevision: 5, wantCalls: 2},
+		"the hedge rejected":          {calls: []scriptedCall{{after: 2 * time.Second, text: first}, {after: 0, err: errReset}}, took: 2 * time.Second, wantRevision: 4, wantCalls: 2},
+		"unusable, the hedge open":    {calls: []scriptedCall{{after: 2 * time.Second, text: "no list"}, {after: never}}, took: 2 * time.Second, wantCalls: 2},
+		"after a timeout":             {timeouts: 1, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, wantCalls: 1},
+		"after a rejection":           {crowding: rejectionState{any: true}, remaining: time.Millisecond, latency: time.Millisecond, calls: []scriptedCall{{after: 1400 * time.Millisecond, text: first}}, took: 1400 * time.Millisecond, wantRevision: 4, wantCalls: 1},
+		"lost after a rejection":      {crowding: rejectionState{any: true}, remaining: time.Millisecond, latency: time.Millisecond, calls: []scriptedCall{{after: never}, {after: time.Second, text: second}}, took: 2500 * time.Millisecond, wantRevision: 5, wantCalls: 2},
+		"both rejected":               {calls: []scriptedCall{{after: 1600 * time.Millisecond, err: rejectedError{}}, {after: 100 * time.Millisecond, err: rejectedError{}}}, took: 1600 * time.Millisecond, wantCalls: 2, endedByHedge: true},
+		"after a hedge ended a poll":  {crowding: rejectionState{any: true, endedPoll: true}, calls: []scriptedCall{{after: 2900 * time.Millisecond, text: first}}, took: 2900 * time.Millisecond, wantRevision: 4, wantCalls: 1},
+		"pushed":                      {pushed: true, calls: []scriptedCall{{after: never}}, took: time.Second, wantCalls: 1},
+		"pushed, after a timeout":     {pushed: true, timeouts: 1, calls: []scriptedCall{{after: 1500 * time.Millisecond, text: first}}, took: 1500 * time.Millisecond, wantRevision: 4, wantCalls: 1},
+		"pushed, after many timeouts": {pushed: true, timeouts: 9, calls: []scriptedCall{{after: never}}, took: 3 * time.Second, wantCalls: 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				set := &settings.Settings{Balancer: balancer.Settings{Agents: 3, PollEndpoints: !c.pushed}}
 				d := New(Options{Addr: "x:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
 				d.overload.timeouts = c.timeouts
-				d.crowding = c.crowding
-				if c.left > 0 {
-					d.deadline.missed(time.Now().Add(c.left))
+				d.rejections = c.crowding
+				if c.remaining > 0 {
+					d.deadline.recordMissed(time.Now().Add(c.remaining))
 				}
-				if c.answer > 0 {
-					d.latency.recordAnswer(c.answer)
+				if c.latency > 0 {
+					d.latency.recordResponse(c.latency)
 				}
 				var mu sync.Mutex
 				made := 0
@@ -103,14 +103,14 @@
 				if took := time.Since(begun); took != c.took {
 					t.Errorf("took %v, want %v", took, c.took)
 				}
-				if made != c.made {
-					t.Errorf("%d calls, want %d", made, c.made)
+				if made != c.wantCalls {
+					t.Errorf("%d calls, want %d", made, c.wantCalls)
 				}
-				if (err == nil) != (c.want > 0) || err == nil && *l.Revision != c.want {
-					t.Errorf("%+v, error %v, want revision %d", l, err, c.want)
+				if (err == nil) != (c.wantRevision > 0) || err == nil && *l.Revision != c.wantRevision {
+					t.Errorf("%+v, error %v, want revision %d", l, err, c.wantRevision)
 				}
-				if d.lastCall.endedByHedge != c.ended {
-					t.Errorf("ended by its hedge: %v, want %v", d.lastCall.endedByHedge, c.ended)
+				if d.lastCall.endedByHedge != c.endedByHedge {
+					t.Errorf("ended by its hedge: %v, want %v", d.lastCall.endedByHedge, c.endedByHedge)
 				}
 				synctest.Wait() // calls that are still open end with the poll
 			})
@@ -120,21 +120,21 @@
 
 // The round follows the service: answers measure its work, timeouts double it up to half of the bound, and a migration begins anew
 // with what was known.
-func TestRound(t *testing.T) {
+func TestEstimatedFleetPollTime(t *testing.T) {
 	set := &settings.Settings{Balancer: balancer.Settings{Agents: 6, PollEndpoints: true}}
 	d := New(Options{Addr: "x:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler)})
 	expect := func(when string, want time.Duration) {
 		t.Helper()
-		if got := d.latency.round(d.agents()); got != want {
+		if got := d.latency.fleetPollTime(d.agents()); got != want {
 			t.Errorf("%s: %v, want %v", when, got, want)
 		}
 	}
 	expect("before any answer", 6*assumedLatency)
-	d.latency.recordAnswer(400 * time.Millisecond)
+	d.latency.recordResponse(400 * time.Millisecond)
 	expect("after the first answer", 2400*time.Millisecond)
-	d.latency.recordAnswer(200 * time.Millisecond)
+	d.latency.recordResponse(200 * time.Millisecond)
 	expect("after a quicker one", 1200*time.Millisecond)
-	d.latency.recordAnswer(1000 * time.Millisecond)
+	d.latency.recordResponse(1000 * time.Millisecond)
 	expect("after a slower one", 1800*time.Millisecond)
 	d.latency.recordTimeout(time.Second)
 	expect("after a timeout", 1800*time.Millisecond)
@@ -142,12 +142,12 @@
 	expect("after another", 2*time.Second)
 	d.latency.recordTimeout(time.Second)
 	expect("after a third", 3*time.Second)
-	d.latency.migrated()
+	d.latency.recordMigration()
 	expect("after a migration", 1800*time.Millisecond)
 }
 
 // An outage leaves a few lines in the log, however long it is: the first calls one by one, then fewer and fewer.
-func TestFailuresInTheLog(t *testing.T) {
+func TestFailureLogIsLimited(t *testing.T) {
 	for name, c := range map[string]struct {
 		pollMode bool
 		lines    int // of 1,000 failures
--- a/internal/discovery/reloads_test.go
+++ b/internal/discovery/reloads_test.go
@@ -10,14 +10,14 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// reloadsAfter are the times of one agent's configurations in quick succession, after its first one. Agents follow
+// reloadTimes are the times of one agent's configurations in quick succession, after its first one. Agents follow
 // each other by reloadStep.
-var reloadsAfter = []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond, 1600 * time.Millisecond}
+var reloadTimes = []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond, 1600 * time.Millisecond}
 
 const (
-	reloadStep   = 400 * time.Millisecond
-	notifiesIn   = 6 * time.Second // from a change to when it counts as notified, whether or not it has arrived
-	reloadAgents = 6
+	reloadStagger = 400 * time.Millisecond
+	notifyBound   = 6 * time.Second // from a change to when it counts as notified, whether or not it has arrived
+	reloadAgents  = 6
 )
 
 // A fleet whose agents are migrated several times in quick succession, each time to another address of one slow service,
@@ -36,9 +36,9 @@
 		seeds = 40
 	}
 	for _, c := range []struct {
-		cost                 time.Duration
-		early, paid, rejects bool
-		mostLate             int // of 1,000 agents
+		cost                                         time.Duration
+		rejectsEarly, chargesWatches, rejectsQuarter bool
+		maxLate                                      int // of 1,000 agents
 	}{
 		{200 * ms, true, false, false, 0}, {300 * ms, true, false, false, 0}, {450 * ms, true, false, false, 0},
 		{200 * ms, true, true, false, 0}, {300 * ms, true, true, false, 0}, {450 * ms, true, true, false, 5},
@@ -47,17 +47,17 @@
 		{200 * ms, true, true, true, 5}, {300 * ms, true, true, true, 10}, {450 * ms, true, true, true, 30},
 		{200 * ms, false, true, true, 5}, {300 * ms, false, true, true, 50},
 	} {
-		t.Run(fmt.Sprintf("%v a call/early %v/paid %v/rejects %v", c.cost, c.early, c.paid, c.rejects), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v a call/early %v/paid %v/rejects %v", c.cost, c.rejectsEarly, c.chargesWatches, c.rejectsQuarter), func(t *testing.T) {
 			late := 0
 			worst := time.Duration(0)
 			for seed := range seeds {
 				synctest.Test(t, func(t *testing.T) {
 					s := newService(c.cost)
-					s.rejectsEarly = c.early
-					s.failsTogether = true
+					s.rejectsEarly = c.rejectsEarly
+					s.rejectionEndsOthers = true
 					s.rejectionTime = rejectionTime
-					s.chargesWatches = c.paid
-					for _, by := range latenessAfterReloads(t, s, uint64(seed), c.rejects) {
+					s.chargesWatches = c.chargesWatches
+					for _, by := range latenessAfterReloads(t, s, uint64(seed), c.rejectsQuarter) {
 						if by > drainGrace {
 							late++
 							worst = max(worst, by)
@@ -67,7 +67,7 @@
 			}
 			agents := reloadAgents * seeds
 			t.Logf("%d of %d agents late", late, agents)
-			if late*1000 > c.mostLate*agents {
+			if late*1000 > c.maxLate*agents {
 				t.Errorf("%d of %d agents in %d runs receive the change too late, up to %v after it counted as notified", late, agents, seeds, worst)
 			}
 		})
@@ -76,40 +76,40 @@
 
 // latenessAfterReloads plays one fleet and returns when each agent receives a change that is made between its configurations, after
 // the time at which it counts as notified; 15 s for one that does not in as long a time.
-func latenessAfterReloads(t *testing.T, s *service, seed uint64, rejects bool) (by []time.Duration) {
-	const patience = 15 * time.Second
+func latenessAfterReloads(t *testing.T, s *service, seed uint64, rejectsQuarter bool) (lateness []time.Duration) {
+	const extraWait = 15 * time.Second
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,"drainGrace":300,`)
 	addresses := map[string]*service{"old": s}
-	for i := range reloadsAfter {
+	for i := range reloadTimes {
 		addresses[fmt.Sprint("new", i)] = s
 	}
 	all := startFleet(t, reloadAgents, text, addresses, listText(1, true, memberText("x", "10.0.0.1:80", "Ready", 1)), seed)
 	time.Sleep(10 * time.Second)
-	if rejects {
+	if rejectsQuarter {
 		s.rejectQuarter(seed)
 	}
 	for i, f := range all {
-		for n, after := range reloadsAfter {
-			time.AfterFunc(after+time.Duration(i)*reloadStep, func() { f.migrations <- discovery.Target{Addr: fmt.Sprint("new", n)} })
+		for n, after := range reloadTimes {
+			time.AfterFunc(after+time.Duration(i)*reloadStagger, func() { f.migrations <- discovery.Target{Addr: fmt.Sprint("new", n)} })
 		}
 	}
 	time.Sleep(1300 * time.Millisecond)
 	s.change()
-	notified := time.Now().Add(notifiesIn)
-	time.Sleep(notifiesIn + patience)
+	notified := time.Now().Add(notifyBound)
+	time.Sleep(notifyBound + extraWait)
 	return latenessOf(all, notified)
 }
 
 // latenessOf returns when each agent received revision 2 after it counted as notified; one that has not is late until now.
-func latenessOf(fleet []*follower, notified time.Time) (by []time.Duration) {
+func latenessOf(fleet []*fleetAgent, notified time.Time) (lateness []time.Duration) {
 	for _, f := range fleet {
 		received, ok := f.RecordedAt(2)
 		if !ok {
 			received = time.Now()
 		}
-		by = append(by, received.Sub(notified))
+		lateness = append(lateness, received.Sub(notified))
 	}
-	return by
+	return lateness
 }
 
 // A series of migrations that goes on for longer than the bound, faster than the service answers, does not keep the agents from
@@ -127,7 +127,7 @@
 					synctest.Test(t, func(t *testing.T) {
 						s := newService(cost)
 						s.rejectsEarly = true
-						s.failsTogether = true
+						s.rejectionEndsOthers = true
 						s.rejectionTime = rejectionTime
 						s.chargesWatches = true
 						const span = 12 * time.Second
@@ -145,7 +145,7 @@
 
 // latenessInSeries migrates all agents of a fleet again and again for a while, makes a change behind the first migrations, and returns
 // when each receives it after the time at which it counts as notified.
-func latenessInSeries(t *testing.T, s *service, seed uint64, gap, span time.Duration) (by []time.Duration) {
+func latenessInSeries(t *testing.T, s *service, seed uint64, gap, span time.Duration) (lateness []time.Duration) {
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,"drainGrace":300,`)
 	addresses := map[string]*service{"old": s}
 	for at := time.Duration(0); at < span; at += gap {
@@ -166,8 +166,8 @@
 	}
 	time.Sleep(gap + 10*time.Millisecond)
 	s.change()
-	notified := time.Now().Add(notifiesIn)
+	notified := time.Now().Add(notifyBound)
 	migrating.Wait()
-	time.Sleep(notifiesIn)
+	time.Sleep(notifyBound)
 	return latenessOf(all, notified)
 }
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -111,7 +111,7 @@
 	if c.revision != nil {
 		url = fmt.Sprintf("%s?after=%d&wait_ms=%d", url, *c.revision, wait.Milliseconds())
 	}
-	return request{url: url, wait: wait, timeout: c.timeout(wait), relayed: c.route.relayed()}
+	return request{url: url, wait: wait, timeout: c.timeout(wait), relayed: c.route.atRelay()}
 }
 
 // timeout is how long a call to the present address may take.
@@ -119,7 +119,7 @@
 	switch {
 	case wait > 0:
 		return wait + watchGrace
-	case c.route.relayed():
+	case c.route.atRelay():
 		return c.relayTimeout()
 	case c.pollMode():
 		return pollTimeout
--- a/internal/discovery/route.go
+++ b/internal/discovery/route.go
@@ -15,8 +15,8 @@
 	// maxRelays is how many silent relays an agent can go through in the part of NotifyBoundAfterFailure that a silent watch leaves: it
 	// uses the first so many of its own order.
 	maxRelays = 5
-	// silentRelayPause is for how long a relay is passed over that did not respond, not even with a rejection.
-	silentRelayPause = balancer.NotifyBoundAfterFailure
+	// unresponsiveRelayPause is for how long a relay is passed over that did not respond, not even with a rejection.
+	unresponsiveRelayPause = balancer.NotifyBoundAfterFailure
 	// preferredRetryInterval is how often an agent that is not at its first relay tries to return there.
 	preferredRetryInterval = 10 * balancer.NotifyBoundAfterFailure
 )
@@ -30,24 +30,24 @@
 // route is the order in which an agent goes through the relays, and where in it the agent is. Discovery itself comes last; without
 // relays it is all there is.
 type route struct {
-	hops    []hop
-	current int
+	candidates []candidate
+	current    int
 	// fallback is where the agent was before it tried its first relay again, to return to if that fails.
 	fallback int
 	// preferredTriedAt is when the first relay was left, or tried again.
 	preferredTriedAt time.Time
-	// ownTurn says that it is this agent's turn to poll discovery itself.
-	ownTurn bool
+	// discoveryAllowed says that it is this agent's turn to poll discovery itself.
+	discoveryAllowed bool
 	// discoveryAvoidedUntil is until when discovery itself is left alone.
 	discoveryAvoidedUntil time.Time
 }
 
-// hop is an address of a route.
-type hop struct {
-	addr        string
-	tried       bool      // since the last answer, or the round's begin
-	retried     bool      // likewise: it was called again after its Retry-After
-	silentSince time.Time // zero if it responded to the last call
+// candidate is an address of a route.
+type candidate struct {
+	addr              string
+	tried             bool      // since the last answer, or the round's begin
+	retried           bool      // likewise: it was called again after its Retry-After
+	unresponsiveSince time.Time // zero if it responded to the last call
 }
 
 func newRoute(name string, target Target) *route {
@@ -55,7 +55,7 @@
 	ranked = ranked[:min(maxRelays, len(ranked))]
 	r := &route{fallback: noFallback}
 	for _, addr := range append(ranked, target.Addr) {
-		r.hops = append(r.hops, hop{addr: addr})
+		r.candidates = append(r.candidates, candidate{addr: addr})
 	}
 	return r
 }
@@ -81,45 +81,45 @@
 	return v ^ v>>33
 }
 
-func (r *route) addr() string { return r.hops[r.current].addr }
+func (r *route) addr() string { return r.candidates[r.current].addr }
 
-// discovery is the place of discovery itself in the order.
-func (r *route) discovery() int { return len(r.hops) - 1 }
+// discoveryIndex is the place of discoveryIndex itself in the order.
+func (r *route) discoveryIndex() int { return len(r.candidates) - 1 }
 
-// relayed says whether the present address is a relay's.
-func (r *route) relayed() bool { return r.current != r.discovery() }
+// atRelay says whether the present address is a relay's.
+func (r *route) atRelay() bool { return r.current != r.discoveryIndex() }
 
 // hasRelays says whether there is anything to call but discovery itself.
-func (r *route) hasRelays() bool { return len(r.hops) > 1 }
+func (r *route) hasRelays() bool { return len(r.candidates) > 1 }
 
 // avoidDiscovery has discovery itself left alone until a time.
 func (r *route) avoidDiscovery(until time.Time) { r.discoveryAvoidedUntil = until }
 
 // startRound starts a round of calls, in which it is this agent's turn to poll discovery itself, unless that is to be left alone.
 func (r *route) startRound(now time.Time) {
-	r.forgetTries()
-	r.ownTurn = !now.Before(r.discoveryAvoidedUntil)
+	r.resetTries()
+	r.discoveryAllowed = !now.Before(r.discoveryAvoidedUntil)
 	r.fallback = noFallback
 	r.current = r.firstUntried(now)
-	if !r.relayed() && !r.ownTurn {
+	if !r.atRelay() && !r.discoveryAllowed {
 		r.current = 0
 	}
 }
 
-func (r *route) forgetTries() {
-	for i := range r.hops {
-		r.hops[i].tried = false
-		r.hops[i].retried = false
+func (r *route) resetTries() {
+	for i := range r.candidates {
+		r.candidates[i].tried = false
+		r.candidates[i].retried = false
 	}
 }
 
-// recordAnswer notes an answer from the present address. It returns true, and has moved to the first relay, if that is to be tried
+// recordResponse notes an answer from the present address. It returns true, and has moved to the first relay, if that is to be tried
 // again now.
-func (r *route) recordAnswer(now time.Time) (tryPreferred bool) {
-	r.forgetTries()
-	r.ownTurn = false
+func (r *route) recordResponse(now time.Time) (tryPreferred bool) {
+	r.resetTries()
+	r.discoveryAllowed = false
 	r.fallback = noFallback
-	r.hops[r.current].silentSince = time.Time{}
+	r.candidates[r.current].unresponsiveSince = time.Time{}
 	if r.current == 0 {
 		r.preferredTriedAt = now
 		return false
@@ -135,32 +135,32 @@
 
 // firstUntried is the first relay that has not been tried and was not silent lately, discovery itself if there is none.
 func (r *route) firstUntried(now time.Time) int {
-	for i := range r.discovery() {
-		hop := &r.hops[i]
-		silent := !hop.silentSince.IsZero() && now.Sub(hop.silentSince) < silentRelayPause
-		if !hop.tried && !silent {
+	for i := range r.discoveryIndex() {
+		candidate := &r.candidates[i]
+		unresponsive := !candidate.unresponsiveSince.IsZero() && now.Sub(candidate.unresponsiveSince) < unresponsiveRelayPause
+		if !candidate.tried && !unresponsive {
 			return i
 		}
 	}
-	return r.discovery()
+	return r.discoveryIndex()
 }
 
 // anyTried says whether an address has failed since the last answer, or the round's begin.
 func (r *route) anyTried() bool {
-	return slices.ContainsFunc(r.hops, func(h hop) bool { return h.tried })
+	return slices.ContainsFunc(r.candidates, func(h candidate) bool { return h.tried })
 }
 
 // advance leaves the present address, which failed, for the next one to call. It returns false if that is not to be called
 // now: discovery itself in poll mode, out of this agent's turn. The route is then where a round begins.
 func (r *route) advance(now time.Time, pollMode bool) bool {
-	r.hops[r.current].tried = true
-	if r.fallback != noFallback && !r.hops[r.fallback].tried {
+	r.candidates[r.current].tried = true
+	if r.fallback != noFallback && !r.candidates[r.fallback].tried {
 		r.current = r.fallback
 		r.fallback = noFallback
 		return true
 	}
 	r.current = r.firstUntried(now)
-	if !r.relayed() && pollMode && !r.ownTurn {
+	if !r.atRelay() && pollMode && !r.discoveryAllowed {
 		r.current = 0
 		return false
 	}
@@ -177,18 +177,18 @@
 	}
 	r := c.route
 	now := time.Now()
-	if !r.relayed() && r.fallback == noFallback {
+	if !r.atRelay() && r.fallback == noFallback {
 		return false
 	}
-	current := &r.hops[r.current]
+	current := &r.candidates[r.current]
 	var rejected rejectedError
-	saysWhen := errors.As(err, &rejected) && rejected.retryAfter > 0
-	if r.relayed() && saysWhen && !current.retried && rejected.retryAfter <= c.deadline.remaining() {
+	hasRetryAfter := errors.As(err, &rejected) && rejected.retryAfter > 0
+	if r.atRelay() && hasRetryAfter && !current.retried && rejected.retryAfter <= c.deadline.remaining() {
 		current.retried = true
 		return sleep(ctx, rejected.retryAfter)
 	}
 	if errors.Is(err, ErrTruncatedList) || errors.Is(err, context.DeadlineExceeded) {
-		current.silentSince = now
+		current.unresponsiveSince = now
 	}
 	firstFailure := !r.anyTried()
 	if !r.advance(now, c.pollMode()) {
--- a/internal/discovery/route_test.go
+++ b/internal/discovery/route_test.go
@@ -67,7 +67,7 @@
 const (
 	serving       = iota
 	down          // connections are refused, and open ones are reset
-	silent        // does not respond any more
+	unresponsive  // does not respond any more
 	rejecting     // 503
 	rejectingOnce // 503 with Retry-After once, then serving
 )
@@ -125,7 +125,7 @@
 			return &http.Response{
 				Status: "503", StatusCode: http.StatusServiceUnavailable, Body: http.NoBody, Header: http.Header{"Retry-After": {"1.25"}},
 			}, nil
-		case silent:
+		case unresponsive:
 			select {
 			case <-changed:
 				return nil, errors.New("reset by a host that is back")
@@ -149,8 +149,8 @@
 	}
 }
 
-// since are the hosts that were called from the n-th call on, in order, each once.
-func (h *serviceHosts) since(n int) []string {
+// hostsSince are the hosts that were called from the n-th call on, in order, each once.
+func (h *serviceHosts) hostsSince(n int) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	var hosts []string
@@ -171,17 +171,17 @@
 	remaining []time.Duration // of each notification that calls had failed
 }
 
-const service = "10.0.0.9:1"
+const discoveryAddr = "10.0.0.9:1"
 
 // startRelayed starts an agent that holds revision 1, or nothing. In poll mode it polls a turn later than it could, as the balancer
 // would; a turn below 0 is the longest that the balancer takes for the remaining time.
 func startRelayed(t *testing.T, pollMode, known bool, turn time.Duration) *relayedAgent {
 	relays := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
-	a := &relayedAgent{serviceHosts: newHosts(append(relays, service)...), order: rankRelays("a", relays), received: map[uint64]time.Time{}}
+	a := &relayedAgent{serviceHosts: newHosts(append(relays, discoveryAddr)...), order: rankRelays("a", relays), received: map[uint64]time.Time{}}
 	set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: pollMode}}
 	var d *Client
 	d = New(Options{
-		Addr: service, Name: "a", Relays: relays, Settings: func() *settings.Settings { return set },
+		Addr: discoveryAddr, Name: "a", Relays: relays, Settings: func() *settings.Settings { return set },
 		OnPoll: func(PollResult) {}, Log: slog.New(slog.DiscardHandler),
 		Notify: func(event WatchEvent) {
 			a.mu.Lock()
@@ -222,25 +222,25 @@
 
 // However relays are lost, an agent fails over to its next one at once and to discovery itself last, and receives what is new within
 // what the platform allows. It polls the full list no second time.
-func TestRelaysAreLost(t *testing.T) {
+func TestRelayFailover(t *testing.T) {
 	const turn = time.Second
 	for name, c := range map[string]struct {
-		poll   bool
-		state  int
-		lost   int // of three, from the first on
-		within time.Duration
-		next   string // who is called in the end
-		failed int    // notifications that calls had failed
+		poll         bool
+		state        int
+		lostRelays   int // of three, from the first on
+		within       time.Duration
+		next         string // who is called in the end
+		wantFailures int    // notifications that calls had failed
 	}{
 		"reset":              {true, down, 1, 10 * time.Millisecond, "second", 0},
 		"rejected":           {true, rejecting, 1, 10 * time.Millisecond, "second", 0},
-		"silent":             {true, silent, 1, relayWatchWait + watchGrace, "second", 0},
+		"silent":             {true, unresponsive, 1, relayWatchWait + watchGrace, "second", 0},
 		"two reset":          {true, down, 2, 10 * time.Millisecond, "third", 0},
-		"two silent":         {true, silent, 2, relayWatchWait + watchGrace + RelayTimeout, "third", 0},
+		"two silent":         {true, unresponsive, 2, relayWatchWait + watchGrace + RelayTimeout, "third", 0},
 		"all reset":          {true, down, 3, turn + 10*time.Millisecond, "service", 1},
 		"all reject":         {true, rejecting, 3, turn + 10*time.Millisecond, "service", 1},
 		"pushed, reset":      {false, down, 1, 10 * time.Millisecond, "second", 0},
-		"pushed, silent":     {false, silent, 1, relayWatchWait + watchGrace, "second", 0},
+		"pushed, silent":     {false, unresponsive, 1, relayWatchWait + watchGrace, "second", 0},
 		"pushed, all reset":  {false, down, 3, 10 * time.Millisecond, "service", 0},
 		"pushed, all reject": {false, rejecting, 3, 10 * time.Millisecond, "service", 0},
 	} {
@@ -250,10 +250,10 @@
 				time.Sleep(10*time.Second + 100*time.Millisecond) // within a watch
 				synctest.Wait()
 				full, calls := a.calls()
-				if got := a.since(0); !slices.Equal(got, a.order[:1]) || full != 1 {
+				if got := a.hostsSince(0); !slices.Equal(got, a.order[:1]) || full != 1 {
 					t.Fatalf("%v are called, for the full list %d times", got, full)
 				}
-				a.setState(c.state, a.order[:c.lost]...)
+				a.setState(c.state, a.order[:c.lostRelays]...)
 				a.change()
 				begun := time.Now()
 				time.Sleep(6 * time.Second)
@@ -264,13 +264,13 @@
 				if full, _ := a.calls(); full != 1 {
 					t.Errorf("the full list is polled %d times: %q", full, a.requests)
 				}
-				called := a.since(calls)
-				ends := map[string]string{"second": a.order[1], "third": a.order[2], "service": service}
+				called := a.hostsSince(calls)
+				ends := map[string]string{"second": a.order[1], "third": a.order[2], "service": discoveryAddr}
 				if len(called) == 0 || called[len(called)-1] != ends[c.next] {
 					t.Errorf("%q are called, the last one is to be the %s", called, c.next)
 				}
-				if len(a.remaining) != c.failed {
-					t.Errorf("notified of failures with %v remaining, want %d", a.remaining, c.failed)
+				if len(a.remaining) != c.wantFailures {
+					t.Errorf("notified of failures with %v remaining, want %d", a.remaining, c.wantFailures)
 				}
 				for _, remaining := range a.remaining { // what the relay itself may have missed is taken off
 					if remaining <= 0 || remaining > balancer.NotifyBoundAfterFailure-RelayMaxStaleness {
@@ -284,22 +284,22 @@
 
 // An agent that was cut off from its relays and from discovery for any time is synced within the bound once it is not any more: what
 // it could take for an overload of discovery keeps it from calling that alone.
-func TestBackFromACut(t *testing.T) {
+func TestRecoveryAfterPartition(t *testing.T) {
 	for _, cut := range []time.Duration{time.Second, 5 * time.Second, 12 * time.Second, 20 * time.Second, 47 * time.Second, 5 * time.Minute} {
-		for name, relays := range map[string]int{"silent": silent, "stale": rejecting} {
-			t.Run(fmt.Sprintf("%s relays/%v", name, cut), func(t *testing.T) { backFromACut(t, relays, cut) })
+		for name, relays := range map[string]int{"silent": unresponsive, "stale": rejecting} {
+			t.Run(fmt.Sprintf("%s relays/%v", name, cut), func(t *testing.T) { recoverAfterPartition(t, relays, cut) })
 		}
 	}
 }
 
-func backFromACut(t *testing.T, relays int, cut time.Duration) {
+func recoverAfterPartition(t *testing.T, relays int, partition time.Duration) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startRelayed(t, true, true, -1)
 		time.Sleep(10*time.Second + 100*time.Millisecond)
-		all := append(slices.Clone(a.order), service)
+		all := append(slices.Clone(a.order), discoveryAddr)
 		a.setState(relays, a.order...)
-		a.setState(silent, service)
-		time.Sleep(cut)
+		a.setState(unresponsive, discoveryAddr)
+		time.Sleep(partition)
 		a.setState(serving, all...)
 		a.change()
 		back := time.Now()
@@ -312,7 +312,7 @@
 }
 
 // A machine that does not respond shows in the dial already, in time for the other relays.
-func TestDialsToRelaysAreShort(t *testing.T) {
+func TestRelayDialTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dial := withRelayDialTimeout(func(ctx context.Context, _, _ string) (net.Conn, error) {
 			<-ctx.Done()
@@ -340,7 +340,7 @@
 
 // An agent that is away from its first relay tries it again once a minute at most, stays where it was if that fails, and
 // otherwise stays there.
-func TestHomeAgain(t *testing.T) {
+func TestReturnToPreferredRelay(t *testing.T) {
 	for _, lost := range []int{1, 3} { // to the second relay, and to discovery itself
 		synctest.Test(t, func(t *testing.T) {
 			a := startRelayed(t, true, true, time.Second)
@@ -364,7 +364,7 @@
 			time.Sleep(preferredRetryInterval + 2*relayWatchWait + watchCycle)
 			_, before = a.calls()
 			time.Sleep(time.Minute)
-			if got := a.since(before); !slices.Equal(got, a.order[:1]) {
+			if got := a.hostsSince(before); !slices.Equal(got, a.order[:1]) {
 				t.Errorf("%d lost: a minute after their return %q are called, want %q", lost, got, a.order[0])
 			}
 			if full, _ := a.calls(); full != 0 {
@@ -375,26 +375,26 @@
 }
 
 // A relay that rejects a call with Retry-After is called again then, and nobody else meanwhile.
-func TestComesAgainWhenTold(t *testing.T) {
+func TestRetryAfterOfRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startRelayed(t, true, false, time.Second)
 		a.setState(rejectingOnce, a.order[0])
 		begun := time.Now()
 		time.Sleep(5 * time.Second)
 		at, ok := a.receivedAt(1)
-		if called := a.since(0); !ok || at.Sub(begun) != 1250*time.Millisecond || !slices.Equal(called, a.order[:1]) {
+		if called := a.hostsSince(0); !ok || at.Sub(begun) != 1250*time.Millisecond || !slices.Equal(called, a.order[:1]) {
 			t.Errorf("received %v after %v, %q are called", ok, at.Sub(begun), called)
 		}
 	})
 }
 
 // Relays that come and go change who is called, not which revision is held.
-func TestOtherRelays(t *testing.T) {
+func TestRelaysChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		h := newHosts("10.0.0.1:1", "10.0.0.2:1", service)
+		h := newHosts("10.0.0.1:1", "10.0.0.2:1", discoveryAddr)
 		set := &settings.Settings{Balancer: balancer.Settings{Agents: 1}}
 		d := New(Options{
-			Addr: service, Name: "a", Settings: func() *settings.Settings { return set }, OnPoll: func(PollResult) {},
+			Addr: discoveryAddr, Name: "a", Settings: func() *settings.Settings { return set }, OnPoll: func(PollResult) {},
 			Log: slog.New(slog.DiscardHandler), Notify: func(WatchEvent) {},
 		})
 		d.SetTransport(h)
@@ -408,12 +408,12 @@
 		}{
 			{[]string{"10.0.0.1:1"}, "10.0.0.1:1"},
 			{[]string{"10.0.0.2:1"}, "10.0.0.2:1"},
-			{nil, service},
+			{nil, discoveryAddr},
 		} {
 			_, before := h.calls()
-			migrations <- Target{service, c.relays}
+			migrations <- Target{discoveryAddr, c.relays}
 			synctest.Wait()
-			if got := h.since(before); !slices.Equal(got, []string{c.want}) {
+			if got := h.hostsSince(before); !slices.Equal(got, []string{c.want}) {
 				t.Errorf("relays %q: %q are called", c.relays, got)
 			}
 		}
@@ -426,7 +426,7 @@
 }
 
 // Of many relays an agent goes through the first few of its own order, as many as there is time for, and then to discovery.
-func TestManyRelays(t *testing.T) {
+func TestMaxRelays(t *testing.T) {
 	all := make([]string, 1024)
 	for i := range all {
 		all[i] = fmt.Sprintf("10.0.%d.%d:80", i/250, i%250)
@@ -435,7 +435,7 @@
 		r := newRoute("agent", Target{Addr: "10.1.0.1:80", Relays: all[:n]})
 		want := append(rankRelays("agent", all[:n])[:min(n, maxRelays)], "10.1.0.1:80")
 		var got []string
-		for _, hop := range r.hops {
+		for _, hop := range r.candidates {
 			got = append(got, hop.addr)
 		}
 		if !slices.Equal(got, want) {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -10,8 +10,8 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// silence is a time in which the way to discovery swallows what is sent.
-type silence struct {
+// blackhole is a time in which the way to discovery swallows what is sent.
+type blackhole struct {
 	agents int
 	cost   time.Duration // of a call behind it
 	span   time.Duration
@@ -19,45 +19,45 @@
 }
 
 // lateness plays a fleet and returns when each agent receives the change that is made as the way opens, after that counts as notified.
-func (c silence) lateness(t *testing.T, seed uint64) (by []time.Duration) {
-	s := newOperatorsService(c.cost)
+func (c blackhole) lateness(t *testing.T, seed uint64) (lateness []time.Duration) {
+	s := newServiceLikeOperators(c.cost)
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,"drainGrace":300,`)
 	list := listText(1, true, memberText("x", "10.0.0.1:80", "Ready", 1))
 	fleet := startFleet(t, c.agents, text, map[string]*service{"old": s}, list, seed)
 	time.Sleep(10 * time.Second)
-	s.setSilent(true, c.hangs)
+	s.setUnresponsive(true, c.hangs)
 	s.breakCalls(true)
 	time.Sleep(c.span)
-	s.setSilent(false, false)
+	s.setUnresponsive(false, false)
 	s.change()
-	notified := time.Now().Add(notifiesIn)
-	time.Sleep(notifiesIn + 20*time.Second)
+	notified := time.Now().Add(notifyBound)
+	time.Sleep(notifyBound + 20*time.Second)
 	return latenessOf(fleet, notified)
 }
 
 // Each agent receives a change in time that is made when a silent way to discovery opens again: its polls are not so far apart that none
 // can succeed within the bound.
-func TestHearsAfterASilentWay(t *testing.T) {
+func TestChangesArriveAfterBlackhole(t *testing.T) {
 	for name, hangs := range map[string]bool{"no connection": false, "calls hang": true} {
 		t.Run(name, func(t *testing.T) {
 			for _, seconds := range []time.Duration{2, 4, 6, 8, 15, 30} {
 				span := seconds * time.Second
-				t.Run(span.String(), func(t *testing.T) { hearsAfterSilence(t, span, hangs) })
+				t.Run(span.String(), func(t *testing.T) { changesArriveAfterBlackhole(t, span, hangs) })
 			}
 		})
 	}
 }
 
-// hearsAfterSilence plays fleets of several sizes, each by many seeds.
-func hearsAfterSilence(t *testing.T, span time.Duration, hangs bool) {
+// changesArriveAfterBlackhole plays fleets of several sizes, each by many seeds.
+func changesArriveAfterBlackhole(t *testing.T, span time.Duration, hangs bool) {
 	const (
 		ms    = time.Millisecond
 		seeds = 20
 	)
-	for _, fleet := range []silence{
+	for _, fleet := range []blackhole{
 		{agents: 3, cost: 20 * ms}, {agents: 6, cost: 20 * ms}, {agents: 6, cost: 300 * ms}, {agents: 60, cost: 20 * ms},
 	} {
-		if testing.Short() && fleet.agents > raceFleet {
+		if testing.Short() && fleet.agents > maxRaceFleet {
 			continue
 		}
 		fleet.span = span
@@ -70,14 +70,14 @@
 
 // A service that was quick and can now not answer all agents within the bound is not jammed by them either: until they have an answer they
 // cannot tell it from one that is silent.
-func TestServiceThatBecameSlowIsNotJammed(t *testing.T) {
+func TestServiceThatBecameSlowAnswersAllAgents(t *testing.T) {
 	const (
 		idleCost = time.Millisecond
-		patience = 2 * time.Minute
+		timeout  = 2 * time.Minute
 	)
 	agents := 60
 	if testing.Short() {
-		agents = raceFleet
+		agents = maxRaceFleet
 	}
 	for _, round := range []time.Duration{3 * time.Second, 4500 * time.Millisecond, 6 * time.Second} {
 		t.Run(round.String(), func(t *testing.T) {
@@ -89,7 +89,7 @@
 				s.setCost(round / time.Duration(agents))
 				s.breakCalls(true)
 				s.change()
-				time.Sleep(patience)
+				time.Sleep(timeout)
 				late := 0
 				for _, f := range all {
 					if _, ok := f.RecordedAt(2); !ok {
@@ -97,7 +97,7 @@
 					}
 				}
 				if late > 0 {
-					t.Errorf("%d of %d agents do not receive the change in %v", late, agents, patience)
+					t.Errorf("%d of %d agents do not receive the change in %v", late, agents, timeout)
 				}
 			})
 		})
@@ -111,7 +111,7 @@
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,"drainGrace":300,`)
 	list := listText(1, true, memberText("x", "10.0.0.1:80", "Ready", 1))
 	for _, agents := range []int{1, 6, 60} {
-		if testing.Short() && agents > raceFleet {
+		if testing.Short() && agents > maxRaceFleet {
 			continue
 		}
 		for _, silent := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
@@ -121,7 +121,7 @@
 					next.change()
 					fleet := startFleet(t, agents, text, map[string]*service{"old": old, "new": next}, list, seed)
 					time.Sleep(10 * time.Second)
-					old.setSilent(true, true)
+					old.setUnresponsive(true, true)
 					old.breakCalls(false)
 					time.Sleep(silent)
 					notified := time.Now().Add(balancer.NotifyBoundAfterMigration)
--- a/internal/discovery/trace_amd64_test.go
+++ b/internal/discovery/trace_amd64_test.go
@@ -22,14 +22,14 @@
 
 // traceRecorder is a service and a balancer that behave at random, by a seed, and a hash of all that a client does with them.
 type traceRecorder struct {
-	mu       sync.Mutex
-	answers  *rand.Rand // of the service
-	waits    *rand.Rand // of the owner between polls
-	began    time.Time
-	trace    hash.Hash
-	calls    int
-	events   int
-	pollSoon func()
+	mu      sync.Mutex
+	answers *rand.Rand // of the service
+	waits   *rand.Rand // of the owner between polls
+	began   time.Time
+	trace   hash.Hash
+	calls   int
+	events  int
+	poll    func()
 }
 
 func (r *traceRecorder) record(format string, args ...any) {
@@ -43,14 +43,14 @@
 	r.mu.Lock()
 	r.calls++
 	r.record("call %s until %d", req.URL, due.Sub(r.began).Nanoseconds())
-	way := r.answers.IntN(16)
+	outcome := r.answers.IntN(16)
 	delay := time.Duration(1 + r.answers.Int64N(int64(time.Second)>>r.answers.IntN(8)))
-	ahead := r.answers.IntN(3)
+	revisionStep := r.answers.IntN(3)
 	r.mu.Unlock()
 	var after int
 	_, err := fmt.Sscanf(req.URL.Query().Get("after"), "%d", &after)
-	complete := err != nil || way == 0
-	if way == 1 { // hangs
+	complete := err != nil || outcome == 0
+	if outcome == 1 { // hangs
 		delay = time.Hour
 	}
 	select {
@@ -59,9 +59,9 @@
 		return nil, req.Context().Err()
 	}
 	member := `{"id":"x","host_port":"10.0.0.1:80","phase":"Ready"}`
-	text := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, after+ahead, complete, member)
+	text := fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, after+revisionStep, complete, member)
 	status, header := http.StatusOK, http.Header{}
-	switch way {
+	switch outcome {
 	case 2:
 		return nil, errors.New("reset")
 	case 3:
@@ -74,7 +74,7 @@
 	case 6:
 		text = text[:len(text)/2]
 	case 7:
-		text = strings.Replace(text, fmt.Sprintf(`"revision":%d`, after+ahead), `"revision":0`, 1)
+		text = strings.Replace(text, fmt.Sprintf(`"revision":%d`, after+revisionStep), `"revision":0`, 1)
 	case 8:
 		text = fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[]}`, after, complete)
 	}
@@ -86,10 +86,10 @@
 	defer r.mu.Unlock()
 	r.events++
 	r.record("event %d members %d remaining %d rejected %v latency %d revision %d",
-		e.Update, len(e.Members), e.Remaining, e.RejectedAtOnce, e.PollLatency, e.Revision)
+		e.Update, len(e.Members), e.Remaining, e.RejectedImmediately, e.PollLatency, e.Revision)
 	if e.Update.KeepsEndpoints() {
 		longest := min(max(e.Remaining, 200*time.Millisecond), 3*time.Second)
-		time.AfterFunc(1+time.Duration(r.waits.Int64N(int64(longest))), r.pollSoon)
+		time.AfterFunc(1+time.Duration(r.waits.Int64N(int64(longest))), r.poll)
 	}
 }
 
@@ -99,8 +99,8 @@
 	r.record("poll wait %d took %d failed %v", p.Wait, p.Duration, p.Err != nil)
 }
 
-// traceOf plays ten minutes of one agent whose list is polled, with migrations.
-func traceOf(t *testing.T, seed uint64) (calls, events int, trace string) {
+// recordTrace plays ten minutes of one agent whose list is polled, with migrations.
+func recordTrace(t *testing.T, seed uint64) (calls, events int, trace string) {
 	synctest.Test(t, func(t *testing.T) {
 		random := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
 		r := &traceRecorder{answers: random(1), waits: random(2), began: time.Now(), trace: sha256.New()}
@@ -113,7 +113,7 @@
 			Notify: r.notify, OnPoll: r.onPoll, Log: slog.New(slog.DiscardHandler),
 		})
 		d.SetTransport(r)
-		r.pollSoon = d.Poll
+		r.poll = d.Poll
 		ctx, stop := context.WithCancel(t.Context())
 		migrations, ended := make(chan Target), make(chan struct{})
 		go func() { d.Run(ctx, migrations); close(ended) }()
@@ -164,7 +164,7 @@
 		{1200, 1060, "752748094cba3cf5"},
 		{1287, 989, "b48dcc3cd31983ef"},
 	} {
-		if calls, events, trace := traceOf(t, uint64(seed)); calls != want.calls || events != want.events || trace != want.trace {
+		if calls, events, trace := recordTrace(t, uint64(seed)); calls != want.calls || events != want.events || trace != want.trace {
 			t.Errorf("seed %d: {%d, %d, %q}, want %v", seed, calls, events, trace, want)
 		}
 	}
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -60,7 +60,7 @@
 		if targetCtx.Err() != nil {
 			return targetCtx.Err()
 		}
-		if c.route.recordAnswer(time.Now()) {
+		if c.route.recordResponse(time.Now()) {
 			return errReturnToPreferred
 		}
 	}
@@ -69,7 +69,7 @@
 // watchWait is how long the next watch is to wait. A change ends the watches of all agents together; were the next ones equally
 // long, all would end, or be lost, together. Each ends in its agent's turn instead.
 func (c *Client) watchWait() time.Duration {
-	if c.route.relayed() {
+	if c.route.atRelay() {
 		return relayWatchWait
 	}
 	if !c.pollMode() {
@@ -131,12 +131,12 @@
 func (c *Client) recordSuccess(list EndpointList, wait time.Duration) {
 	c.revision = list.Revision
 	c.failures = 0
-	c.deadline.synced()
+	c.deadline.recordSync()
 	c.overload.reset()
-	c.crowding.reset()
+	c.rejections.reset()
 	c.latency.clearTimeouts()
-	if wait == 0 && !c.route.relayed() {
-		c.latency.recordAnswer(time.Since(c.lastCall.began))
+	if wait == 0 && !c.route.atRelay() {
+		c.latency.recordResponse(time.Since(c.lastCall.began))
 	}
 	c.endFirstRound()
 	if c.onAnswer != nil {
@@ -150,8 +150,8 @@
 		c.revision = nil
 	}
 	took := time.Since(c.lastCall.began)
-	c.rejectedAtOnce = wait == 0 && took < min(minTimeout, c.latency.latency)
-	relayed := c.route.relayed()
+	c.rejectedImmediately = wait == 0 && took < min(minTimeout, c.latency.latency)
+	relayed := c.route.atRelay()
 	if !relayed {
 		c.recordDiscoveryFailure(wait, took, err)
 	}
@@ -168,7 +168,7 @@
 // recordDiscoveryFailure notes what the failure of a call tells of discovery itself.
 func (c *Client) recordDiscoveryFailure(wait, took time.Duration, err error) {
 	if isRejection(err) {
-		c.crowding.recordRejection(c.lastCall.endedByHedge)
+		c.rejections.recordRejection(c.lastCall.endedByHedge)
 	}
 	if wait == 0 && took >= minTimeout {
 		c.latency.recordTimeout(took)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -39,7 +39,7 @@
 	endpoints := make([]balancer.Endpoint, 0, len(members))
 	t.startTimes.observe(members)
 	for _, m := range members {
-		id := t.idOf(m.ID)
+		id := t.assignID(m.ID)
 		endpoints = append(endpoints, balancer.Endpoint{
 			ID:     id,
 			Zone:   slices.Index(set.ZoneNames, m.Zone),
@@ -47,7 +47,7 @@
 			Cell:   m.Cell,
 			State:  m.EndpointState(),
 			Weight: m.Weight,
-			Start:  t.startTimes.of(id, m),
+			Start:  t.startTimes.startTimeOf(id, m),
 		})
 		t.put(id, m)
 	}
@@ -95,12 +95,12 @@
 
 // removeUnlisted removes all but the endpoints that a full list names and does not report as removed.
 func (t *Table) removeUnlisted(endpoints []balancer.Endpoint) (gone []balancer.ServerID) {
-	stays := make(map[balancer.ServerID]bool, len(endpoints))
+	keep := make(map[balancer.ServerID]bool, len(endpoints))
 	for _, e := range endpoints {
-		stays[e.ID] = e.State != balancer.Removed
+		keep[e.ID] = e.State != balancer.Removed
 	}
 	for _, id := range t.ids {
-		if !stays[id] {
+		if !keep[id] {
 			t.remove(id)
 			gone = append(gone, id)
 		}
@@ -125,9 +125,9 @@
 	return m, known
 }
 
-// idOf returns the number of a name, and assigns one if it is new: its hash, or the next number that is free, so that names with the
+// assignID returns the number of a name, and assigns one if it is new: its hash, or the next number that is free, so that names with the
 // same hash are kept apart.
-func (t *Table) idOf(name string) balancer.ServerID {
+func (t *Table) assignID(name string) balancer.ServerID {
 	if id, ok := t.ids[name]; ok {
 		return id
 	}
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -16,7 +16,7 @@
 	return discovery.Member{ID: id, Address: "10.0.0.1:80", State: "Ready"}
 }
 
-func TestServerIDsStayApart(t *testing.T) {
+func TestServerIDsWithEqualHash(t *testing.T) {
 	table, set := New(nil), &settings.Settings{}
 	both := table.Endpoints(set, []discovery.Member{ready("costarring"), ready("liquid")}) // one hash
 	x, y := both[0].ID, both[1].ID
@@ -33,7 +33,7 @@
 }
 
 // An endpoint says in the balancer's terms what discovery reported; what the settings do not name is at no position.
-func TestEntries(t *testing.T) {
+func TestEndpoints(t *testing.T) {
 	set := &settings.Settings{ZoneNames: []string{"a", "b"}, KindNames: []string{"m1"}}
 	m := discovery.Member{ID: "x", Address: "10.0.0.1:80", Zone: "b", Kind: "m2", Cell: 4, State: "Terminating", Weight: 2, StartedAtMillis: 1.5}
 	table := New(nil)
@@ -119,8 +119,8 @@
 	}
 }
 
-// BenchmarkList is what a list event costs the table: one change, or the full list again.
-func BenchmarkList(b *testing.B) {
+// BenchmarkUpdate is what a list event costs the table: one change, or the full list again.
+func BenchmarkUpdate(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		var all []discovery.Member
 		for i := range n {
@@ -146,7 +146,7 @@
 }
 
 // Endpoints are as cold as the agent's own experience says, whatever its wall clock was wrong by when it started.
-func TestStartsUnderAWrongClock(t *testing.T) {
+func TestStartTimesWithWrongClock(t *testing.T) {
 	const second = time.Second
 	up := func(id string, at time.Duration) discovery.Member {
 		return discovery.Member{ID: id, Address: "10.0.0.1:80", State: "Ready", StartedAtMillis: float64(at.Milliseconds())}
--- a/internal/membership/starttimes.go
+++ b/internal/membership/starttimes.go
@@ -46,8 +46,8 @@
 	}
 }
 
-// of is when a member of that list started, 0 for long ago. It stays the same for as long as discovery reports the same.
-func (s *startTimes) of(id balancer.ServerID, m discovery.Member) time.Duration {
+// startTimeOf is when a member startTimeOf that list started, 0 for long ago. It stays the same for as long as discovery reports the same.
+func (s *startTimes) startTimeOf(id balancer.ServerID, m discovery.Member) time.Duration {
 	if m.StartedAtMillis == 0 || s.clock == nil {
 		return unixStart(m)
 	}
--- a/test.sh
+++ b/test.sh
@@ -19,6 +19,6 @@
 	known_red_check KNOWN-RED.txt
 fi
 known_red_test KNOWN-RED.txt -race -short -count=1 -timeout 5m -- ./...
-known_red_test KNOWN-RED.txt -count=1 -timeout 4m -run 'TestHears|TestServiceThatBecame|TestAgentsOverTheirBound|TestReadyInTime|TestOverloaded|TestMovesInTurn|TestFleet' -- ./internal/agent ./internal/discovery ./internal/relay # fleets of hundreds, which the race detector cannot hold
+known_red_test KNOWN-RED.txt -count=1 -timeout 4m -run 'TestChangesArrive|TestServiceThatBecame|TestAgentsPastDeadline|TestReadyInTime|TestOverloaded|TestStaggersPolls|TestFleet' -- ./internal/agent ./internal/discovery ./internal/relay # fleets of hundreds, which the race detector cannot hold
 known_red_test KNOWN-RED.txt -count=1 -timeout 3m -run 'TestTiny' -- ./cmd/scale # a whole scale run, held by the clock
 known_red_test KNOWN-RED.txt -count=1 -timeout 3m -run 'TestEnds' -- ./cmd/scale # and such runs cut short
