--- a/internal/discovery/backoff.go
+++ b/internal/discovery/backoff.go
@@ -9,33 +9,37 @@
 )
 
 const (
-	// minBackoff is the first pause between attempts where lists are pushed, which cost the service nothing.
+	// minBackoff is the first pause between attempts in push mode, where calls cost the service nothing.
 	minBackoff = 50 * time.Millisecond
-	// maxBackoffDoublings keeps the shift of minBackoff from overflowing.
+	// maxBackoffDoublings keeps shifts of minBackoff from overflowing.
 	maxBackoffDoublings = 10
 
-	// overloadTimeoutSpan is for how long polls have to time out in a row to show that the service cannot answer all agents
-	// within the bound. A service that is down may reject late as well; an outage that agents have to make up for is over
-	// after two bounds. The number of polls would say little, as they follow each other fast at the end of the bound.
+	// overloadTimeoutSpan is how long consecutive polls must time out to show that the service cannot answer all agents
+	// within the bound. A service that is down may also reject calls late, but an outage whose changes agents must
+	// still receive in time is over after two bounds. The number of polls is a poor measure, since polls are frequent
+	// at the end of the bound.
 	overloadTimeoutSpan = 2 * balancer.NotifyBoundAfterFailure
-	// overloadTimeouts timeouts in a row are enough if the answers say that the service cannot answer each agent within the bound.
+	// overloadTimeouts consecutive timeouts are enough if the measured latency shows that the service cannot answer all
+	// agents within the bound.
 	overloadTimeouts = 4
-	// maxPauseDoublings bounds how often the pause in polls of an overloaded service doubles.
+	// maxPauseDoublings bounds how often the pause between polls of an overloaded service doubles.
 	maxPauseDoublings = 4
 
-	// initialLoggedFailures is how many failures in a row are each logged; after them, and in push mode, where attempts follow
-	// each other closely, from the first one on, only each that doubles their number is.
+	// initialLoggedFailures is how many consecutive failures are each logged in poll mode. Later ones are logged only
+	// when their number has doubled. In push mode, where attempts follow each other closely, this applies from the
+	// first one on.
 	initialLoggedFailures = 8
 )
 
-// overload is the evidence that discovery itself has more callers than it can answer. Polls of relays say nothing about it.
+// overload tracks evidence that the discovery service has more callers than it can answer. Polls of relays are not
+// evidence.
 type overload struct {
-	since    time.Time // begin of the first poll of the present row of timeouts; zero if there is none
-	timeouts int       // in a row
-	pauses   int       // times in a row that discovery was left alone for it
+	since    time.Time // start of the first poll in the current run of timeouts; zero if the last poll did not time out
+	timeouts int       // consecutive
+	pauses   int       // consecutive pauses in calls to discovery
 }
 
-// recordTimeout notes that a poll got no answer though it waited for one.
+// recordTimeout records that a poll that began at the given time got no response in time.
 func (o *overload) recordTimeout(began time.Time) {
 	o.timeouts++
 	if o.since.IsZero() {
@@ -43,10 +47,10 @@
 	}
 }
 
-// reset notes that discovery answered, or failed in another way than by being slow.
+// reset records that discovery responded, or failed for a reason other than slowness.
 func (o *overload) reset() { *o = overload{} }
 
-// detected says whether polls fail because the service cannot answer all agents within the bound.
+// detected reports whether polls fail because the service cannot answer all agents within the bound.
 func (o *overload) detected(estimate *latencyEstimate, agents int) bool {
 	if estimate.exceeds(balancer.NotifyBoundAfterFailure, agents) && o.timeouts >= overloadTimeouts {
 		return true
@@ -54,28 +58,29 @@
 	return !o.since.IsZero() && time.Since(o.since) >= overloadTimeoutSpan
 }
 
-// possible says that polls may fail because the service has more callers than it can answer: no answer says otherwise, or polls time
-// out again and again.
+// possible reports whether polls may be failing because the service has more callers than it can answer: it has not
+// answered a poll yet, its measured latency suggests it, or polls time out repeatedly.
 func (o *overload) possible(estimate *latencyEstimate, agents int) bool {
 	return estimate.assumed || estimate.exceeds(maxFleetPollTime, agents) || o.timeouts >= overloadTimeouts
 }
 
-// nextPause is for how long discovery is to be left alone now; each in a row is twice the last.
+// nextPause returns how long not to call discovery. Each consecutive pause is twice the last, up to maxPauseDoublings.
 func (o *overload) nextPause() time.Duration {
 	o.pauses = min(o.pauses+1, maxPauseDoublings)
 	return balancer.NotifyBoundAfterFailure << o.pauses
 }
 
-// pushBackoff is the pause after so many failures in a row where lists are pushed. It is randomized, as agents that lost
-// discovery together must not come back together. What discovery has when it returns counts as notified at once, so the pause is
-// bounded by the time in which an agent has to stop sending to a draining endpoint.
+// pushBackoff returns the pause in push mode after the given number of consecutive failures. It is randomized so that
+// agents that lost discovery together do not return together. Changes that discovery holds when it returns count as
+// notified immediately, so the pause is bounded by drainGrace, the time within which an agent must stop sending to a
+// draining endpoint.
 func pushBackoff(failures int, drainGrace time.Duration) time.Duration {
 	backoff := minBackoff << min(failures-1, maxBackoffDoublings)
 	backoff = min(backoff, max(minBackoff, drainGrace/2))
 	return backoff/2 + rand.N(backoff)
 }
 
-// shouldLogFailure says whether the latest of so many failures in a row is logged.
+// shouldLogFailure reports whether the latest of the given number of consecutive failures is logged.
 func shouldLogFailure(failures int, pollMode bool) bool {
 	if failures&(failures-1) == 0 {
 		return true
@@ -83,7 +88,7 @@
 	return pollMode && failures <= initialLoggedFailures
 }
 
-// sleep waits, and returns false if the context ends first.
+// sleep waits for the given time. It returns false if the context ends first.
 func sleep(ctx context.Context, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,9 +1,9 @@
-// Package discovery follows the endpoint list of the discovery service, directly or through relays: it polls and watches, bounds each
-// call, parses the answers and notifies its owner of each change. It keeps no list and does not decide what a change means;
-// where the list is polled it does not decide when either.
+// Package discovery follows the endpoint list of the discovery service, directly or through relays: it polls and
+// watches, sets a timeout for each call, parses the responses and notifies its owner of each change. It neither stores
+// the list nor interprets changes; in poll mode the owner also decides when to poll.
 //
-// A Client's state belongs to the goroutine of Client.Run and to the one that it starts for each target. Run waits for the latter
-// before it touches that state, so no mutex guards it. Client.Poll may be called by any goroutine.
+// A Client's state belongs to the goroutine of Client.Run and to the one that Run starts for each target. Run waits for
+// the latter to end before it accesses that state, so no mutex guards it. Client.Poll may be called from any goroutine.
 package discovery
 
 import (
@@ -23,22 +23,22 @@
 // Dial opens connections.
 type Dial func(ctx context.Context, network, addr string) (net.Conn, error)
 
-// Options are what a client is made of. What may be left out comes last.
+// Options configure a client. The optional fields come last.
 type Options struct {
 	Addr     string // IP address and port
 	Settings func() *settings.Settings
-	Notify   func(WatchEvent) // in order, one at a time; no call is made until it returns
-	OnPoll   func(PollResult) // each call, before its result is notified
+	Notify   func(WatchEvent) // called in order, one at a time; no call is made until it returns
+	OnPoll   func(PollResult) // called for each poll or watch, before Notify is called with its result
 	Log      *slog.Logger
 
-	Name      string                                 // of the agent, which ranks the relays for it
-	Relays    []string                               // IP addresses and ports; empty: discovery itself is called
-	WatchWait time.Duration                          // how long a watch waits where lists are pushed; 0: defaultWatchWait
-	OnAnswer  func(began time.Time, revision uint64) // a call was answered, and its result has been notified
+	Name      string                                 // of the agent; it determines the order of the relays
+	Relays    []string                               // IP addresses and ports; empty: discovery is called directly
+	WatchWait time.Duration                          // how long a watch waits in push mode; 0: defaultWatchWait
+	OnAnswer  func(began time.Time, revision uint64) // called after a successful call, once Notify has returned
 	Dial      Dial                                   // nil: a net.Dialer with dialTimeout
 }
 
-// Target is where the list is to be had: from discovery's address, through relays if there are any.
+// Target is the address of the discovery service and of the relays, if any, through which to reach it.
 type Target struct {
 	Addr   string
 	Relays []string
@@ -48,9 +48,9 @@
 	return t.Addr == other.Addr && slices.Equal(t.Relays, other.Relays)
 }
 
-// Client follows the endpoint list and notifies its owner of each change. Its settings choose one of two modes. In push mode it
-// watches all the time and retries by itself. In poll mode, which is for agents that share one service, it calls only after Poll,
-// watches for as long as calls are answered, and has its owner decide when to poll again.
+// Client follows the endpoint list and notifies its owner of each change. Its settings select one of two modes. In push
+// mode it always watches, and retries on its own. In poll mode, for agents that share one service, it makes calls only
+// after Poll, watches until a call fails, and leaves it to its owner when to poll again.
 type Client struct {
 	settings      func() *settings.Settings
 	notify        func(WatchEvent)
@@ -62,15 +62,15 @@
 	httpClient    http.Client
 	pollRequested chan struct{} // holds one request
 	startedAt     time.Time
-	firstRound    chan struct{} // closed at the end of the first round
+	firstRound    chan struct{} // closed when firstRoundEnded is set
 
 	target   Target
 	route    *route
-	revision *uint64 // of the list that changes follow; nil when the full list is wanted
+	revision *uint64 // to request changes since; nil to request the full list
 
 	lastCall            callRecord
-	rejectedImmediately bool // the last call that failed was, without work for it
-	failures            int  // in a row, each of them of all addresses that were to be tried
+	rejectedImmediately bool // the last failed call was a poll that failed immediately, without costing the service work
+	failures            int  // consecutive rounds in which every address that was to be tried failed
 	overload            overload
 	rejections          rejectionState
 	latency             latencyEstimate
@@ -78,7 +78,7 @@
 	firstRoundEnded     bool
 }
 
-// New makes a client, which calls nobody before Run.
+// New returns a client. It makes no calls before Run.
 func New(o Options) *Client {
 	if o.Dial == nil {
 		o.Dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
@@ -102,20 +102,21 @@
 	}
 }
 
-// StartFrom makes a list that the agent held before its start the one that changes follow; it is called before Run. Agents that
-// start together and all poll the full list could keep discovery busy for good with polls that have timed out meanwhile.
+// StartFrom makes the client request changes since a list that the agent stored before it started. It must be called
+// before Run. If agents that start together all polled the full list, they could keep discovery permanently busy with
+// polls that have already timed out. A list that is incomplete or empty is ignored.
 func (c *Client) StartFrom(known EndpointList) {
 	if known.Complete && len(known.Members) > 0 {
 		c.revision = known.Revision
 	}
 }
 
-// FirstRound returns a channel that is closed once an answer has been notified, or all addresses that were to be tried have failed
-// once. Until then the list that the agent started from may be older than the changes that count as notified, though discovery
-// can be reached.
+// FirstRound returns a channel that is closed once the owner has been notified of a response, or once every address
+// that was to be tried has failed. Until then the list that the agent started from may lack changes that count as
+// notified even though discovery is reachable.
 func (c *Client) FirstRound() <-chan struct{} { return c.firstRound }
 
-// endFirstRound notes that a round of calls has ended.
+// endFirstRound closes the channel of FirstRound when the first round of calls ends.
 func (c *Client) endFirstRound() {
 	if !c.firstRoundEnded {
 		c.firstRoundEnded = true
@@ -123,8 +124,8 @@
 	}
 }
 
-// Run follows the list until the context ends, from each migration on at its target. It returns once the last call of
-// Notify, OnPoll and OnAnswer has returned, so that none of these may wait for Run.
+// Run follows the list until the context ends and switches to the target of each migration. It returns after the last
+// call of Notify, OnPoll and OnAnswer has returned, so none of these may wait for Run.
 func (c *Client) Run(ctx context.Context, migrations <-chan Target) {
 	for {
 		targetCtx, cancelTarget := context.WithCancel(ctx)
@@ -144,9 +145,9 @@
 	}
 }
 
-// awaitMigration returns the target of the next reload after which the calls have to begin anew: another target, or the same one
-// where the mode has changed. It returns false if the context ends first. Each reload names the target again; were all of them
-// migrations, all agents would poll the full list at each of them.
+// awaitMigration returns the target of the next reload that requires a restart of the calls: a different target, or the
+// same one if the mode has changed. It returns false if the context ends first. Every reload names the target again; if
+// each counted as a migration, all agents would poll the full list at every reload.
 func (c *Client) awaitMigration(ctx context.Context, migrations <-chan Target, pollMode bool) (target Target, ok bool) {
 	for {
 		select {
@@ -160,14 +161,14 @@
 	}
 }
 
-// migrate makes a target the one to call, and in poll mode has the owner decide when.
+// migrate switches to a target. In poll mode it leaves it to the owner when to poll there.
 func (c *Client) migrate(target Target) {
 	c.failures = 0
 	now := time.Now()
 	if target.Addr == c.target.Addr {
-		c.recordMissed(now.Add(balancer.NotifyBoundAfterFailure)) // until now the watch would have brought it
+		c.recordMissed(now.Add(balancer.NotifyBoundAfterFailure)) // the watch has delivered everything until now
 	} else {
-		c.revision = nil // the new service counts revisions of its own
+		c.revision = nil // revisions of the new service are unrelated
 		c.deadline.recordMigration(now)
 		c.latency.recordMigration()
 	}
@@ -181,7 +182,7 @@
 	}
 }
 
-// Poll starts a poll if none runs, in poll mode. It never waits.
+// Poll requests a poll in poll mode. It never blocks; requests that were made before the poll begins are merged.
 func (c *Client) Poll() {
 	select {
 	case c.pollRequested <- struct{}{}:
@@ -189,13 +190,14 @@
 	}
 }
 
-// pollMode says whether the list comes only when the owner polls, which is then notified of failures. A reload may change it.
+// pollMode reports whether the list is requested only when the owner polls, who is then notified of failures. A reload
+// may change it.
 func (c *Client) pollMode() bool { return c.settings().Balancer.PollEndpoints }
 
 func (c *Client) agents() int { return c.settings().Balancer.Agents }
 
-// followList follows the list at one target until targetCtx ends, which is before the client's own context where discovery
-// migrates: then a poll that is out goes on while the old target still answers.
+// followList follows the list at one target until targetCtx ends. On a migration targetCtx ends before ctx, the
+// client's own context; a poll in flight then continues for as long as the old target still responds.
 func (c *Client) followList(ctx, targetCtx context.Context) {
 	for {
 		if c.pollMode() {
@@ -219,8 +221,8 @@
 	}
 }
 
-// handleFailure deals with the failure of all addresses that were to be tried: in push mode it backs off, in poll mode it has the
-// owner decide when to poll again. It returns false if the context ends first.
+// handleFailure is called when every address that was to be tried has failed. In push mode it backs off; in poll mode
+// it leaves it to the owner when to poll again. It returns false if the context ends first.
 func (c *Client) handleFailure(ctx context.Context, err error) bool {
 	remaining := c.deadline.remaining()
 	c.failures++
@@ -231,11 +233,11 @@
 	}
 	unusable := errors.Is(err, ErrMalformedList) || errors.Is(err, ErrTruncatedList)
 	if unusable && c.failures == 1 && !c.route.atRelay() {
-		remaining = alreadyNotified // what discovery has written counts as notified, be it of use or not
+		remaining = alreadyNotified // what discovery has written counts as notified even if it is unusable
 	}
-	// Agents that all insist on the bound would keep an overloaded service busy with polls that have timed out meanwhile. Only
-	// where there are relays is it left alone: these are polled as ever, which lets an agent that was cut off from all of them, and
-	// cannot tell that from overload, sync within the bound. Without relays the pause would outlast an outage.
+	// If all agents kept to the bound, they would keep an overloaded service busy with polls that have already timed
+	// out. The pause requires relays: they are still polled, so an agent that was cut off from all addresses, which it
+	// cannot tell from overload, syncs within the bound. Without relays the pause would outlast an outage.
 	if c.route.hasRelays() && c.overload.detected(&c.latency, c.agents()) {
 		c.route.avoidDiscovery(time.Now().Add(c.overload.nextPause()))
 	}
@@ -243,7 +245,7 @@
 	return true
 }
 
-// logFailure logs that all addresses have just failed, and how long there is to make up for it.
+// logFailure logs that all addresses have failed, and the remaining time until what was missed counts as notified.
 func (c *Client) logFailure(err error, remaining time.Duration) {
 	if !shouldLogFailure(c.failures, c.pollMode()) {
 		return
@@ -252,12 +254,12 @@
 		"since_previous", c.lastCall.sincePrevious, "duration", c.lastCall.duration(), "hedged", c.lastCall.hedged, "remaining", remaining)
 }
 
-// alreadyNotified is a remaining time that is over; 0 would say that it is not known.
+// alreadyNotified is the remaining time once the deadline has passed; 0 would mean that it is unknown.
 const alreadyNotified = time.Duration(1)
 
-// notifyFailure has the owner decide when to poll again, by how long there is.
+// notifyFailure notifies the owner of a failure and of the remaining time, so that it decides when to poll again.
 func (c *Client) notifyFailure(update balancer.DiscoveryUpdate, remaining time.Duration) {
-	select { // a poll that was requested before is part of the failure
+	select { // drop a poll that was requested before the failure
 	case <-c.pollRequested:
 	default:
 	}
@@ -274,8 +276,8 @@
 	c.notify(event)
 }
 
-// recordMissed notes that an update was missed that counts as notified at a time. At relays, which are called one after the other
-// without end, a new bound begins when the last one is over.
+// recordMissed records that an update may have been missed that counts as notified at the given time. Relays are called
+// one after the other without a pause, so a new deadline is set there once the last one has passed.
 func (c *Client) recordMissed(at time.Time) {
 	if c.route.atRelay() && c.deadline.remaining() == 0 {
 		c.deadline.restart(at)
--- a/internal/discovery/discoverytest/discoverytest.go
+++ b/internal/discovery/discoverytest/discoverytest.go
@@ -1,5 +1,5 @@
-// Package discoverytest plays agents and services for tests of those who follow or serve the endpoint list, on the clock of the
-// test, which may be that of testing/synctest. Only tests import it.
+// Package discoverytest simulates agents and services for tests of packages that follow or serve the endpoint list. It
+// works with the clock of testing/synctest. Only tests import it.
 package discoverytest
 
 import (
@@ -15,14 +15,14 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// pendingEvents is how many watch events an agent may be behind before its client of discovery waits for it.
+// pendingEvents is how many watch events are queued for an agent before its discovery client blocks.
 const pendingEvents = 256
 
-// Agent is an agent as discovery sees it: the balancer with the endpoint table and its timers, without requests. The goroutine
-// of Run owns the balancer, the table and the timers; a mutex guards what Record and RecordedAt use.
+// Agent is the part of an agent that concerns discovery: the balancer, the endpoint table and timers, no requests. The
+// goroutine of Run owns the balancer, the table and the timers; a mutex guards what Record and RecordedAt use.
 type Agent struct {
 	Settings settings.Settings
-	Poll     func() // of the client of discovery; set before Run
+	Poll     func() // Poll of the discovery client; set before Run
 
 	balancer *balancer.Balancer
 	table    *membership.Table
@@ -33,13 +33,13 @@
 	recorded map[uint64]time.Time
 }
 
-// timer is an ActionSetTimer that is to fall due.
+// timer is a pending ActionSetTimer.
 type timer struct {
 	due time.Time
 	id  balancer.TimerID
 }
 
-// NewAgent makes an agent with a text of settings, whose balancer draws its random numbers by a seed.
+// NewAgent returns an agent with the given settings. The seed is for the random numbers of its balancer.
 func NewAgent(t testing.TB, settingsText []byte, seed uint64) *Agent {
 	t.Helper()
 	a := &Agent{
@@ -57,7 +57,7 @@
 	return a
 }
 
-// Notify hands a watch event to the agent, unless the context ends.
+// Notify queues a watch event for the agent. It blocks while the queue is full, until the context ends.
 func (a *Agent) Notify(ctx context.Context, event discovery.WatchEvent) {
 	select {
 	case a.events <- event:
@@ -65,7 +65,7 @@
 	}
 }
 
-// Record notes that something, by its number, came now, unless it has come before.
+// Record records the current time under a number, unless one is recorded already.
 func (a *Agent) Record(number uint64) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -74,7 +74,7 @@
 	}
 }
 
-// RecordedAt returns when something was recorded, if it was.
+// RecordedAt returns the time that was recorded under a number, if any.
 func (a *Agent) RecordedAt(number uint64) (at time.Time, ok bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -82,7 +82,7 @@
 	return at, ok
 }
 
-// Run has the balancer handle watch events and timers, and polls when it says so, until the context ends.
+// Run passes watch events and timers to the balancer and polls when the balancer requests it, until the context ends.
 func (a *Agent) Run(ctx context.Context) {
 	for {
 		var due <-chan time.Time
@@ -105,7 +105,7 @@
 	}
 }
 
-// nextTimer is the index of the timer that is due first, below 0 if there is none.
+// nextTimer returns the index of the timer that is due first, or -1 if there is none.
 func (a *Agent) nextTimer() int {
 	next := -1
 	for i, t := range a.timers {
@@ -127,8 +127,9 @@
 	}
 }
 
-// After is time.After, but makes no timer that is due already. Under the race detector the runtime (Go 1.26.8) crashes in
-// __tsan::SlotLock when a select in simulated time finds such a timer on a processor that has run none yet (selectgo, maybeRunChan).
+// After is like time.After, but creates no timer that is already due. Under the race detector the runtime (Go 1.26.8)
+// crashes in __tsan::SlotLock when a select in simulated time finds such a timer on a processor that has not run one
+// yet (selectgo, maybeRunChan).
 func After(d time.Duration) <-chan time.Time {
 	if d > 0 {
 		return time.After(d)
--- a/internal/discovery/discoverytest/queue.go
+++ b/internal/discovery/discoverytest/queue.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Queue is the work of a service that handles calls one after the other, those included whose caller has given up. Its zero value is
-// an idle service. It is safe for concurrent use.
+// Queue is the work queue of a service that handles calls one after the other, including calls that their caller has
+// cancelled. The zero value is an idle service. It is safe for concurrent use.
 type Queue struct {
 	mu   sync.Mutex
-	idle time.Time // when the reserved work is done
+	idle time.Time // when all reserved work is done
 }
 
-// Reserve plans a piece of work behind that of the calls before it and returns when it begins and ends.
+// Reserve appends work to the queue and returns when it begins and ends.
 func (q *Queue) Reserve(work time.Duration) (begins, ends time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -21,7 +21,7 @@
 	return begins, q.idle
 }
 
-// ReserveWithin is Reserve for work that ends within a limit from now. It plans no other and returns false for it.
+// ReserveWithin is like Reserve, but appends nothing and returns false if the work would not end within the limit.
 func (q *Queue) ReserveWithin(work, limit time.Duration) (ends time.Time, ok bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -34,14 +34,14 @@
 	return ends, true
 }
 
-// End is when work would end that came now.
+// End returns when work would end if it were appended now.
 func (q *Queue) End(work time.Duration) time.Time {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return q.idleAt(time.Now()).Add(work)
 }
 
-// idleAt is when work can begin that comes at a time. The caller holds the mutex.
+// idleAt returns when work that is appended at the given time begins. The caller must hold the mutex.
 func (q *Queue) idleAt(now time.Time) time.Time {
 	if q.idle.Before(now) {
 		return now
--- a/internal/discovery/endpointlist.go
+++ b/internal/discovery/endpointlist.go
@@ -16,7 +16,7 @@
 	maxStartMillis = 9e12
 )
 
-// The protocol's names of the states of an endpoint, as Member.State holds them.
+// The protocol's names for the states of an endpoint, as held in Member.State.
 const (
 	stateReady    = "Ready"
 	stateDraining = "Terminating"
@@ -24,31 +24,32 @@
 )
 
 var (
-	// ErrMalformedList is an answer of discovery that cannot be used, after which only the full list will do.
+	// ErrMalformedList is returned for a response that cannot be used. The next call must request the full list.
 	ErrMalformedList = errors.New("malformed endpoint list")
-	// ErrTruncatedList is an answer that broke off, or may have been on its way when its watch was given up.
+	// ErrTruncatedList is returned for a response that ended early, and for a watch that timed out, whose response may
+	// have been sent.
 	ErrTruncatedList = errors.New("truncated endpoint list")
 )
 
-// Member is one endpoint as discovery reports it; its json tags map the protocol's names.
+// Member is one endpoint as discovery reports it. Its JSON tags are the names in the protocol.
 type Member struct {
 	ID              string
 	Address         string `json:"host_port"`
 	Zone            string `json:"locality"`
 	Kind            string `json:"flavor"`
 	Cell            int
-	State           string  `json:"phase"` // a name of the protocol; EndpointState and Removed say what it means
+	State           string  `json:"phase"` // a protocol name; see EndpointState and Removed
 	Weight          float64 `json:"size"`
 	StartedAtMillis float64 `json:"up_since_ms"` // Unix time, milliseconds
 }
 
-// EndpointState is the state that the member's name for it stands for.
+// EndpointState returns the state that m.State names.
 func (m *Member) EndpointState() balancer.EndpointState { return endpointStates[m.State] }
 
-// Removed says whether the member has left the list.
+// Removed reports whether the member has been removed from the list.
 func (m *Member) Removed() bool { return m.State == stateRemoved }
 
-// MarkRemoved makes the member one that has left the list.
+// MarkRemoved marks the member as removed from the list.
 func (m *Member) MarkRemoved() { m.State = stateRemoved }
 
 var endpointStates = map[string]balancer.EndpointState{
@@ -57,15 +58,16 @@
 	stateRemoved:  balancer.Removed,
 }
 
-// EndpointList is an answer of discovery: the full list, or what has changed since a revision. A parsed one has a revision.
+// EndpointList is a response of discovery: the full list (Complete), or the changes since a revision. Parse always sets
+// Revision.
 type EndpointList struct {
 	Revision *uint64
 	Complete bool
 	Members  []Member
 }
 
-// Parse accepts a list as a whole or not at all, since endpoints missing from half of one would be taken for removed. Its errors
-// wrap ErrMalformedList and name the member and the field.
+// Parse parses an endpoint list. It rejects a list with any invalid member as a whole, since a member that was left out
+// would look removed. Errors wrap ErrMalformedList and name the member and the field.
 func Parse(text []byte) (EndpointList, error) {
 	var list EndpointList
 	if err := json.Unmarshal(text, &list); err != nil {
@@ -88,17 +90,17 @@
 	return list, nil
 }
 
-// validate returns an error that begins with the field that cannot be used.
+// validate returns an error that begins with the name of the invalid field.
 func (m *Member) validate() error {
 	if m.ID == "" || len(m.ID) > maxMemberIDBytes {
-		return fmt.Errorf("id %.40q", m.ID)
+		return fmt.Errorf("id %.40q: want 1 to %d bytes", m.ID, maxMemberIDBytes)
 	}
 	if _, known := endpointStates[m.State]; !known {
-		return fmt.Errorf("phase %.40q", m.State)
+		return fmt.Errorf("phase %.40q is unknown", m.State)
 	}
-	// Written so that NaN is rejected too.
+	// The condition is written so that NaN is rejected too.
 	if !(m.StartedAtMillis >= 0 && m.StartedAtMillis < maxStartMillis) {
-		return fmt.Errorf("up_since_ms %v", m.StartedAtMillis)
+		return fmt.Errorf("up_since_ms %v is out of range", m.StartedAtMillis)
 	}
 	if m.Removed() {
 		return nil
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -6,19 +6,20 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// WatchEvent is what the owner of a client is notified of: the list, changes of it, or that a poll or watch failed and how long
-// there is to make up for it.
+// WatchEvent is a notification to the owner of a client: the full list, changes to it, or a failed poll or watch with
+// the time that remains to recover from it.
 type WatchEvent struct {
 	Update              balancer.DiscoveryUpdate
 	Members             []Member
-	Remaining           time.Duration // of PollFailed: until what was missed counts as notified; 0 if that is not known
-	RejectedImmediately bool          // of PollFailed: the service rejected the poll at once, without work
-	PollLatency         time.Duration // of PollFailed: that the service takes for a poll; 0 if that is not known
-	PollElapsed         time.Duration // of PollFailed: since its begin, if the next poll is not to wait for the service's sake; else 0
-	Revision            uint64        // of the list, or up to which the changes go; 0 for PollFailed
+	Remaining           time.Duration // of PollFailed: until what was missed counts as notified; 0 if unknown
+	RejectedImmediately bool          // of PollFailed: the poll failed immediately, without costing the service work
+	PollLatency         time.Duration // of PollFailed: estimated time that the service takes for one poll; 0 if unknown
+	PollElapsed         time.Duration // of PollFailed: duration of the failed poll if it counts towards the wait for the next one, else 0
+	Revision            uint64        // of the list, or of the last change; 0 for PollFailed
 }
 
-// Event is the watch event as an input of the balancer, with the members as the owner has numbered them.
+// Event converts the watch event to an input of the balancer. The endpoints are the members with the IDs that the owner
+// assigned.
 func (e WatchEvent) Event(endpoints []balancer.Endpoint) balancer.Event {
 	event := balancer.Event{
 		Kind:        balancer.EventDiscovery,
@@ -34,12 +35,12 @@
 	return event
 }
 
-// PollResult is one poll or watch, as it is counted.
+// PollResult describes one poll or watch, for metrics.
 type PollResult struct {
-	Wait         time.Duration // how long it was to wait for changes; 0 for a poll
-	Duration     time.Duration // all in all
-	Err          error         // why it brought no list that can be read
+	Wait         time.Duration // requested wait for changes; 0 for a poll
+	Duration     time.Duration // in total
+	Err          error         // why it returned no valid list
 	Rejected     bool          // Err is a rejection
 	Hedged       bool
-	EndedByHedge bool // the hedge was rejected, and so was the first call
+	EndedByHedge bool // both the hedge and the first call were rejected
 }
--- a/internal/discovery/export_test.go
+++ b/internal/discovery/export_test.go
@@ -2,5 +2,5 @@
 
 import "net/http"
 
-// SetTransport has a client's calls go through another transport than its own.
+// SetTransport replaces the transport of a client.
 func (c *Client) SetTransport(t http.RoundTripper) { c.httpClient.Transport = t }
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -9,32 +9,33 @@
 )
 
 const (
-	// oldTargetGrace is how long a poll goes on after a migration: the platform lets the old address close open connections
-	// after so long.
+	// oldTargetGrace is how long a poll continues after a migration. The platform allows the old address to close open
+	// connections after this time.
 	oldTargetGrace = 1500 * time.Millisecond
-	// maxParallelCalls is how many calls a poll has open at a time: the first and a hedge.
+	// maxParallelCalls is the number of calls of one poll that can be in flight: the first and a hedge.
 	maxParallelCalls = 2
-	// minHedgeDelay is how long the first call is out at least before it is hedged.
+	// minHedgeDelay is the minimum time that the first call is in flight before it is hedged.
 	minHedgeDelay = balancer.NotifyBoundAfterFailure / 20
 )
 
-// callResult is how one call of a poll ended.
+// callResult is the result of one call of a poll.
 type callResult struct {
 	list EndpointList
 	err  error
 }
 
-// poll gets the list, or its changes, without waiting for one. A call that is not answered for a while is hedged, and the first
-// answer counts: nothing tells a call that is lost from one that waits for its turn, and one that is given up keeps the service as
-// busy as one that is answered.
+// poll requests the list, or its changes, without waiting for a change. A call that gets no response for hedgeDelay is
+// hedged, and the first response is used. The first call is not cancelled, because a lost call cannot be told from a
+// queued one, and a cancelled call costs the service as much as an answered one.
 //
-// An answer that cannot be used ends the poll, as it counts as notified; other errors do once no call is open. When discovery
-// migrates, which ends targetCtx, the open calls have as long as the old target answers: were they given up, a series of migrations
-// would leave the agent without a list for as long as it goes on.
+// An unusable response ends the poll, since it counts as notified; any other error ends it once no call is in flight.
+// When discovery migrates, which ends targetCtx, calls in flight continue for oldTargetGrace. If they were cancelled, a
+// series of migrations would leave the agent without a list for as long as the series lasts.
 func (c *Client) poll(ctx, targetCtx context.Context) (EndpointList, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	// Nothing waits for calls that are still open at the end: their context has ended, and there is room for their results.
+	// Nothing waits for calls that are still in flight at the end: their context is cancelled, and the channel has room
+	// for their results.
 	results := make(chan callResult, maxParallelCalls)
 	open := 0
 	rejected := 0
@@ -77,7 +78,7 @@
 	}
 }
 
-// endsPoll says whether a call ends its poll though another one may be open.
+// endsPoll reports whether the result of a call ends its poll even if another call is in flight.
 func endsPoll(err error) bool {
 	return err == nil || errors.Is(err, ErrMalformedList) || errors.Is(err, ErrTruncatedList)
 }
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -18,28 +18,30 @@
 	maxHeaderBytes = 32 << 10
 	dialTimeout    = time.Second
 
-	// pushTimeout and pollTimeout bound a poll of discovery itself in the two modes; in poll mode calls are worked through in
-	// turn. Both leave time for another call before what a hanging one misses counts as notified.
+	// pushTimeout and pollTimeout bound a poll of the discovery service in push and poll mode; in poll mode the service
+	// processes calls one after the other. Both leave time for another call before what a hanging call misses counts as
+	// notified.
 	pushTimeout = balancer.NotifyBoundAfterFailure / 6
 	pollTimeout = balancer.NotifyBoundAfterFailure / 2
-	// maxPushTimeoutDoublings is how often pushTimeout doubles, up to pollTimeout, after timeouts in a row.
+	// maxPushTimeoutDoublings is how often pushTimeout doubles, up to pollTimeout, after consecutive timeouts.
 	maxPushTimeoutDoublings = 2
-	// minTimeout is for a poll that has to make up for other calls. One that failed sooner did not wait for the service.
+	// minTimeout is the minimum timeout of a poll at a relay, however little time remains. A poll of the discovery
+	// service that failed sooner did not wait for the service.
 	minTimeout = 300 * time.Millisecond
 
-	// RelayTimeout bounds a poll of changes at a relay. A watch at a relay that falls silent shows after relayWatchWait and
-	// watchGrace, and what it missed may be older by RelayMaxStaleness; what is left of NotifyBoundAfterFailure is for the calls that
-	// make up for it: a dial to each relay that is just as silent, and one poll.
+	// RelayTimeout bounds a poll of changes at a relay. A watch detects an unresponsive relay after relayWatchWait and
+	// watchGrace, and what it missed may be older by RelayMaxStaleness. The rest of NotifyBoundAfterFailure is for the
+	// calls that recover the missed changes: a dial to each relay that does not respond either, and one poll.
 	RelayTimeout = balancer.NotifyBoundAfterFailure / 6
-	// RelayFullListTimeout bounds a poll of the full list at a relay, which hands those out at a stated rate.
+	// RelayFullListTimeout bounds a poll of the full list at a relay, which limits the rate of full lists.
 	RelayFullListTimeout = balancer.NotifyBoundAfterFailure / 3
-	// RelayMaxStaleness is how far behind discovery a relay may be that still answers.
+	// RelayMaxStaleness is how far a relay may lag behind discovery and still answer calls.
 	RelayMaxStaleness = balancer.NotifyBoundAfterFailure / 3
 	relayWatchWait    = balancer.NotifyBoundAfterFailure / 3
 	relayDialTimeout  = balancer.NotifyBoundAfterFailure / 20
 )
 
-// rejectedError is an answer that brings no list and says that the call may be repeated.
+// rejectedError is returned for a response without a list whose status allows a retry.
 type rejectedError struct {
 	status     string
 	retryAfter time.Duration // 0: not stated
@@ -52,13 +54,13 @@
 	return fmt.Sprintf("endpoint list: status %s, retry after %v", e.status, e.retryAfter)
 }
 
-// isRejection says whether a call was rejected.
+// isRejection reports whether err is a rejection.
 func isRejection(err error) bool {
 	var rejected rejectedError
 	return errors.As(err, &rejected)
 }
 
-// statusError is the error of an answer that brings no list.
+// statusError returns the error for a response without a list.
 func statusError(resp *http.Response) rejectedError {
 	rejected := rejectedError{status: resp.Status}
 	seconds, err := strconv.ParseFloat(resp.Header.Get("Retry-After"), 64)
@@ -74,18 +76,18 @@
 func newHTTPClient(dial Dial) http.Client {
 	return http.Client{
 		Transport: &http.Transport{
-			// A dial outlives the call that wanted it and occupies one of the connections until it ends.
+			// A dial outlives the call that started it and occupies one of the connections until it ends.
 			DialContext:            withRelayDialTimeout(dial),
 			MaxConnsPerHost:        maxParallelCalls,
 			DisableCompression:     true,
 			MaxResponseHeaderBytes: maxHeaderBytes,
 		},
-		// Discovery is at the address that the platform gives and nowhere else.
+		// Redirects are not followed: discovery is only at the address that the platform gives.
 		CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 	}
 }
 
-// withRelayDialTimeout gives up a dial to a relay that does not respond while there is time for the others.
+// withRelayDialTimeout limits dials to relays to relayDialTimeout, which leaves time to try the other relays.
 func withRelayDialTimeout(dial Dial) Dial {
 	return func(ctx context.Context, network, addr string) (net.Conn, error) {
 		if ctx.Value(relayedKey{}) != nil {
@@ -97,7 +99,7 @@
 	}
 }
 
-// request is one call as it is to be made.
+// request describes one call.
 type request struct {
 	url     string
 	wait    time.Duration // for changes; 0 for a poll
@@ -105,7 +107,8 @@
 	relayed bool
 }
 
-// newRequest asks the present address for the full list if no revision is held, else for what has changed.
+// newRequest returns a request to the current address, for the full list if no revision is held, else for the changes
+// since it.
 func (c *Client) newRequest(wait time.Duration) request {
 	url := "http://" + c.route.addr() + listPath
 	if c.revision != nil {
@@ -114,7 +117,7 @@
 	return request{url: url, wait: wait, timeout: c.timeout(wait), relayed: c.route.atRelay()}
 }
 
-// timeout is how long a call to the present address may take.
+// timeout returns the timeout of a call to the current address.
 func (c *Client) timeout(wait time.Duration) time.Duration {
 	switch {
 	case wait > 0:
@@ -123,23 +126,23 @@
 		return c.relayTimeout()
 	case c.pollMode():
 		return pollTimeout
-	default: // a slow service gets longer, lest all calls time out for good
+	default: // a slow service gets more time, or all calls to it would time out
 		return min(pushTimeout<<min(c.overload.timeouts, maxPushTimeoutDoublings), pollTimeout)
 	}
 }
 
-// relayTimeout is how long a poll of a relay may take.
+// relayTimeout returns the timeout of a poll of a relay.
 func (c *Client) relayTimeout() time.Duration {
 	if c.revision == nil {
-		return RelayFullListTimeout // a shorter one would lose its turn there
+		return RelayFullListTimeout // with a shorter one the call would lose its place in the relay's queue
 	}
 	if remaining := c.deadline.remaining(); remaining > 0 {
-		return max(minTimeout, min(RelayTimeout, remaining/2)) // half, so that there may be one more
+		return max(minTimeout, min(RelayTimeout, remaining/2)) // half, which leaves time for another poll
 	}
 	return RelayTimeout
 }
 
-// send makes one call.
+// send performs one call.
 func (c *Client) send(ctx context.Context, r request) (EndpointList, error) {
 	if r.relayed {
 		ctx = context.WithValue(ctx, relayedKey{}, true)
@@ -161,18 +164,18 @@
 	return readList(resp)
 }
 
-// readList reads an answer.
+// readList reads and parses a response.
 func readList(resp *http.Response) (EndpointList, error) {
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxListBytes+1))
 	switch {
 	case err != nil:
 		return EndpointList{}, fmt.Errorf("%w: %w", ErrTruncatedList, err)
-	case resp.StatusCode >= 400 && resp.StatusCode < 500: // as for a revision that it does not know
+	case resp.StatusCode >= 400 && resp.StatusCode < 500: // such as for a revision unknown to the service
 		return EndpointList{}, fmt.Errorf("%w: status %s", ErrMalformedList, resp.Status)
 	case resp.StatusCode != http.StatusOK:
 		return EndpointList{}, statusError(resp)
 	case len(text) > maxListBytes:
-		return EndpointList{}, fmt.Errorf("%w: over %d bytes", ErrMalformedList, maxListBytes)
+		return EndpointList{}, fmt.Errorf("%w: more than %d bytes", ErrMalformedList, maxListBytes)
 	}
 	return Parse(text)
 }
--- a/internal/discovery/route.go
+++ b/internal/discovery/route.go
@@ -12,41 +12,42 @@
 )
 
 const (
-	// maxRelays is how many silent relays an agent can go through in the part of NotifyBoundAfterFailure that a silent watch leaves: it
-	// uses the first so many of its own order.
+	// maxRelays is how many relays an agent uses: the first ones in its own order. It is the number of unresponsive
+	// relays that an agent can try in the part of NotifyBoundAfterFailure that remains after a watch at an unresponsive
+	// relay.
 	maxRelays = 5
-	// unresponsiveRelayPause is for how long a relay is passed over that did not respond, not even with a rejection.
+	// unresponsiveRelayPause is how long a relay that did not respond at all, not even with a rejection, is skipped.
 	unresponsiveRelayPause = balancer.NotifyBoundAfterFailure
-	// preferredRetryInterval is how often an agent that is not at its first relay tries to return there.
+	// preferredRetryInterval is how often an agent that uses another address tries to return to its first relay.
 	preferredRetryInterval = 10 * balancer.NotifyBoundAfterFailure
 )
 
-// errReturnToPreferred ends a row of watches that were answered, so that the next call tries the first relay again.
+// errReturnToPreferred is returned to end successful watches so that the next call tries the first relay again.
 var errReturnToPreferred = errors.New("returning to the preferred relay")
 
-// noFallback says that a route has no address to fall back to.
+// noFallback is the value of route.fallback when there is no address to return to.
 const noFallback = -1
 
-// route is the order in which an agent goes through the relays, and where in it the agent is. Discovery itself comes last; without
-// relays it is all there is.
+// route is the order in which an agent tries addresses, and its current position. The relays come first and the
+// discovery service last; without relays the discovery service is the only address.
 type route struct {
 	candidates []candidate
 	current    int
-	// fallback is where the agent was before it tried its first relay again, to return to if that fails.
+	// fallback is the address to return to if the first relay, which is being tried again, fails; or noFallback.
 	fallback int
-	// preferredTriedAt is when the first relay was left, or tried again.
+	// preferredTriedAt is when the first relay was last used or tried again.
 	preferredTriedAt time.Time
-	// discoveryAllowed says that it is this agent's turn to poll discovery itself.
+	// discoveryAllowed is set if the agent may poll the discovery service in the current round.
 	discoveryAllowed bool
-	// discoveryAvoidedUntil is until when discovery itself is left alone.
+	// discoveryAvoidedUntil is the time until which the discovery service is not called.
 	discoveryAvoidedUntil time.Time
 }
 
-// candidate is an address of a route.
+// candidate is one address of a route.
 type candidate struct {
 	addr              string
-	tried             bool      // since the last answer, or the round's begin
-	retried           bool      // likewise: it was called again after its Retry-After
+	tried             bool      // since the last response or the start of the round
+	retried           bool      // likewise: called again after its Retry-After
 	unresponsiveSince time.Time // zero if it responded to the last call
 }
 
@@ -60,8 +61,8 @@
 	return r
 }
 
-// rankRelays orders relays for an agent by rendezvous hashing: its first relay stays its own whatever others come and go, and the
-// agents of one that is lost spread over those that are left.
+// rankRelays orders relays for an agent by rendezvous hashing: its first relay stays the same when other relays are
+// added or removed, and the agents of a lost relay spread over the remaining ones.
 func rankRelays(name string, relays []string) []string {
 	ranked := slices.Clone(relays)
 	slices.SortFunc(ranked, func(a, b string) int {
@@ -70,8 +71,8 @@
 	return ranked
 }
 
-// rendezvousScore is the same in every process. FNV alone hardly mixes the last letters, in which addresses differ, so the finalizer
-// of MurmurHash3 spreads them over all bits.
+// rendezvousScore returns the same score in every process. FNV alone hardly mixes the last bytes, in which addresses
+// differ, so the finalizer of MurmurHash3 spreads them over all bits.
 func rendezvousScore(name, addr string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name + "\x00" + addr))
@@ -83,19 +84,20 @@
 
 func (r *route) addr() string { return r.candidates[r.current].addr }
 
-// discoveryIndex is the place of discoveryIndex itself in the order.
+// discoveryIndex returns the index of the discovery service in candidates.
 func (r *route) discoveryIndex() int { return len(r.candidates) - 1 }
 
-// atRelay says whether the present address is a relay's.
+// atRelay reports whether the current address is a relay.
 func (r *route) atRelay() bool { return r.current != r.discoveryIndex() }
 
-// hasRelays says whether there is anything to call but discovery itself.
+// hasRelays reports whether the route has any relays.
 func (r *route) hasRelays() bool { return len(r.candidates) > 1 }
 
-// avoidDiscovery has discovery itself left alone until a time.
+// avoidDiscovery keeps the agent from calling the discovery service until the given time.
 func (r *route) avoidDiscovery(until time.Time) { r.discoveryAvoidedUntil = until }
 
-// startRound starts a round of calls, in which it is this agent's turn to poll discovery itself, unless that is to be left alone.
+// startRound starts a round of calls, in which the agent may poll the discovery service unless avoidDiscovery forbids
+// it.
 func (r *route) startRound(now time.Time) {
 	r.resetTries()
 	r.discoveryAllowed = !now.Before(r.discoveryAvoidedUntil)
@@ -113,8 +115,8 @@
 	}
 }
 
-// recordResponse notes an answer from the present address. It returns true, and has moved to the first relay, if that is to be tried
-// again now.
+// recordResponse records a response from the current address. If it is time to try the first relay again, it moves
+// there and returns true.
 func (r *route) recordResponse(now time.Time) (tryPreferred bool) {
 	r.resetTries()
 	r.discoveryAllowed = false
@@ -133,7 +135,8 @@
 	return true
 }
 
-// firstUntried is the first relay that has not been tried and was not silent lately, discovery itself if there is none.
+// firstUntried returns the first relay that has not been tried and is not being skipped, or the discovery service if
+// there is none.
 func (r *route) firstUntried(now time.Time) int {
 	for i := range r.discoveryIndex() {
 		candidate := &r.candidates[i]
@@ -145,13 +148,13 @@
 	return r.discoveryIndex()
 }
 
-// anyTried says whether an address has failed since the last answer, or the round's begin.
+// anyTried reports whether an address has failed since the last response or the start of the round.
 func (r *route) anyTried() bool {
 	return slices.ContainsFunc(r.candidates, func(h candidate) bool { return h.tried })
 }
 
-// advance leaves the present address, which failed, for the next one to call. It returns false if that is not to be called
-// now: discovery itself in poll mode, out of this agent's turn. The route is then where a round begins.
+// advance moves from the current address, which failed, to the next one. It returns false, and moves to the first
+// address, if the next one must not be called now: the discovery service in poll mode, unless discoveryAllowed is set.
 func (r *route) advance(now time.Time, pollMode bool) bool {
 	r.candidates[r.current].tried = true
 	if r.fallback != noFallback && !r.candidates[r.fallback].tried {
@@ -167,10 +170,10 @@
 	return true
 }
 
-// failOver chooses where the next call is made after one that failed, and returns true if it is to be made at once: at the relays
-// until one answers, then at discovery itself if it is this agent's turn. The agents of relays that were lost together would
-// poll discovery together, which works through calls one after the other; out of its turn an agent leaves it to its owner when to
-// poll.
+// failOver chooses the address of the next call after a failed one and returns true if the call is to be made
+// immediately: at each relay until one responds, then at the discovery service if discoveryAllowed is set. Agents of
+// relays that were lost together would otherwise poll the discovery service together, which processes calls one after
+// the other. If the call is not allowed, the owner decides when to poll.
 func (c *Client) failOver(ctx context.Context, err error) bool {
 	if errors.Is(err, errReturnToPreferred) {
 		return true
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,24 +11,25 @@
 )
 
 const (
-	// defaultWatchWait is how long a watch waits for changes in push mode.
+	// defaultWatchWait is the default of Options.WatchWait.
 	defaultWatchWait = 2 * time.Second
-	// watchCycle is the time in which the watches of all agents end once in poll mode, each in its agent's turn, or one cycle
-	// later if that were within minWatchWait. A service that falls silent shows only then, while NotifyBoundAfterFailure counts from
-	// the watch's begin; what is left of it is for the polls that make up for the watch.
+	// watchCycle is the period in poll mode over which the ends of the watches of all agents are spread by rank. A
+	// watch that would be shorter than minWatchWait ends one cycle later. An unresponsive service is detected only at
+	// the end of a watch, while NotifyBoundAfterFailure counts from its start; the remaining time is for the polls that
+	// recover missed changes.
 	watchCycle   = balancer.NotifyBoundAfterFailure / 2
 	minWatchWait = watchCycle / 6
-	// watchGrace is how long an answer may come after a watch's wait.
+	// watchGrace is how long after a watch's wait the response may arrive.
 	watchGrace = balancer.NotifyBoundAfterFailure / 15
 )
 
-// callRecord is how the last poll or watch ran.
+// callRecord describes the last poll or watch.
 type callRecord struct {
 	began         time.Time
 	ended         time.Time
-	sincePrevious time.Duration // from the end of the call before it to its begin; 0 for the first
+	sincePrevious time.Duration // from the end of the previous call to the start of this one; 0 for the first
 	hedged        bool
-	endedByHedge  bool // the hedge was rejected, and so was the first call
+	endedByHedge  bool // both the hedge and the first call were rejected
 }
 
 func (t *callRecord) begin(now time.Time) {
@@ -44,8 +45,8 @@
 
 func (t *callRecord) duration() time.Duration { return t.ended.Sub(t.began) }
 
-// watch polls the list and then watches it, each call right after the last, until one fails. The first call does not wait, so
-// that it shows at once whether it is answered.
+// watch polls the list and then watches it, each call immediately after the previous one, until one fails. The first
+// call does not wait for changes, so that a failure shows without delay.
 func (c *Client) watch(ctx, targetCtx context.Context) error {
 	first := true
 	for wait := time.Duration(0); ; wait = c.watchWait() {
@@ -66,8 +67,8 @@
 	}
 }
 
-// watchWait is how long the next watch is to wait. A change ends the watches of all agents together; were the next ones equally
-// long, all would end, or be lost, together. Each ends in its agent's turn instead.
+// watchWait returns how long the next watch waits for changes. A change ends the watches of all agents together. If the
+// next watches were equally long, all would end, or be lost, together, so in poll mode their ends are spread by rank.
 func (c *Client) watchWait() time.Duration {
 	if c.route.atRelay() {
 		return relayWatchWait
@@ -84,7 +85,8 @@
 	return wait
 }
 
-// call makes a poll, or a watch if it has a wait, and returns a list that can be used.
+// call performs a poll, or a watch if wait is positive, and returns a list that follows the held revision or is
+// complete.
 func (c *Client) call(ctx, targetCtx context.Context, wait time.Duration) (EndpointList, error) {
 	c.lastCall.begin(time.Now())
 	list, err := c.pollOrWatch(ctx, targetCtx, wait)
@@ -97,10 +99,10 @@
 		return EndpointList{}, err
 	}
 	if wait > 0 && targetCtx.Err() != nil {
-		return EndpointList{}, targetCtx.Err() // what a migration crossed comes again, as the full list
+		return EndpointList{}, targetCtx.Err() // a change that arrives during a migration is in the full list too
 	}
 	if !list.Complete && (c.revision == nil || *list.Revision < *c.revision) {
-		return EndpointList{}, fmt.Errorf("%w: changes up to %d do not follow the list held", ErrMalformedList, *list.Revision)
+		return EndpointList{}, fmt.Errorf("%w: changes up to revision %d do not follow the held list", ErrMalformedList, *list.Revision)
 	}
 	return list, nil
 }
@@ -112,8 +114,8 @@
 	return c.send(targetCtx, c.newRequest(wait))
 }
 
-// deliver notifies the owner of an answer. The first one is notified also if it brings no changes, since the owner then learns that
-// calls are answered again.
+// deliver notifies the owner of a response. The first response of Client.watch is delivered even if it has no changes,
+// so that the owner learns that calls succeed again.
 func (c *Client) deliver(list EndpointList, first bool) {
 	if first { // until now the agent used an older list
 		c.log.Info("endpoint list updated", "from", c.route.addr(), "revision", *list.Revision, "complete", list.Complete,
@@ -127,7 +129,7 @@
 	}
 }
 
-// recordSuccess notes that a call was answered and its result notified.
+// recordSuccess records that a call succeeded and the owner was notified of its result.
 func (c *Client) recordSuccess(list EndpointList, wait time.Duration) {
 	c.revision = list.Revision
 	c.failures = 0
@@ -144,7 +146,7 @@
 	}
 }
 
-// recordFailure notes that the last call failed, and what it has missed.
+// recordFailure records that the last call failed and since when updates may have been missed.
 func (c *Client) recordFailure(wait time.Duration, err error) {
 	if errors.Is(err, ErrMalformedList) {
 		c.revision = nil
@@ -157,7 +159,7 @@
 	}
 	syncedUntil := c.lastCall.began
 	if wait > 0 && !errors.Is(err, ErrTruncatedList) {
-		syncedUntil = time.Now() // until now the watch would have brought it
+		syncedUntil = time.Now() // the watch has delivered everything until now
 	}
 	if relayed {
 		syncedUntil = syncedUntil.Add(-RelayMaxStaleness)
@@ -165,7 +167,7 @@
 	c.recordMissed(syncedUntil.Add(balancer.NotifyBoundAfterFailure))
 }
 
-// recordDiscoveryFailure notes what the failure of a call tells of discovery itself.
+// recordDiscoveryFailure updates what is known of the load of the discovery service after a failed call to it.
 func (c *Client) recordDiscoveryFailure(wait, took time.Duration, err error) {
 	if isRejection(err) {
 		c.rejections.recordRejection(c.lastCall.endedByHedge)
--- a/internal/membership/membership.go
+++ b/internal/membership/membership.go
@@ -1,5 +1,5 @@
-// Package membership holds the endpoints as discovery last reported them and numbers them for the balancer. It neither calls
-// discovery nor decides anything about endpoints.
+// Package membership holds the endpoints that discovery last reported and assigns them IDs for the balancer. It neither
+// calls discovery nor makes decisions about endpoints.
 package membership
 
 import (
@@ -13,17 +13,17 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// Table numbers the endpoints by their names, the same in every incarnation of the agent, and knows what discovery last
-// reported of each. It belongs to one goroutine.
+// Table assigns each endpoint an ID derived from its name, so that it is normally the same after a restart of the
+// agent, and stores what discovery last reported of each. It is not safe for concurrent use.
 type Table struct {
 	ids        map[string]balancer.ServerID
 	members    map[balancer.ServerID]discovery.Member
-	counts     map[balancer.EndpointState]int // of members
+	counts     map[balancer.EndpointState]int // members per state
 	startTimes startTimes
 }
 
-// New makes an empty table. The clock tells the agent's time since 1970, to which start times are converted; without one they stay
-// as discovery reports them.
+// New returns an empty table. The clock returns the agent's time since 1970, to which start times are converted. If it
+// is nil, start times stay as discovery reports them.
 func New(clock func() time.Duration) *Table {
 	return &Table{
 		ids:        map[string]balancer.ServerID{},
@@ -33,8 +33,9 @@
 	}
 }
 
-// Endpoints updates the table by the members of a list, or of changes, and returns an endpoint for each, in their order. One that
-// is removed stays in the table until RemoveGone, as its number must not be another's before the balancer knows.
+// Endpoints updates the table with the members of a list, or of changes, and returns an endpoint for each, in the same
+// order. A removed member stays in the table until RemoveGone, so that its ID is not reused before the balancer knows
+// of the removal.
 func (t *Table) Endpoints(set *settings.Settings, members []discovery.Member) []balancer.Endpoint {
 	endpoints := make([]balancer.Endpoint, 0, len(members))
 	t.startTimes.observe(members)
@@ -54,7 +55,7 @@
 	return endpoints
 }
 
-// put sets what is known of an endpoint.
+// put stores the member of an endpoint.
 func (t *Table) put(id balancer.ServerID, m discovery.Member) {
 	old, known := t.members[id]
 	if known && old == m {
@@ -67,8 +68,9 @@
 	t.members[id] = m
 }
 
-// RemoveGone removes the endpoints that an update has shown to be gone, by what Endpoints returned for it, and returns their numbers
-// in no order. Changes cost what they name; a full list also removes what it does not name. PollFailed removes nothing.
+// RemoveGone removes the endpoints that an update removes and returns their IDs in no particular order. The endpoints
+// are those that Endpoints returned for the update. The cost of changes depends on their number alone; a full list also
+// removes every endpoint that it does not contain. PollFailed removes nothing.
 func (t *Table) RemoveGone(update balancer.DiscoveryUpdate, endpoints []balancer.Endpoint) (gone []balancer.ServerID) {
 	if update.KeepsEndpoints() {
 		return nil
@@ -82,7 +84,7 @@
 	return t.removeUnlisted(endpoints)
 }
 
-// removeChanged removes those of the endpoints that the table knows as removed.
+// removeChanged removes those of the endpoints whose last reported state is Removed.
 func (t *Table) removeChanged(endpoints []balancer.Endpoint) (gone []balancer.ServerID) {
 	for _, e := range endpoints {
 		if m, known := t.members[e.ID]; known && m.EndpointState() == balancer.Removed {
@@ -93,7 +95,7 @@
 	return gone
 }
 
-// removeUnlisted removes all but the endpoints that a full list names and does not report as removed.
+// removeUnlisted removes every endpoint that a full list does not contain or reports as removed.
 func (t *Table) removeUnlisted(endpoints []balancer.Endpoint) (gone []balancer.ServerID) {
 	keep := make(map[balancer.ServerID]bool, len(endpoints))
 	for _, e := range endpoints {
@@ -108,25 +110,25 @@
 	return gone
 }
 
-// Members returns all members, in no order.
+// Members returns all members in no particular order.
 func (t *Table) Members() []discovery.Member {
 	return slices.AppendSeq(make([]discovery.Member, 0, len(t.members)), maps.Values(t.members))
 }
 
-// Len counts the members.
+// Len returns the number of members.
 func (t *Table) Len() int { return len(t.members) }
 
-// Count counts the members that discovery reports to be in a state.
+// Count returns the number of members that discovery reports in the given state.
 func (t *Table) Count(state balancer.EndpointState) int { return t.counts[state] }
 
-// Member returns what discovery last reported of an endpoint, and whether it is in the table.
+// Member returns what discovery last reported of an endpoint and whether the endpoint is in the table.
 func (t *Table) Member(id balancer.ServerID) (discovery.Member, bool) {
 	m, known := t.members[id]
 	return m, known
 }
 
-// assignID returns the number of a name, and assigns one if it is new: its hash, or the next number that is free, so that names with the
-// same hash are kept apart.
+// assignID returns the ID of a name. A new name gets its hash or, if that is in use by another name with the same hash,
+// the next free ID.
 func (t *Table) assignID(name string) balancer.ServerID {
 	if id, ok := t.ids[name]; ok {
 		return id
@@ -144,7 +146,7 @@
 	return id
 }
 
-// remove removes an endpoint, whose number may then be another's.
+// remove removes an endpoint. Its ID may then be reused.
 func (t *Table) remove(id balancer.ServerID) {
 	m := t.members[id]
 	t.counts[m.EndpointState()]--
--- a/internal/membership/starttimes.go
+++ b/internal/membership/starttimes.go
@@ -8,24 +8,26 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// startTimes converts the Unix times at which endpoints started into the agent's own time, by which slow start counts. The two differ
-// by whatever the wall clock was wrong by when the agent started, so that is estimated from what the agent observes itself:
+// startTimes converts the Unix times at which endpoints started to the agent's own time, which slow start uses. The two
+// differ by the error of the wall clock when the agent started. The error is estimated from what the agent observes:
 //
-//   - an endpoint that is new in a list, behind an earlier list from discovery, has started lately. The one that looked youngest as it
-//     came is taken to have started as it came, and the others by how much older they looked. With a right clock they are
-//     taken for younger than they are by as long as discovery needs to report a start.
-//   - none starts later than now: the clock is behind by as much as the latest start in the first list says.
+//   - An endpoint that first appears after an earlier list from discovery has started recently. The one that appeared
+//     youngest on arrival is assumed to have started on arrival, and the others earlier by the difference in apparent
+//     age. If the clock is right, they are assumed to be younger than they are by the time that discovery needs to
+//     report a start.
+//   - No endpoint starts in the future: the clock is behind by at least the offset of the latest start in the first list.
 //
-// A clock that was ahead at the agent's start makes endpoints of its first list look older than they are; nothing shows that.
+// A clock that was ahead when the agent started makes the endpoints of the first list look older than they are. This
+// cannot be detected.
 type startTimes struct {
-	clock       func() time.Duration // the agent's time, since 1970; nil: Unix times are taken as they are
-	synced      bool                 // a list has come from discovery
-	clockBehind time.Duration        // at least
-	youngestAge time.Duration        // of new endpoints, as they came
+	clock       func() time.Duration // returns the agent's time since 1970; nil: Unix times are not converted
+	synced      bool                 // a list from discovery has been applied
+	clockBehind time.Duration        // lower bound of the clock's error if it is behind
+	youngestAge time.Duration        // minimum apparent age of new endpoints on arrival
 	known       map[balancer.ServerID]startTime
 }
 
-// startTime is when an endpoint started, as discovery reports it and in the agent's time.
+// startTime is when an endpoint started, as reported by discovery and in the agent's time.
 type startTime struct {
 	unixMillis float64
 	agentTime  time.Duration
@@ -35,7 +37,7 @@
 	return startTimes{clock: clock, youngestAge: math.MaxInt64, known: map[balancer.ServerID]startTime{}}
 }
 
-// observe is called for each list, before the start times of its members are asked for.
+// observe updates clockBehind. It must be called for each list before startTimeOf is called for its members.
 func (s *startTimes) observe(members []discovery.Member) {
 	if s.clock == nil || s.synced {
 		return
@@ -46,7 +48,8 @@
 	}
 }
 
-// startTimeOf is when a member startTimeOf that list started, 0 for long ago. It stays the same for as long as discovery reports the same.
+// startTimeOf returns when a member of the observed list started; 0 means long ago. It returns the same time for as
+// long as discovery reports the same start.
 func (s *startTimes) startTimeOf(id balancer.ServerID, m discovery.Member) time.Duration {
 	if m.StartedAtMillis == 0 || s.clock == nil {
 		return unixStart(m)
