--- a/internal/clock/clock_test.go
+++ b/internal/clock/clock_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// A step is reported once, by its size and direction; time that passes on both clocks alike is none.
+// A step must be reported once, with its size and direction. Time that passes on both clocks is no step.
 func TestStepDetector(t *testing.T) {
 	var d StepDetector
 	wall, monotonic := time.Duration(time.Now().UnixNano()), time.Duration(0)
@@ -23,17 +23,17 @@
 		monotonic += c.passed
 		wall += c.passed + c.step
 		if got := d.Observe(wall, monotonic); got != c.want {
-			t.Errorf("observation %d: a step of %v, want %v", i, got, c.want)
+			t.Errorf("observation %d: got a step of %v, want %v", i, got, c.want)
 		}
 	}
 }
 
-// An instant gives the time back that it was made of, to the nanosecond and with its monotonic reading.
+// An instant must convert back to its time, to the nanosecond and with a monotonic reading.
 func TestInstant(t *testing.T) {
 	now := time.Now()
 	got := InstantOf(now.Add(-time.Minute)).Time()
 	if span := now.Sub(got); span != time.Minute {
-		t.Errorf("%v away, want a minute", span)
+		t.Errorf("got a time %v ago, want a minute", span)
 	}
 	if !strings.Contains(got.String(), " m=") {
 		t.Errorf("%v has no monotonic reading", got)
--- a/internal/clock/source_test.go
+++ b/internal/clock/source_test.go
@@ -11,18 +11,18 @@
 	"testing"
 )
 
-// wallReadings are the methods and functions by which a time loses its monotonic reading, or is made without one: spans
-// of such times are spans of the wall clock.
+// wallReadings are the methods and functions that strip the monotonic reading of a time, or create a time without one.
+// Intervals between such times are measured on the wall clock.
 var wallReadings = map[string]bool{
 	"Unix": true, "UnixMilli": true, "UnixMicro": true, "UnixNano": true,
 	"Round": true, "Truncate": true, "Local": true, "UTC": true, "In": true, "AddDate": true, "Date": true, "Parse": true,
 }
 
-// packagesWithoutTimes are packages whose functions have such names and no times.
+// packagesWithoutTimes are packages with functions of the same names that do not concern times.
 var packagesWithoutTimes = map[string]bool{"math": true, "filepath": true, "settings": true, "config": true, "netip": true, "discovery": true, "url": true, "json": true}
 
-// The agent and the relay read the wall clock in this package only: intervals measured on it elsewhere let clients trickle on
-// for an hour after a step, and failed good ones.
+// The agent and the relay must not read the wall clock outside this package. Intervals that were measured on it let
+// slow clients continue for an hour after a step, and failed good ones.
 func TestWallClockIsReadOnlyInThisPackage(t *testing.T) {
 	files := 0
 	for _, folder := range agentSources(t) {
@@ -41,11 +41,11 @@
 		}
 	}
 	if files < minSources {
-		t.Errorf("%d files are looked at", files)
+		t.Errorf("found %d source files, want at least %d", files, minSources)
 	}
 }
 
-// wallReadingsOf returns the places of a file at which it calls one of wallReadings.
+// wallReadingsOf returns the positions of calls to wallReadings in a file.
 func wallReadingsOf(t *testing.T, name string) (places []string) {
 	t.Helper()
 	set := token.NewFileSet()
@@ -71,17 +71,17 @@
 	return places
 }
 
-// The readings are found where there are some: this package makes them.
+// The search must find readings where there are some: in this package.
 func TestWallReadingsAreFound(t *testing.T) {
 	if places := wallReadingsOf(t, "clock.go"); len(places) != 2 {
-		t.Errorf("%q, want two readings", places)
+		t.Errorf("got %q, want two readings", places)
 	}
 }
 
-// minSources is fewer files than the agent and the relay have.
+// minSources is a lower bound of the number of source files of the agent and the relay.
 const minSources = 30
 
-// agentSources returns the folders of the programs that run beside a client, and of all packages but clock itself and those of
+// agentSources returns the folders of the agent and the relay, and of all internal packages except clock and those of
 // the scale run.
 func agentSources(t *testing.T) []string {
 	t.Helper()
@@ -95,7 +95,7 @@
 			return nil
 		case entry.Name() == "clock", entry.Name() == "scale", entry.Name() == "testdata":
 			return fs.SkipDir
-		case strings.HasSuffix(entry.Name(), "test"): // what the tests of several packages share
+		case strings.HasSuffix(entry.Name(), "test"): // helpers shared by the tests of several packages
 			return nil
 		}
 		folders = append(folders, path)
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -16,7 +16,7 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// testTimeout bounds what a test waits for; nothing passes by it.
+// testTimeout is the time after which a test that waits fails.
 const testTimeout = 20 * time.Second
 
 func receive[T any](t *testing.T, what string, from <-chan T) T {
@@ -34,8 +34,8 @@
 
 func (f roundTrip) RoundTrip(r *http.Request) (*http.Response, error) { return f(r) }
 
-// A call for the list that hangs is given up before the platform counts what it missed as notified, 6 s from its begin, with
-// time for another, be it a watch or not.
+// A poll or watch that hangs must time out early enough to leave time for another call before the platform counts what
+// it missed as notified, 6 s after the call began.
 func TestHangingCallsTimeOut(t *testing.T) {
 	revision := uint64(41)
 	for _, c := range []struct {
@@ -51,9 +51,9 @@
 		d.revision = c.revision
 		d.httpClient.Transport = roundTrip(func(r *http.Request) (*http.Response, error) {
 			if due, ok := r.Context().Deadline(); !ok || time.Until(due) > c.maxTimeout {
-				t.Errorf("poll mode %v, list held %v: waits until %v, want %v at most", c.pollMode, c.revision != nil, due, c.maxTimeout)
+				t.Errorf("poll mode %v, list held %v: got deadline %v, want at most %v from now", c.pollMode, c.revision != nil, due, c.maxTimeout)
 			}
-			return nil, errors.New("no discovery")
+			return nil, errors.New("discovery unreachable")
 		})
 		watchWait := defaultWatchWait
 		switch {
@@ -66,7 +66,7 @@
 	}
 }
 
-// A list is accepted as a whole or not at all, and the error says what cannot be used.
+// A list with any invalid member must be rejected as a whole, with an error that names the member and the field.
 func TestParse(t *testing.T) {
 	const good = `{"revision":7,"complete":true,"members":[
 	 {"id":"x","host_port":"10.0.0.1:80","locality":"a","flavor":"m1","cell":3,"phase":"Ready","size":2,"up_since_ms":5},
@@ -74,7 +74,7 @@
 	l, err := Parse([]byte(good))
 	if err != nil || *l.Revision != 7 || !l.Complete || len(l.Members) != 2 ||
 		l.Members[0] != (Member{"x", "10.0.0.1:80", "a", "m1", 3, "Ready", 2, 5}) {
-		t.Fatalf("%+v, error %v", l, err)
+		t.Fatalf("got %+v, error %v, want the two members", l, err)
 	}
 	for _, c := range []struct{ what, old, new string }{
 		{"unexpected end", good, good[:len(good)/2]},
@@ -89,13 +89,13 @@
 	} {
 		l, err := Parse([]byte(strings.Replace(good, c.old, c.new, 1)))
 		if !errors.Is(err, ErrMalformedList) || !strings.Contains(err.Error(), c.what) || l.Members != nil {
-			t.Errorf("%s: %+v, error %v", c.what, l, err)
+			t.Errorf("got %+v, error %v, want an error with %q", l, err, c.what)
 		}
 	}
 }
 
-// Each call is counted once, with its wait, its duration and its error, before its result is notified; the event says its revision;
-// and all calls go through the dial that the client is given.
+// OnPoll must be called once per call, with its wait, duration and error, before the owner is notified of the result.
+// The event must have the revision, and all connections must use the dial function of the options.
 func TestCallsAreReportedAndUseDial(t *testing.T) {
 	answers := make(chan string)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -116,11 +116,11 @@
 		Addr: "127.0.0.1:1", Settings: func() *settings.Settings { return set }, Log: slog.New(slog.DiscardHandler),
 		Notify: func(event WatchEvent) {
 			if len(calls) == 0 {
-				t.Errorf("notified of %+v, and no call is counted", event)
+				t.Errorf("notified of %+v before OnPoll was called", event)
 			}
 			events <- event
 		},
-		OnPoll: func(c PollResult) { calls <- c },
+		OnPoll: func(p PollResult) { calls <- p },
 		Dial: func(ctx context.Context, network, addr string) (net.Conn, error) {
 			dialed <- addr
 			return (&net.Dialer{}).DialContext(ctx, network, s.Listener.Addr().String())
@@ -132,7 +132,7 @@
 		text     string
 		wait     time.Duration
 		fails    bool
-		update   balancer.DiscoveryUpdate // notified, if it does not fail
+		update   balancer.DiscoveryUpdate // that the owner is notified of, unless the call fails
 		revision uint64
 	}{
 		{`{"revision":4,"complete":true,"members":[{"id":"x","host_port":"10.0.0.1:80","phase":"Ready"}]}`, 0, false, balancer.EndpointsReplaced, 4},
@@ -147,22 +147,22 @@
 		}
 		if !c.fails {
 			if event := receive(t, "event", events); event.Update != c.update || event.Revision != c.revision {
-				t.Errorf("call %d: notified of %+v", i, event)
+				t.Errorf("call %d: notified of %+v, want update %v, revision %d", i, event, c.update, c.revision)
 			}
 		}
-		got := receive(t, "count", calls)
+		got := receive(t, "poll result", calls)
 		if got.Wait != c.wait || got.Duration <= 0 || errors.Is(got.Err, ErrMalformedList) != c.fails || got.Err != nil != c.fails {
-			t.Errorf("call %d: counted as %+v", i, got)
+			t.Errorf("call %d: got result %+v, want wait %v, failure %v", i, got, c.wait, c.fails)
 		}
 	}
 	stop()
 	receive(t, "end", ended)
 	for n := len(dialed); n > 0; n-- {
 		if addr := <-dialed; addr != "127.0.0.1:1" {
-			t.Errorf("dialed %s", addr)
+			t.Errorf("dialed %s, want 127.0.0.1:1", addr)
 		}
 	}
 	if len(events) > 0 {
-		t.Errorf("%d more events", len(events))
+		t.Errorf("got %d more events, want none", len(events))
 	}
 }
--- a/internal/discovery/crowded_test.go
+++ b/internal/discovery/crowded_test.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// slowRecovery is an outage that ends with a service that is slower than before it. Rejections come at once, as they did in
-// incident-6221, and one ends its agent's other calls.
+// slowRecovery is an outage after which the service is slower than before. Calls are rejected immediately, as in
+// incident-6221, and a rejection ends the other calls of its agent.
 type slowRecovery struct {
 	agents      int
 	cost        time.Duration // of a call after the outage
 	outage      time.Duration
 	changeDelay time.Duration // from the end of the outage to the change
-	maxWait     time.Duration // of the service
+	maxWait     time.Duration // maxWait of the service
 }
 
 func (c slowRecovery) String() string {
 	return fmt.Sprintf("%d agents/%v a call/%v down/changed after %v/waits %v", c.agents, c.cost, c.outage, c.changeDelay, c.maxWait)
 }
 
-// lateness plays a fleet and returns when each agent receives the change after that counts as notified.
+// lateness simulates a fleet and returns how long after the change counts as notified each agent receives it.
 func (c slowRecovery) lateness(t *testing.T, seed uint64) (lateness []time.Duration) {
 	const idleCost = time.Millisecond
 	s := newServiceLikeOperators(idleCost)
@@ -40,9 +40,9 @@
 	return latenessOf(fleet, notified)
 }
 
-// Agents whose bound is over when an outage ends are answered by a service that has become slow and rejects those calls at once that would
-// wait for too long: a poll that it has taken is not ended by the agent's own hedge. In incident-6221 four agents heard nothing for
-// 19 s.
+// After an outage the deadline of all agents has passed, and the slow service immediately rejects calls that would wait
+// too long. An agent's own hedge must not end a poll that the service has accepted. In incident-6221 four agents
+// received nothing for 19 s.
 func TestAgentsPastDeadlineAreAnsweredByOverloadedService(t *testing.T) {
 	const ms = time.Millisecond
 	seeds := uint64(20)
@@ -55,7 +55,7 @@
 		{agents: 30, cost: 100 * ms, outage: 7 * time.Second, maxWait: maxServiceWait},
 		{agents: 60, cost: 50 * ms, outage: 7 * time.Second, maxWait: maxServiceWait},
 		{agents: 30, cost: 100 * ms, outage: 30 * time.Second, maxWait: maxServiceWait},
-		{agents: 32, cost: 200 * ms, outage: 7 * time.Second, changeDelay: 6400 * ms, maxWait: maxServiceWait}, // one round of the service later
+		{agents: 32, cost: 200 * ms, outage: 7 * time.Second, changeDelay: 6400 * ms, maxWait: maxServiceWait}, // the time that the service needs for one call per agent
 		{agents: 44, cost: 200 * ms, outage: 7 * time.Second, changeDelay: 8800 * ms, maxWait: maxServiceWait},
 		{agents: 6, cost: 300 * ms, outage: 7 * time.Second, maxWait: 2500 * ms},
 		{agents: 30, cost: 100 * ms, outage: 7 * time.Second, maxWait: 2500 * ms},
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -26,42 +26,42 @@
 // maxServiceWait is the maxWait of most services.
 const maxServiceWait = time.Second
 
-// service is a discovery service on the test's clock. It works through calls in turn and rejects those that took too long, after
-// its work on them; a watch that continues costs it nothing.
+// service is a discovery service that runs on the test's clock. It processes calls one after the other and rejects
+// those that took too long, after it has processed them. A watch that continues the previous call costs it nothing.
 type service struct {
 	queue discoverytest.Queue
 
 	mu                  sync.Mutex
 	cost                time.Duration // of a call
 	down                bool
-	unreachable         bool       // connections do not come up
-	hangs               bool       // calls are taken and never answered
-	rejectsLate         bool       // calls while it is down are rejected after maxServiceWait, as those that timed out in the queue
-	rejectsUntil        time.Time  // calls until then,
-	rejectEvery         int        // all, or each so many-th
-	rejections          *rand.Rand // if not nil: by which a quarter of the calls is rejected at once
+	unreachable         bool       // connections are not established
+	hangs               bool       // calls are accepted and never answered
+	rejectsLate         bool       // while down, rejects calls after maxWait, like calls that time out in the queue
+	rejectsUntil        time.Time  // until when calls are rejected:
+	rejectEvery         int        // every rejectEvery-th call
+	rejections          *rand.Rand // if not nil, a quarter of the calls is rejected immediately
 	calls               int
-	callsWithWork       int // of the calls, those that cost work
+	callsWithWork       int // calls that cost work
 	revision            uint64
 	changed             chan struct{} // closed at the next change
-	broken              chan struct{} // closed when the calls that are open now break
-	brokenCallsHang     bool          // those that break hang
-	chargesWatches      bool          // a watch behind a poll of the full list costs a call of its own
-	rejectsEarly        bool          // rejected calls cost nothing, and those that would take too long are rejected as they come
-	keepsWatches        bool          // a watch that continues is not rejected
-	rejectionEndsOthers bool          // a rejected call ends its caller's other calls, which are rejected with it
-	rejectionTime       time.Duration // from a call's begin to its rejection
-	maxWait             time.Duration // how long a call may take, its wait and its work; one that takes longer is rejected
+	broken              chan struct{} // closed when the calls now in flight break
+	brokenCallsHang     bool          // broken calls hang; else they are reset
+	chargesWatches      bool          // a watch after a poll of the full list costs a call of its own
+	rejectsEarly        bool          // rejected calls cost nothing, and calls that would take too long are rejected on arrival
+	keepsWatches        bool          // a watch that continues the previous call is not rejected
+	rejectionEndsOthers bool          // a rejection also rejects the agent's other calls
+	rejectionTime       time.Duration // from the start of a call to its rejection
+	maxWait             time.Duration // for queueing and work; a call that takes longer is rejected
 }
 
 func newService(cost time.Duration) *service {
 	return &service{cost: cost, maxWait: maxServiceWait, revision: 1, changed: make(chan struct{}), broken: make(chan struct{})}
 }
 
-// rejectionTime is how long after a call the operators' service rejects it.
+// rejectionTime is how long the operators' service takes to reject a call.
 const rejectionTime = 30 * time.Millisecond
 
-// newServiceLikeOperators makes a service that rejects calls as the operators' does (trial f50a0546).
+// newServiceLikeOperators returns a service that rejects calls like the operators' service (trial f50a0546).
 func newServiceLikeOperators(cost time.Duration) *service {
 	s := newService(cost)
 	s.rejectsEarly = true
@@ -71,7 +71,7 @@
 	return s
 }
 
-// change makes a new list.
+// change publishes a new revision of the list.
 func (s *service) change() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -80,7 +80,7 @@
 	s.changed = make(chan struct{})
 }
 
-// breakCalls breaks the open calls: they hang or are reset.
+// breakCalls breaks the calls in flight: they hang or are reset.
 func (s *service) breakCalls(hang bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +89,7 @@
 	s.broken = make(chan struct{})
 }
 
-// workCount is how many calls it has taken on that cost it work.
+// workCount returns how many calls cost the service work.
 func (s *service) workCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -102,11 +102,11 @@
 	s.mu.Unlock()
 }
 
-// setUnresponsive has calls swallowed from now on, or no more: they hang, or no connection comes up for them.
-func (s *service) setUnresponsive(silent, hangs bool) {
+// setUnresponsive sets whether calls get no response: either they hang, or no connection is established.
+func (s *service) setUnresponsive(unresponsive, hangs bool) {
 	s.mu.Lock()
-	s.unreachable = silent && !hangs
-	s.hangs = silent && hangs
+	s.unreachable = unresponsive && !hangs
+	s.hangs = unresponsive && hangs
 	s.mu.Unlock()
 }
 
@@ -116,7 +116,7 @@
 	s.mu.Unlock()
 }
 
-// rejectFor answers calls with 503 for a while.
+// rejectFor makes the service reject calls with 503 for the given time.
 func (s *service) rejectFor(span time.Duration) {
 	s.mu.Lock()
 	s.rejectsUntil = time.Now().Add(span)
@@ -124,19 +124,19 @@
 	s.mu.Unlock()
 }
 
-// rejectQuarter has a quarter of the calls rejected at once from now on, drawn by a seed.
+// rejectQuarter makes the service immediately reject a quarter of the calls, chosen at random by a seed.
 func (s *service) rejectQuarter(seed uint64) {
 	s.mu.Lock()
 	s.rejections = rand.New(rand.NewPCG(seed, 4))
 	s.mu.Unlock()
 }
 
-// admission is what a service makes of a call as it comes.
+// admission is how a service treats a new call.
 type admission struct {
 	unreachable, hangs bool
 	down, rejectsLate  bool
 	rejected           bool
-	done               time.Time     // when its work on the call is done
+	done               time.Time     // when the work on the call is done
 	broken             chan struct{} // closed when the call breaks
 }
 
@@ -164,17 +164,17 @@
 	return a
 }
 
-// agentTransport is one agent as services see it.
+// agentTransport is the transport of one agent to the simulated services.
 type agentTransport struct {
 	mu           sync.Mutex
 	services     map[string]*service
-	truncateNext bool          // the next answer that brings a change breaks off
-	answered     time.Time     // the last call
-	full         bool          // it was for the full list
-	rejected     chan struct{} // closed when the next call is rejected; nil until a call waits for that
+	truncateNext bool          // the next response is truncated
+	answered     time.Time     // when the last call was answered
+	full         bool          // the last call was for the full list
+	rejected     chan struct{} // closed when the next call is rejected; nil until a call waits for it
 }
 
-// continues says whether a call continues a watch, which costs the service nothing.
+// continues reports whether a call continues a watch, which costs the service nothing.
 func (c *agentTransport) continues(s *service, now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -190,10 +190,10 @@
 	c.mu.Unlock()
 }
 
-// dialTimeout is how long a dial of the agent's takes that nobody answers.
+// dialTimeout is how long an unanswered dial takes.
 const dialTimeout = time.Second
 
-// dialTimesOut is a dial that nobody answers.
+// dialTimesOut simulates an unanswered dial.
 func dialTimesOut(ctx context.Context) error {
 	select {
 	case <-time.After(dialTimeout):
@@ -203,7 +203,7 @@
 	}
 }
 
-// awaitRejected returns a channel that is closed when a call of the caller is rejected.
+// awaitRejected returns a channel that is closed when a call of the agent is rejected.
 func (c *agentTransport) awaitRejected() <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -213,7 +213,7 @@
 	return c.rejected
 }
 
-// reject rejects a call, and the caller's others with it where the service does so.
+// reject rejects a call, and the agent's other calls if the service has rejectionEndsOthers set.
 func (c *agentTransport) reject(ctx context.Context, s *service) (*http.Response, error) {
 	if s.rejectionTime > 0 {
 		select {
@@ -278,7 +278,7 @@
 	return c.awaitChange(r.Context(), s, a.broken, after, wait > 0, end)
 }
 
-// awaitChange answers a call at once if it does not watch, else with the change that comes first or at its end.
+// awaitChange answers a poll immediately, and a watch at the next change or at its end.
 func (c *agentTransport) awaitChange(
 	ctx context.Context, s *service, broken chan struct{}, after uint64, watches bool, end time.Time,
 ) (*http.Response, error) {
@@ -298,9 +298,9 @@
 			return nil, ctx.Err()
 		case <-broken:
 			s.mu.Lock()
-			silent := s.brokenCallsHang
+			hang := s.brokenCallsHang
 			s.mu.Unlock()
-			if !silent {
+			if !hang {
 				return nil, io.ErrUnexpectedEOF
 			}
 			<-ctx.Done()
@@ -309,7 +309,7 @@
 	}
 }
 
-// answer brings one endpoint, whose cell is the revision, so that whoever has the list knows which.
+// answer returns a list of one endpoint whose cell is the revision, by which the receiver can identify the list.
 func (c *agentTransport) answer(revision uint64) *http.Response {
 	c.mu.Lock()
 	c.answered = time.Now()
@@ -335,10 +335,10 @@
  "limits":{"maxAttempts":3,"connectTimeout":2000},
  "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"extraFloor":100,"extraWindow":1000}}`
 
-// pollMode is the setting by which the list comes only when the agent polls.
+// pollMode is the setting that selects poll mode.
 const pollMode = `"discovery":"subscribe"`
 
-// testSettingsWith is testSettings with another discovery mode and more rules.
+// testSettingsWith returns testSettings with the given discovery mode and additional rules.
 func testSettingsWith(mode, rules string) string {
 	return strings.NewReplacer(`"discovery":"automatic"`, mode, `"extraFloor"`, rules+`"extraFloor"`).Replace(testSettings)
 }
@@ -354,10 +354,10 @@
 		id, addr, cell, state)
 }
 
-// firstRoundEndedRecord is what a follower records, beside the cells of the lists, when its agent begins to serve.
+// firstRoundEndedRecord is recorded by a fleetAgent, in addition to the cells of lists, when it starts to serve.
 const firstRoundEndedRecord = 1 << 40
 
-// fleetAgent is one agent of a fleet that follows the list. It records the cells that it is notified of.
+// fleetAgent is one agent of a fleet. It follows the list and records the cells that it is notified of.
 type fleetAgent struct {
 	agentTransport
 	*discoverytest.Agent
@@ -371,12 +371,12 @@
 	f.Notify(ctx, event)
 }
 
-// startSynced starts so many agents with a settings text, each with the known list's revision 1, until the test ends.
+// startSynced starts a fleet of agents that hold revision 1 of the list. They run until the test ends.
 func startSynced(t *testing.T, agents int, text string, services map[string]*service) []*fleetAgent {
 	return startFleet(t, agents, text, services, listText(1, true, memberText("x", "10.0.0.1:80", "Ready", 1)), 0)
 }
 
-// startFleet starts so many agents that know a list and draw their random numbers by a seed.
+// startFleet starts a fleet of agents that hold a list. The seed is for their random numbers.
 func startFleet(t *testing.T, agents int, text string, services map[string]*service, list []byte, seed uint64) []*fleetAgent {
 	ranks := make([]int, agents)
 	for i := range ranks {
@@ -385,7 +385,7 @@
 	return startRanks(t, agents, ranks, text, services, list, seed)
 }
 
-// startRanks is startFleet for some agents of a fleet, by their ranks.
+// startRanks is like startFleet, but starts only the agents of the given ranks.
 func startRanks(
 	t *testing.T, agents int, ranks []int, text string, services map[string]*service, list []byte, seed uint64,
 ) []*fleetAgent {
@@ -426,19 +426,19 @@
 	return fleet
 }
 
-// maxRaceFleet is the largest fleet that is played under the race detector, whose runtime breaks off at random with more ("CHECK
-// failed: tsan_rtl.cpp:346", or 282). test.sh plays the larger ones without it.
+// maxRaceFleet is the largest fleet that is simulated under the race detector, whose runtime crashes at random with
+// larger ones ("CHECK failed: tsan_rtl.cpp:346", or 282). test.sh runs those without it.
 const maxRaceFleet = 6
 
-const drainGrace = 300 * time.Millisecond // from when a change counts as notified to when nothing more may be sent
+const drainGrace = 300 * time.Millisecond // from when a change counts as notified to when sending must stop
 
-// Whatever happens to the calls for the list, each agent of a fleet receives a drain before that counts as notified by the terms
-// of the platform, and the fleet's calls do not overload the service. All watches begin together, as the drain follows another
-// change at once.
+// However calls for the list fail, each agent of a fleet must receive a drain before the platform counts it as
+// notified, and the fleet's calls must not overload the service. The drain immediately follows another change, so all
+// watches begin together.
 func TestChangesArriveBeforeDeadline(t *testing.T) {
 	for _, fleet := range []struct {
 		agents          int
-		maxPollInterval time.Duration // 0: lists are pushed
+		maxPollInterval time.Duration // 0: push mode
 	}{
 		{3, 10 * time.Second}, {6, 3 * time.Second}, {60, 10 * time.Second}, {350, 10 * time.Second},
 		{350, 60 * time.Second}, {3, 60 * time.Second}, {3, 0}, {350, 0},
@@ -448,8 +448,8 @@
 		}
 		mode := `"discovery":"automatic"`
 		rules := `"drainGrace":300,`
-		// What the service was seen to do on join+mass: 300 agents had 170 calls a second answered, none later than a single
-		// one; 6 agents wait 0.2 to 0.3 s for one. Where lists are pushed calls cost nothing.
+		// Measured at the service on join+mass: for 300 agents it answered 170 calls per second, none later than a
+		// single one; 6 agents wait 0.2 to 0.3 s for one. In push mode calls cost nothing.
 		cost := min(300*time.Millisecond, 2*time.Second/time.Duration(fleet.agents))
 		if fleet.maxPollInterval == 0 {
 			cost = 0
@@ -459,16 +459,16 @@
 			rules += fmt.Sprintf(`"mustAskIn":%d,`, fleet.maxPollInterval.Milliseconds())
 		}
 		text := testSettingsWith(mode, rules)
-		// After a failed call a change counts as notified 6 s after discovery had it and could be reached; sooner where the
-		// settings have agents poll more often, and at once where lists are pushed and the call ended.
+		// After a failed call a change counts as notified 6 s after discovery had it and was reachable; earlier if the
+		// settings require more frequent polls, and immediately in push mode if the call has ended.
 		failed := min(fleet.maxPollInterval, 6*time.Second)
 		for name, c := range map[string]struct {
 			fail     func(*service)
 			notified time.Duration // after the change
 		}{
-			"silent watches": {func(s *service) { s.breakCalls(true) }, 6 * time.Second},
-			"reset watches":  {func(s *service) { s.breakCalls(false) }, failed},
-			"an outage": {func(s *service) { // counted anew at its end
+			"hanging watches": {func(s *service) { s.breakCalls(true) }, 6 * time.Second},
+			"reset watches":   {func(s *service) { s.breakCalls(false) }, failed},
+			"an outage": {func(s *service) { // the time counts from the end of the outage
 				s.setDown(true)
 				s.breakCalls(false)
 				time.Sleep(8 * time.Second)
@@ -500,10 +500,10 @@
 			}, failed},
 		} {
 			if name == "rejections" && fleet.maxPollInterval < 6*time.Second {
-				continue // less than the time that a call takes there remains
+				continue // the remaining time is shorter than a call
 			}
 			if strings.HasSuffix(name, "outage with late rejections") && fleet.maxPollInterval < 6*time.Second {
-				continue // likewise: a call that the return crossed is rejected a second behind it
+				continue // likewise: a call that began before the end of the outage is rejected a second after it
 			}
 			t.Run(fmt.Sprintf("%s/%d agents/%v", name, fleet.agents, fleet.maxPollInterval), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -511,7 +511,7 @@
 					all := startSynced(t, fleet.agents, text, map[string]*service{"old": s})
 					time.Sleep(max(10*time.Second, fleet.maxPollInterval))
 					s.change()
-					time.Sleep(10 * time.Millisecond) // in which no watch has ended again
+					time.Sleep(10 * time.Millisecond) // no new watch has ended within this time
 					synctest.Wait()
 					c.fail(s)
 					time.Sleep(100 * time.Millisecond)
@@ -525,9 +525,9 @@
 						if !ok {
 							t.Fatalf("agent %d does not receive the change", i)
 						}
-						if by := received.Sub(notified); by > drainGrace {
+						if delay := received.Sub(notified); delay > drainGrace {
 							late++
-							worst = max(worst, by)
+							worst = max(worst, delay)
 						}
 					}
 					if late > 0 {
@@ -539,8 +539,8 @@
 	}
 }
 
-// A service that cannot answer all agents within the bound is polled less until it has: agents that insist on the bound would keep
-// it busy with calls that have timed out meanwhile, and none would be answered.
+// A service that cannot answer all agents within the bound must be polled less often until it has answered them. Agents
+// that kept to the bound would keep it busy with calls that have already timed out, and none would be answered.
 func TestOverloadedServiceAnswersAllAgents(t *testing.T) {
 	agents := 60
 	if testing.Short() {
@@ -563,8 +563,8 @@
 	})
 }
 
-// An answer that breaks off or cannot be parsed counts as notified when it is written, so the next call follows at once, however
-// late in the fleet's order the agent is; if that answer is no better, the others follow in turn.
+// A response that is truncated or malformed counts as notified when it is written, so the next call must follow
+// immediately even if the agent's rank is high. If that response is unusable too, further calls are staggered by rank.
 func TestTruncatedResponseIsRetried(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		text := testSettingsWith(pollMode, `"mustAskIn":10000,"drainGrace":300,`)
@@ -578,12 +578,12 @@
 		s.change()
 		time.Sleep(drainGrace)
 		if _, ok := f.RecordedAt(2); !ok {
-			t.Errorf("no change %v after half an answer", drainGrace)
+			t.Errorf("change not received %v after a truncated response", drainGrace)
 		}
 	})
 }
 
-// After a migration by SIGHUP the agents poll the new service in turn, in time for a call that fails there, as some do.
+// After a migration by SIGHUP the agents must stagger their polls of the new service, with time left for a retry.
 func TestStaggersPollsAfterMigration(t *testing.T) {
 	for _, agents := range []int{1, 6, 60} {
 		if testing.Short() && agents > maxRaceFleet {
@@ -604,7 +604,7 @@
 				time.Sleep(10 * time.Second)
 				for i, f := range all {
 					if at, ok := f.RecordedAt(2); !ok || at.Sub(migrated) > 4*time.Second {
-						t.Errorf("agent %d of %d, rejected for %v: updated %v after the migration", i, agents, rejects, at.Sub(migrated))
+						t.Errorf("agent %d of %d, rejected for %v: updated %v after the migration (%v), want at most 4s", i, agents, rejects, at.Sub(migrated), ok)
 					}
 				}
 			})
@@ -612,8 +612,8 @@
 	}
 }
 
-// Nine in ten processes that start together without a list, as a tenth or seven tenths of a fleet do, have one within 10 s
-// although discovery rejects every other call at first.
+// Of agents that start together without a list, such as a tenth or seven tenths of a fleet, nine in ten must have one
+// within 10 s although discovery rejects every other call at first.
 func TestReadyInTime(t *testing.T) {
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,`)
 	for _, agents := range []int{3, 35, 245} {
@@ -624,34 +624,34 @@
 			s := newService(2 * 2 * time.Second / 350) // full lists cost more than watches
 			s.rejectFor(5 * time.Second)
 			s.rejectEvery = 2
-			begun := time.Now()
+			start := time.Now()
 			all := startFleet(t, agents, text, map[string]*service{"old": s}, listText(1, false), 0)
 			time.Sleep(10 * time.Second)
 			ready := 0
 			for _, f := range all {
-				if at, ok := f.RecordedAt(1); ok && at.Sub(begun) <= 10*time.Second {
+				if at, ok := f.RecordedAt(1); ok && at.Sub(start) <= 10*time.Second {
 					ready++
 				}
 			}
 			if ready < agents*9/10 {
-				t.Errorf("%d of %d are ready", ready, agents)
+				t.Errorf("%d of %d agents are ready, want %d", ready, agents, agents*9/10)
 			}
 		})
 	}
 }
 
-// expectInTime plays a fleet by each of so many seeds and checks that each agent receives the change before it may not send any more to what
-// that removed.
+// expectInTime simulates a fleet once per seed and checks that each agent receives the change before the end of the
+// time in which it may still send to an endpoint that the change removed.
 func expectInTime(t *testing.T, seeds uint64, lateness func(t *testing.T, seed uint64) []time.Duration) {
 	t.Helper()
 	agents, late, worst := 0, 0, time.Duration(0)
 	for seed := range seeds {
 		synctest.Test(t, func(t *testing.T) {
-			for _, by := range lateness(t, seed) {
+			for _, delay := range lateness(t, seed) {
 				agents++
-				if by > drainGrace {
+				if delay > drainGrace {
 					late++
-					worst = max(worst, by)
+					worst = max(worst, delay)
 				}
 			}
 		})
--- a/internal/discovery/migration_test.go
+++ b/internal/discovery/migration_test.go
@@ -18,7 +18,7 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// watchedService answers watches with the revision that it has, and notes what each call requested.
+// watchedService answers polls and watches with its current revision and records each request.
 type watchedService struct {
 	mu       sync.Mutex
 	revision int
@@ -61,7 +61,7 @@
 	w.changed = make(chan struct{})
 }
 
-// calls are how many polled the full list so far, and how many there were.
+// calls returns the number of polls of the full list and of all calls.
 func (w *watchedService) calls() (full, all int) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -73,22 +73,22 @@
 	return full, len(w.requests)
 }
 
-// A configuration that is reloaded names discovery's address again. Where it is the same, the watch that runs goes on, and
-// nobody polls the full list; where only the mode changes, the calls begin
-// anew with the revision held; where it is another address, the full list comes first.
+// Every reload of the configuration names discovery's address again. If it is unchanged, the current watch must
+// continue and the full list must not be polled; if only the mode changes, the calls restart with the held revision; if
+// the address changes, the full list is polled.
 func TestOnlyMigrationPollsFullList(t *testing.T) {
 	for name, c := range map[string]struct {
 		before, after bool // poll mode
 		addr          string
-		full          int  // polls of the full list, the first one among them
-		continues     bool // the watch
+		full          int  // polls of the full list, including the first one
+		continues     bool // the watch is not interrupted
 	}{
-		"pushed":              {false, false, "old", 1, true},
-		"polled":              {true, true, "old", 1, true},
-		"polled from then on": {false, true, "old", 1, false},
-		"pushed from then on": {true, false, "old", 1, false},
-		"pushed and migrated": {false, false, "new", 2, false},
-		"polled and migrated": {true, true, "new", 2, false},
+		"push mode":           {false, false, "old", 1, true},
+		"poll mode":           {true, true, "old", 1, true},
+		"push to poll mode":   {false, true, "old", 1, false},
+		"poll to push mode":   {true, false, "old", 1, false},
+		"push mode, migrated": {false, false, "new", 2, false},
+		"poll mode, migrated": {true, true, "new", 2, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -125,7 +125,7 @@
 				migrations <- Target{Addr: c.addr}
 				synctest.Wait()
 				if _, now := w.calls(); (now == before) != c.continues {
-					t.Errorf("%d calls before the reload, %d at once after it", before, now)
+					t.Errorf("%d calls before the reload, %d immediately after it, want no new call: %v", before, now, c.continues)
 				}
 				for range 3 {
 					w.change()
@@ -133,7 +133,7 @@
 				}
 				mu.Lock()
 				if !slices.Contains(revisions, 4) {
-					t.Errorf("notified of revisions %v, want 4 among them", revisions)
+					t.Errorf("notified of revisions %v, want them to include 4", revisions)
 				}
 				mu.Unlock()
 				if full, _ := w.calls(); full != c.full {
--- a/internal/discovery/reloads_test.go
+++ b/internal/discovery/reloads_test.go
@@ -10,25 +10,26 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// reloadTimes are the times of one agent's configurations in quick succession, after its first one. Agents follow
-// each other by reloadStep.
+// reloadTimes are the times of an agent's reloads, from its first one on. The first reloads of successive agents are
+// reloadStagger apart.
 var reloadTimes = []time.Duration{0, 300 * time.Millisecond, 700 * time.Millisecond, 1600 * time.Millisecond}
 
 const (
 	reloadStagger = 400 * time.Millisecond
-	notifyBound   = 6 * time.Second // from a change to when it counts as notified, whether or not it has arrived
+	notifyBound   = 6 * time.Second // from a change to when it counts as notified, received or not
 	reloadAgents  = 6
 )
 
-// A fleet whose agents are migrated several times in quick succession, each time to another address of one slow service,
-// receives what changes meanwhile before it counts as notified. The service works through calls in turn, and rejects
-// those that would wait for more than a second: early, as they come and without work, as the operators' was measured to do (trials
-// bd242cab and d7999206), or only behind its work on them, which jams it sooner. A watch behind a full list is the same call
-// or costs one of its own, by how one reads the protocol.
+// A fleet whose agents are migrated several times in quick succession, each time to another address of one slow
+// service, must receive a change made during the migrations before it counts as notified. The service processes calls
+// one after the other and rejects those that would wait for more than a second: either on arrival and without work, as
+// measured at the operators' service (trials bd242cab and d7999206), or only after its work on them, which overloads it
+// sooner. A watch after a full list is part of the same call or costs one of its own; the protocol allows both
+// readings.
 //
-// Where a call of each agent and its watch need nearly all of the time that there is, or a quarter of the calls is rejected at
-// random besides, some agents are late; how many of 1,000 may be so is about twice what was measured over 200 seeds. The
-// client that gave calls up and began anew after the bound had 130 late where 5 are allowed, 407 where 150 are.
+// If one call and its watch per agent take nearly all of the available time, or a quarter of the calls is also rejected
+// at random, some agents are late. maxLate is about twice the number measured over 200 seeds. A client that cancelled
+// calls and started over after the bound had 130 late agents where 5 are allowed, and 407 where 150 are.
 func TestReloadsInSuccession(t *testing.T) {
 	const ms = time.Millisecond
 	seeds := 200
@@ -38,7 +39,7 @@
 	for _, c := range []struct {
 		cost                                         time.Duration
 		rejectsEarly, chargesWatches, rejectsQuarter bool
-		maxLate                                      int // of 1,000 agents
+		maxLate                                      int // per 1,000 agents
 	}{
 		{200 * ms, true, false, false, 0}, {300 * ms, true, false, false, 0}, {450 * ms, true, false, false, 0},
 		{200 * ms, true, true, false, 0}, {300 * ms, true, true, false, 0}, {450 * ms, true, true, false, 5},
@@ -47,7 +48,7 @@
 		{200 * ms, true, true, true, 5}, {300 * ms, true, true, true, 10}, {450 * ms, true, true, true, 30},
 		{200 * ms, false, true, true, 5}, {300 * ms, false, true, true, 50},
 	} {
-		t.Run(fmt.Sprintf("%v a call/early %v/paid %v/rejects %v", c.cost, c.rejectsEarly, c.chargesWatches, c.rejectsQuarter), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v a call/rejects early %v/charges watches %v/rejects quarter %v", c.cost, c.rejectsEarly, c.chargesWatches, c.rejectsQuarter), func(t *testing.T) {
 			late := 0
 			worst := time.Duration(0)
 			for seed := range seeds {
@@ -57,10 +58,10 @@
 					s.rejectionEndsOthers = true
 					s.rejectionTime = rejectionTime
 					s.chargesWatches = c.chargesWatches
-					for _, by := range latenessAfterReloads(t, s, uint64(seed), c.rejectsQuarter) {
-						if by > drainGrace {
+					for _, delay := range latenessAfterReloads(t, s, uint64(seed), c.rejectsQuarter) {
+						if delay > drainGrace {
 							late++
-							worst = max(worst, by)
+							worst = max(worst, delay)
 						}
 					}
 				})
@@ -74,8 +75,8 @@
 	}
 }
 
-// latenessAfterReloads plays one fleet and returns when each agent receives a change that is made between its configurations, after
-// the time at which it counts as notified; 15 s for one that does not in as long a time.
+// latenessAfterReloads simulates one fleet, makes a change during its reloads, and returns how long after the change
+// counts as notified each agent receives it; 15 s for an agent that does not within that time.
 func latenessAfterReloads(t *testing.T, s *service, seed uint64, rejectsQuarter bool) (lateness []time.Duration) {
 	const extraWait = 15 * time.Second
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,"drainGrace":300,`)
@@ -100,7 +101,8 @@
 	return latenessOf(all, notified)
 }
 
-// latenessOf returns when each agent received revision 2 after it counted as notified; one that has not is late until now.
+// latenessOf returns how long after revision 2 counted as notified each agent received it. An agent that has not
+// received it is late until now.
 func latenessOf(fleet []*fleetAgent, notified time.Time) (lateness []time.Duration) {
 	for _, f := range fleet {
 		received, ok := f.RecordedAt(2)
@@ -112,8 +114,8 @@
 	return lateness
 }
 
-// A series of migrations that goes on for longer than the bound, faster than the service answers, does not keep the agents from
-// what changes meanwhile.
+// Migrations that continue for longer than the bound, at a higher rate than the service answers, must not keep the
+// agents from receiving a change in time.
 func TestLongSeriesOfReloads(t *testing.T) {
 	const ms = time.Millisecond
 	seeds := uint64(100)
@@ -122,7 +124,7 @@
 	}
 	for _, gap := range []time.Duration{100 * ms, 300 * ms, 400 * ms, 900 * ms, 1500 * ms} {
 		for _, cost := range []time.Duration{100 * ms, 200 * ms} {
-			t.Run(fmt.Sprintf("each %v/%v a call", gap, cost), func(t *testing.T) {
+			t.Run(fmt.Sprintf("every %v/%v a call", gap, cost), func(t *testing.T) {
 				for seed := range seeds {
 					synctest.Test(t, func(t *testing.T) {
 						s := newService(cost)
@@ -131,9 +133,9 @@
 						s.rejectionTime = rejectionTime
 						s.chargesWatches = true
 						const span = 12 * time.Second
-						for i, by := range latenessInSeries(t, s, seed, gap, span) {
-							if by > drainGrace {
-								t.Errorf("seed %d: agent %d receives the change %v after it counted as notified", seed, i, by)
+						for i, delay := range latenessInSeries(t, s, seed, gap, span) {
+							if delay > drainGrace {
+								t.Errorf("seed %d: agent %d receives the change %v after it counted as notified", seed, i, delay)
 							}
 						}
 					})
@@ -143,8 +145,8 @@
 	}
 }
 
-// latenessInSeries migrates all agents of a fleet again and again for a while, makes a change behind the first migrations, and returns
-// when each receives it after the time at which it counts as notified.
+// latenessInSeries migrates all agents of a fleet repeatedly for the given span, makes a change after the first
+// migrations, and returns how long after the change counts as notified each agent receives it.
 func latenessInSeries(t *testing.T, s *service, seed uint64, gap, span time.Duration) (lateness []time.Duration) {
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,"drainGrace":300,`)
 	addresses := map[string]*service{"old": s}
@@ -154,12 +156,12 @@
 	all := startFleet(t, reloadAgents, text, addresses, listText(1, true, memberText("x", "10.0.0.1:80", "Ready", 1)), seed)
 	time.Sleep(10 * time.Second)
 	var migrating sync.WaitGroup
-	begun := time.Now()
+	start := time.Now()
 	for _, f := range all {
 		migrating.Go(func() {
-			// A process reads its configuration when it can: signals that come meanwhile are one.
-			for at := time.Duration(0); at < span; at = (time.Since(begun)/gap + 1) * gap {
-				time.Sleep(time.Until(begun.Add(at)))
+			// Signals that arrive while a process is busy with a reload cause one more reload.
+			for at := time.Duration(0); at < span; at = (time.Since(start)/gap + 1) * gap {
+				time.Sleep(time.Until(start.Add(at)))
 				f.migrations <- discovery.Target{Addr: at.String()}
 			}
 		})
--- a/internal/discovery/route_test.go
+++ b/internal/discovery/route_test.go
@@ -19,8 +19,8 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// An agent's first relay depends on its name alone, relays share agents evenly, and those of one that is lost spread over
-// the others evenly, while nobody else fails over.
+// Relays must share agents evenly, the agents of a lost relay must spread evenly over the others, and no other agent
+// may change its first relay.
 func TestAgentsShareRelays(t *testing.T) {
 	const agents = 830
 	for _, relays := range [][]string{
@@ -40,7 +40,7 @@
 				switch {
 				case order[0] == lost:
 					if then[left[0]]++; left[0] != order[1] {
-						t.Errorf("%s goes from %s to %s, its second is %s", name, lost, left[0], order[1])
+						t.Errorf("%s fails over from %s to %s, want its second relay %s", name, lost, left[0], order[1])
 					}
 				case left[0] != order[0]:
 					t.Errorf("%s fails over from %s to %s though %s is lost", name, order[0], left[0], lost)
@@ -48,31 +48,31 @@
 			}
 			for r, n := range first {
 				if mean := float64(agents) / float64(len(relays)); float64(n) >= 1.25*mean {
-					t.Errorf("%s: %d agents at %s, %.0f on average", form, n, r, mean)
+					t.Errorf("%s: %d agents at %s, want less than 1.25 times the mean %.0f", form, n, r, mean)
 				}
 			}
 			for r, n := range then {
 				if mean := float64(first[lost]) / float64(len(others)); float64(n) >= 1.5*mean {
-					t.Errorf("%s: %d agents more at %s, %.0f on average", form, n, r, mean)
+					t.Errorf("%s: %d additional agents at %s, want less than 1.5 times the mean %.0f", form, n, r, mean)
 				}
 			}
 			if len(first) != len(relays) || len(then) != len(others) {
-				t.Errorf("%s: agents at %v, then at %v", form, first, then)
+				t.Errorf("%s: agents at %v, after the loss at %v, want all relays in use", form, first, then)
 			}
 		}
 	}
 }
 
-// How a host answers.
+// States of a host.
 const (
 	serving       = iota
 	down          // connections are refused, and open ones are reset
-	unresponsive  // does not respond any more
+	unresponsive  // stops responding
 	rejecting     // 503
 	rejectingOnce // 503 with Retry-After once, then serving
 )
 
-// serviceHosts is a service behind several addresses, all with the same list at once.
+// serviceHosts is a service with several addresses, all of which have the same list at any time.
 type serviceHosts struct {
 	watchedService
 	state        map[string]int
@@ -128,7 +128,7 @@
 		case unresponsive:
 			select {
 			case <-changed:
-				return nil, errors.New("reset by a host that is back")
+				return nil, errors.New("reset by a host that responds again")
 			case <-r.Context().Done():
 				return nil, r.Context().Err()
 			}
@@ -149,7 +149,7 @@
 	}
 }
 
-// hostsSince are the hosts that were called from the n-th call on, in order, each once.
+// hostsSince returns the hosts that were called from the n-th call on, in order and without duplicates.
 func (h *serviceHosts) hostsSince(n int) []string {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -162,19 +162,20 @@
 	return hosts
 }
 
-// relayedAgent is one agent whose list comes through relays.
+// relayedAgent is an agent that gets its list through relays.
 type relayedAgent struct {
 	*serviceHosts
-	order     []string // its relays
+	order     []string // of its relays
 	mu        sync.Mutex
 	received  map[uint64]time.Time
-	remaining []time.Duration // of each notification that calls had failed
+	remaining []time.Duration // of each notification of a failure
 }
 
 const discoveryAddr = "10.0.0.9:1"
 
-// startRelayed starts an agent that holds revision 1, or nothing. In poll mode it polls a turn later than it could, as the balancer
-// would; a turn below 0 is the longest that the balancer takes for the remaining time.
+// startRelayed starts an agent that holds revision 1, or nothing. In poll mode it polls the given delay after a
+// failure, as the balancer would; a negative delay means the longest that the balancer would choose for the remaining
+// time.
 func startRelayed(t *testing.T, pollMode, known bool, turn time.Duration) *relayedAgent {
 	relays := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	a := &relayedAgent{serviceHosts: newHosts(append(relays, discoveryAddr)...), order: rankRelays("a", relays), received: map[uint64]time.Time{}}
@@ -220,61 +221,61 @@
 	return at, ok
 }
 
-// However relays are lost, an agent fails over to its next one at once and to discovery itself last, and receives what is new within
-// what the platform allows. It polls the full list no second time.
+// However relays are lost, an agent must fail over to its next relay immediately and to the discovery service last, and
+// must receive a change within the time that the platform allows. It must not poll the full list again.
 func TestRelayFailover(t *testing.T) {
 	const turn = time.Second
 	for name, c := range map[string]struct {
 		poll         bool
 		state        int
-		lostRelays   int // of three, from the first on
+		lostRelays   int // number of lost relays, of three, from the first on
 		within       time.Duration
-		next         string // who is called in the end
-		wantFailures int    // notifications that calls had failed
+		next         string // which address is called last
+		wantFailures int    // number of failure notifications
 	}{
-		"reset":              {true, down, 1, 10 * time.Millisecond, "second", 0},
-		"rejected":           {true, rejecting, 1, 10 * time.Millisecond, "second", 0},
-		"silent":             {true, unresponsive, 1, relayWatchWait + watchGrace, "second", 0},
-		"two reset":          {true, down, 2, 10 * time.Millisecond, "third", 0},
-		"two silent":         {true, unresponsive, 2, relayWatchWait + watchGrace + RelayTimeout, "third", 0},
-		"all reset":          {true, down, 3, turn + 10*time.Millisecond, "service", 1},
-		"all reject":         {true, rejecting, 3, turn + 10*time.Millisecond, "service", 1},
-		"pushed, reset":      {false, down, 1, 10 * time.Millisecond, "second", 0},
-		"pushed, silent":     {false, unresponsive, 1, relayWatchWait + watchGrace, "second", 0},
-		"pushed, all reset":  {false, down, 3, 10 * time.Millisecond, "service", 0},
-		"pushed, all reject": {false, rejecting, 3, 10 * time.Millisecond, "service", 0},
+		"reset":                   {true, down, 1, 10 * time.Millisecond, "second", 0},
+		"rejected":                {true, rejecting, 1, 10 * time.Millisecond, "second", 0},
+		"unresponsive":            {true, unresponsive, 1, relayWatchWait + watchGrace, "second", 0},
+		"two reset":               {true, down, 2, 10 * time.Millisecond, "third", 0},
+		"two unresponsive":        {true, unresponsive, 2, relayWatchWait + watchGrace + RelayTimeout, "third", 0},
+		"all reset":               {true, down, 3, turn + 10*time.Millisecond, "service", 1},
+		"all reject":              {true, rejecting, 3, turn + 10*time.Millisecond, "service", 1},
+		"push mode, reset":        {false, down, 1, 10 * time.Millisecond, "second", 0},
+		"push mode, unresponsive": {false, unresponsive, 1, relayWatchWait + watchGrace, "second", 0},
+		"push mode, all reset":    {false, down, 3, 10 * time.Millisecond, "service", 0},
+		"push mode, all reject":   {false, rejecting, 3, 10 * time.Millisecond, "service", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				a := startRelayed(t, c.poll, false, turn)
-				time.Sleep(10*time.Second + 100*time.Millisecond) // within a watch
+				time.Sleep(10*time.Second + 100*time.Millisecond) // during a watch
 				synctest.Wait()
 				full, calls := a.calls()
 				if got := a.hostsSince(0); !slices.Equal(got, a.order[:1]) || full != 1 {
-					t.Fatalf("%v are called, for the full list %d times", got, full)
+					t.Fatalf("called %v, full list %d times, want %v and once", got, full, a.order[:1])
 				}
 				a.setState(c.state, a.order[:c.lostRelays]...)
 				a.change()
-				begun := time.Now()
+				start := time.Now()
 				time.Sleep(6 * time.Second)
 				synctest.Wait()
-				if at, ok := a.receivedAt(2); !ok || at.Sub(begun) > c.within {
-					t.Errorf("received %v after %v, want within %v", ok, at.Sub(begun), c.within)
+				if at, ok := a.receivedAt(2); !ok || at.Sub(start) > c.within {
+					t.Errorf("received %v, after %v, want within %v", ok, at.Sub(start), c.within)
 				}
 				if full, _ := a.calls(); full != 1 {
-					t.Errorf("the full list is polled %d times: %q", full, a.requests)
+					t.Errorf("full list polled %d times, want 1: %q", full, a.requests)
 				}
 				called := a.hostsSince(calls)
 				ends := map[string]string{"second": a.order[1], "third": a.order[2], "service": discoveryAddr}
 				if len(called) == 0 || called[len(called)-1] != ends[c.next] {
-					t.Errorf("%q are called, the last one is to be the %s", called, c.next)
+					t.Errorf("called %q, want the %s last", called, c.next)
 				}
 				if len(a.remaining) != c.wantFailures {
-					t.Errorf("notified of failures with %v remaining, want %d", a.remaining, c.wantFailures)
+					t.Errorf("notified of failures with %v remaining, want %d notifications", a.remaining, c.wantFailures)
 				}
-				for _, remaining := range a.remaining { // what the relay itself may have missed is taken off
+				for _, remaining := range a.remaining { // reduced by how stale the relay may be
 					if remaining <= 0 || remaining > balancer.NotifyBoundAfterFailure-RelayMaxStaleness {
-						t.Errorf("notified of a failure with %v remaining", remaining)
+						t.Errorf("notified of a failure with %v remaining, want more than 0 and at most %v", remaining, balancer.NotifyBoundAfterFailure-RelayMaxStaleness)
 					}
 				}
 			})
@@ -282,11 +283,11 @@
 	}
 }
 
-// An agent that was cut off from its relays and from discovery for any time is synced within the bound once it is not any more: what
-// it could take for an overload of discovery keeps it from calling that alone.
+// After a network partition of any length from its relays and from discovery, an agent must sync within the bound. The
+// failures look like an overload of discovery, but may only keep the agent from calling discovery, not its relays.
 func TestRecoveryAfterPartition(t *testing.T) {
 	for _, cut := range []time.Duration{time.Second, 5 * time.Second, 12 * time.Second, 20 * time.Second, 47 * time.Second, 5 * time.Minute} {
-		for name, relays := range map[string]int{"silent": unresponsive, "stale": rejecting} {
+		for name, relays := range map[string]int{"unresponsive": unresponsive, "stale": rejecting} {
 			t.Run(fmt.Sprintf("%s relays/%v", name, cut), func(t *testing.T) { recoverAfterPartition(t, relays, cut) })
 		}
 	}
@@ -306,12 +307,12 @@
 		time.Sleep(30 * time.Second)
 		synctest.Wait()
 		if at, ok := a.receivedAt(2); !ok || at.Sub(back) > balancer.NotifyBoundAfterFailure {
-			t.Errorf("received %v, %v after the cut", ok, at.Sub(back))
+			t.Errorf("received %v, %v after the partition, want at most %v", ok, at.Sub(back), balancer.NotifyBoundAfterFailure)
 		}
 	})
 }
 
-// A machine that does not respond shows in the dial already, in time for the other relays.
+// A dial to a relay on an unresponsive machine must time out early enough to leave time for the other relays.
 func TestRelayDialTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dial := withRelayDialTimeout(func(ctx context.Context, _, _ string) (net.Conn, error) {
@@ -326,22 +327,22 @@
 			{t.Context(), time.Minute},
 		} {
 			ctx, cancel := context.WithTimeout(c.ctx, time.Minute)
-			begun := time.Now()
-			if _, err := dial(ctx, "tcp", "10.0.0.1:1"); !errors.Is(err, context.DeadlineExceeded) || time.Since(begun) != c.want {
-				t.Errorf("error %v after %v, want %v", err, time.Since(begun), c.want)
+			start := time.Now()
+			if _, err := dial(ctx, "tcp", "10.0.0.1:1"); !errors.Is(err, context.DeadlineExceeded) || time.Since(start) != c.want {
+				t.Errorf("got error %v after %v, want a timeout after %v", err, time.Since(start), c.want)
 			}
 			cancel()
 		}
 	})
 	if worst := relayWatchWait + watchGrace + 5*relayDialTimeout; worst >= balancer.NotifyBoundAfterFailure-RelayMaxStaleness {
-		t.Errorf("five silent relays take %v", worst)
+		t.Errorf("five unresponsive relays take %v, want less than %v", worst, balancer.NotifyBoundAfterFailure-RelayMaxStaleness)
 	}
 }
 
-// An agent that is away from its first relay tries it again once a minute at most, stays where it was if that fails, and
-// otherwise stays there.
+// An agent that uses another address must try its first relay again at most once a minute. If that fails it returns to
+// the other address, else it stays at its first relay.
 func TestReturnToPreferredRelay(t *testing.T) {
-	for _, lost := range []int{1, 3} { // to the second relay, and to discovery itself
+	for _, lost := range []int{1, 3} { // fail over to the second relay, and to the discovery service
 		synctest.Test(t, func(t *testing.T) {
 			a := startRelayed(t, true, true, time.Second)
 			time.Sleep(10 * time.Second)
@@ -358,37 +359,37 @@
 			}
 			a.serviceHosts.mu.Unlock()
 			if tries < 8 || tries > 10 {
-				t.Errorf("%d lost: the first relay is tried %d times in ten minutes", lost, tries)
+				t.Errorf("%d lost: first relay tried %d times in ten minutes, want 8 to 10", lost, tries)
 			}
 			a.setState(serving, a.order...)
 			time.Sleep(preferredRetryInterval + 2*relayWatchWait + watchCycle)
 			_, before = a.calls()
 			time.Sleep(time.Minute)
 			if got := a.hostsSince(before); !slices.Equal(got, a.order[:1]) {
-				t.Errorf("%d lost: a minute after their return %q are called, want %q", lost, got, a.order[0])
+				t.Errorf("%d lost: called %q a minute after their return, want %q", lost, got, a.order[0])
 			}
 			if full, _ := a.calls(); full != 0 {
-				t.Errorf("the full list is polled %d times", full)
+				t.Errorf("full list polled %d times, want 0", full)
 			}
 		})
 	}
 }
 
-// A relay that rejects a call with Retry-After is called again then, and nobody else meanwhile.
+// A relay that rejects a call with Retry-After must be called again after that time, and no other address before.
 func TestRetryAfterOfRelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startRelayed(t, true, false, time.Second)
 		a.setState(rejectingOnce, a.order[0])
-		begun := time.Now()
+		start := time.Now()
 		time.Sleep(5 * time.Second)
 		at, ok := a.receivedAt(1)
-		if called := a.hostsSince(0); !ok || at.Sub(begun) != 1250*time.Millisecond || !slices.Equal(called, a.order[:1]) {
-			t.Errorf("received %v after %v, %q are called", ok, at.Sub(begun), called)
+		if called := a.hostsSince(0); !ok || at.Sub(start) != 1250*time.Millisecond || !slices.Equal(called, a.order[:1]) {
+			t.Errorf("received %v after %v from %q, want 1.25s and %q", ok, at.Sub(start), called, a.order[:1])
 		}
 	})
 }
 
-// Relays that come and go change who is called, not which revision is held.
+// When the configured relays change, the agent must call the new ones and keep the held revision.
 func TestRelaysChange(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		h := newHosts("10.0.0.1:1", "10.0.0.2:1", discoveryAddr)
@@ -414,18 +415,18 @@
 			migrations <- Target{discoveryAddr, c.relays}
 			synctest.Wait()
 			if got := h.hostsSince(before); !slices.Equal(got, []string{c.want}) {
-				t.Errorf("relays %q: %q are called", c.relays, got)
+				t.Errorf("relays %q: called %q, want %q", c.relays, got, c.want)
 			}
 		}
 		if full, _ := h.calls(); full != 1 {
-			t.Errorf("the full list is polled %d times", full)
+			t.Errorf("full list polled %d times, want 1", full)
 		}
 		stop()
 		<-ended
 	})
 }
 
-// Of many relays an agent goes through the first few of its own order, as many as there is time for, and then to discovery.
+// Of many relays an agent must use the first maxRelays of its own order, and then the discovery service.
 func TestMaxRelays(t *testing.T) {
 	all := make([]string, 1024)
 	for i := range all {
--- a/internal/discovery/silence_test.go
+++ b/internal/discovery/silence_test.go
@@ -10,15 +10,16 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// blackhole is a time in which the way to discovery swallows what is sent.
+// blackhole is a time in which the path to discovery drops everything that is sent.
 type blackhole struct {
 	agents int
-	cost   time.Duration // of a call behind it
+	cost   time.Duration // of a call after it
 	span   time.Duration
-	hangs  bool // connections come up and calls hang; else no connection comes up
+	hangs  bool // connections are established and calls hang; else no connection is established
 }
 
-// lateness plays a fleet and returns when each agent receives the change that is made as the way opens, after that counts as notified.
+// lateness simulates a fleet, makes a change at the end of the blackhole, and returns how long after the change counts
+// as notified each agent receives it.
 func (c blackhole) lateness(t *testing.T, seed uint64) (lateness []time.Duration) {
 	s := newServiceLikeOperators(c.cost)
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,"drainGrace":300,`)
@@ -35,8 +36,8 @@
 	return latenessOf(fleet, notified)
 }
 
-// Each agent receives a change in time that is made when a silent way to discovery opens again: its polls are not so far apart that none
-// can succeed within the bound.
+// Each agent must receive in time a change that is made when the path to discovery recovers from a blackhole. An agent
+// whose polls are too far apart makes none that succeeds within the bound.
 func TestChangesArriveAfterBlackhole(t *testing.T) {
 	for name, hangs := range map[string]bool{"no connection": false, "calls hang": true} {
 		t.Run(name, func(t *testing.T) {
@@ -48,7 +49,7 @@
 	}
 }
 
-// changesArriveAfterBlackhole plays fleets of several sizes, each by many seeds.
+// changesArriveAfterBlackhole simulates fleets of several sizes, each with many seeds.
 func changesArriveAfterBlackhole(t *testing.T, span time.Duration, hangs bool) {
 	const (
 		ms    = time.Millisecond
@@ -68,8 +69,8 @@
 	}
 }
 
-// A service that was quick and can now not answer all agents within the bound is not jammed by them either: until they have an answer they
-// cannot tell it from one that is silent.
+// A service that was fast and can no longer answer all agents within the bound must not be overloaded permanently by
+// them. Until they get a response, they cannot tell it from an unresponsive service.
 func TestServiceThatBecameSlowAnswersAllAgents(t *testing.T) {
 	const (
 		idleCost = time.Millisecond
@@ -104,8 +105,8 @@
 	}
 }
 
-// After a migration away from a service that has just begun to hang each agent hears from the new one within the bound of the migration,
-// which counts from the reload and not from the end of the poll that is still out.
+// After a migration from a service that has just begun to hang, each agent must get the list of the new service within
+// the bound of the migration, which counts from the reload and not from the end of the poll in flight.
 func TestMigrationFromAServiceThatHangs(t *testing.T) {
 	const seeds = 10
 	text := testSettingsWith(pollMode, `"mustAskIn":10000,"drainGrace":300,`)
@@ -114,8 +115,8 @@
 		if testing.Short() && agents > maxRaceFleet {
 			continue
 		}
-		for _, silent := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
-			t.Run(fmt.Sprintf("%d agents/%v", agents, silent), func(t *testing.T) {
+		for _, hangTime := range []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 4 * time.Second, 10 * time.Second} {
+			t.Run(fmt.Sprintf("%d agents/%v", agents, hangTime), func(t *testing.T) {
 				expectInTime(t, seeds, func(t *testing.T, seed uint64) []time.Duration {
 					old, next := newService(time.Millisecond), newService(min(300*time.Millisecond, 2*time.Second/time.Duration(agents)))
 					next.change()
@@ -123,7 +124,7 @@
 					time.Sleep(10 * time.Second)
 					old.setUnresponsive(true, true)
 					old.breakCalls(false)
-					time.Sleep(silent)
+					time.Sleep(hangTime)
 					notified := time.Now().Add(balancer.NotifyBoundAfterMigration)
 					for _, f := range fleet {
 						go func() { f.migrations <- discovery.Target{Addr: "new"} }()
--- a/internal/discovery/trace_amd64_test.go
+++ b/internal/discovery/trace_amd64_test.go
@@ -20,7 +20,8 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// traceRecorder is a service and a balancer that behave at random, by a seed, and a hash of all that a client does with them.
+// traceRecorder simulates a service and a balancer that behave at random, by a seed, and hashes all interactions of a
+// client with them.
 type traceRecorder struct {
 	mu      sync.Mutex
 	answers *rand.Rand // of the service
@@ -37,7 +38,7 @@
 	fmt.Fprintf(r.trace, format+"\n", args...)
 }
 
-// RoundTrip answers a call in one of the ways in which calls end.
+// RoundTrip ends a call with a random outcome.
 func (r *traceRecorder) RoundTrip(req *http.Request) (*http.Response, error) {
 	due, _ := req.Context().Deadline()
 	r.mu.Lock()
@@ -99,7 +100,7 @@
 	r.record("poll wait %d took %d failed %v", p.Wait, p.Duration, p.Err != nil)
 }
 
-// recordTrace plays ten minutes of one agent whose list is polled, with migrations.
+// recordTrace simulates ten minutes of one agent in poll mode, with migrations.
 func recordTrace(t *testing.T, seed uint64) (calls, events int, trace string) {
 	synctest.Test(t, func(t *testing.T) {
 		random := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
@@ -132,8 +133,8 @@
 	return calls, events, trace
 }
 
-// Each call for the list, its timeout, its result and each notification come to the nanosecond as they were when these hashes were
-// recorded, whatever the service and the owner do. Hashes never change with a refactoring.
+// Every call for the list, its timeout, its result and every notification must occur at the same nanosecond as when
+// these hashes were recorded, whatever the service and the owner do. A refactoring must not change the hashes.
 func TestCallTrace(t *testing.T) {
 	for seed, want := range []struct {
 		calls, events int
@@ -165,7 +166,7 @@
 		{1287, 989, "b48dcc3cd31983ef"},
 	} {
 		if calls, events, trace := recordTrace(t, uint64(seed)); calls != want.calls || events != want.events || trace != want.trace {
-			t.Errorf("seed %d: {%d, %d, %q}, want %v", seed, calls, events, trace, want)
+			t.Errorf("seed %d: got {%d, %d, %q}, want %v", seed, calls, events, trace, want)
 		}
 	}
 }
--- a/internal/membership/membership_test.go
+++ b/internal/membership/membership_test.go
@@ -16,23 +16,24 @@
 	return discovery.Member{ID: id, Address: "10.0.0.1:80", State: "Ready"}
 }
 
+// Names with the same hash must get different IDs, and an ID must not change when the other name is removed.
 func TestServerIDsWithEqualHash(t *testing.T) {
 	table, set := New(nil), &settings.Settings{}
-	both := table.Endpoints(set, []discovery.Member{ready("costarring"), ready("liquid")}) // one hash
+	both := table.Endpoints(set, []discovery.Member{ready("costarring"), ready("liquid")}) // the names have the same hash
 	x, y := both[0].ID, both[1].ID
 	if x+1 != y || table.Endpoints(set, []discovery.Member{ready("costarring")})[0].ID != x {
-		t.Errorf("got %d and %d", x, y)
+		t.Errorf("got IDs %d and %d, want consecutive ones that stay the same", x, y)
 	}
 	left := table.Endpoints(set, []discovery.Member{ready("liquid")})
 	if gone := table.RemoveGone(balancer.EndpointsReplaced, left); !slices.Equal(gone, []balancer.ServerID{x}) {
-		t.Errorf("gone are %d, want %d", gone, x)
+		t.Errorf("removed %d, want %d", gone, x)
 	}
 	if table.Endpoints(set, []discovery.Member{ready("liquid")})[0].ID != y {
-		t.Error("the second name's number has changed with the first gone")
+		t.Error("the ID of the second name changed when the first was removed")
 	}
 }
 
-// An endpoint says in the balancer's terms what discovery reported; what the settings do not name is at no position.
+// An endpoint must have the values that discovery reported; a zone or kind that the settings do not name has index -1.
 func TestEndpoints(t *testing.T) {
 	set := &settings.Settings{ZoneNames: []string{"a", "b"}, KindNames: []string{"m1"}}
 	m := discovery.Member{ID: "x", Address: "10.0.0.1:80", Zone: "b", Kind: "m2", Cell: 4, State: "Terminating", Weight: 2, StartedAtMillis: 1.5}
@@ -43,21 +44,21 @@
 		t.Errorf("got %+v, want %+v", e, want)
 	}
 	if got, known := table.Member(e.ID); !known || got != m {
-		t.Errorf("the table has %+v, %v", got, known)
+		t.Errorf("got member %+v, %v, want %+v", got, known, m)
 	}
 	if _, known := table.Member(e.ID + 1); known {
-		t.Error("the table has an endpoint that nobody reported")
+		t.Error("the table has an endpoint that was not reported")
 	}
 }
 
-// Whatever comes of lists, changes and failures, the table has those who were reported and are not gone, each at its number, and
-// returns each that goes once.
+// For any sequence of lists, changes and failures, the table must hold exactly the members that were reported and not
+// removed, each with an unchanged ID, and must return each removed one once.
 func TestTableFollowsLists(t *testing.T) {
 	set := &settings.Settings{}
 	r := rand.New(rand.NewPCG(1, 2))
 	states := []string{"Ready", "Ready", "Terminating", "Gone"}
 	table := New(nil)
-	want := map[string]string{} // states by name
+	want := map[string]string{} // state by name
 	ids := map[string]balancer.ServerID{}
 	for step := range 3000 {
 		update := []balancer.DiscoveryUpdate{balancer.EndpointsChanged, balancer.EndpointsChanged, balancer.EndpointsReplaced, balancer.EndpointsCached, balancer.PollFailed}[r.IntN(5)]
@@ -69,7 +70,7 @@
 				members = append(members, m)
 			}
 		}
-		var gone []string // as it has to be
+		var gone []string // expected
 		for name := range want {
 			listed := slices.ContainsFunc(members, func(m discovery.Member) bool { return m.ID == name })
 			if !listed && (update == balancer.EndpointsReplaced || update == balancer.EndpointsCached) {
@@ -84,7 +85,7 @@
 		endpoints := table.Endpoints(set, members)
 		for i, e := range endpoints {
 			if id, known := ids[members[i].ID]; known && id != e.ID {
-				t.Fatalf("step %d: %s had %d, has %d", step, members[i].ID, id, e.ID)
+				t.Fatalf("step %d: ID of %s changed from %d to %d", step, members[i].ID, id, e.ID)
 			}
 			ids[members[i].ID] = e.ID
 		}
@@ -98,28 +99,28 @@
 		slices.Sort(got)
 		slices.Sort(wantGone)
 		if !slices.Equal(got, wantGone) {
-			t.Fatalf("step %d, update %d: gone are %d, want %d", step, update, got, wantGone)
+			t.Fatalf("step %d, update %d: removed %d, want %d", step, update, got, wantGone)
 		}
 		count := map[balancer.EndpointState]int{}
 		for name, state := range want {
 			if m, known := table.Member(ids[name]); !known || m.ID != name || m.State != state {
-				t.Fatalf("step %d: %s is %+v", step, name, m)
+				t.Fatalf("step %d: got %+v for %s, want state %s", step, m, name, state)
 			}
 			member := discovery.Member{State: state}
 			count[member.EndpointState()]++
 		}
 		for _, state := range []balancer.EndpointState{balancer.Removed, balancer.Ready, balancer.Draining} {
 			if n := table.Count(state); n != count[state] {
-				t.Fatalf("step %d: %d in state %d, want %d", step, n, state, count[state])
+				t.Fatalf("step %d: got %d members in state %d, want %d", step, n, state, count[state])
 			}
 		}
 		if table.Len() != len(want) || len(table.ids) != len(want) || len(table.Members()) != len(want) {
-			t.Fatalf("step %d: %d members, %d names, want %d", step, table.Len(), len(table.ids), len(want))
+			t.Fatalf("step %d: got %d members and %d names, want %d", step, table.Len(), len(table.ids), len(want))
 		}
 	}
 }
 
-// BenchmarkUpdate is what a list event costs the table: one change, or the full list again.
+// BenchmarkUpdate measures the cost of a list event: one change, or the full list again.
 func BenchmarkUpdate(b *testing.B) {
 	for _, n := range []int{100, 1000, 10000} {
 		var all []discovery.Member
@@ -145,7 +146,7 @@
 	}
 }
 
-// Endpoints are as cold as the agent's own experience says, whatever its wall clock was wrong by when it started.
+// Slow start must use the age of endpoints that the agent observed, however wrong its wall clock was when it started.
 func TestStartTimesWithWrongClock(t *testing.T) {
 	const second = time.Second
 	up := func(id string, at time.Duration) discovery.Member {
@@ -153,10 +154,10 @@
 	}
 	for name, wrong := range map[string]time.Duration{"right": 0, "an hour ahead": time.Hour, "5 s ahead": 5 * second, "5 s behind": -5 * second, "an hour behind": -time.Hour} {
 		t.Run(name, func(t *testing.T) {
-			const start = 1_000_000 * second // Unix time, by a right clock
+			const start = 1_000_000 * second // Unix time of a correct clock
 			now := start
 			table, set := New(func() time.Duration { return now + wrong }), &settings.Settings{}
-			// ages are how old the members of a list are taken for.
+			// ages applies a list and returns the ages that its members are assumed to have.
 			ages := func(update balancer.DiscoveryUpdate, members ...discovery.Member) (ages []time.Duration) {
 				endpoints := table.Endpoints(set, members)
 				for _, e := range endpoints {
@@ -168,19 +169,19 @@
 			expect := func(what string, got, least, most time.Duration) {
 				t.Helper()
 				if got < least || got > most {
-					t.Errorf("%s is taken for %v old, want %v to %v", what, got, least, most)
+					t.Errorf("%s: got age %v, want %v to %v", what, got, least, most)
 				}
 			}
 			first := ages(balancer.EndpointsReplaced, up("old", start-time.Hour), up("cold", start-second), up("long ago", 0))
 			switch {
 			case wrong == 0:
 				expect("a cold one of the first list", first[1], second, second)
-			case wrong < 0: // the latest start is taken for now
+			case wrong < 0: // the latest start is assumed to be now
 				expect("a cold one of the first list", first[1], 0, second)
 				expect("an old one", first[0], time.Hour-second, time.Hour)
 			}
 			if e := table.Endpoints(set, []discovery.Member{up("long ago", 0)})[0]; e.Start != 0 {
-				t.Errorf("one that is up since long ago started at %v", e.Start)
+				t.Errorf("one that started long ago: got start %v, want 0", e.Start)
 			}
 			now += 10 * second
 			added := up("new", now-second)
