--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -190,14 +190,14 @@
 	}
 }
 
-// pollMode reports whether the list is requested only when the owner polls, who is then notified of failures. A reload
-// may change it.
+// pollMode reports whether the list is requested only after a call of Poll, and the owner is notified of failures. A
+// reload may change it.
 func (c *Client) pollMode() bool { return c.settings().Balancer.PollEndpoints }
 
 func (c *Client) agents() int { return c.settings().Balancer.Agents }
 
 // followList follows the list at one target until targetCtx ends. On a migration targetCtx ends before ctx, the
-// client's own context; a poll in flight then continues for as long as the old target still responds.
+// client's own context; a poll in flight then continues for oldTargetGrace.
 func (c *Client) followList(ctx, targetCtx context.Context) {
 	for {
 		if c.pollMode() {
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -34,11 +34,11 @@
 	mu                  sync.Mutex
 	cost                time.Duration // of a call
 	down                bool
-	unreachable         bool       // connections are not established
-	hangs               bool       // calls are accepted and never answered
-	rejectsLate         bool       // while down, rejects calls after maxWait, like calls that time out in the queue
-	rejectsUntil        time.Time  // until when calls are rejected:
-	rejectEvery         int        // every rejectEvery-th call
+	unreachable         bool      // connections are not established
+	hangs               bool      // calls are accepted and never answered
+	rejectsLate         bool      // while down, rejects calls after maxWait, like calls that time out in the queue
+	rejectsUntil        time.Time // until then every rejectEvery-th call is rejected
+	rejectEvery         int
 	rejections          *rand.Rand // if not nil, a quarter of the calls is rejected immediately
 	calls               int
 	callsWithWork       int // calls that cost work
--- a/internal/discovery/hedge.go
+++ b/internal/discovery/hedge.go
@@ -28,9 +28,9 @@
 	if c.route.atRelay() || !c.pollMode() || c.overload.timeouts > 0 || c.rejections.endedPoll {
 		return 0, false
 	}
-	longest := pollTimeout / 2
+	delay = pollTimeout / 2
 	if c.deadline.pending() && !c.rejections.seen {
-		longest = min(longest, c.deadline.remaining()/2)
+		delay = min(delay, c.deadline.remaining()/2)
 	}
-	return max(minHedgeDelay, longest, c.latency.fleetPollTime(c.agents())/2), true
+	return max(minHedgeDelay, delay, c.latency.fleetPollTime(c.agents())/2), true
 }
--- a/internal/discovery/restart_test.go
+++ b/internal/discovery/restart_test.go
@@ -11,8 +11,8 @@
 
 const (
 	restartFleet = 350
-	// changeAge is the age at a restart of the oldest change that the list that the agents start from may lack: the
-	// change counts as notified at the moment of the start.
+	// changeAge is the age, at a restart, of the oldest change that the agents' list lacks. The change counts as
+	// notified at the moment of the start.
 	changeAge = 6 * time.Second
 	// startupPollWindow is the time within which all agents that start together poll.
 	startupPollWindow = 3 * time.Second
--- a/internal/discovery/route.go
+++ b/internal/discovery/route.go
@@ -46,7 +46,7 @@
 // candidate is one address of a route.
 type candidate struct {
 	addr              string
-	tried             bool      // since the last response or the start of the round
+	tried             bool      // without success since the last response or the start of the round
 	retried           bool      // likewise: called again after its Retry-After
 	unresponsiveSince time.Time // zero if it responded to the last call
 }
--- a/internal/discovery/route_test.go
+++ b/internal/discovery/route_test.go
@@ -176,7 +176,7 @@
 // startRelayed starts an agent that holds revision 1, or nothing. In poll mode it polls the given delay after a
 // failure, as the balancer would; a negative delay means the longest that the balancer would choose for the remaining
 // time.
-func startRelayed(t *testing.T, pollMode, known bool, turn time.Duration) *relayedAgent {
+func startRelayed(t *testing.T, pollMode, known bool, pollDelay time.Duration) *relayedAgent {
 	relays := []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1"}
 	a := &relayedAgent{serviceHosts: newHosts(append(relays, discoveryAddr)...), order: rankRelays("a", relays), received: map[uint64]time.Time{}}
 	set := &settings.Settings{Balancer: balancer.Settings{Agents: 1, PollEndpoints: pollMode}}
@@ -189,7 +189,7 @@
 			defer a.mu.Unlock()
 			if event.Update.KeepsEndpoints() {
 				a.remaining = append(a.remaining, event.Remaining)
-				wait := turn
+				wait := pollDelay
 				if wait < 0 {
 					wait = max(300*time.Millisecond, cmp.Or(event.Remaining, balancer.NotifyBoundAfterFailure)-1500*time.Millisecond)
 				}
@@ -224,7 +224,7 @@
 // However relays are lost, an agent must fail over to its next relay immediately and to the discovery service last, and
 // must receive a change within the time that the platform allows. It must not poll the full list again.
 func TestRelayFailover(t *testing.T) {
-	const turn = time.Second
+	const pollDelay = time.Second
 	for name, c := range map[string]struct {
 		poll         bool
 		state        int
@@ -238,8 +238,8 @@
 		"unresponsive":            {true, unresponsive, 1, relayWatchWait + watchGrace, "second", 0},
 		"two reset":               {true, down, 2, 10 * time.Millisecond, "third", 0},
 		"two unresponsive":        {true, unresponsive, 2, relayWatchWait + watchGrace + RelayTimeout, "third", 0},
-		"all reset":               {true, down, 3, turn + 10*time.Millisecond, "service", 1},
-		"all reject":              {true, rejecting, 3, turn + 10*time.Millisecond, "service", 1},
+		"all reset":               {true, down, 3, pollDelay + 10*time.Millisecond, "service", 1},
+		"all reject":              {true, rejecting, 3, pollDelay + 10*time.Millisecond, "service", 1},
 		"push mode, reset":        {false, down, 1, 10 * time.Millisecond, "second", 0},
 		"push mode, unresponsive": {false, unresponsive, 1, relayWatchWait + watchGrace, "second", 0},
 		"push mode, all reset":    {false, down, 3, 10 * time.Millisecond, "service", 0},
@@ -247,7 +247,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				a := startRelayed(t, c.poll, false, turn)
+				a := startRelayed(t, c.poll, false, pollDelay)
 				time.Sleep(10*time.Second + 100*time.Millisecond) // during a watch
 				synctest.Wait()
 				full, calls := a.calls()
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -77,8 +77,8 @@
 		return c.pushWatchWait
 	}
 	set := &c.settings().Balancer
-	turn := time.Duration((float64(set.Rank) + 0.5) / float64(set.Agents) * float64(watchCycle))
-	wait := (turn - clock.Phase(watchCycle) + watchCycle) % watchCycle
+	offset := time.Duration((float64(set.Rank) + 0.5) / float64(set.Agents) * float64(watchCycle))
+	wait := (offset - clock.Phase(watchCycle) + watchCycle) % watchCycle
 	if wait < minWatchWait {
 		wait += watchCycle
 	}
