--- a/internal/discovery/route_test.go
+++ b/internal/discovery/route_test.go
@@ -286,9 +286,9 @@
 // After a network partition of any length from its relays and from discovery, an agent must sync within the bound. The
 // failures look like an overload of discovery, but may only keep the agent from calling discovery, not its relays.
 func TestRecoveryAfterPartition(t *testing.T) {
-	for _, cut := range []time.Duration{time.Second, 5 * time.Second, 12 * time.Second, 20 * time.Second, 47 * time.Second, 5 * time.Minute} {
+	for _, partition := range []time.Duration{time.Second, 5 * time.Second, 12 * time.Second, 20 * time.Second, 47 * time.Second, 5 * time.Minute} {
 		for name, relays := range map[string]int{"unresponsive": unresponsive, "stale": rejecting} {
-			t.Run(fmt.Sprintf("%s relays/%v", name, cut), func(t *testing.T) { recoverAfterPartition(t, relays, cut) })
+			t.Run(fmt.Sprintf("%s relays/%v", name, partition), func(t *testing.T) { recoverAfterPartition(t, relays, partition) })
 		}
 	}
 }
--- a/internal/membership/starttimes.go
+++ b/internal/membership/starttimes.go
@@ -15,7 +15,8 @@
 //     youngest on arrival is assumed to have started on arrival, and the others earlier by the difference in apparent
 //     age. If the clock is right, they are assumed to be younger than they are by the time that discovery needs to
 //     report a start.
-//   - No endpoint starts in the future: the clock is behind by at least the offset of the latest start in the first list.
+//   - No endpoint starts in the future. If the latest start in the first list is later than now, the clock is behind by
+//     at least the difference.
 //
 // A clock that was ahead when the agent started makes the endpoints of the first list look older than they are. This
 // cannot be detected.
