--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -40,7 +40,7 @@
 	now           time.Duration // never runs backwards
 	requests      map[balancer.RequestID]*call
 	lastID        balancer.RequestID
-	forControl    bool // the event being handled is accounted to control
+	controlPlane  bool // the event being handled is accounted to control
 	events        []balancer.Event
 	actions       []balancer.Action
 	listTimes     []listTime // since the measured part began
@@ -58,9 +58,9 @@
 }
 
 // startProcess makes the agent a new process, which knows what its configuration says. The shard calls it.
-func (a *agent) startProcess(cfg *config.Config, decisions *balancer.Balancer, pollEndpoints func()) {
+func (a *agent) startProcess(cfg *config.Config, lb *balancer.Balancer, pollEndpoints func()) {
 	a.stopProcess()
-	a.balancer = decisions
+	a.balancer = lb
 	a.pollEndpoints = pollEndpoints
 	a.isUp = true
 	a.settings.Store(&cfg.Settings)
@@ -104,7 +104,7 @@
 	}
 	a.shard.cpu.measureControl(func() {
 		ev := watchEvent.Event(a.resolveEndpoints(watchEvent.Members))
-		a.handleForControl(ev)
+		a.handleControlEvent(ev)
 		if watchEvent.Update.KeepsEndpoints() {
 			return
 		}
@@ -125,7 +125,7 @@
 	a.listTimes = append(a.listTimes, listTime{revision, int64(a.shard.clock.Now())})
 	if a.hasList && !a.synced {
 		a.synced = true
-		a.shard.fleet.noteSynced()
+		a.shard.fleet.recordSynced()
 	}
 }
 
@@ -157,18 +157,18 @@
 			return
 		}
 		// The balancer knows zones and kinds by their positions in the settings, which have changed for all endpoints.
-		a.handleForControl(balancer.Event{
+		a.handleControlEvent(balancer.Event{
 			Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: a.resolveEndpoints(a.endpoints.Members()),
 		})
 	})
 	return err
 }
 
-// handleForControl handles an event whose timers are accounted to control as well.
-func (a *agent) handleForControl(ev balancer.Event) {
-	a.forControl = true
+// handleControlEvent handles an event whose timers are accounted to control as well.
+func (a *agent) handleControlEvent(ev balancer.Event) {
+	a.controlPlane = true
 	a.handle(ev)
-	a.forControl = false
+	a.controlPlane = false
 }
 
 // handle hands an event to the balancer and performs its actions, and so on with the events that these cause.
@@ -206,7 +206,7 @@
 	case balancer.ActionSetTimer:
 		a.shard.queue.push(event{
 			kind: eventTimer, due: a.now + action.Delay, agent: a, incarnation: a.incarnation, token: uint64(action.TimerID),
-			forControl: a.forControl,
+			controlPlane: a.controlPlane,
 		})
 	case balancer.ActionHealthCheck:
 		a.healthCheck(action.Server)
@@ -223,7 +223,7 @@
 		return
 	}
 	fire := func() { a.handle(balancer.Event{Kind: balancer.EventTimer, TimerID: balancer.TimerID(ev.token)}) }
-	if ev.forControl {
+	if ev.controlPlane {
 		a.shard.cpu.measureControl(fire)
 	} else {
 		fire()
@@ -250,7 +250,7 @@
 	if len(calls) == 0 {
 		return
 	}
-	phase := s.phase()
+	phase := s.currentPhase()
 	second := s.counts.countRootCall(phase, s.now)
 	a.startCall(request{
 		service: pickService(s.rng.Float64(), calls), remaining: math.MaxInt64, phase: phase, second: second, root: true,
--- a/internal/scale/simagent/call.go
+++ b/internal/scale/simagent/call.go
@@ -39,7 +39,7 @@
 
 	attempts []*attempt
 	inFlight int
-	answered bool
+	finished bool
 }
 
 // attempt is one try of a call at one server. The caller's shard owns the fields up to outcome, the server's shard the rest.
@@ -62,7 +62,7 @@
 func (a *agent) startCall(r request) *call {
 	s := a.shard
 	service := &s.fleet.world.Services[r.service]
-	s.counts.of(r.phase, service.Layer).Calls++
+	s.counts.countsFor(r.phase, service.Layer).Calls++
 	c := &call{request: r, agent: a, incarnation: a.incarnation}
 	class, known := 0, false
 	if a.isUp && a.hasList {
@@ -97,27 +97,27 @@
 
 // finish gives a call its answer, unless it has one.
 func (a *agent) finish(c *call, result callResult) {
-	if !c.answered {
-		c.answered = true
-		a.shard.counts.countEnd(c, a.shard.fleet.world.Services[c.service].Layer, result)
+	if !c.finished {
+		c.finished = true
+		a.shard.counts.countFinished(c, a.shard.fleet.world.Services[c.service].Layer, result)
 		if c.parent != nil {
 			// As an event of its own: the parent's next call must not start while this agent is still handling an event.
 			a.shard.queue.push(event{kind: eventCallDone, due: a.shard.now, attempt: c.parent, ok: result == callServed})
 		}
 	}
-	a.forget(c)
+	a.removeIfDone(c)
 }
 
-// forget drops a call once it is answered and none of its attempts is in flight.
-func (a *agent) forget(c *call) {
-	if c.answered && c.inFlight == 0 && a.requests[c.id] == c {
+// removeIfDone drops a call once it is answered and none of its attempts is in flight.
+func (a *agent) removeIfDone(c *call) {
+	if c.finished && c.inFlight == 0 && a.requests[c.id] == c {
 		delete(a.requests, c.id)
 	}
 }
 
 // cancelCall ends a call whose application has gone.
 func (a *agent) cancelCall(c *call) {
-	if c.answered || c.incarnation != a.incarnation {
+	if c.finished || c.incarnation != a.incarnation {
 		return
 	}
 	c.parent = nil
@@ -125,7 +125,7 @@
 	if a.isUp {
 		a.handle(balancer.Event{Kind: balancer.EventClientClosed, Request: c.id})
 	}
-	a.forget(c)
+	a.removeIfDone(c)
 }
 
 // send makes an attempt at a server. One that can no longer be made ends as expired.
@@ -137,21 +137,21 @@
 	if action.Timeout != 0 {
 		remaining = min(remaining, action.Timeout)
 	}
-	if c.answered || remaining <= 0 || target == nil {
+	if c.finished || remaining <= 0 || target == nil {
 		c.attempts = append(c.attempts, &attempt{call: c, number: number, finished: true, outcome: balancer.OutcomeExpired})
 		a.events = append(a.events, balancer.Event{
 			Kind: balancer.EventOutcome, Request: c.id, Attempt: number, Server: action.Server,
-			Outcome: balancer.OutcomeExpired, Answered: c.answered, Load: settings.UnknownLoad(),
+			Outcome: balancer.OutcomeExpired, Answered: c.finished, Load: settings.UnknownLoad(),
 		})
 		return
 	}
 	if c.mayHaveExecuted() && c.phase != phaseBefore {
-		s.counts.repeats[c.idempotency]++
+		s.counts.retries[c.idempotency]++
 	}
 	att := &attempt{call: c, number: number, server: target, serverID: action.Server, deadline: a.now + remaining}
 	c.attempts = append(c.attempts, att)
 	c.inFlight++
-	s.counts.of(c.phase, s.fleet.world.Services[c.service].Layer).Attempts++
+	s.counts.countsFor(c.phase, s.fleet.world.Services[c.service].Layer).Attempts++
 	s.transmit(a.server, target, event{kind: eventAttemptArrived, due: a.now, attempt: att})
 	s.queue.push(event{kind: eventTimeout, due: att.deadline, attempt: att})
 }
@@ -182,9 +182,9 @@
 	}
 	a.handle(balancer.Event{
 		Kind: balancer.EventOutcome, Request: c.id, Attempt: att.number, Server: att.serverID, Outcome: outcome,
-		Answered: c.answered, Load: report.toBalancer(a.settings.Load()),
+		Answered: c.finished, Load: report.toBalancer(a.settings.Load()),
 	})
-	a.forget(c)
+	a.removeIfDone(c)
 }
 
 // onAttemptTimeout gives up an attempt that is still in flight at its timeout.
--- a/internal/scale/simagent/configsource_test.go
+++ b/internal/scale/simagent/configsource_test.go
@@ -6,9 +6,9 @@
 )
 
 // An agent that is slow to take a configuration in does not hold up those that come after it at the source.
-func TestConfigSourceWaitsForNoAgent(t *testing.T) {
+func TestSlowAgentDoesNotDelayRollout(t *testing.T) {
 	w := tinyWorld(t, nil)
-	f, _ := started(t, w, func(o *Options) { o.Shards = 2 })
+	f, _ := startFleet(t, w, func(o *Options) { o.Shards = 2 })
 	f.Begin()
 	slow, goesOn, held := f.agents[0].shard, make(chan struct{}), make(chan struct{})
 	slow.doAsync(func() { close(held); <-goesOn })
@@ -25,7 +25,7 @@
 		}
 		return have, of
 	}
-	until(t, "the other shard's agents have the configuration", func() bool {
+	waitFor(t, "the other shard's agents have the configuration", func() bool {
 		c := f.configSource.changesSince(0)
 		if len(c) == 0 {
 			return false
@@ -37,13 +37,13 @@
 		t.Error("the slow agent has it too")
 	}
 	close(goesOn)
-	until(t, "all agents have it", func() bool { return f.Stats().Control.ConfigInForce.N == int64(len(w.Agents)) })
+	waitFor(t, "all agents have it", func() bool { return f.Stats().Control.ConfigInForce.N == int64(len(w.Agents)) })
 }
 
 // A configuration that an agent takes in after a newer one does not replace that, and has been in force with it.
-func TestOlderConfigurationComesLate(t *testing.T) {
+func TestOlderConfigurationIgnored(t *testing.T) {
 	w := tinyWorld(t, nil)
-	f, _ := started(t, w, nil)
+	f, _ := startFleet(t, w, nil)
 	a := f.agents[2]
 	text := func(revision int) []byte { return w.Config(a.position, f.configOptions(a, revision)) }
 	for _, revision := range []int{1, 2} {
--- a/internal/scale/simagent/counts.go
+++ b/internal/scale/simagent/counts.go
@@ -39,12 +39,12 @@
 	depths    [maxDepth + 1][phaseCount]depthCounts
 	windows   []result.Window // by second
 	roots     [phaseCount]int64
-	repeats   [3]int64 // by idempotency: attempts of calls that may have executed before
+	retries   [3]int64 // by idempotency: attempts of calls that may have executed before
 	logLines  int64    // of the balancers
 }
 
-// phase is the one in which a root call counts that begins now.
-func (s *shard) phase() phase {
+// currentPhase is the one in which a root call counts that begins now.
+func (s *shard) currentPhase() phase {
 	switch {
 	case s.counts.startedAt == 0:
 		return phaseBefore
@@ -54,8 +54,8 @@
 	return phaseHealthy
 }
 
-// of returns the counts of a phase and layer.
-func (c *shardCounts) of(p phase, layer int) *depthCounts {
+// countsFor returns the counts countsFor a phase and layer.
+func (c *shardCounts) countsFor(p phase, layer int) *depthCounts {
 	return &c.depths[min(max(layer, 0), maxDepth)][p]
 }
 
@@ -77,14 +77,14 @@
 	}
 }
 
-// countEnd counts the end of a call.
-func (c *shardCounts) countEnd(of *call, layer int, how callResult) {
-	d := c.of(of.phase, layer)
-	switch how {
+// countFinished counts the end of a call.
+func (c *shardCounts) countFinished(ended *call, layer int, outcome callResult) {
+	d := c.countsFor(ended.phase, layer)
+	switch outcome {
 	case callServed:
 		d.OK++
-		if of.root && of.phase != phaseBefore && of.second < len(c.windows) {
-			c.windows[of.second].Served++
+		if ended.root && ended.phase != phaseBefore && ended.second < len(c.windows) {
+			c.windows[ended.second].Served++
 		}
 	case callFailed:
 		d.Failed++
@@ -108,8 +108,8 @@
 	for p := range o.roots {
 		c.roots[p] += o.roots[p]
 	}
-	for i := range o.repeats {
-		c.repeats[i] += o.repeats[i]
+	for i := range o.retries {
+		c.retries[i] += o.retries[i]
 	}
 	c.logLines += o.logLines
 }
--- a/internal/scale/simagent/discovery_test.go
+++ b/internal/scale/simagent/discovery_test.go
@@ -16,15 +16,15 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// wait bounds what a test waits for; nothing passes by it.
-const wait = 30 * time.Second
+// waitTimeout bounds what a test waits for; nothing passes by it.
+const waitTimeout = 30 * time.Second
 
-// until waits for something to hold.
-func until(t *testing.T, what string, holds func() bool) {
+// waitFor waits for something to hold.
+func waitFor(t *testing.T, what string, holds func() bool) {
 	t.Helper()
 	for begun := time.Now(); !holds(); time.Sleep(time.Millisecond) {
-		if time.Since(begun) > wait {
-			t.Fatalf("not within %v: %s", wait, what)
+		if time.Since(begun) > waitTimeout {
+			t.Fatalf("not within %v: %s", waitTimeout, what)
 		}
 	}
 }
@@ -121,14 +121,14 @@
 	return n
 }
 
-// afterWatches waits until each agent has begun so many more watches. Whatever else it wanted before, it has asked for.
-func (c *fakeDiscovery) afterWatches(t *testing.T, agents []int, more int, do func()) {
+// awaitWatches waits until each agent has begun so many more watches. Whatever else it wanted before, it has asked for.
+func (c *fakeDiscovery) awaitWatches(t *testing.T, agents []int, more int, do func()) {
 	t.Helper()
 	c.mu.Lock()
 	before := append([]int(nil), c.watches...)
 	c.mu.Unlock()
 	do()
-	until(t, fmt.Sprintf("%d more watches of each", more), func() bool {
+	waitFor(t, fmt.Sprintf("%d more watches of each", more), func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for _, a := range agents {
@@ -170,19 +170,19 @@
 	return w
 }
 
-// everyone returns the positions of all agents.
-func everyone(w *world.World) (out []int) {
+// allAgents returns the positions of all agents.
+func allAgents(w *world.World) (out []int) {
 	for i := range w.Agents {
 		out = append(out, i)
 	}
 	return out
 }
 
-// started starts a world's agents with a discovery service.
-func started(t *testing.T, w *world.World, change func(*Options)) (*Fleet, *fakeDiscovery) {
+// startFleet starts a world's agents with a discovery service.
+func startFleet(t *testing.T, w *world.World, change func(*Options)) (*Fleet, *fakeDiscovery) {
 	t.Helper()
 	c := newFakeDiscovery(t, w)
-	o := Options{World: w, Agents: everyone(w), Discovery: c.addrs}
+	o := Options{World: w, Agents: allAgents(w), Discovery: c.addrs}
 	if change != nil {
 		change(&o)
 	}
--- a/internal/scale/simagent/event.go
+++ b/internal/scale/simagent/event.go
@@ -18,26 +18,26 @@
 	eventCallDone                          // at its server: a call that the attempt made has ended [attempt, ok]
 	eventOutcome                           // of an attempt, at its caller [attempt, outcome, report]
 	eventTimeout                           // of an attempt, at its caller [attempt]
-	eventTimer                             // an ActionSetTimer [agent, incarnation, token, forControl]
+	eventTimer                             // an ActionSetTimer [agent, incarnation, token, controlPlane]
 	eventHealthCheck                       // at its server [agent, incarnation, server, token]
 	eventHealthCheckDone                   // at its caller [agent, incarnation, token, report, ok]
 )
 
 // event is something that falls due in a shard.
 type event struct {
-	due         time.Duration
-	seq         uint64 // the queue's: events due at one time are handled in the order in which they were queued
-	kind        eventKind
-	ok          bool
-	forControl  bool // accounted to control
-	outcome     balancer.Outcome
-	incarnation uint32
-	report      loadReport
-	agent       *agent
-	server      *server
-	attempt     *attempt
-	token       uint64
-	run         func()
+	due          time.Duration
+	seq          uint64 // the queue's: events due at one time are handled in the order in which they were queued
+	kind         eventKind
+	ok           bool
+	controlPlane bool // accounted to control
+	outcome      balancer.Outcome
+	incarnation  uint32
+	report       loadReport
+	agent        *agent
+	server       *server
+	attempt      *attempt
+	token        uint64
+	run          func()
 }
 
 func (e *event) before(o *event) bool {
--- a/internal/scale/simagent/fleet.go
+++ b/internal/scale/simagent/fleet.go
@@ -213,8 +213,8 @@
 	return f.servers[i]
 }
 
-// noteSynced counts an incarnation of an agent that has got the list from discovery.
-func (f *Fleet) noteSynced() {
+// recordSynced counts an incarnation of an agent that has got the list from discovery.
+func (f *Fleet) recordSynced() {
 	f.syncedProcesses.Add(1)
 	select {
 	case f.syncedSignal <- struct{}{}:
--- a/internal/scale/simagent/fleet_test.go
+++ b/internal/scale/simagent/fleet_test.go
@@ -17,11 +17,11 @@
 
 // Calls come to each layer as often as the world says, at the root by the second and below by the root, and nearly all
 // are served.
-func TestCallsReachTheirRates(t *testing.T) {
+func TestCallRatesPerLayer(t *testing.T) {
 	w := tinyWorld(t, nil)
-	f, _ := started(t, w, nil)
+	f, _ := startFleet(t, w, nil)
 	f.Begin()
-	until(t, "1500 calls at the root", func() bool { return f.mergedCounts().roots[phaseHealthy] >= 1500 })
+	waitFor(t, "1500 calls at the root", func() bool { return f.mergedCounts().roots[phaseHealthy] >= 1500 })
 	r := f.Stats()
 	want := w.LayerRates()
 	if expected := want[0] * r.Seconds; math.Abs(float64(r.Roots)-expected) > 5*math.Sqrt(expected)+1 {
@@ -55,7 +55,7 @@
 // asks for the whole list for it.
 func TestListInForce(t *testing.T) {
 	w := tinyWorld(t, nil)
-	f, c := started(t, w, nil)
+	f, c := startFleet(t, w, nil)
 	f.Begin()
 	asked := c.fullListCount()
 	var made []time.Time
@@ -64,7 +64,7 @@
 		m.State = "Gone"
 		made = append(made, time.Now())
 		revision := c.change(m)
-		until(t, "all agents have the change", func() bool {
+		waitFor(t, "all agents have the change", func() bool {
 			l := f.Stats().Lists
 			return len(l) == i+1 && !slices.Contains(l[i].At, 0) && l[i].Revision == revision
 		})
@@ -91,8 +91,8 @@
 // Agents that start with a cached list ask for its changes only.
 func TestCachedEndpoints(t *testing.T) {
 	w := tinyWorld(t, nil)
-	f, c := started(t, w, func(o *Options) { o.CachedEndpoints = lists.Encode(1, true, w.Members(time.Now())) })
-	until(t, "all hold the list", func() bool { return f.countReady() == len(w.Agents) })
+	f, c := startFleet(t, w, func(o *Options) { o.CachedEndpoints = lists.Encode(1, true, w.Members(time.Now())) })
+	waitFor(t, "all hold the list", func() bool { return f.countReady() == len(w.Agents) })
 	if n := c.fullListCount(); n != 0 {
 		t.Errorf("%d full lists were asked for", n)
 	}
@@ -108,11 +108,11 @@
 	}{{"known", false, 0}, {"forgotten", true, 1}} {
 		t.Run(c.name, func(t *testing.T) {
 			w := tinyWorld(t, nil)
-			f, ctl := started(t, w, nil)
+			f, ctl := startFleet(t, w, nil)
 			restart := []int{0, 3, 11}
-			ctl.afterWatches(t, everyone(w), 1, func() {})
+			ctl.awaitWatches(t, allAgents(w), 1, func() {})
 			asked := ctl.fullListCount()
-			ctl.afterWatches(t, restart, 2, func() {
+			ctl.awaitWatches(t, restart, 2, func() {
 				if err := f.Step(world.Step{Event: -1, Restart: restart, Forget: c.forget}); err != nil {
 					t.Error(err)
 				}
@@ -120,7 +120,7 @@
 			if n := ctl.fullListCount() - asked; n != c.whole*len(restart) {
 				t.Errorf("%d full lists were asked for", n)
 			}
-			until(t, "all hold the list", func() bool { return f.countReady() == len(w.Agents) })
+			waitFor(t, "all hold the list", func() bool { return f.countReady() == len(w.Agents) })
 			for _, a := range f.agents {
 				a.shard.doSync(func() {
 					if again := slices.Contains(restart, a.position); again != (a.incarnation > 1) || !a.hasList {
@@ -137,7 +137,7 @@
 func TestConfigurationInForce(t *testing.T) {
 	w := tinyWorld(t, nil)
 	const bad, push = 5, 2 * time.Millisecond
-	f, c := started(t, w, func(o *Options) {
+	f, c := startFleet(t, w, func(o *Options) {
 		o.ConfigText = func(agent int, opt world.ConfigOptions) []byte {
 			text := w.Config(agent, opt)
 			if agent == bad && opt.Revision == 2 {
@@ -151,10 +151,10 @@
 	for _, revision := range []int{1, 2} {
 		f.Configure(revision, push)
 	}
-	c.afterWatches(t, everyone(w), 1, func() {
-		until(t, "both handed out", func() bool {
+	c.awaitWatches(t, allAgents(w), 1, func() {
+		waitFor(t, "both handed out", func() bool {
 			r := f.Stats().Configs
-			return len(r) == 2 && r[1].Rejected == 1 && !slices.ContainsFunc(everyone(w), func(a int) bool {
+			return len(r) == 2 && r[1].Rejected == 1 && !slices.ContainsFunc(allAgents(w), func(a int) bool {
 				return a != bad && r[1].At[a] == 0
 			})
 		})
@@ -196,19 +196,19 @@
 			s.Classes[i].Share = 1 / float64(len(s.Classes))
 		}
 	})
-	f, _ := started(t, w, nil)
+	f, _ := startFleet(t, w, nil)
 	f.Begin()
-	until(t, "800 calls in peace", func() bool { return f.mergedCounts().roots[phaseHealthy] >= 800 })
+	waitFor(t, "800 calls in peace", func() bool { return f.mergedCounts().roots[phaseHealthy] >= 800 })
 	yes, no := true, false
 	if err := f.Step(world.Step{Event: -1, Fail: &yes}); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "800 calls meanwhile", func() bool { return f.mergedCounts().roots[phaseFailing] >= 800 })
+	waitFor(t, "800 calls meanwhile", func() bool { return f.mergedCounts().roots[phaseFailing] >= 800 })
 	if err := f.Step(world.Step{Event: -1, Fail: &no}); err != nil {
 		t.Fatal(err)
 	}
 	before := f.mergedCounts().roots[phaseHealthy]
-	until(t, "300 calls after", func() bool { return f.mergedCounts().roots[phaseHealthy] >= before+300 })
+	waitFor(t, "300 calls after", func() bool { return f.mergedCounts().roots[phaseHealthy] >= before+300 })
 	r := f.Stats()
 	deepest := r.Depths[len(r.Depths)-1]
 	most := 1 + w.Scenario.Agent.RetryBudgetRatio + w.Scenario.Agent.RetryBudgetMin // attempts for each call, however few they are
@@ -228,14 +228,14 @@
 
 // A server whose process has died is left alone, and one whose machine has vanished is too, with its agent, which comes
 // back with it; calls go on.
-func TestServersComeAndGo(t *testing.T) {
+func TestServerOutageAndRecovery(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		silent bool
 	}{{"died", false}, {"vanished", true}} {
 		t.Run(c.name, func(t *testing.T) {
 			w := tinyWorld(t, nil)
-			f, _ := started(t, w, nil)
+			f, _ := startFleet(t, w, nil)
 			f.Begin()
 			down := w.Services[w.Deepest].Servers[0]
 			if err := f.Step(world.Step{Event: -1, Down: []int{down}, Silent: c.silent}); err != nil {
@@ -248,15 +248,15 @@
 				}
 			})
 			begun := f.mergedCounts().roots[phaseHealthy]
-			until(t, "1000 calls", func() bool { return f.mergedCounts().roots[phaseHealthy] >= begun+1000 })
+			waitFor(t, "1000 calls", func() bool { return f.mergedCounts().roots[phaseHealthy] >= begun+1000 })
 			if err := f.Step(world.Step{Event: -1, Up: []int{down}, Cold: true, Restart: []int{beside.position}}); err != nil {
 				t.Fatal(err)
 			}
-			until(t, "all hold the list", func() bool { return f.countReady() == len(w.Agents) })
+			waitFor(t, "all hold the list", func() bool { return f.countReady() == len(w.Agents) })
 			s := f.servers[down]
 			s.shard.doSync(func() {
-				if s.state != serverUp || s.startedAt == 0 || s.warmUpFactor() >= 1 {
-					t.Errorf("state %d, start %v, warmth %v", s.state, s.startedAt, s.warmUpFactor())
+				if s.state != serverUp || s.startedAt == 0 || s.slowStartFactor() >= 1 {
+					t.Errorf("state %d, start %v, warmth %v", s.state, s.startedAt, s.slowStartFactor())
 				}
 			})
 			r := f.Stats()
@@ -268,34 +268,34 @@
 }
 
 // Nothing of a fleet runs on after its end, whatever its agents were doing.
-func TestCloseEndsAll(t *testing.T) {
+func TestCloseStopsAllGoroutines(t *testing.T) {
 	w := tinyWorld(t, nil)
 	c := newFakeDiscovery(t, w)
 	runtime.GC()
 	before := runtime.NumGoroutine()
-	f, err := Start(t.Context(), Options{World: w, Agents: everyone(w), Discovery: c.addrs})
+	f, err := Start(t.Context(), Options{World: w, Agents: allAgents(w), Discovery: c.addrs})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Step(world.Step{Event: -1, Restart: everyone(w)}); err != nil {
+	if err := f.Step(world.Step{Event: -1, Restart: allAgents(w)}); err != nil {
 		t.Fatal(err)
 	}
 	f.Configure(1, time.Millisecond)
 	if err := f.Close(); err != nil {
 		t.Fatal(err)
 	}
-	until(t, "the goroutines end", func() bool { return runtime.NumGoroutine() <= before })
-	if err := f.Step(world.Step{Event: -1, Restart: everyone(w)}); err != nil {
+	waitFor(t, "the goroutines end", func() bool { return runtime.NumGoroutine() <= before })
+	if err := f.Step(world.Step{Event: -1, Restart: allAgents(w)}); err != nil {
 		t.Error(err)
 	}
 	if f.agents[0].process != nil {
 		t.Error("an agent runs after the end")
 	}
-	until(t, "the goroutines of a step after the end end", func() bool { return runtime.NumGoroutine() <= before })
+	waitFor(t, "the goroutines of a step after the end end", func() bool { return runtime.NumGoroutine() <= before })
 }
 
 // Options that cannot be used are named.
-func TestOptions(t *testing.T) {
+func TestInvalidOptions(t *testing.T) {
 	w := tinyWorld(t, nil)
 	for want, change := range map[string]func(*Options){
 		"relays of agent 0": func(o *Options) { o.Relays = [][]string{} },
--- a/internal/scale/simagent/incarnation.go
+++ b/internal/scale/simagent/incarnation.go
@@ -12,8 +12,8 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// listenNowhere is the address in the agents' configurations at which a real one would listen for clients.
-const listenNowhere = "127.0.0.1:1"
+// unusedListenAddr is the address in the agents' configurations at which a real one would listen for clients.
+const unusedListenAddr = "127.0.0.1:1"
 
 // process is one incarnation of an agent: its discovery client, with a goroutine that stopClient waits for.
 type process struct {
@@ -77,7 +77,7 @@
 // configOptions are what an agent's configuration of a revision says beside the settings.
 func (f *Fleet) configOptions(a *agent, revision int) world.ConfigOptions {
 	o := world.ConfigOptions{
-		Listen: listenNowhere, Discovery: f.discoveryAddrs[a.position], Revision: revision,
+		Listen: unusedListenAddr, Discovery: f.discoveryAddrs[a.position], Revision: revision,
 		Seed: f.world.Scenario.Seed + uint64(a.position),
 	}
 	if f.relayAddrs != nil {
--- a/internal/scale/simagent/model_test.go
+++ b/internal/scale/simagent/model_test.go
@@ -31,7 +31,7 @@
 	w := tinyWorld(t, change)
 	clock := &manualClock{time.Duration(time.Now().UnixNano())}
 	addrs := slices.Repeat([]string{"127.0.0.1:1"}, len(w.Agents))
-	f, err := newFleet(Options{World: w, Agents: everyone(w), Discovery: addrs, Shards: 1, Clock: clock})
+	f, err := newFleet(Options{World: w, Agents: allAgents(w), Discovery: addrs, Shards: 1, Clock: clock})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,11 +43,11 @@
 	return &model{f, clock}
 }
 
-// listedAgent begins an agent as a process that holds the list.
-func (m *model) listedAgent(t *testing.T, place int) *agent {
+// startAgentWithList begins an agent as a process that holds the list.
+func (m *model) startAgentWithList(t *testing.T, place int) *agent {
 	t.Helper()
 	a := m.agentsByPosition[place]
-	cfg, err := config.Parse(m.world.Config(place, world.ConfigOptions{Listen: listenNowhere, Discovery: "127.0.0.1:1"}))
+	cfg, err := config.Parse(m.world.Config(place, world.ConfigOptions{Listen: unusedListenAddr, Discovery: "127.0.0.1:1"}))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -71,8 +71,8 @@
 	s.now = m.clock.now
 }
 
-// attempt is one by an agent at a server, that nobody else knows of.
-func (m *model) attempt(a *agent, to *server, deadline time.Duration) *attempt {
+// newAttempt is one by an agent at a server, that nobody else knows of.
+func (m *model) newAttempt(a *agent, to *server, deadline time.Duration) *attempt {
 	c := &call{request: request{service: to.service, phase: phaseHealthy}, agent: a, incarnation: a.incarnation, deadline: deadline}
 	j := &attempt{call: c, server: to, deadline: deadline}
 	c.attempts, c.inFlight = []*attempt{j}, 1
@@ -104,13 +104,13 @@
 
 // A server works on as many requests as it has slots, lets as many wait as it has room for, and turns others away; those
 // that nobody waits for any more it does not begin.
-func TestServerBounds(t *testing.T) {
+func TestServerSlotAndQueueLimits(t *testing.T) {
 	m := newModel(t, func(s *scenario.Scenario) { s.Fleet.Slots, s.Fleet.QueueSlots = 2, 3 })
-	a, to := m.listedAgent(t, 0), m.servers[m.world.Services[m.world.Deepest].Servers[0]]
+	a, to := m.startAgentWithList(t, 0), m.servers[m.world.Services[m.world.Deepest].Servers[0]]
 	begun := m.clock.now
 	var jobs []*attempt
 	for range 7 {
-		jobs = append(jobs, m.attempt(a, to, begun+time.Hour))
+		jobs = append(jobs, m.newAttempt(a, to, begun+time.Hour))
 	}
 	jobs[3].deadline = begun + 1 // it waits, but not long
 	for _, j := range jobs {
@@ -135,7 +135,7 @@
 }
 
 // What becomes of an attempt says the state of its server and of the network.
-func TestOutcomes(t *testing.T) {
+func TestAttemptOutcomes(t *testing.T) {
 	yes := true
 	for _, c := range []struct {
 		name string
@@ -157,15 +157,15 @@
 			m := newModel(t, nil)
 			to := m.servers[m.world.Services[m.world.Deepest].Servers[0]]
 			from := slices.IndexFunc(m.servers, func(s *server) bool { return s.region != to.region && s.agent != nil })
-			a := m.listedAgent(t, m.servers[from].agent.position)
+			a := m.startAgentWithList(t, m.servers[from].agent.position)
 			play := func(st world.Step) {
 				for i := range st.Down {
 					st.Down[i] = to.position
 				}
-				m.play(st)
+				m.applyStep(st)
 			}
 			play(c.step)
-			j := m.attempt(a, to, m.clock.now+time.Hour)
+			j := m.newAttempt(a, to, m.clock.now+time.Hour)
 			m.shards[0].transmit(a.server, to, event{kind: eventAttemptArrived, due: m.clock.now, attempt: j})
 			m.run(m.clock.now + m.networkDelay(a.server, to))
 			play(c.then)
@@ -183,8 +183,8 @@
 	}
 }
 
-// play does what Step does to the model, in the shard's own place.
-func (m *model) play(st world.Step) {
+// applyStep does what Step does to the model, in the shard's own place.
+func (m *model) applyStep(st world.Step) {
 	m.applyFlags(st)
 	for _, i := range st.Down {
 		m.servers[i].takeDown(downState(st))
@@ -197,9 +197,9 @@
 	m := newModel(t, func(s *scenario.Scenario) { s.Fleet.Slots = 1 })
 	layer1 := m.world.Services[m.world.Servers[0].Service].Calls[0].Service
 	to := m.servers[m.world.Services[layer1].Servers[0]]
-	a := m.listedAgent(t, 0)
-	m.listedAgent(t, to.agent.position)
-	first, second := m.attempt(a, to, m.clock.now+time.Hour), m.attempt(a, to, m.clock.now+time.Hour)
+	a := m.startAgentWithList(t, 0)
+	m.startAgentWithList(t, to.agent.position)
+	first, second := m.newAttempt(a, to, m.clock.now+time.Hour), m.newAttempt(a, to, m.clock.now+time.Hour)
 	to.receive(first)
 	to.receive(second)
 	to.cancel(second)
@@ -214,7 +214,7 @@
 	if to.busySlots != 0 || first.finished || second.finished {
 		t.Errorf("%d busy, finished %v and %v", to.busySlots, first.finished, second.finished)
 	}
-	third := m.attempt(a, to, m.clock.now+time.Hour)
+	third := m.newAttempt(a, to, m.clock.now+time.Hour)
 	third.state, third.serverIncarnation = attemptCalling, to.incarnation
 	to.inProgress[third] = struct{}{}
 	third.child = to.agent.startCall(request{
@@ -224,8 +224,8 @@
 		t.Errorf("holds %+v", r)
 	}
 	to.cancel(third)
-	if !third.child.answered || third.state != attemptDone || to.busySlots != 0 || to.report().inFlight != 0 {
-		t.Errorf("its call ended: %v, state %d, %d busy", third.child.answered, third.state, to.busySlots)
+	if !third.child.finished || third.state != attemptDone || to.busySlots != 0 || to.report().inFlight != 0 {
+		t.Errorf("its call ended: %v, state %d, %d busy", third.child.finished, third.state, to.busySlots)
 	}
 	m.run(m.clock.now + time.Minute)
 	if n := len(to.agent.requests); n != 0 {
@@ -234,9 +234,9 @@
 }
 
 // An agent holds so many requests and no more; those that are over it forgets.
-func TestOpenRequestsAreBounded(t *testing.T) {
+func TestOpenRequestLimit(t *testing.T) {
 	m := newModel(t, func(s *scenario.Scenario) { s.Fleet.Slots, s.Fleet.QueueSlots = 4096, 4096 })
-	a := m.listedAgent(t, 0)
+	a := m.startAgentWithList(t, 0)
 	calls := m.world.Services[a.server.service].Calls
 	for range maxOpenRequests + 100 {
 		a.startCall(request{service: calls[0].Service, remaining: time.Second, phase: phaseHealthy, root: true})
@@ -248,7 +248,7 @@
 	if len(a.requests) != 0 {
 		t.Errorf("%d open at the end", len(a.requests))
 	}
-	d := m.shards[0].counts.of(phaseHealthy, 1)
+	d := m.shards[0].counts.countsFor(phaseHealthy, 1)
 	if d.Calls != maxOpenRequests+100 || d.OK+d.Failed+d.Rejected != d.Calls || d.Rejected < 100 {
 		t.Errorf("%+v", d)
 	}
--- a/internal/scale/simagent/random.go
+++ b/internal/scale/simagent/random.go
@@ -28,5 +28,5 @@
 	return calls[len(calls)-1].Service
 }
 
-// drawChance draws whether something happens that has the chance p. A certain event draws nothing.
-func drawChance(rng *rand.Rand, p float64) bool { return p >= 1 || rng.Float64() < p }
+// bernoulli draws whether something happens that has the chance p. A certain event draws nothing.
+func bernoulli(rng *rand.Rand, p float64) bool { return p >= 1 || rng.Float64() < p }
--- a/internal/scale/simagent/server.go
+++ b/internal/scale/simagent/server.go
@@ -28,8 +28,8 @@
 	attemptAbandoned // its caller has gone; it keeps its slot until the server's own work is done
 )
 
-// recentGain is the weight of one request in the service time that a server reports, which covers the last one or two.
-const recentGain = 0.5
+// serviceTimeSmoothing is the weight of one request in the service time that a server reports, which covers the last one or two.
+const serviceTimeSmoothing = 0.5
 
 // server is a modelled counter server with its application. A request occupies a slot for the server's own work but not
 // while it waits for the calls it makes, as scenarios size slots for work alone. It belongs to its shard.
@@ -79,14 +79,14 @@
 	att.state = attemptWorking
 	att.serverIncarnation = s.incarnation
 	world := s.shard.fleet.world
-	mean := world.Services[s.service].Work.Seconds() / (world.Servers[s.position].Speed * s.warmUpFactor())
+	mean := world.Services[s.service].Work.Seconds() / (world.Servers[s.position].Speed * s.slowStartFactor())
 	took := s.shard.exponential(mean)
-	s.recentMillis += recentGain * (float64(took)/float64(time.Millisecond) - s.recentMillis)
+	s.recentMillis += serviceTimeSmoothing * (float64(took)/float64(time.Millisecond) - s.recentMillis)
 	s.shard.queue.push(event{kind: eventWorkDone, due: s.shard.now + took, attempt: att, incarnation: s.incarnation})
 }
 
-// warmUpFactor is the share of its speed that the server has reached since its process started.
-func (s *server) warmUpFactor() float64 {
+// slowStartFactor is the share of its speed that the server has reached since its process started.
+func (s *server) slowStartFactor() float64 {
 	fleet := &s.shard.fleet.world.Scenario.Fleet
 	age := (s.shard.now - s.startedAt).Seconds()
 	if s.startedAt == 0 || age >= fleet.SlowStartS || fleet.SlowStartS <= 0 {
@@ -116,7 +116,7 @@
 	for s.agent != nil && att.nextCall < len(calls) {
 		next := calls[att.nextCall]
 		att.nextCall++
-		if !drawChance(s.shard.rng, next.Chance) {
+		if !bernoulli(s.shard.rng, next.Chance) {
 			continue
 		}
 		if s.shard.now >= att.deadline {
@@ -215,10 +215,10 @@
 func (s *server) takeDown(to serverState) {
 	if s.state == serverUp {
 		for _, att := range s.queue {
-			s.loseAttempt(att, to)
+			s.dropAttempt(att, to)
 		}
 		for att := range s.inProgress {
-			s.loseAttempt(att, to)
+			s.dropAttempt(att, to)
 		}
 	}
 	s.state = to
@@ -228,8 +228,8 @@
 	clear(s.inProgress)
 }
 
-// loseAttempt ends an attempt with the server's process. A crash resets its connection; a vanished machine does not.
-func (s *server) loseAttempt(att *attempt, to serverState) {
+// dropAttempt ends an attempt with the server's process. A crash resets its connection; a vanished machine does not.
+func (s *server) dropAttempt(att *attempt, to serverState) {
 	child := att.child
 	att.state = attemptDone
 	att.child = nil
--- a/internal/scale/simagent/service_test.go
+++ b/internal/scale/simagent/service_test.go
@@ -37,7 +37,7 @@
 		}
 	}
 	var up StartReply
-	start := StartArgs{Scenario: *w.Scenario, Agents: everyone(w)[:20], Discovery: c.addrs}
+	start := StartArgs{Scenario: *w.Scenario, Agents: allAgents(w)[:20], Discovery: c.addrs}
 	if err := call("Start", start, &up); err != nil || up.Ready != 20 {
 		t.Fatalf("%d ready, error %v", up.Ready, err)
 	}
@@ -58,7 +58,7 @@
 		t.Error(err)
 	}
 	var r StatsReply
-	until(t, "the configuration is everywhere", func() bool {
+	waitFor(t, "the configuration is everywhere", func() bool {
 		if err := call("Stats", StatsArgs{}, &r); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/scale/simagent/shard.go
+++ b/internal/scale/simagent/shard.go
@@ -11,10 +11,10 @@
 )
 
 const (
-	// minRest bounds how often an idle shard wakes up. Events that fall due meanwhile are handled late, as of their own time.
-	minRest = time.Millisecond
-	// maxRest bounds a rest where nothing is due.
-	maxRest = time.Second
+	// minIdleWait bounds how often an idle shard wakes up. Events that fall due meanwhile are handled late, as of their own time.
+	minIdleWait = time.Millisecond
+	// maxIdleWait bounds a rest where nothing is due.
+	maxIdleWait = time.Second
 	// eventsPerPoll is how many events a shard handles between reading the clock and its inbox.
 	eventsPerPoll = 32
 	maxLagMillis  = 60e3 // longer lags count as this
@@ -37,7 +37,7 @@
 	spareInbox []event // the loop's, swapped with the inbox
 	closed     bool
 	wake       chan struct{}
-	restsUntil atomic.Int64 // Unix ns; 0: it does not rest
+	idleUntil  atomic.Int64 // Unix ns; 0: it does not rest
 
 	lag    *result.Histogram // ms from when events were due until they were handled
 	counts shardCounts
@@ -68,7 +68,7 @@
 		s.runDue()
 		s.flushOutbox()
 		if !s.stopped {
-			s.rest()
+			s.waitForEvents()
 		}
 	}
 }
@@ -89,22 +89,22 @@
 	}
 }
 
-// rest waits until an event is due, for minRest at least.
-func (s *shard) rest() {
+// waitForEvents waits until an event is due, for minIdleWait at least.
+func (s *shard) waitForEvents() {
 	now := s.clock.Now()
-	until := now + maxRest
+	until := now + maxIdleWait
 	if len(s.queue.events) > 0 {
-		until = min(until, max(s.queue.events[0].due, now+minRest))
+		until = min(until, max(s.queue.events[0].due, now+minIdleWait))
 	}
-	// Before the inbox is checked: a sender appends to the inbox first and looks at restsUntil after that.
-	s.restsUntil.Store(int64(until))
+	// Before the inbox is checked: a sender appends to the inbox first and looks at idleUntil after that.
+	s.idleUntil.Store(int64(until))
 	s.mu.Lock()
 	idle := len(s.inbox) == 0
 	s.mu.Unlock()
 	if idle {
 		s.clock.Wait(until, s.wake)
 	}
-	s.restsUntil.Store(0)
+	s.idleUntil.Store(0)
 }
 
 // drainInbox moves what other goroutines sent into the queue.
@@ -128,7 +128,7 @@
 	s.inbox = append(s.inbox, events...)
 	s.mu.Unlock()
 	for i := range events {
-		if int64(events[i].due) < s.restsUntil.Load() {
+		if int64(events[i].due) < s.idleUntil.Load() {
 			select {
 			case s.wake <- struct{}{}:
 			default:
--- a/internal/scale/simagent/stats.go
+++ b/internal/scale/simagent/stats.go
@@ -159,8 +159,8 @@
 	r.FailRoots = c.roots[phaseFailing]
 	r.Depths = c.depthResults()
 	r.Windows = c.windowResults()
-	r.Retries = c.repeats
-	r.Duplicates = c.repeats[balancer.NonIdempotent]
+	r.Retries = c.retries
+	r.Duplicates = c.retries[balancer.NonIdempotent]
 	r.Logged = c.logLines
 }
 
--- a/internal/scale/simagent/steps.go
+++ b/internal/scale/simagent/steps.go
@@ -12,7 +12,7 @@
 func (f *Fleet) Step(step world.Step) error {
 	f.applyFlags(step)
 	if step.Silent {
-		for _, a := range f.agentsBeside(step.Down) {
+		for _, a := range f.colocatedAgents(step.Down) {
 			f.stopAgent(a)
 		}
 	}
@@ -50,8 +50,8 @@
 	return serverCrashed
 }
 
-// agentsBeside returns the simulated agents beside servers.
-func (f *Fleet) agentsBeside(servers []int) (beside []*agent) {
+// colocatedAgents returns the simulated agents beside servers.
+func (f *Fleet) colocatedAgents(servers []int) (beside []*agent) {
 	if len(servers) == 0 {
 		return nil
 	}
