--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -14,50 +14,51 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// maxOpenRequests is how many requests an agent has open at most; one more is rejected, as by an agent without sockets.
+// maxOpenRequests is the limit of open requests per agent. An agent at the limit rejects further requests, like a real
+// agent that has run out of sockets.
 const maxOpenRequests = 2048
 
-// agent is a simulated agent: an agent's event loop without sockets towards clients and servers. It belongs to its shard,
-// but for what processMu guards.
+// agent is a simulated agent: an agent's event loop without sockets to clients and servers. Only its shard's goroutine
+// accesses it, except for the fields that processMu guards.
 type agent struct {
 	shard              *shard
-	position           int // among the world's agents
-	server             *server
+	position           int     // index into the world's agents
+	server             *server // colocated with the agent
 	rootCallsPerSecond float64
 
-	settings      atomic.Pointer[settings.Settings] // stored by the shard, loaded by the discovery client too
+	settings      atomic.Pointer[settings.Settings] // stored by the shard, also loaded by the discovery client
 	balancer      *balancer.Balancer
 	endpoints     *membership.Table
 	serversByID   map[balancer.ServerID]*server
 	pollEndpoints func()
-	classIndex    map[string]int // positions of the settings' classes, by name
-	incarnation   uint32         // counts its processes; what belongs to an earlier one is dropped
+	classIndex    map[string]int // class indexes in the settings, by name
+	incarnation   uint32         // number of processes started or stopped; events of earlier ones are dropped
 	isUp          bool
-	hasList       bool // the process has an endpoint list, be it a cached one
-	wasReady      bool // this or an earlier process had a list: the application makes calls
-	synced        bool // the process has got the list from discovery
+	hasList       bool // the process has an endpoint list, possibly a cached one
+	wasReady      bool // this or an earlier process had a list, so the application makes calls
+	synced        bool // the process has received the list from discovery
 	revision      uint64
 	now           time.Duration // never runs backwards
 	requests      map[balancer.RequestID]*call
 	lastID        balancer.RequestID
-	controlPlane  bool // the event being handled is accounted to control
+	controlPlane  bool // the current event counts as control plane work
 	events        []balancer.Event
 	actions       []balancer.Action
-	listTimes     []listTime // since the measured part began
+	listTimes     []listTime // since the measurement period began
 
-	processMu      sync.Mutex // one start, stop or reload at a time; guards what follows
+	processMu      sync.Mutex // serializes starts, stops and reloads; guards the fields below
 	config         *config.Config
 	configRevision int
 	process        *process
 }
 
-// listTime says since when a revision of the endpoint list has been in force.
+// listTime records when a revision of the endpoint list came into force.
 type listTime struct {
 	revision   uint64
 	atUnixNano int64
 }
 
-// startProcess makes the agent a new process, which knows what its configuration says. The shard calls it.
+// startProcess replaces the agent's process with a new one that has the settings of cfg. The shard calls it.
 func (a *agent) startProcess(cfg *config.Config, lb *balancer.Balancer, pollEndpoints func()) {
 	a.stopProcess()
 	a.balancer = lb
@@ -74,7 +75,7 @@
 	}
 }
 
-// stopProcess ends the process with all that it has open. The shard calls it.
+// stopProcess ends the process and all its open requests. The shard calls it.
 func (a *agent) stopProcess() {
 	a.incarnation++
 	a.isUp = false
@@ -97,7 +98,7 @@
 	}
 }
 
-// onWatchEvent hands an event of the discovery client to the balancer, as a real agent's loop does.
+// onWatchEvent passes an event of the discovery client to the balancer, as a real agent's event loop does.
 func (a *agent) onWatchEvent(incarnation uint32, watchEvent discovery.WatchEvent) {
 	if incarnation != a.incarnation || !a.isUp {
 		return
@@ -119,7 +120,7 @@
 	}
 }
 
-// recordListInForce notes that the balancer has a revision of the list.
+// recordListInForce records that the balancer has applied a revision of the endpoint list.
 func (a *agent) recordListInForce(revision uint64) {
 	a.revision = revision
 	a.listTimes = append(a.listTimes, listTime{revision, int64(a.shard.clock.Now())})
@@ -129,7 +130,7 @@
 	}
 }
 
-// resolveEndpoints translates the members of a list for the balancer and finds the modelled servers behind them.
+// resolveEndpoints converts list members to the balancer's endpoints and looks up the modelled servers behind them.
 func (a *agent) resolveEndpoints(members []discovery.Member) []balancer.Endpoint {
 	endpoints := a.endpoints.Endpoints(a.settings.Load(), members)
 	for i, endpoint := range endpoints {
@@ -143,7 +144,7 @@
 	return endpoints
 }
 
-// adoptSettings replaces the settings, or leaves all as it is and returns an error, as a real agent's loop does.
+// adoptSettings replaces the settings, as a real agent's event loop does. On an error it changes nothing.
 func (a *agent) adoptSettings(next *settings.Settings) (err error) {
 	a.shard.cpu.measureControl(func() {
 		err = a.balancer.Adopt(next.Balancer)
@@ -156,7 +157,8 @@
 		if sameNames || a.endpoints.Len() == 0 {
 			return
 		}
-		// The balancer knows zones and kinds by their positions in the settings, which have changed for all endpoints.
+		// The balancer identifies zones and kinds by their indexes in the settings, so all endpoints must be resolved
+		// again.
 		a.handleControlEvent(balancer.Event{
 			Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: a.resolveEndpoints(a.endpoints.Members()),
 		})
@@ -164,17 +166,18 @@
 	return err
 }
 
-// handleControlEvent handles an event whose timers are accounted to control as well.
+// handleControlEvent handles an event of the control plane. The timers it sets count as control plane work too.
 func (a *agent) handleControlEvent(ev balancer.Event) {
 	a.controlPlane = true
 	a.handle(ev)
 	a.controlPlane = false
 }
 
-// handle hands an event to the balancer and performs its actions, and so on with the events that these cause.
+// handle passes an event to the balancer and performs the resulting actions, then does the same for the events that
+// these actions append.
 func (a *agent) handle(ev balancer.Event) {
 	a.events = append(a.events, ev)
-	for i := 0; i < len(a.events); i++ { // perform may append to it
+	for i := 0; i < len(a.events); i++ { // perform may append to a.events
 		a.now = max(a.now, a.shard.now)
 		a.actions = a.balancer.Handle(a.now, a.events[i], a.actions[:0])
 		for j := range a.actions {
@@ -213,11 +216,12 @@
 	case balancer.ActionPollEndpoints:
 		a.pollEndpoints()
 	case balancer.ActionLog:
-		a.shard.counts.logLines++ // nobody reads the logs of so many agents
+		a.shard.counts.logLines++ // the logs of so many agents are only counted
 	}
 }
 
-// onTimer hands a due timer to the balancer. One that an endpoint list set polls discovery, and is accounted to control.
+// onTimer passes a due timer to the balancer. A timer set while handling an endpoint list polls discovery and counts as
+// control plane work.
 func (a *agent) onTimer(ev *event) {
 	if ev.incarnation != a.incarnation || !a.isUp {
 		return
@@ -230,13 +234,14 @@
 	}
 }
 
-// scheduleRootCall draws when the agent's application makes its next call.
+// scheduleRootCall schedules the next root call of the agent's application after an exponentially distributed delay.
 func (a *agent) scheduleRootCall() {
 	due := a.shard.now + a.shard.exponential(1/a.rootCallsPerSecond)
 	a.shard.queue.push(event{kind: eventRootCall, due: due, agent: a, incarnation: a.incarnation})
 }
 
-// startRootCall makes a root call, if the agent and its application are there, and schedules the next.
+// startRootCall schedules the next root call and makes one, if the server is up, the application makes calls and
+// Options.RootCallsFrom has passed.
 func (a *agent) startRootCall(incarnation uint32) {
 	if incarnation != a.incarnation {
 		return
--- a/internal/scale/simagent/call.go
+++ b/internal/scale/simagent/call.go
@@ -8,7 +8,7 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// callResult is how a call ended for the application that made it.
+// callResult is the result of a call for the application that made it.
 type callResult uint8
 
 const (
@@ -17,48 +17,49 @@
 	callRejected
 )
 
-// request is what an application asks its agent for.
+// request is a request of an application to its agent.
 type request struct {
 	service   int // called service
 	remaining time.Duration
-	phase     phase // of the run in which the root call began
-	second    int   // of the measured part in which the root call began
+	phase     phase // phase of the run in which the root call began
+	second    int   // second of the measurement period in which the root call began
 	root      bool
-	parent    *attempt // that waits for the call; nil for a root call, or once that attempt has gone
+	parent    *attempt // the attempt that waits for the call; nil for a root call or after the attempt was cancelled
 }
 
-// call is a request as its agent sees it, until it is answered and all its attempts are back. It belongs to the agent's
-// shard; other shards read only fields that never change after creation.
+// call is an agent's state for one request. The agent keeps it until the call is finished and no attempt is in flight.
+// Only the agent's shard modifies it; other shards read only fields that never change after creation.
 type call struct {
 	request
 	agent       *agent
-	incarnation uint32 // of the agent
+	incarnation uint32 // of the agent when the call began
 	id          balancer.RequestID
 	idempotency balancer.Idempotency
 	deadline    time.Duration
 
 	attempts []*attempt
 	inFlight int
-	finished bool
+	finished bool // the application has the result
 }
 
-// attempt is one try of a call at one server. The caller's shard owns the fields up to outcome, the server's shard the rest.
+// attempt is one attempt of a call at one server. The caller's shard owns the fields up to outcome, the server's shard
+// the rest.
 type attempt struct {
 	call     *call
-	number   int // among the call's attempts
+	number   int // index into the call's attempts
 	server   *server
-	serverID balancer.ServerID // as the caller's balancer knows the server
-	deadline time.Duration     // after which nobody waits for the attempt
-	finished bool              // the caller knows the outcome
+	serverID balancer.ServerID // the server's id in the caller's balancer
+	deadline time.Duration     // the caller no longer waits after this
+	finished bool              // the caller has the outcome
 	outcome  balancer.Outcome
 
 	serverIncarnation uint32
 	state             attemptState
-	nextCall          int   // index into the service's calls
-	child             *call // call that the attempt waits for
+	nextCall          int   // index into the calls of the server's service
+	child             *call // the call that the attempt waits for
 }
 
-// startCall takes a request of the application beside the agent.
+// startCall starts a call for a request of the agent's application.
 func (a *agent) startCall(r request) *call {
 	s := a.shard
 	service := &s.fleet.world.Services[r.service]
@@ -95,27 +96,28 @@
 	}
 }
 
-// finish gives a call its answer, unless it has one.
+// finish sets the result of a call, unless the call is already finished.
 func (a *agent) finish(c *call, result callResult) {
 	if !c.finished {
 		c.finished = true
 		a.shard.counts.countFinished(c, a.shard.fleet.world.Services[c.service].Layer, result)
 		if c.parent != nil {
-			// As an event of its own: the parent's next call must not start while this agent is still handling an event.
+			// This is a separate event because the parent's next call must not start while this agent is still handling
+			// one.
 			a.shard.queue.push(event{kind: eventCallDone, due: a.shard.now, attempt: c.parent, ok: result == callServed})
 		}
 	}
 	a.removeIfDone(c)
 }
 
-// removeIfDone drops a call once it is answered and none of its attempts is in flight.
+// removeIfDone removes a call that is finished and has no attempt in flight.
 func (a *agent) removeIfDone(c *call) {
 	if c.finished && c.inFlight == 0 && a.requests[c.id] == c {
 		delete(a.requests, c.id)
 	}
 }
 
-// cancelCall ends a call whose application has gone.
+// cancelCall ends a call whose application no longer waits for it.
 func (a *agent) cancelCall(c *call) {
 	if c.finished || c.incarnation != a.incarnation {
 		return
@@ -128,7 +130,8 @@
 	a.removeIfDone(c)
 }
 
-// send makes an attempt at a server. One that can no longer be made ends as expired.
+// send sends an attempt to a server. If the call is finished, its deadline has passed or the server is unknown, the
+// attempt ends with OutcomeExpired instead.
 func (a *agent) send(c *call, action *balancer.Action) {
 	s := a.shard
 	target := a.serversByID[action.Server]
@@ -156,12 +159,12 @@
 	s.queue.push(event{kind: eventTimeout, due: att.deadline, attempt: att})
 }
 
-// notExecuted are the outcomes after which no server has begun to work on an attempt.
+// notExecuted lists the outcomes that prove that no server began to execute the attempt.
 var notExecuted = []balancer.Outcome{
 	balancer.OutcomeRejected, balancer.OutcomeConnectFailed, balancer.OutcomeExpired, balancer.OutcomeServerDraining,
 }
 
-// mayHaveExecuted reports whether an attempt of the call may have been executed, as far as the agent can know.
+// mayHaveExecuted reports whether a server may have executed an attempt of the call, as far as the agent can tell.
 func (c *call) mayHaveExecuted() bool {
 	return slices.ContainsFunc(c.attempts, func(att *attempt) bool {
 		return !att.finished || !slices.Contains(notExecuted, att.outcome)
@@ -187,7 +190,7 @@
 	a.removeIfDone(c)
 }
 
-// onAttemptTimeout gives up an attempt that is still in flight at its timeout.
+// onAttemptTimeout ends an attempt that is still in flight at its timeout.
 func (a *agent) onAttemptTimeout(att *attempt) {
 	if att.finished || att.call.incarnation != a.incarnation {
 		return
@@ -196,7 +199,7 @@
 	a.onAttemptDone(att, balancer.OutcomeTimeout, loadReport{})
 }
 
-// cancelAttempt gives up an attempt on ActionCancel; its outcome is an event of its own.
+// cancelAttempt cancels an attempt on ActionCancel. The outcome follows as a separate event.
 func (a *agent) cancelAttempt(c *call, number int) {
 	if att := c.attempts[number]; !att.finished {
 		a.closeConnection(att)
@@ -204,7 +207,7 @@
 	}
 }
 
-// dropAttempt gives up an attempt of a process that has ended.
+// dropAttempt ends an attempt of a process that has ended. The balancer does not get the outcome.
 func (a *agent) dropAttempt(c *call, number int) {
 	if att := c.attempts[number]; !att.finished {
 		att.finished = true
@@ -213,7 +216,7 @@
 	}
 }
 
-// closeConnection tells an attempt's server that the caller has gone.
+// closeConnection notifies an attempt's server that the caller has closed the connection.
 func (a *agent) closeConnection(att *attempt) {
 	a.shard.transmit(a.server, att.server, event{kind: eventAttemptCancelled, due: max(a.now, a.shard.now), attempt: att})
 }
--- a/internal/scale/simagent/clock.go
+++ b/internal/scale/simagent/clock.go
@@ -6,13 +6,15 @@
 	"example.org/ryeloft/internal/clock"
 )
 
-// Clock is the time that the model runs by.
+// Clock is the model's source of time.
 type Clock interface {
-	Now() time.Duration                             // since 1970; never runs backwards
-	Wait(until time.Duration, wake <-chan struct{}) // until then, or until woken
+	// Now returns the time since 1970. It never runs backwards.
+	Now() time.Duration
+	// Wait returns at the given time or when wake receives, whichever comes first.
+	Wait(until time.Duration, wake <-chan struct{})
 }
 
-// wallClock is the wall clock's time at the start and what has passed since.
+// wallClock is a Clock that starts at the wall clock's time and advances by the monotonic clock.
 type wallClock struct{ clock.Anchored }
 
 // Wait implements Clock.
--- a/internal/scale/simagent/configsource.go
+++ b/internal/scale/simagent/configsource.go
@@ -8,40 +8,41 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// ConfigChange says since when a revision of the configuration has been in force. Its fields are part of a message.
+// ConfigChange records when a revision of the configuration came into force at each agent. It is sent by RPC, so its
+// field names are fixed.
 type ConfigChange struct {
 	Revision int
-	Began    int64   // Unix ns: when the source began to hand it out
-	At       []int64 // Unix ns, by agent of the world; 0: not yet, or not simulated
-	Rejected int     // agents that rejected it
+	Began    int64   // Unix ns: start of the rollout
+	At       []int64 // Unix ns, indexed by agent of the world; 0: not yet, or not simulated
+	Rejected int     // number of agents that rejected it
 }
 
-// configSource hands configurations to the agents, one revision after the other and each to one agent at a time. What an
-// agent does with one takes none of the source's time.
+// configSource distributes configurations to the agents, one revision after the other and to one agent at a time. It
+// does not wait for an agent to reload.
 type configSource struct {
 	fleet    *Fleet
-	cpu      cpuCounter // for making the texts
+	cpu      cpuCounter // for rendering configurations
 	rollouts chan rollout
 
-	mu             sync.Mutex // guards what follows
+	mu             sync.Mutex // guards the fields below
 	changes        []*ConfigChange
-	newestRevision int // that it has begun to hand out
+	newestRevision int // whose rollout has started
 }
 
-// rollout is one revision to hand out.
+// rollout is one revision to distribute.
 type rollout struct {
 	revision int
-	perAgent time.Duration // that the source takes for each agent
+	perAgent time.Duration // time that the source needs per agent
 }
 
-// maxQueuedRollouts is how many revisions may wait for the source.
+// maxQueuedRollouts is the number of rollouts that may be queued before Configure blocks.
 const maxQueuedRollouts = 1024
 
 func newConfigSource(f *Fleet) configSource {
 	return configSource{fleet: f, rollouts: make(chan rollout, maxQueuedRollouts)}
 }
 
-// Configure has the source hand out a revision when it is done with those before. It does not wait for that.
+// Configure queues the rollout of a revision behind the earlier ones. It does not wait for the rollout.
 func (f *Fleet) Configure(revision int, perAgent time.Duration) {
 	select {
 	case f.configSource.rollouts <- rollout{revision, perAgent}:
@@ -49,7 +50,7 @@
 	}
 }
 
-// run hands out revisions until the fleet is closed.
+// run processes rollouts until the fleet is closed.
 func (s *configSource) run() {
 	for {
 		select {
@@ -61,7 +62,8 @@
 	}
 }
 
-// rollOut hands a revision to each agent in turn. Agents reload it on goroutines of their own, which Close waits for.
+// rollOut distributes a revision to each agent in turn. Each agent reloads on a separate goroutine, which Close waits
+// for.
 func (s *configSource) rollOut(r rollout) {
 	f := s.fleet
 	began := f.clock.Now()
@@ -86,20 +88,20 @@
 	s.changes = append(s.changes, &ConfigChange{Revision: revision, Began: int64(at), At: make([]int64, len(s.fleet.world.Agents))})
 }
 
-// newest is the revision that a starting agent is given.
+// newest returns the revision that a starting agent gets.
 func (s *configSource) newest() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.newestRevision
 }
 
-// render makes an agent's configuration.
+// render returns the text of an agent's configuration.
 func (s *configSource) render(agent int, o world.ConfigOptions) (text []byte) {
 	s.cpu.measure(func() { text = s.fleet.configText(agent, o) })
 	return text
 }
 
-// recordInForce notes that an agent has adopted a revision.
+// recordInForce records that an agent has adopted a revision.
 func (s *configSource) recordInForce(a *agent, revision int) {
 	now := int64(s.fleet.clock.Now())
 	s.mu.Lock()
@@ -111,7 +113,7 @@
 	}
 }
 
-// recordRejected notes that an agent has rejected a revision.
+// recordRejected counts an agent that has rejected a revision.
 func (s *configSource) recordRejected(revision int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +124,7 @@
 	}
 }
 
-// changesSince returns copies of what was handed out from a time on.
+// changesSince returns copies of the changes whose rollout began at or after from.
 func (s *configSource) changesSince(from time.Duration) (changes []ConfigChange) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scale/simagent/connset.go
+++ b/internal/scale/simagent/connset.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// dialTimeout is the discovery client's own default, as Dial replaces its dialer.
+// dialTimeout equals the discovery client's default timeout, which does not apply because Options.Dial replaces its
+// dialer.
 const dialTimeout = time.Second
 
-// connSet holds the open connections of one discovery client, which end with its process.
+// connSet tracks the open connections of one discovery client, so that they can be closed with its process.
 type connSet struct {
 	mu     sync.Mutex
 	open   map[net.Conn]struct{}
 	closed bool
 }
 
-// trackedConn leaves its set when it is closed.
+// trackedConn is a connection that removes itself from its connSet when it is closed.
 type trackedConn struct {
 	net.Conn
 	owner *connSet
--- a/internal/scale/simagent/counts.go
+++ b/internal/scale/simagent/counts.go
@@ -6,20 +6,20 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// phase is the part of the run in which a root call began; the call and all that it causes count there.
+// phase is the phase of the run in which a root call began. The call and all calls below it count in that phase.
 type phase uint8
 
 const (
-	phaseBefore phase = iota // the measured part
+	phaseBefore phase = iota // before the measurement period
 	phaseHealthy
 	phaseFailing // the deepest service fails
 	phaseCount
 )
 
-// maxDepth is the deepest layer that is counted by itself; deeper ones count as this.
+// maxDepth is the deepest layer with separate counts. Calls to deeper layers count in this one.
 const maxDepth = 64
 
-// maxWindows is how many seconds have windows of their own; later ones count as the last.
+// maxWindows is the number of seconds with separate windows. Later calls count in the last one.
 const maxWindows = 24 * 3600
 
 // depthCounts counts the calls to one layer in one phase.
@@ -33,17 +33,17 @@
 	d.Rejected += o.Rejected
 }
 
-// shardCounts is what one shard counts of the measured part.
+// shardCounts holds one shard's counts for the measurement period.
 type shardCounts struct {
-	startedAt time.Duration // of the measured part; 0: not yet
+	startedAt time.Duration // start of the measurement period; 0: not yet started
 	depths    [maxDepth + 1][phaseCount]depthCounts
-	windows   []result.Window // by second
+	windows   []result.Window // indexed by second
 	roots     [phaseCount]int64
-	retries   [3]int64 // by idempotency: attempts of calls that may have executed before
-	logLines  int64    // of the balancers
+	retries   [3]int64 // indexed by idempotency: attempts of calls that may have been executed already
+	logLines  int64    // log lines of the balancers
 }
 
-// currentPhase is the one in which a root call counts that begins now.
+// currentPhase returns the phase of a root call that begins now.
 func (s *shard) currentPhase() phase {
 	switch {
 	case s.counts.startedAt == 0:
@@ -59,7 +59,7 @@
 	return &c.depths[min(max(layer, 0), maxDepth)][p]
 }
 
-// countRootCall counts a root call and returns its second.
+// countRootCall counts a root call and returns its second in the measurement period.
 func (c *shardCounts) countRootCall(p phase, now time.Duration) int {
 	c.roots[p]++
 	if p == phaseBefore {
@@ -77,7 +77,7 @@
 	}
 }
 
-// countFinished counts the end of a call.
+// countFinished counts a call with its result.
 func (c *shardCounts) countFinished(ended *call, layer int, outcome callResult) {
 	d := c.countsFor(ended.phase, layer)
 	switch outcome {
@@ -114,7 +114,7 @@
 	c.logLines += o.logLines
 }
 
-// depthResults sums up the calls by layer from the first on, for layers that were called.
+// depthResults returns the results for each layer from the first on that was called.
 func (c *shardCounts) depthResults() (all []result.Depth) {
 	for layer := 1; layer <= maxDepth; layer++ {
 		healthy := c.depths[layer][phaseHealthy]
@@ -136,8 +136,8 @@
 	return all
 }
 
-// windowResults returns the seconds with their shares. A call counts in the second in which it began, so that the last
-// seconds lack what is still in flight.
+// windowResults returns the windows with the percentage of served calls filled in. A call counts in the second in which
+// it began, so calls still in flight lower the percentages of the last seconds.
 func (c *shardCounts) windowResults() []result.Window {
 	for i := range c.windows {
 		w := &c.windows[i]
@@ -146,7 +146,7 @@
 	return c.windows
 }
 
-// ratio is part over whole, and 0 of nothing.
+// ratio returns part / whole, or 0 if whole is 0.
 func ratio(part, whole int64) float64 {
 	if whole == 0 {
 		return 0
--- a/internal/scale/simagent/cputime.go
+++ b/internal/scale/simagent/cputime.go
@@ -9,21 +9,21 @@
 	"unsafe"
 )
 
-// Processor time that control costs the agents is what remains of the process's time without the model's and the
-// configuration source's. Each shard has a thread of its own, whose time is the model's but for the handling of endpoint
-// lists, configurations and the timers that poll discovery, which is measured around each of these. All else is control's:
-// the discovery clients, HTTP, parsing, the runtime.
+// The agents' control plane CPU time is the CPU time of the process less that of the model and of the configuration
+// source. Each shard runs on a separate thread. The thread's CPU time counts as the model's, except for handling
+// endpoint lists, configurations and the timers that poll discovery, which is measured separately. Everything else
+// counts as control plane: discovery clients, HTTP, parsing, the runtime.
 //
-// Control's figure leaves out the candidate sets that a balancer rebuilds at the first request after a list change, and
-// sockets towards clients and servers, which do not exist here. It includes the garbage collector's background work and
-// the wake-ups of the shards, so it is an upper figure.
+// The control plane's CPU time does not include the candidate sets that a balancer rebuilds at the first request after
+// a list change, nor sockets to clients and servers, which do not exist here. It includes the garbage collector's
+// background work and the wake-ups of the shards, so it is an upper bound.
 
 const (
-	processCPUClock = 2 // Linux's CLOCK_PROCESS_CPUTIME_ID, which package syscall leaves out
-	threadCPUClock  = 3 // CLOCK_THREAD_CPUTIME_ID; getrusage gives a thread's time only as of the scheduler's last tick
+	processCPUClock = 2 // Linux's CLOCK_PROCESS_CPUTIME_ID, which package syscall does not define
+	threadCPUClock  = 3 // CLOCK_THREAD_CPUTIME_ID; getrusage reports a thread's time only up to the scheduler's last tick
 )
 
-// cpuTime reads one of Linux's clocks of processor time.
+// cpuTime reads one of Linux's CPU time clocks.
 func cpuTime(clock uintptr) time.Duration {
 	var t syscall.Timespec
 	if _, _, errno := syscall.RawSyscall(syscall.SYS_CLOCK_GETTIME, clock, uintptr(unsafe.Pointer(&t)), 0); errno != 0 {
@@ -32,7 +32,7 @@
 	return time.Duration(t.Nano())
 }
 
-// cpuMeter splits a thread's processor time between control and the model. Only that thread may use it.
+// cpuMeter splits a thread's CPU time between the control plane and the model. Only that thread may use it.
 type cpuMeter struct {
 	startedAt   time.Duration
 	controlTime time.Duration
@@ -40,22 +40,22 @@
 
 func (m *cpuMeter) start() { *m = cpuMeter{startedAt: cpuTime(threadCPUClock)} }
 
-// modelTime is what the thread has spent since the start on anything but control.
+// modelTime returns the thread's CPU time since start, without control plane work.
 func (m *cpuMeter) modelTime() time.Duration {
 	return cpuTime(threadCPUClock) - m.startedAt - m.controlTime
 }
 
-// measureControl runs do and accounts its time to control.
+// measureControl runs do and counts its CPU time as control plane work.
 func (m *cpuMeter) measureControl(do func()) {
 	begun := cpuTime(threadCPUClock)
 	do()
 	m.controlTime += cpuTime(threadCPUClock) - begun
 }
 
-// cpuCounter counts processor time that other goroutines than the shards' spend on anything but control.
+// cpuCounter sums CPU time that goroutines outside the shards spend on work other than the control plane's.
 type cpuCounter struct{ spent atomic.Int64 }
 
-// measure runs work and counts its processor time.
+// measure runs work and adds its CPU time.
 func (o *cpuCounter) measure(work func()) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
@@ -64,7 +64,7 @@
 	o.spent.Add(int64(cpuTime(threadCPUClock) - begun))
 }
 
-// gcCPUSeconds is what the garbage collector has spent so far, by the runtime's own estimate.
+// gcCPUSeconds returns the total CPU time of the garbage collector as estimated by the runtime, or 0 if it is unknown.
 func gcCPUSeconds() float64 {
 	s := []metrics.Sample{{Name: "/cpu/classes/gc/total:cpu-seconds"}}
 	metrics.Read(s)
--- a/internal/scale/simagent/incarnation.go
+++ b/internal/scale/simagent/incarnation.go
@@ -39,11 +39,11 @@
 	if err != nil {
 		return fmt.Errorf("starting simulated agent %d: %w", a.position, err)
 	}
-	decisions, err := balancer.New(cfg.Settings.Balancer, cfg.Seed)
+	lb, err := balancer.New(cfg.Settings.Balancer, cfg.Seed)
 	if err != nil {
 		return fmt.Errorf("starting simulated agent %d: %w", a.position, err)
 	}
-	p, client := f.newProcess(a, cfg, decisions)
+	p, client := f.newProcess(a, cfg, lb)
 	a.config = cfg
 	a.process = p
 	if options.Revision > a.configRevision {
@@ -58,7 +58,7 @@
 }
 
 // newProcess starts an agent's new process in its shard and makes its discovery client. processMu is held.
-func (f *Fleet) newProcess(a *agent, cfg *config.Config, decisions *balancer.Balancer) (*process, *discovery.Client) {
+func (f *Fleet) newProcess(a *agent, cfg *config.Config, lb *balancer.Balancer) (*process, *discovery.Client) {
 	p := &process{targets: make(chan discovery.Target), done: make(chan struct{})}
 	p.ctx, p.stop = context.WithCancel(f.ctx)
 	client := discovery.New(discovery.Options{
@@ -67,7 +67,7 @@
 	})
 	client.StartFrom(cfg.CachedEndpoints)
 	a.shard.doSync(func() {
-		a.startProcess(cfg, decisions, client.Poll)
+		a.startProcess(cfg, lb, client.Poll)
 		p.incarnation = a.incarnation
 		a.onWatchEvent(p.incarnation, discovery.WatchEvent{Update: balancer.EndpointsCached, Members: cfg.CachedEndpoints.Members})
 	})
