--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -32,7 +32,7 @@
 	serversByID   map[balancer.ServerID]*server
 	pollEndpoints func()
 	classIndex    map[string]int // class indexes in the settings, by name
-	incarnation   uint32         // number of processes started or stopped; events of earlier ones are dropped
+	incarnation   uint32         // incremented when a process starts or ends; events of earlier incarnations are dropped
 	isUp          bool
 	hasList       bool // the process has an endpoint list, possibly a cached one
 	wasReady      bool // this or an earlier process had a list, so the application makes calls
--- a/internal/scale/simagent/call.go
+++ b/internal/scale/simagent/call.go
@@ -39,7 +39,7 @@
 
 	attempts []*attempt
 	inFlight int
-	finished bool // the application has the result
+	finished bool // the call has a result
 }
 
 // attempt is one attempt of a call at one server. The caller's shard owns the fields up to outcome, the server's shard
--- a/internal/scale/simagent/event.go
+++ b/internal/scale/simagent/event.go
@@ -6,15 +6,15 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// eventKind tells what an event is and which of its fields count.
+// eventKind is the kind of an event. The comments at the kinds list in brackets the fields of event that each one uses.
 type eventKind uint8
 
 const (
 	eventFunc             eventKind = iota // [run]
 	eventRootCall                          // an agent's next root call [agent, incarnation]
 	eventAttemptArrived                    // at its server [attempt]
-	eventAttemptCancelled                  // at its server: the caller has gone [attempt]
-	eventWorkDone                          // at its server: its own work is done [attempt, incarnation: the server's]
+	eventAttemptCancelled                  // at its server: the caller closed the connection [attempt]
+	eventWorkDone                          // at its server: the server's own work is done [attempt, incarnation: the server's]
 	eventCallDone                          // at its server: a call that the attempt made has ended [attempt, ok]
 	eventOutcome                           // of an attempt, at its caller [attempt, outcome, report]
 	eventTimeout                           // of an attempt, at its caller [attempt]
@@ -23,13 +23,13 @@
 	eventHealthCheckDone                   // at its caller [agent, incarnation, token, report, ok]
 )
 
-// event is something that falls due in a shard.
+// event is an event in a shard's queue.
 type event struct {
 	due          time.Duration
-	seq          uint64 // the queue's: events due at one time are handled in the order in which they were queued
+	seq          uint64 // set by the queue: events due at the same time are handled in queueing order
 	kind         eventKind
 	ok           bool
-	controlPlane bool // accounted to control
+	controlPlane bool // counts as control plane work
 	outcome      balancer.Outcome
 	incarnation  uint32
 	report       loadReport
@@ -44,7 +44,7 @@
 	return e.due < o.due || e.due == o.due && e.seq < o.seq
 }
 
-// dispatch hands an event to what it is for.
+// dispatch passes an event to its handler.
 func (s *shard) dispatch(ev *event) {
 	switch ev.kind {
 	case eventFunc:
--- a/internal/scale/simagent/eventqueue.go
+++ b/internal/scale/simagent/eventqueue.go
@@ -1,9 +1,9 @@
 package simagent
 
-// heapArity is how many children a node of the event heap has.
+// heapArity is the number of children per node of the event heap.
 const heapArity = 4
 
-// eventQueue is a heap of events, the next one first.
+// eventQueue is a heap of events with the earliest one at index 0.
 type eventQueue struct {
 	events []event
 	seq    uint64
@@ -29,7 +29,7 @@
 	first := q.events[0]
 	n := len(q.events) - 1
 	last := q.events[n]
-	q.events[n] = event{} // or the slice would keep what it points to
+	q.events[n] = event{} // release the pointers for the garbage collector
 	q.events = q.events[:n]
 	if n > 0 {
 		q.siftDown(last)
@@ -37,7 +37,7 @@
 	return first
 }
 
-// siftDown puts an event in the place of the first.
+// siftDown replaces the first event by ev and restores the heap order.
 func (q *eventQueue) siftDown(ev event) {
 	i := 0
 	for {
--- a/internal/scale/simagent/fleet.go
+++ b/internal/scale/simagent/fleet.go
@@ -1,14 +1,16 @@
-// Package simagent runs many simulated agents in one process. A simulated agent is the real thing but for the sockets
-// towards its clients and servers: it has a discovery client with HTTP on loopback, parses its configurations, keeps the
-// table of endpoints and decides by the balancer. Requests, counter servers and their applications are modelled.
+// Package simagent runs many simulated agents in one process. A simulated agent runs the code of a real agent except
+// for the sockets to its clients and servers: it has a discovery client that uses HTTP on loopback, parses
+// configurations, maintains the endpoint table and runs the balancer. Requests, counter servers and their applications
+// are modelled.
 //
-// The model runs in shards, each an event loop on a goroutine and thread of its own, which alone touches its servers and
-// the agents by which they call on. Other goroutines reach that state only through shard.doSync and shard.doAsync; an
-// agent's process, which discovery clients and reloads share, is guarded by the agent's processMu.
+// The model is divided into shards. Each shard is an event loop on its own goroutine and thread, and only that
+// goroutine accesses the shard's servers and the agents that make their calls. Other goroutines access that state only
+// through shard.doSync and shard.doAsync. An agent's process is shared by discovery clients and reloads and guarded by
+// the agent's processMu.
 //
-// An event takes effect at its due time however late it is handled, so that a busy machine lengthens no modelled time; the
-// delay is reported as the model's lag. What comes from discovery or the configuration source takes effect when it comes.
-// The package never decides by itself what an agent does: that is the balancer's.
+// An event takes effect at its due time even if it is handled later, so a busy machine does not lengthen modelled
+// times. The delay is reported as the model's lag. Input from discovery and the configuration source takes effect on
+// arrival. All decisions of an agent are made by the balancer, none by this package.
 package simagent
 
 import (
@@ -28,62 +30,62 @@
 )
 
 const (
-	// maxShards leaves cores to control and the other parts of a run.
+	// maxShards leaves cores for the discovery service and the other processes of a run.
 	maxShards = 4
-	// readyTimeout is how long Start waits for the agents to hold the endpoint list.
+	// readyTimeout is how long Start waits for the agents to receive the endpoint list.
 	readyTimeout = 60 * time.Second
-	// startConcurrency is how many agents are started or restarted at once.
+	// startConcurrency is the number of agents that are started or restarted concurrently.
 	startConcurrency = 8
 )
 
 // Options configure a Fleet. World, Agents and Discovery are required.
 type Options struct {
 	World           *world.World
-	Agents          []int      // positions in the world of the simulated agents
-	Discovery       []string   // host and port, by agent of the world
-	Relays          [][]string // host and port of each, by agent of the world; nil: none
-	RootCallsFrom   int64      // Unix ns before which no root call begins; 0: as soon as its agent has the list
-	CachedEndpoints []byte     // the list that the agents start with, in discovery's form; nil: none
-	Shards          int        // 0: by the machine's cores
+	Agents          []int      // the simulated agents, as indexes into the world's agents
+	Discovery       []string   // host and port, indexed by agent of the world
+	Relays          [][]string // host and port of each relay, indexed by agent of the world; nil: none
+	RootCallsFrom   int64      // Unix ns before which no root call begins; 0: as soon as the agent has the list
+	CachedEndpoints []byte     // the list that the agents start with, in discovery's format; nil: none
+	Shards          int        // 0: chosen by the number of cores
 	Log             *slog.Logger
 	Clock           Clock // nil: the wall clock
 
-	// ConfigText makes an agent's configuration; nil: World.Config.
+	// ConfigText returns the text of an agent's configuration; nil: World.Config.
 	ConfigText func(agent int, o world.ConfigOptions) []byte
 }
 
-// validate reports agents for which the world or the options have no place.
+// validate returns an error for an agent that the world does not contain or that has no addresses in the options.
 func (o *Options) validate() error {
 	for _, position := range o.Agents {
 		if position < 0 || position >= len(o.World.Agents) || position >= len(o.Discovery) {
-			return fmt.Errorf("simulated agents: agent %d of %d, with addresses for %d", position, len(o.World.Agents), len(o.Discovery))
+			return fmt.Errorf("simulated agents: agent %d is out of range: the world has %d agents and Discovery has %d addresses", position, len(o.World.Agents), len(o.Discovery))
 		}
 		if o.Relays != nil && position >= len(o.Relays) {
-			return fmt.Errorf("simulated agents: relays of agent %d: only %d agents have any", position, len(o.Relays))
+			return fmt.Errorf("simulated agents: no relays for agent %d: Relays has %d entries", position, len(o.Relays))
 		}
 	}
 	return nil
 }
 
-// Fleet is a set of running simulated agents with the modelled servers of their world.
+// Fleet is a set of running simulated agents and the modelled servers of their world.
 type Fleet struct {
 	world            *world.World
 	clock            Clock
 	log              *slog.Logger
 	configText       func(agent int, o world.ConfigOptions) []byte
 	discoveryAddrs   []string
-	relayAddrs       [][]string // by agent of the world; nil: none
+	relayAddrs       [][]string // indexed by agent of the world; nil: none
 	rootCallsFrom    time.Duration
 	shards           []*shard
-	servers          []*server // by position in the world
+	servers          []*server // indexed by position in the world
 	agents           []*agent  // in the order of Options.Agents
 	agentsByPosition map[int]*agent
-	serversByID      sync.Map // string to *server, by the ids that lists have for them
+	serversByID      sync.Map // string to *server, keyed by id in the endpoint list
 
-	deepestFailing     atomic.Bool // the deepest service answers errors
+	deepestFailing     atomic.Bool // the deepest service responds with errors
 	regionsPartitioned atomic.Bool
-	syncedProcesses    atomic.Int64  // incarnations of agents that have got the list from discovery
-	syncedSignal       chan struct{} // holds one
+	syncedProcesses    atomic.Int64  // incarnations of agents that have received the list from discovery
+	syncedSignal       chan struct{} // capacity 1
 	polls              pollCounts
 
 	ctx          context.Context
@@ -93,10 +95,10 @@
 	measurement  measurement
 }
 
-// pollCounts counts the polls of the agents' discovery clients since the measured part began.
+// pollCounts counts the polls of the agents' discovery clients since the measurement period began.
 type pollCounts struct{ total, failed, fullLists atomic.Int64 }
 
-// Start starts the agents and waits until all hold the endpoint list, for a minute at most; Stats reports how many do.
+// Start starts the agents and waits up to a minute until all have the endpoint list. Stats reports how many have it.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	f, err := newFleet(o)
 	if err != nil {
@@ -125,7 +127,7 @@
 	return f, nil
 }
 
-// Close ends the agents and the model and returns when none of their goroutines runs any more.
+// Close stops the agents and the model and waits for all their goroutines to end.
 func (f *Fleet) Close() error {
 	f.stop()
 	for _, a := range f.agents {
@@ -139,7 +141,7 @@
 	return nil
 }
 
-// newFleet makes all parts of a fleet and starts nothing.
+// newFleet creates a fleet without starting anything.
 func newFleet(o Options) (*Fleet, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -176,31 +178,33 @@
 	return f, nil
 }
 
-// addServers makes the servers. One whose requests call on by the agent beside another server is in that one's shard.
+// addServers creates the servers. A server whose calls are made by the agent colocated with another server is in that
+// server's shard.
 func (f *Fleet) addServers() {
-	for i, drawn := range f.world.Servers {
-		home := i
+	for i, spec := range f.world.Servers {
+		colocated := i
 		if a := f.world.CallingAgent(i); a >= 0 {
-			home = f.world.Agents[a].Server
+			colocated = f.world.Agents[a].Server
 		}
 		s := &server{
-			shard: f.shards[home%len(f.shards)], position: i, service: drawn.Service, region: drawn.Region, zone: drawn.Zone,
-			startedAt: drawn.Start, slots: drawn.Slots, inProgress: map[*attempt]struct{}{},
+			shard: f.shards[colocated%len(f.shards)], position: i, service: spec.Service, region: spec.Region, zone: spec.Zone,
+			startedAt: spec.Start, slots: spec.Slots, inProgress: map[*attempt]struct{}{},
 		}
 		f.servers = append(f.servers, s)
-		f.serversByID.Store(drawn.ID, s)
+		f.serversByID.Store(spec.ID, s)
 	}
 }
 
 func (f *Fleet) addAgent(position int) {
-	drawn := f.world.Agents[position]
-	beside := f.servers[drawn.Server]
-	a := &agent{shard: beside.shard, position: position, server: beside, rootCallsPerSecond: drawn.RootCallsPerSecond}
+	spec := f.world.Agents[position]
+	s := f.servers[spec.Server]
+	a := &agent{shard: s.shard, position: position, server: s, rootCallsPerSecond: spec.RootCallsPerSecond}
 	f.agents = append(f.agents, a)
 	f.agentsByPosition[position] = a
 }
 
-// serverOf finds the modelled server behind a member of a list, whatever generation its id is of; nil if there is none.
+// serverOf returns the modelled server behind a list member, also for the ids of its replacements, or nil if there is
+// none.
 func (f *Fleet) serverOf(m discovery.Member) *server {
 	if s, known := f.serversByID.Load(m.ID); known {
 		return s.(*server)
@@ -213,7 +217,7 @@
 	return f.servers[i]
 }
 
-// recordSynced counts an incarnation of an agent that has got the list from discovery.
+// recordSynced counts an incarnation of an agent that has received the list from discovery.
 func (f *Fleet) recordSynced() {
 	f.syncedProcesses.Add(1)
 	select {
--- a/internal/scale/simagent/fleet_test.go
+++ b/internal/scale/simagent/fleet_test.go
@@ -298,9 +298,9 @@
 func TestInvalidOptions(t *testing.T) {
 	w := tinyWorld(t, nil)
 	for want, change := range map[string]func(*Options){
-		"relays of agent 0": func(o *Options) { o.Relays = [][]string{} },
-		"agent 99 of 24":    func(o *Options) { o.Agents = []int{99} },
-		"simulated agent 0": func(o *Options) { o.ConfigText = func(int, world.ConfigOptions) []byte { return []byte("{}") } },
+		"no relays for agent 0":                             func(o *Options) { o.Relays = [][]string{} },
+		"agent 99 is out of range: the world has 24 agents": func(o *Options) { o.Agents = []int{99} },
+		"simulated agent 0":                                 func(o *Options) { o.ConfigText = func(int, world.ConfigOptions) []byte { return []byte("{}") } },
 	} {
 		o := Options{World: w, Agents: []int{0}, Discovery: []string{"127.0.0.1:1"}}
 		change(&o)
--- a/internal/scale/simagent/healthcheck.go
+++ b/internal/scale/simagent/healthcheck.go
@@ -5,7 +5,7 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// healthCheck asks a server for its load.
+// healthCheck sends a health check to a server, which reports its load.
 func (a *agent) healthCheck(id balancer.ServerID) {
 	target := a.serversByID[id]
 	if target == nil {
@@ -19,7 +19,7 @@
 	})
 }
 
-// onHealthCheckDone hands the answer of a health check to the balancer.
+// onHealthCheckDone passes the response to a health check to the balancer.
 func (a *agent) onHealthCheckDone(ev *event) {
 	if ev.incarnation != a.incarnation || !a.isUp {
 		return
@@ -34,17 +34,17 @@
 	})
 }
 
-// onHealthCheck answers a health check, unless the server's machine is unreachable.
+// onHealthCheck responds to a health check, unless the server's machine is unreachable.
 func (s *server) onHealthCheck(ev *event) {
 	if s.state == serverUnreachable {
 		return
 	}
 	ok := s.state == serverUp
-	answer := event{
+	response := event{
 		kind: eventHealthCheckDone, due: s.shard.now, agent: ev.agent, incarnation: ev.incarnation, token: ev.token, ok: ok,
 	}
 	if ok {
-		answer.report = s.report()
+		response.report = s.report()
 	}
-	s.shard.transmit(s, ev.agent.server, answer)
+	s.shard.transmit(s, ev.agent.server, response)
 }
--- a/internal/scale/simagent/incarnation.go
+++ b/internal/scale/simagent/incarnation.go
@@ -12,12 +12,12 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// unusedListenAddr is the address in the agents' configurations at which a real one would listen for clients.
+// unusedListenAddr is the listen address in the agents' configurations. Simulated agents do not listen for clients.
 const unusedListenAddr = "127.0.0.1:1"
 
-// process is one incarnation of an agent: its discovery client, with a goroutine that stopClient waits for.
+// process is one incarnation of an agent. It runs the discovery client on a goroutine that stopClient waits for.
 type process struct {
-	incarnation uint32 // as the shard counts
+	incarnation uint32 // the agent's incarnation, set by its shard
 	ctx         context.Context
 	stop        context.CancelFunc
 	targets     chan discovery.Target
@@ -25,7 +25,8 @@
 	conns       connSet
 }
 
-// startAgent starts or restarts an agent with a cached endpoint list, in discovery's form; nil if it is to have none.
+// startAgent starts or restarts an agent with a cached endpoint list in discovery's format, or without one if cached is
+// nil.
 func (f *Fleet) startAgent(a *agent, cached []byte) error {
 	a.processMu.Lock()
 	defer a.processMu.Unlock()
@@ -57,7 +58,8 @@
 	return nil
 }
 
-// newProcess starts an agent's new process in its shard and makes its discovery client. processMu is held.
+// newProcess starts a new process of an agent in its shard and creates the discovery client. The caller holds
+// a.processMu.
 func (f *Fleet) newProcess(a *agent, cfg *config.Config, lb *balancer.Balancer) (*process, *discovery.Client) {
 	p := &process{targets: make(chan discovery.Target), done: make(chan struct{})}
 	p.ctx, p.stop = context.WithCancel(f.ctx)
@@ -74,7 +76,8 @@
 	return p, client
 }
 
-// configOptions are what an agent's configuration of a revision says beside the settings.
+// configOptions returns the options of an agent's configuration at a revision, that is, its content besides the
+// settings.
 func (f *Fleet) configOptions(a *agent, revision int) world.ConfigOptions {
 	o := world.ConfigOptions{
 		Listen: unusedListenAddr, Discovery: f.discoveryAddrs[a.position], Revision: revision,
@@ -86,7 +89,8 @@
 	return o
 }
 
-// cachedEndpoints is the list that an agent holds, as the platform would write it into its configuration; nil if none.
+// cachedEndpoints returns an agent's endpoint list as the platform would write it into the configuration, or nil if the
+// agent has none.
 func (f *Fleet) cachedEndpoints(a *agent) (text []byte) {
 	var members []discovery.Member
 	var revision uint64
@@ -105,7 +109,7 @@
 	return text
 }
 
-// stopAgent ends an agent's process, if it has one.
+// stopAgent stops an agent's process, if it has one.
 func (f *Fleet) stopAgent(a *agent) {
 	a.processMu.Lock()
 	defer a.processMu.Unlock()
@@ -115,7 +119,7 @@
 	}
 }
 
-// stopClient ends the agent's discovery client and closes its connections. processMu is held.
+// stopClient stops the agent's discovery client and closes its connections. The caller holds a.processMu.
 func (a *agent) stopClient() {
 	p := a.process
 	if p == nil {
@@ -127,7 +131,7 @@
 	a.process = nil
 }
 
-// onWatchEvent hands an event of a discovery client to the agent's shard without waiting for it, as a real client does.
+// onWatchEvent passes an event of a discovery client to the agent's shard without waiting, as a real agent does.
 func (f *Fleet) onWatchEvent(a *agent, p *process, ev discovery.WatchEvent) {
 	if ev.Update == balancer.EndpointsReplaced {
 		f.polls.fullLists.Add(1)
@@ -135,7 +139,8 @@
 	a.shard.doAsync(func() { a.onWatchEvent(p.incarnation, ev) })
 }
 
-// countPoll counts a poll of a discovery client. One that the agent cancelled, to restart or to migrate, has not failed.
+// countPoll counts a poll of a discovery client. A poll that the agent cancelled, because of a restart or a new
+// discovery address, does not count as failed.
 func (f *Fleet) countPoll(result discovery.PollResult) {
 	f.polls.total.Add(1)
 	if result.Err != nil && !errors.Is(result.Err, context.Canceled) {
@@ -143,8 +148,8 @@
 	}
 }
 
-// reloadAgent has an agent reload its configuration in the order of a real one: first its settings, then where discovery
-// is. A revision that comes after a newer one has been in force since that.
+// reloadAgent reloads an agent's configuration in the order of a real agent: first the settings, then the discovery
+// address. A revision that arrives after a newer one is not applied and is recorded as in force.
 func (f *Fleet) reloadAgent(a *agent, revision int, text []byte) {
 	a.processMu.Lock()
 	defer a.processMu.Unlock()
--- a/internal/scale/simagent/loadreport.go
+++ b/internal/scale/simagent/loadreport.go
@@ -5,7 +5,7 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// loadReport is what a server reports of its load in its answers.
+// loadReport is the load that a server reports in its responses.
 type loadReport struct {
 	known            bool
 	inFlight, queued int32
@@ -21,7 +21,7 @@
 	}
 }
 
-// toBalancer is what an agent reads from a report: the fields that its settings name.
+// toBalancer converts a report to the balancer's form. It includes only the fields that the agent's settings name.
 func (r loadReport) toBalancer(set *settings.Settings) balancer.LoadReport {
 	l := settings.UnknownLoad()
 	if !r.known || set.Balancer.Reports == balancer.ReportsOff {
--- a/internal/scale/simagent/network.go
+++ b/internal/scale/simagent/network.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// transmit sends an event from beside one server to another. It is lost while their regions are partitioned.
+// transmit sends an event from one server's machine to another's. The event is lost while their regions are
+// partitioned.
 func (s *shard) transmit(from, to *server, ev event) {
 	f := s.fleet
 	if from.region != to.region && f.regionsPartitioned.Load() {
@@ -12,7 +13,7 @@
 	s.post(to.shard, ev)
 }
 
-// networkDelay is the one-way delay between two servers' places.
+// networkDelay returns the one-way network delay between two servers' machines.
 func (f *Fleet) networkDelay(from, to *server) time.Duration {
 	fleet := &f.world.Scenario.Fleet
 	ms := fleet.NetworkMS
--- a/internal/scale/simagent/random.go
+++ b/internal/scale/simagent/random.go
@@ -7,12 +7,12 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// exponential draws a duration with a mean in seconds.
+// exponential returns an exponentially distributed random duration with the given mean.
 func (s *shard) exponential(meanSeconds float64) time.Duration {
 	return time.Duration(s.rng.ExpFloat64() * meanSeconds * float64(time.Second))
 }
 
-// pickService chooses the service of a root call by the calls' chances, u being uniform in [0, 1).
+// pickService returns the service of a root call, weighted by the calls' chances. u is uniform in [0, 1).
 func pickService(u float64, calls []world.Call) int {
 	sum := 0.0
 	for _, c := range calls {
@@ -28,5 +28,5 @@
 	return calls[len(calls)-1].Service
 }
 
-// bernoulli draws whether something happens that has the chance p. A certain event draws nothing.
+// bernoulli returns true with probability p. It consumes no random number if p >= 1.
 func bernoulli(rng *rand.Rand, p float64) bool { return p >= 1 || rng.Float64() < p }
--- a/internal/scale/simagent/server.go
+++ b/internal/scale/simagent/server.go
@@ -7,48 +7,50 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// serverState is what has become of a server's process and machine.
+// serverState is the state of a server's process and machine.
 type serverState uint8
 
 const (
 	serverUp          serverState = iota
 	serverCrashed                 // connections are refused
-	serverUnreachable             // the machine has vanished: nothing comes back
+	serverUnreachable             // the machine is lost: it sends no responses
 )
 
-// attemptState is where a server has an attempt.
+// attemptState is the state of an attempt at its server.
 type attemptState uint8
 
 const (
 	attemptInTransit attemptState = iota
 	attemptQueued
 	attemptWorking // the server's own work
-	attemptCalling // other services in turn, without a slot
+	attemptCalling // calling other services one after the other; occupies no slot
 	attemptDone
-	attemptAbandoned // its caller has gone; it keeps its slot until the server's own work is done
+	attemptAbandoned // the caller closed the connection; occupies its slot until the server's own work is done
 )
 
-// serviceTimeSmoothing is the weight of one request in the service time that a server reports, which covers the last one or two.
+// serviceTimeSmoothing is the EWMA weight of the latest request in the service time that a server reports. At 0.5 the
+// average covers about the last one or two requests.
 const serviceTimeSmoothing = 0.5
 
-// server is a modelled counter server with its application. A request occupies a slot for the server's own work but not
-// while it waits for the calls it makes, as scenarios size slots for work alone. It belongs to its shard.
+// server is a modelled counter server with its application. A request occupies a slot during the server's own work but
+// not while it waits for the calls it makes, because scenarios size slots for work alone. Only its shard's goroutine
+// accesses it.
 type server struct {
 	shard    *shard
-	position int // among the world's
+	position int // index into the world's servers
 	service  int
 	region   int
 	zone     int
-	agent    *agent // by which requests call on; nil: they make no calls
+	agent    *agent // makes the calls of the server's requests; nil: they make none
 
 	state        serverState
-	incarnation  uint32        // counts its processes
-	startedAt    time.Duration // of this process, Unix time; 0: long ago
+	incarnation  uint32        // incremented when a process starts or ends
+	startedAt    time.Duration // start of the current process, Unix time; 0: long ago
 	slots        int
 	busySlots    int
 	queue        []*attempt
-	inProgress   map[*attempt]struct{} // started and not answered
-	recentMillis float64               // service time
+	inProgress   map[*attempt]struct{} // started and not yet completed
+	recentMillis float64               // EWMA of the service time
 }
 
 // receive starts, queues or rejects an attempt that has arrived.
@@ -72,7 +74,7 @@
 	}
 }
 
-// start works on an attempt.
+// start begins the server's own work on an attempt, which takes an exponentially distributed time.
 func (s *server) start(att *attempt) {
 	s.busySlots++
 	s.inProgress[att] = struct{}{}
@@ -80,12 +82,12 @@
 	att.serverIncarnation = s.incarnation
 	world := s.shard.fleet.world
 	mean := world.Services[s.service].Work.Seconds() / (world.Servers[s.position].Speed * s.slowStartFactor())
-	took := s.shard.exponential(mean)
-	s.recentMillis += serviceTimeSmoothing * (float64(took)/float64(time.Millisecond) - s.recentMillis)
-	s.shard.queue.push(event{kind: eventWorkDone, due: s.shard.now + took, attempt: att, incarnation: s.incarnation})
+	serviceTime := s.shard.exponential(mean)
+	s.recentMillis += serviceTimeSmoothing * (float64(serviceTime)/float64(time.Millisecond) - s.recentMillis)
+	s.shard.queue.push(event{kind: eventWorkDone, due: s.shard.now + serviceTime, attempt: att, incarnation: s.incarnation})
 }
 
-// slowStartFactor is the share of its speed that the server has reached since its process started.
+// slowStartFactor returns the fraction of its full speed that the server has reached since its process started.
 func (s *server) slowStartFactor() float64 {
 	fleet := &s.shard.fleet.world.Scenario.Fleet
 	age := (s.shard.now - s.startedAt).Seconds()
@@ -95,7 +97,7 @@
 	return fleet.SlowStartMinWeight + (1-fleet.SlowStartMinWeight)*max(0, age)/fleet.SlowStartS
 }
 
-// onWorkDone ends the server's own work on an attempt, and begins its calls.
+// onWorkDone ends the server's own work on an attempt and begins the attempt's calls.
 func (s *server) onWorkDone(att *attempt, incarnation uint32) {
 	if incarnation != s.incarnation {
 		return
@@ -110,7 +112,7 @@
 	s.callNext(att)
 }
 
-// callNext makes the next of the service's calls through the server's agent, or answers if there are no more.
+// callNext makes the next of the service's calls through the server's agent, or responds if there are no more.
 func (s *server) callNext(att *attempt) {
 	calls := s.shard.fleet.world.Services[s.service].Calls
 	for s.agent != nil && att.nextCall < len(calls) {
@@ -144,13 +146,13 @@
 	s.callNext(att)
 }
 
-// complete answers an attempt that is in progress.
+// complete ends an attempt that is in progress and sends its outcome.
 func (s *server) complete(att *attempt, outcome balancer.Outcome) {
 	s.release(att)
 	s.respond(att, outcome)
 }
 
-// release ends an attempt that is in progress and frees its slot, if it has one, for those that are queued.
+// release ends an attempt that is in progress. If the attempt occupies a slot, release frees it for queued attempts.
 func (s *server) release(att *attempt) {
 	hasSlot := att.state == attemptWorking || att.state == attemptAbandoned
 	att.state = attemptDone
@@ -161,7 +163,7 @@
 	}
 }
 
-// startQueued starts queued attempts while there are free slots.
+// startQueued starts queued attempts while slots are free. It rejects those whose deadline has passed.
 func (s *server) startQueued() {
 	for len(s.queue) > 0 && s.busySlots < s.slots {
 		next := s.queue[0]
@@ -174,13 +176,14 @@
 	}
 }
 
-// cancel ends an attempt whose caller has gone. One that the server itself works on keeps its slot until that is done.
+// cancel ends an attempt whose caller closed the connection. If the server's own work is under way, the attempt
+// occupies its slot until the work is done.
 func (s *server) cancel(att *attempt) {
 	if s.state != serverUp {
 		return
 	}
 	switch att.state {
-	case attemptInTransit: // it was rejected, or the cancellation has overtaken it
+	case attemptInTransit: // the attempt was lost, or its cancellation overtook it
 		att.state = attemptDone
 	case attemptQueued:
 		att.state = attemptDone
@@ -201,7 +204,7 @@
 	}
 }
 
-// respond sends an attempt's outcome to its caller, with a load report if the outcome is a response of the server.
+// respond sends an attempt's outcome to its caller. An outcome that is a response of the server includes a load report.
 func (s *server) respond(att *attempt, outcome balancer.Outcome) {
 	att.state = attemptDone
 	ev := event{kind: eventOutcome, due: s.shard.now, attempt: att, outcome: outcome}
@@ -211,7 +214,7 @@
 	s.shard.transmit(s, att.call.agent.server, ev)
 }
 
-// takeDown ends the server's process, or its machine, with all attempts that it has.
+// takeDown stops the server's process or machine and ends all its attempts.
 func (s *server) takeDown(to serverState) {
 	if s.state == serverUp {
 		for _, att := range s.queue {
@@ -228,7 +231,7 @@
 	clear(s.inProgress)
 }
 
-// dropAttempt ends an attempt with the server's process. A crash resets its connection; a vanished machine does not.
+// dropAttempt ends an attempt of a process that has stopped. A crash resets the connection; a lost machine does not.
 func (s *server) dropAttempt(att *attempt, to serverState) {
 	child := att.child
 	att.state = attemptDone
@@ -241,7 +244,7 @@
 	}
 }
 
-// restart begins a new process, which warms up if it starts cold.
+// restart starts a new process, with slow start if it is cold.
 func (s *server) restart(cold bool) {
 	if s.state == serverUp {
 		return
