--- a/internal/scale/simagent/fleet.go
+++ b/internal/scale/simagent/fleet.go
@@ -58,7 +58,8 @@
 func (o *Options) validate() error {
 	for _, position := range o.Agents {
 		if position < 0 || position >= len(o.World.Agents) || position >= len(o.Discovery) {
-			return fmt.Errorf("simulated agents: agent %d is out of range: the world has %d agents and Discovery has %d addresses", position, len(o.World.Agents), len(o.Discovery))
+			return fmt.Errorf("simulated agents: agent %d is out of range: the world has %d agents and Discovery has %d addresses",
+				position, len(o.World.Agents), len(o.Discovery))
 		}
 		if o.Relays != nil && position >= len(o.Relays) {
 			return fmt.Errorf("simulated agents: no relays for agent %d: Relays has %d entries", position, len(o.Relays))
--- a/internal/scale/simagent/service.go
+++ b/internal/scale/simagent/service.go
@@ -12,10 +12,10 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// ServiceName is the name by which the part's methods are called.
+// ServiceName is the net/rpc service name of the simulated agents' process.
 const ServiceName = "Hollow"
 
-// The part's methods, as role.Child calls them.
+// The RPC method names for role.Child.Call.
 const (
 	MethodStart     = ServiceName + ".Start"
 	MethodStep      = ServiceName + ".Step"
@@ -24,57 +24,60 @@
 	MethodStats     = ServiceName + ".Stats"
 )
 
-// The messages of the part follow. gob sends them by the names of their fields.
+// The RPC messages follow. gob encodes them by field name.
 
-// StartArgs say what the part runs. The world is drawn from the scenario, as in every other part.
+// StartArgs are the arguments of Start. The world is generated from the scenario, as in every other process of the run.
 type StartArgs struct {
 	Scenario        scenario.Scenario
 	Echo            []string // addresses of the echo servers
-	Agents          []int    // positions in the world of the simulated agents
-	Discovery       []string // host and port, by agent of the world
+	Agents          []int    // the simulated agents, as indexes into the world's agents
+	Discovery       []string // host and port, indexed by agent of the world
 	Relays          [][]string
-	Begin           int64  // Unix ns before which no root call begins; 0: as soon as its agent has the list
-	CachedEndpoints []byte // the list that the agents start with, in discovery's form; nil: none
+	Begin           int64  // Unix ns before which no root call begins; 0: as soon as the agent has the list
+	CachedEndpoints []byte // the list that the agents start with, in discovery's format; nil: none
 }
 
-// StartReply says how many agents hold the list.
+// StartReply is the reply of Start. Ready is the number of agents that have the endpoint list.
 type StartReply struct{ Ready int }
 
-// StepArgs hold one step of the world's events.
+// StepArgs are the arguments of Step: one step of the world's events.
 type StepArgs struct{ Step world.Step }
 
-// GobEncode writes a step as JSON, as gob would leave out pointers to false, by which a step ends a failure or partition.
+// GobEncode encodes the step as JSON, because gob omits pointers to false, which a step uses to end a failure or
+// partition.
 func (a StepArgs) GobEncode() ([]byte, error) { return json.Marshal(a.Step) }
 
-// GobDecode reads what GobEncode wrote.
+// GobDecode decodes the output of GobEncode.
 func (a *StepArgs) GobDecode(text []byte) error { return json.Unmarshal(text, &a.Step) }
 
-// ConfigArgs hold one revision of the configuration and how long handing it to one agent takes the source.
+// ConfigArgs are the arguments of Config: a revision of the configuration and the time that the source needs per agent.
 type ConfigArgs struct {
 	Revision int
 	PushMS   float64
 }
 
-// StatsArgs ask for what was measured.
+// StatsArgs are the arguments of Stats.
 type StatsArgs struct{}
 
 var (
-	errNotStarted     = errors.New("simulated agents have not been started")
-	errAlreadyStarted = errors.New("simulated agents have been started already")
+	// errNotStarted is returned by all methods but Start before a Start that succeeds.
+	errNotStarted = errors.New("simulated agents are not started")
+	// errAlreadyStarted is returned by a repeated Start.
+	errAlreadyStarted = errors.New("simulated agents are already started")
 )
 
-// Service offers a Fleet to the process that started this one. Its zero value is ready for Start; all other methods fail
-// before that. mu guards fleet.
+// Service serves a Fleet by RPC to the process that started this one. The zero value is ready for Start; all other
+// methods fail before Start. mu guards fleet.
 type Service struct {
 	mu    sync.Mutex
 	fleet *Fleet
 }
 
-// Main is the part's program: it serves a Service until its input ends.
+// Main is the main function of the simulated agents' process. It serves a Service until standard input ends.
 func Main() error {
 	s := new(Service)
 	err := role.Serve(ServiceName, s)
-	if f, notStarted := s.startedFleet(); notStarted == nil {
+	if f, startErr := s.startedFleet(); startErr == nil {
 		err = errors.Join(err, f.Close())
 	}
 	return err
@@ -89,7 +92,7 @@
 	return s.fleet, nil
 }
 
-// Start starts the agents, once, and returns when they hold the list, or after a minute.
+// Start starts the agents and returns when all have the endpoint list, or after a minute. It can be called only once.
 func (s *Service) Start(args StartArgs, reply *StartReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -114,7 +117,8 @@
 	return nil
 }
 
-// Step plays one step. It returns when the agents that it restarts are up, not when they hold the list.
+// Step applies one step. It returns when the agents that it restarts are up, without waiting until they have the
+// endpoint list.
 func (s *Service) Step(args StepArgs, _ *struct{}) error {
 	f, err := s.startedFleet()
 	if err != nil {
@@ -123,7 +127,7 @@
 	return f.Step(args.Step)
 }
 
-// Config has a revision handed to each agent in turn, and does not wait for that.
+// Config queues the rollout of a revision to each agent in turn. It does not wait for the rollout.
 func (s *Service) Config(args ConfigArgs, _ *struct{}) error {
 	f, err := s.startedFleet()
 	if err != nil {
@@ -133,7 +137,7 @@
 	return nil
 }
 
-// Begin begins the measured part: all counts start from 0.
+// Begin begins the measurement period and resets all counts.
 func (s *Service) Begin(_ struct{}, _ *struct{}) error {
 	f, err := s.startedFleet()
 	if err != nil {
@@ -143,7 +147,7 @@
 	return nil
 }
 
-// Stats reports what was measured since Begin.
+// Stats returns the measurements since Begin.
 func (s *Service) Stats(_ StatsArgs, reply *StatsReply) error {
 	f, err := s.startedFleet()
 	if err != nil {
--- a/internal/scale/simagent/shard.go
+++ b/internal/scale/simagent/shard.go
@@ -11,35 +11,36 @@
 )
 
 const (
-	// minIdleWait bounds how often an idle shard wakes up. Events that fall due meanwhile are handled late, as of their own time.
+	// minIdleWait bounds how often an idle shard wakes up. Events that become due during the wait are handled late, but
+	// take effect at their due time.
 	minIdleWait = time.Millisecond
-	// maxIdleWait bounds a rest where nothing is due.
+	// maxIdleWait bounds the wait when no event is due.
 	maxIdleWait = time.Second
-	// eventsPerPoll is how many events a shard handles between reading the clock and its inbox.
+	// eventsPerPoll is the number of events that a shard handles before it reads the clock and its inbox again.
 	eventsPerPoll = 32
-	maxLagMillis  = 60e3 // longer lags count as this
+	maxLagMillis  = 60e3 // longer lags are recorded as this value
 )
 
-// shard is the event loop of a part of the servers and of their agents, on a goroutine and thread of its own that alone
-// touches their state. Other goroutines send it events; mu guards the inbox through which they do.
+// shard is the event loop for a subset of the servers and their agents. It runs on its own goroutine and thread, and
+// only that goroutine accesses their state. Other goroutines send events through the inbox, which mu guards.
 type shard struct {
 	fleet   *Fleet
-	index   int // among the fleet's
+	index   int // index into the fleet's shards
 	clock   Clock
 	rng     *rand.Rand
 	now     time.Duration // due time of the event being handled
 	queue   eventQueue
-	outbox  [][]event // to other shards, by their index, until the batch ends
-	stopped bool      // set by an event
+	outbox  [][]event // events for other shards, indexed by shard, until the batch ends
+	stopped bool      // set by an event to end the loop
 
 	mu         sync.Mutex
 	inbox      []event
-	spareInbox []event // the loop's, swapped with the inbox
+	spareInbox []event // owned by the event loop, swapped with the inbox
 	closed     bool
 	wake       chan struct{}
-	idleUntil  atomic.Int64 // Unix ns; 0: it does not rest
+	idleUntil  atomic.Int64 // Unix ns; 0: not idle
 
-	lag    *result.Histogram // ms from when events were due until they were handled
+	lag    *result.Histogram // ms between the due time and the handling of events
 	counts shardCounts
 	cpu    cpuMeter
 	done   chan struct{}
@@ -56,9 +57,9 @@
 	}
 }
 
-// run handles events until one of them stops it.
+// run handles events until one of them sets stopped.
 func (s *shard) run() {
-	runtime.LockOSThread() // cpuMeter reads the thread's processor time
+	runtime.LockOSThread() // cpuMeter reads the thread's CPU time
 	defer runtime.UnlockOSThread()
 	defer close(s.done)
 	defer s.close()
@@ -89,14 +90,15 @@
 	}
 }
 
-// waitForEvents waits until an event is due, for minIdleWait at least.
+// waitForEvents waits until the next event is due, for at least minIdleWait and at most maxIdleWait, or until another
+// goroutine sends an event that is due earlier.
 func (s *shard) waitForEvents() {
 	now := s.clock.Now()
 	until := now + maxIdleWait
 	if len(s.queue.events) > 0 {
 		until = min(until, max(s.queue.events[0].due, now+minIdleWait))
 	}
-	// Before the inbox is checked: a sender appends to the inbox first and looks at idleUntil after that.
+	// Set idleUntil before checking the inbox, because a sender appends to the inbox before it reads idleUntil.
 	s.idleUntil.Store(int64(until))
 	s.mu.Lock()
 	idle := len(s.inbox) == 0
@@ -107,7 +109,7 @@
 	s.idleUntil.Store(0)
 }
 
-// drainInbox moves what other goroutines sent into the queue.
+// drainInbox moves the events that other goroutines sent to the queue.
 func (s *shard) drainInbox() {
 	s.mu.Lock()
 	s.inbox, s.spareInbox = s.spareInbox[:0], s.inbox
@@ -118,7 +120,7 @@
 	}
 }
 
-// enqueue sends events to the shard from another goroutine. It returns false if the shard has ended.
+// enqueue sends events to the shard from another goroutine. It reports false if the shard has ended.
 func (s *shard) enqueue(events ...event) bool {
 	s.mu.Lock()
 	if s.closed {
@@ -146,7 +148,7 @@
 	s.mu.Unlock()
 }
 
-// post sends an event of this shard to another at the end of the batch, or queues it here.
+// post queues an event of this shard, or sends it to another shard at the end of the batch.
 func (s *shard) post(to *shard, ev event) {
 	if to == s {
 		s.queue.push(ev)
@@ -165,12 +167,12 @@
 	}
 }
 
-// doAsync has the shard run a function, as of now. It returns false if the shard has ended.
+// doAsync has the shard run a function as an event that is due now. It reports false if the shard has ended.
 func (s *shard) doAsync(run func()) bool {
 	return s.enqueue(event{kind: eventFunc, due: s.clock.Now(), run: run})
 }
 
-// doSync has the shard run a function and waits for it. It returns false if the shard ended before.
+// doSync has the shard run a function and waits for it. It reports false if the shard ended before running it.
 func (s *shard) doSync(run func()) bool {
 	finished := make(chan struct{})
 	sent := s.doAsync(func() {
--- a/internal/scale/simagent/stats.go
+++ b/internal/scale/simagent/stats.go
@@ -10,59 +10,60 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// ListChange says since when a revision of the endpoint list has been in force. Its fields are part of a message.
+// ListChange records when a revision of the endpoint list came into force at each agent. It is sent by RPC, so its
+// field names are fixed.
 type ListChange struct {
 	Revision uint64
-	At       []int64 // Unix ns, by agent of the world; 0: not yet, or not simulated
+	At       []int64 // Unix ns, indexed by agent of the world; 0: not yet, or not simulated
 }
 
-// maxLagP99Millis is the lag at P99 beyond which the model has not kept real time.
+// maxLagP99Millis is the P99 lag above which the model did not keep up with real time.
 const maxLagP99Millis = 50
 
-// StatsReply is what was measured since Begin. Its fields are part of a message.
+// StatsReply holds the measurements since Begin. It is sent by RPC, so its field names are fixed.
 type StatsReply struct {
 	Agents  int
-	Ready   int // agents that hold the list
+	Ready   int // agents that have the endpoint list
 	Seconds float64
 
-	Roots, FailRoots int64 // root calls, and those made while the deepest service failed
+	Roots, FailRoots int64 // root calls made while nothing failed, and while the deepest service failed
 	Depths           []result.Depth
 	Windows          []result.Window
-	Duplicates       int64    // attempts of non-idempotent calls that may have executed before: must be 0
-	Retries          [3]int64 // such attempts by idempotency: idempotent, with a key, not
+	Duplicates       int64    // attempts of non-idempotent calls that may have been executed already: must be 0
+	Retries          [3]int64 // such attempts per idempotency: idempotent, with a key, non-idempotent
 
-	Lists   []ListChange   // every revision from the first after Begin to the newest that an agent got
+	Lists   []ListChange   // every revision from the first after Begin to the newest that any agent received
 	Configs []ConfigChange // every revision whose rollout began after Begin
 	Control result.AgentControl
 
-	Polls, PollFailures, FullLists int64 // polls of discovery, failed ones, full lists that came
+	Polls, PollFailures, FullLists int64 // polls of discovery, failed polls, full lists received
 	Logged                         int64 // log lines of the balancers
 
-	// Processor time in seconds: of the process; of the modelled calls; of making configurations, which is the platform's;
-	// of the garbage collector by the runtime's estimate; and what of the first is neither the second nor the third.
+	// CPU time in seconds: of the process; of the modelled calls; of rendering configurations, which the platform does
+	// in reality; of the garbage collector as estimated by the runtime; and CPU - ModelCPU - SourceCPU.
 	CPU, ModelCPU, SourceCPU, CollectorCPU, ControlCPU float64
 
-	Heap, Stacks float64 // bytes: live after a collection, less what the empty model takes; of the goroutines
+	Heap, Stacks float64 // bytes: live heap after a collection, less that of the empty model; goroutine stacks
 	Goroutines   int
-	LagMS        result.Distribution // how late the model handled events
-	KeptTime     bool                // LagMS was within maxLagP99Millis for 99 in 100
+	LagMS        result.Distribution // delay with which the model handled events
+	KeptTime     bool                // the P99 of LagMS was at most maxLagP99Millis
 }
 
-// measurement is the state at the beginning of the measured part.
+// measurement is the state at the beginning of the measurement period. mu serializes Begin and Stats.
 type measurement struct {
 	mu                sync.Mutex
-	baselineHeapBytes float64 // before any agent was started
+	baselineHeapBytes float64 // before any agent started
 	startedAt         time.Duration
 	cpuAtStart        time.Duration
 	sourceCPUAtStart  int64
 	gcCPUAtStart      float64
-	newestAtStart     uint64 // newest revision of the list that any agent held
+	newestAtStart     uint64 // newest revision of the list that any agent had
 }
 
-// recordBaseline measures the heap of the model alone.
+// recordBaseline measures the heap of the model without agents' processes.
 func (m *measurement) recordBaseline() { m.baselineHeapBytes, _ = liveHeap() }
 
-// liveHeap collects garbage and returns the bytes of heap and of stacks in use.
+// liveHeap collects garbage and returns the bytes of live heap and of stacks in use.
 func liveHeap() (heap, stacks float64) {
 	runtime.GC()
 	var m runtime.MemStats
@@ -70,7 +71,7 @@
 	return float64(m.HeapAlloc), float64(m.StackInuse)
 }
 
-// countReady counts the agents that hold the list.
+// countReady returns the number of agents that have received the list from discovery.
 func (f *Fleet) countReady() (ready int) {
 	for _, s := range f.shards {
 		s.doSync(func() {
@@ -84,7 +85,7 @@
 	return ready
 }
 
-// Begin begins the measured part.
+// Begin begins the measurement period and resets all counts.
 func (f *Fleet) Begin() {
 	m := &f.measurement
 	m.mu.Lock()
@@ -112,8 +113,8 @@
 	m.gcCPUAtStart = gcCPUSeconds()
 }
 
-// Stats reports what was measured. It costs a garbage collection, after the processor time was read. The calls in flight
-// and the counts are part of the heap, so that an agent's share is an upper figure.
+// Stats returns the measurements. It runs a garbage collection after reading the CPU time. The heap includes the calls
+// in flight and the counts, so the heap per agent is an upper bound.
 func (f *Fleet) Stats() StatsReply {
 	m := &f.measurement
 	m.mu.Lock()
@@ -153,7 +154,7 @@
 	return r
 }
 
-// addCounts fills in what the shards counted.
+// addCounts fills in the shards' counts.
 func (r *StatsReply) addCounts(c *shardCounts) {
 	r.Roots = c.roots[phaseHealthy]
 	r.FailRoots = c.roots[phaseFailing]
@@ -164,7 +165,8 @@
 	r.Logged = c.logLines
 }
 
-// controlCost sums up what control cost the agents, as far as it shows here; bytes and the times of lists show at control.
+// controlCost summarizes the agents' control plane cost as far as this process can measure it. Bytes and list times are
+// measured by the discovery service.
 func (f *Fleet) controlCost(r *StatsReply) result.AgentControl {
 	cost := result.AgentControl{Agents: len(f.agents)}
 	if len(f.agents) == 0 || r.Seconds <= 0 {
@@ -185,21 +187,21 @@
 	return cost
 }
 
-// listChanges turns the agents' list times into times by revision. An agent that got several revisions in one answer has
-// had all of them in force since.
+// listChanges converts the list times per agent to times per revision. If one response brought an agent several
+// revisions, all of them came into force at that time.
 func (f *Fleet) listChanges(times map[int][]listTime) (changes []ListChange) {
 	newest := f.measurement.newestAtStart
-	for _, ofAgent := range times {
-		for _, t := range ofAgent {
+	for _, agentTimes := range times {
+		for _, t := range agentTimes {
 			newest = max(newest, t.revision)
 		}
 	}
 	for revision := f.measurement.newestAtStart + 1; revision <= newest; revision++ {
 		change := ListChange{Revision: revision, At: make([]int64, len(f.world.Agents))}
-		for position, ofAgent := range times {
-			i := slices.IndexFunc(ofAgent, func(t listTime) bool { return t.revision >= revision })
+		for position, agentTimes := range times {
+			i := slices.IndexFunc(agentTimes, func(t listTime) bool { return t.revision >= revision })
 			if i >= 0 {
-				change.At[position] = ofAgent[i].atUnixNano
+				change.At[position] = agentTimes[i].atUnixNano
 			}
 		}
 		changes = append(changes, change)
--- a/internal/scale/simagent/steps.go
+++ b/internal/scale/simagent/steps.go
@@ -7,8 +7,8 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// Step plays one step of the world's events: on servers first, then on the agents that it restarts. It returns when these
-// are up, not when they hold the list.
+// Step applies one step of the world's events, to servers first and then to the agents that it restarts. It returns
+// when these agents are up, without waiting until they have the endpoint list.
 func (f *Fleet) Step(step world.Step) error {
 	f.applyFlags(step)
 	if step.Silent {
@@ -32,7 +32,7 @@
 	})
 }
 
-// applyFlags plays what a step says of the whole fleet.
+// applyFlags applies the settings of a step that affect the whole fleet.
 func (f *Fleet) applyFlags(step world.Step) {
 	if step.Fail != nil {
 		f.deepestFailing.Store(*step.Fail)
@@ -42,7 +42,7 @@
 	}
 }
 
-// downState is the state of servers that a step takes down.
+// downState returns the state of the servers that a step takes down.
 func downState(step world.Step) serverState {
 	if step.Silent {
 		return serverUnreachable
@@ -50,20 +50,20 @@
 	return serverCrashed
 }
 
-// colocatedAgents returns the simulated agents beside servers.
-func (f *Fleet) colocatedAgents(servers []int) (beside []*agent) {
+// colocatedAgents returns the simulated agents colocated with the given servers.
+func (f *Fleet) colocatedAgents(servers []int) (agents []*agent) {
 	if len(servers) == 0 {
 		return nil
 	}
 	for _, a := range f.agents {
 		if slices.Contains(servers, a.server.position) {
-			beside = append(beside, a)
+			agents = append(agents, a)
 		}
 	}
-	return beside
+	return agents
 }
 
-// agentsAt returns the simulated agents among positions in the world.
+// agentsAt returns the simulated agents at the given positions in the world.
 func (f *Fleet) agentsAt(positions []int) (agents []*agent) {
 	for _, i := range positions {
 		if a := f.agentsByPosition[i]; a != nil {
