--- a/internal/scale/simagent/configsource_test.go
+++ b/internal/scale/simagent/configsource_test.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// An agent that is slow to take a configuration in does not hold up those that come after it at the source.
+// A source that waited for each agent to reload would let one slow agent delay the rollout to all later ones.
 func TestSlowAgentDoesNotDelayRollout(t *testing.T) {
 	w := tinyWorld(t, nil)
 	f, _ := startFleet(t, w, func(o *Options) { o.Shards = 2 })
 	f.Begin()
-	slow, goesOn, held := f.agents[0].shard, make(chan struct{}), make(chan struct{})
-	slow.doAsync(func() { close(held); <-goesOn })
-	<-held
+	slow, release, blocked := f.agents[0].shard, make(chan struct{}), make(chan struct{})
+	slow.doAsync(func() { close(blocked); <-release })
+	<-blocked
 	f.Configure(1, time.Millisecond)
-	others := func(c ConfigChange) (have, of int) {
+	otherShards := func(c ConfigChange) (reloaded, total int) {
 		for _, a := range f.agents {
 			if a.shard != slow {
-				of++
+				total++
 				if c.At[a.position] != 0 {
-					have++
+					reloaded++
 				}
 			}
 		}
-		return have, of
+		return reloaded, total
 	}
-	waitFor(t, "the other shard's agents have the configuration", func() bool {
+	waitFor(t, "configuration in force at the agents of the other shard", func() bool {
 		c := f.configSource.changesSince(0)
 		if len(c) == 0 {
 			return false
 		}
-		have, of := others(c[0])
-		return have == of
+		reloaded, total := otherShards(c[0])
+		return reloaded == total
 	})
 	if c := f.configSource.changesSince(0)[0]; c.At[f.agents[0].position] != 0 {
-		t.Error("the slow agent has it too")
+		t.Error("configuration is in force at the slow agent, want not yet")
 	}
-	close(goesOn)
-	waitFor(t, "all agents have it", func() bool { return f.Stats().Control.ConfigInForce.N == int64(len(w.Agents)) })
+	close(release)
+	waitFor(t, "configuration in force at all agents", func() bool { return f.Stats().Control.ConfigInForce.N == int64(len(w.Agents)) })
 }
 
-// A configuration that an agent takes in after a newer one does not replace that, and has been in force with it.
+// Reloads run concurrently, so an older revision can reach an agent after a newer one. It must not replace the newer
+// one, and counts as in force.
 func TestOlderConfigurationIgnored(t *testing.T) {
 	w := tinyWorld(t, nil)
 	f, _ := startFleet(t, w, nil)
@@ -53,11 +54,11 @@
 	newer := a.settings.Load().Balancer.Classes[0].Deadline
 	f.reloadAgent(a, 1, text(1))
 	if got := a.settings.Load().Balancer.Classes[0].Deadline; got != newer || a.configRevision != 2 {
-		t.Errorf("deadline %v, revision %d, want %v and 2", got, a.configRevision, newer)
+		t.Errorf("got deadline %v and revision %d, want %v and 2", got, a.configRevision, newer)
 	}
 	for _, c := range f.configSource.changesSince(0) {
 		if c.At[a.position] == 0 || c.Rejected != 0 {
-			t.Errorf("%+v", c)
+			t.Errorf("got %+v, want it in force at agent %d and not rejected", c, a.position)
 		}
 	}
 }
--- a/internal/scale/simagent/discovery_test.go
+++ b/internal/scale/simagent/discovery_test.go
@@ -16,20 +16,20 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// waitTimeout bounds what a test waits for; nothing passes by it.
+// waitTimeout bounds every wait in a test. Reaching it fails the test.
 const waitTimeout = 30 * time.Second
 
-// waitFor waits for something to hold.
-func waitFor(t *testing.T, what string, holds func() bool) {
+// waitFor waits until condition returns true. It fails the test after waitTimeout.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	for begun := time.Now(); !holds(); time.Sleep(time.Millisecond) {
-		if time.Since(begun) > waitTimeout {
-			t.Fatalf("not within %v: %s", waitTimeout, what)
+	for start := time.Now(); !condition(); time.Sleep(time.Millisecond) {
+		if time.Since(start) > waitTimeout {
+			t.Fatalf("timed out after %v waiting for: %s", waitTimeout, what)
 		}
 	}
 }
 
-// fakeDiscovery is a discovery service with an address for each agent.
+// fakeDiscovery is a discovery service with one address per agent. mu guards all fields but addrs.
 type fakeDiscovery struct {
 	mu                sync.Mutex
 	revision          uint64
@@ -37,8 +37,8 @@
 	changesByRevision map[uint64][]discovery.Member
 	changed           chan struct{}
 	addrs             []string
-	fullLists         []int // that each agent asked for
-	watches           []int // watches that each began
+	fullLists         []int // full lists requested, per agent
+	watches           []int // watches started, per agent
 	acknowledged      []uint64
 }
 
@@ -59,7 +59,7 @@
 	text := r.URL.Query().Get("after")
 	after, _ := strconv.ParseUint(text, 10, 64)
 	ms, _ := strconv.Atoi(r.URL.Query().Get("wait_ms"))
-	over := time.After(time.Duration(ms) * time.Millisecond)
+	timeout := time.After(time.Duration(ms) * time.Millisecond)
 	c.mu.Lock()
 	c.acknowledged[agent] = max(c.acknowledged[agent], after)
 	if text == "" {
@@ -68,17 +68,17 @@
 		c.watches[agent]++
 	}
 	c.mu.Unlock()
-	for waits := text != ""; waits; {
+	for waiting := text != ""; waiting; {
 		c.mu.Lock()
-		news, changed := c.revision > after, c.changed
+		outdated, changed := c.revision > after, c.changed
 		c.mu.Unlock()
-		if news {
+		if outdated {
 			break
 		}
 		select {
 		case <-changed:
-		case <-over:
-			waits = false
+		case <-timeout:
+			waiting = false
 		case <-r.Context().Done():
 			return
 		}
@@ -95,7 +95,7 @@
 	json.NewEncoder(w).Encode(l)
 }
 
-// change makes a revision of one change.
+// change creates a revision with one changed member and returns its number.
 func (c *fakeDiscovery) change(m discovery.Member) uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -111,24 +111,25 @@
 	return c.revision
 }
 
-// fullListCount returns how many full lists all agents have asked for.
+// fullListCount returns the number of full lists that all agents have requested.
 func (c *fakeDiscovery) fullListCount() (n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	for _, w := range c.fullLists {
-		n += w
+	for _, count := range c.fullLists {
+		n += count
 	}
 	return n
 }
 
-// awaitWatches waits until each agent has begun so many more watches. Whatever else it wanted before, it has asked for.
+// awaitWatches calls do and waits until each of the agents has started the given number of further watches. By then its
+// earlier requests have arrived.
 func (c *fakeDiscovery) awaitWatches(t *testing.T, agents []int, more int, do func()) {
 	t.Helper()
 	c.mu.Lock()
 	before := append([]int(nil), c.watches...)
 	c.mu.Unlock()
 	do()
-	waitFor(t, fmt.Sprintf("%d more watches of each", more), func() bool {
+	waitFor(t, fmt.Sprintf("%d more watches per agent", more), func() bool {
 		c.mu.Lock()
 		defer c.mu.Unlock()
 		for _, a := range agents {
@@ -140,7 +141,7 @@
 	})
 }
 
-// tinyWorld is a fleet of 24 servers, three deep.
+// tinyWorld returns a world of 24 servers with three layers.
 func tinyWorld(t *testing.T, change func(*scenario.Scenario)) *world.World {
 	t.Helper()
 	s, err := scenario.Parse([]byte(`name = "tiny"
@@ -155,7 +156,7 @@
 zones = 4
 service_ms = 4
 [agent]
-must_ask_in_s = 2 # so that nobody waits long for its turn at the start
+must_ask_in_s = 2 # keeps the initial delays before the first poll short
 `))
 	if err != nil {
 		t.Fatal(err)
@@ -178,7 +179,7 @@
 	return out
 }
 
-// startFleet starts a world's agents with a discovery service.
+// startFleet starts all agents of a world with a fake discovery service. The fleet is closed when the test ends.
 func startFleet(t *testing.T, w *world.World, change func(*Options)) (*Fleet, *fakeDiscovery) {
 	t.Helper()
 	c := newFakeDiscovery(t, w)
@@ -192,12 +193,12 @@
 	}
 	t.Cleanup(func() { f.Close() })
 	if n := f.countReady(); n != len(o.Agents) {
-		t.Fatalf("%d agents of %d hold the list", n, len(o.Agents))
+		t.Fatalf("got %d agents with the endpoint list, want %d", n, len(o.Agents))
 	}
 	return f, c
 }
 
-// mergedCounts adds up what the shards have counted.
+// mergedCounts returns the sum of the shards' counts.
 func (f *Fleet) mergedCounts() *shardCounts {
 	all := new(shardCounts)
 	for _, s := range f.shards {
--- a/internal/scale/simagent/service_test.go
+++ b/internal/scale/simagent/service_test.go
@@ -12,7 +12,7 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// The part does over its pipes what a fleet does: it starts once, plays steps to the letter, and tells what it measured.
+// The RPC service starts once, applies steps exactly, including those that end a failure, and reports the measurements.
 func TestService(t *testing.T) {
 	w := tinyWorld(t, nil)
 	c := newFakeDiscovery(t, w)
@@ -20,56 +20,57 @@
 	if err := server.RegisterName("Hollow", s); err != nil {
 		t.Fatal(err)
 	}
-	here, there := net.Pipe()
-	go server.ServeConn(there)
-	client := rpc.NewClient(here)
+	clientConn, serverConn := net.Pipe()
+	go server.ServeConn(serverConn)
+	client := rpc.NewClient(clientConn)
 	defer client.Close()
 	call := func(method string, args, reply any) error { return client.Call("Hollow."+method, args, reply) }
 
-	none := new(struct{})
-	for method, args := range map[string]any{"Step": StepArgs{}, "Config": ConfigArgs{}, "Begin": *none, "Stats": StatsArgs{}} {
-		reply := any(none)
+	empty := new(struct{})
+	for method, args := range map[string]any{"Step": StepArgs{}, "Config": ConfigArgs{}, "Begin": *empty, "Stats": StatsArgs{}} {
+		reply := any(empty)
 		if method == "Stats" {
 			reply = new(StatsReply)
 		}
 		if err := call(method, args, reply); err == nil || err.Error() != errNotStarted.Error() {
-			t.Errorf("%s before the start: %v", method, err)
+			t.Errorf("%s before Start: got error %v, want %v", method, err, errNotStarted)
 		}
 	}
-	var up StartReply
+	var started StartReply
 	start := StartArgs{Scenario: *w.Scenario, Agents: allAgents(w)[:20], Discovery: c.addrs}
-	if err := call("Start", start, &up); err != nil || up.Ready != 20 {
-		t.Fatalf("%d ready, error %v", up.Ready, err)
+	if err := call("Start", start, &started); err != nil || started.Ready != 20 {
+		t.Fatalf("got %d agents ready and error %v, want 20 and none", started.Ready, err)
 	}
 	defer s.fleet.Close()
-	if err := call("Start", start, &up); err == nil || !strings.Contains(err.Error(), "already") {
-		t.Errorf("started again: %v", err)
+	if err := call("Start", start, &started); err == nil || !strings.Contains(err.Error(), "already") {
+		t.Errorf("second Start: got error %v, want one with \"already\"", err)
 	}
-	if err := call("Begin", *none, none); err != nil {
+	if err := call("Begin", *empty, empty); err != nil {
 		t.Error(err)
 	}
 	for _, on := range []bool{true, false} {
 		step := StepArgs{world.Step{Event: -1, Fail: &on, PartitionRegions: &on, Down: []int{0}, Silent: on}}
-		if err := call("Step", step, none); err != nil || s.fleet.deepestFailing.Load() != on || s.fleet.regionsPartitioned.Load() != on {
-			t.Errorf("fails %v, cut %v, want %v; error %v", s.fleet.deepestFailing.Load(), s.fleet.regionsPartitioned.Load(), on, err)
+		if err := call("Step", step, empty); err != nil || s.fleet.deepestFailing.Load() != on || s.fleet.regionsPartitioned.Load() != on {
+			t.Errorf("got failing %v, partitioned %v and error %v, want both %v and no error",
+				s.fleet.deepestFailing.Load(), s.fleet.regionsPartitioned.Load(), err, on)
 		}
 	}
-	if err := call("Config", ConfigArgs{Revision: 1, PushMS: 0.1}, none); err != nil {
+	if err := call("Config", ConfigArgs{Revision: 1, PushMS: 0.1}, empty); err != nil {
 		t.Error(err)
 	}
 	var r StatsReply
-	waitFor(t, "the configuration is everywhere", func() bool {
+	waitFor(t, "the configuration in force at all agents", func() bool {
 		if err := call("Stats", StatsArgs{}, &r); err != nil {
 			t.Fatal(err)
 		}
 		return len(r.Configs) == 1 && r.Control.ConfigInForce.N == int64(r.Ready)
 	})
 	if r.Agents != 20 || len(r.Configs[0].At) != len(w.Agents) || r.Seconds <= 0 || r.CPU <= 0 {
-		t.Errorf("%+v", r)
+		t.Errorf("got %+v, want 20 agents, times for %d agents, and a duration and CPU time above 0", r, len(w.Agents))
 	}
 }
 
-// A step comes through the pipes as it was.
+// A step is the same after encoding and decoding, including pointers to false, which gob would omit.
 func TestStepRoundTrip(t *testing.T) {
 	no := false
 	want := StepArgs{world.Step{
@@ -82,6 +83,6 @@
 	}
 	var got StepArgs
 	if err := got.GobDecode(text); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, error %v, want %+v", got, err, want)
+		t.Errorf("got %+v and error %v, want %+v", got, err, want)
 	}
 }
