--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -157,8 +157,8 @@
 		if sameNames || a.endpoints.Len() == 0 {
 			return
 		}
-		// The balancer identifies zones and kinds by their indexes in the settings, so all endpoints must be resolved
-		// again.
+		// The balancer identifies zones and kinds by their indexes in the settings. These have changed, so all
+		// endpoints are replaced.
 		a.handleControlEvent(balancer.Event{
 			Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: a.resolveEndpoints(a.endpoints.Members()),
 		})
--- a/internal/scale/simagent/call.go
+++ b/internal/scale/simagent/call.go
@@ -24,7 +24,7 @@
 	phase     phase // phase of the run in which the root call began
 	second    int   // second of the measurement period in which the root call began
 	root      bool
-	parent    *attempt // the attempt that waits for the call; nil for a root call or after the attempt was cancelled
+	parent    *attempt // the attempt that waits for the call; nil for a root call or once the attempt has ended
 }
 
 // call is an agent's state for one request. The agent keeps it until the call is finished and no attempt is in flight.
--- a/internal/scale/simagent/counts.go
+++ b/internal/scale/simagent/counts.go
@@ -54,7 +54,7 @@
 	return phaseHealthy
 }
 
-// countsFor returns the counts countsFor a phase and layer.
+// countsFor returns the counts for a phase and layer.
 func (c *shardCounts) countsFor(p phase, layer int) *depthCounts {
 	return &c.depths[min(max(layer, 0), maxDepth)][p]
 }
--- a/internal/scale/simagent/cputime.go
+++ b/internal/scale/simagent/cputime.go
@@ -47,9 +47,9 @@
 
 // measureControl runs do and counts its CPU time as control plane work.
 func (m *cpuMeter) measureControl(do func()) {
-	begun := cpuTime(threadCPUClock)
+	start := cpuTime(threadCPUClock)
 	do()
-	m.controlTime += cpuTime(threadCPUClock) - begun
+	m.controlTime += cpuTime(threadCPUClock) - start
 }
 
 // cpuCounter sums CPU time that goroutines outside the shards spend on work other than the control plane's.
@@ -59,9 +59,9 @@
 func (o *cpuCounter) measure(work func()) {
 	runtime.LockOSThread()
 	defer runtime.UnlockOSThread()
-	begun := cpuTime(threadCPUClock)
+	start := cpuTime(threadCPUClock)
 	work()
-	o.spent.Add(int64(cpuTime(threadCPUClock) - begun))
+	o.spent.Add(int64(cpuTime(threadCPUClock) - start))
 }
 
 // gcCPUSeconds returns the total CPU time of the garbage collector as estimated by the runtime, or 0 if it is unknown.
--- a/internal/scale/simagent/service.go
+++ b/internal/scale/simagent/service.go
@@ -62,7 +62,7 @@
 var (
 	// errNotStarted is returned by all methods but Start before a Start that succeeds.
 	errNotStarted = errors.New("simulated agents are not started")
-	// errAlreadyStarted is returned by a repeated Start.
+	// errAlreadyStarted is returned by Start after a Start that succeeded.
 	errAlreadyStarted = errors.New("simulated agents are already started")
 )
 
@@ -92,7 +92,8 @@
 	return s.fleet, nil
 }
 
-// Start starts the agents and returns when all have the endpoint list, or after a minute. It can be called only once.
+// Start starts the agents and returns when all have the endpoint list, or after a minute. It fails
+// if the agents are already started.
 func (s *Service) Start(args StartArgs, reply *StartReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scale/simagent/shard.go
+++ b/internal/scale/simagent/shard.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// enqueue sends events to the shard from another goroutine. It reports false if the shard has ended.
+// enqueue sends events to the shard from another goroutine. It returns false if the shard has ended.
 func (s *shard) enqueue(events ...event) bool {
 	s.mu.Lock()
 	if s.closed {
@@ -167,12 +167,12 @@
 	}
 }
 
-// doAsync has the shard run a function as an event that is due now. It reports false if the shard has ended.
+// doAsync has the shard run a function as an event that is due now. It returns false if the shard has ended.
 func (s *shard) doAsync(run func()) bool {
 	return s.enqueue(event{kind: eventFunc, due: s.clock.Now(), run: run})
 }
 
-// doSync has the shard run a function and waits for it. It reports false if the shard ended before running it.
+// doSync has the shard run a function and waits for it. It returns false if the shard ended before running it.
 func (s *shard) doSync(run func()) bool {
 	finished := make(chan struct{})
 	sent := s.doAsync(func() {
