--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -14,53 +14,54 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// maxOpenRequests is how many requests an agent has open at most; one more is rejected, as by an agent without sockets.
+// maxOpenRequests is the limit of open requests per agent. An agent at the limit rejects further requests, like a real
+// agent that has run out of sockets.
 const maxOpenRequests = 2048
 
-// agent is a simulated agent: an agent's event loop without sockets towards clients and servers. It belongs to its shard,
-// but for what processMu guards.
+// agent is a simulated agent: an agent's event loop without sockets to clients and servers. Only its shard's goroutine
+// accesses it, except for the fields that processMu guards.
 type agent struct {
 	shard              *shard
-	position           int // among the world's agents
-	server             *server
+	position           int     // index into the world's agents
+	server             *server // colocated with the agent
 	rootCallsPerSecond float64
 
-	settings      atomic.Pointer[settings.Settings] // stored by the shard, loaded by the discovery client too
+	settings      atomic.Pointer[settings.Settings] // stored by the shard, also loaded by the discovery client
 	balancer      *balancer.Balancer
 	endpoints     *membership.Table
 	serversByID   map[balancer.ServerID]*server
 	pollEndpoints func()
-	classIndex    map[string]int // positions of the settings' classes, by name
-	incarnation   uint32         // counts its processes; what belongs to an earlier one is dropped
+	classIndex    map[string]int // class indexes in the settings, by name
+	incarnation   uint32         // incremented when a process starts or ends; events of earlier incarnations are dropped
 	isUp          bool
-	hasList       bool // the process has an endpoint list, be it a cached one
-	wasReady      bool // this or an earlier process had a list: the application makes calls
-	synced        bool // the process has got the list from discovery
+	hasList       bool // the process has an endpoint list, possibly a cached one
+	wasReady      bool // this or an earlier process had a list, so the application makes calls
+	synced        bool // the process has received the list from discovery
 	revision      uint64
 	now           time.Duration // never runs backwards
 	requests      map[balancer.RequestID]*call
 	lastID        balancer.RequestID
-	forControl    bool // the event being handled is accounted to control
+	controlPlane  bool // the current event counts as control plane work
 	events        []balancer.Event
 	actions       []balancer.Action
-	listTimes     []listTime // since the measured part began
+	listTimes     []listTime // since the measurement period began
 
-	processMu      sync.Mutex // one start, stop or reload at a time; guards what follows
+	processMu      sync.Mutex // serializes starts, stops and reloads; guards the fields below
 	config         *config.Config
 	configRevision int
 	process        *process
 }
 
-// listTime says since when a revision of the endpoint list has been in force.
+// listTime records when a revision of the endpoint list came into force.
 type listTime struct {
 	revision   uint64
 	atUnixNano int64
 }
 
-// startProcess makes the agent a new process, which knows what its configuration says. The shard calls it.
-func (a *agent) startProcess(cfg *config.Config, decisions *balancer.Balancer, pollEndpoints func()) {
+// startProcess replaces the agent's process with a new one that has the settings of cfg. The shard calls it.
+func (a *agent) startProcess(cfg *config.Config, lb *balancer.Balancer, pollEndpoints func()) {
 	a.stopProcess()
-	a.balancer = decisions
+	a.balancer = lb
 	a.pollEndpoints = pollEndpoints
 	a.isUp = true
 	a.settings.Store(&cfg.Settings)
@@ -74,7 +75,7 @@
 	}
 }
 
-// stopProcess ends the process with all that it has open. The shard calls it.
+// stopProcess ends the process and all its open requests. The shard calls it.
 func (a *agent) stopProcess() {
 	a.incarnation++
 	a.isUp = false
@@ -97,14 +98,14 @@
 	}
 }
 
-// onWatchEvent hands an event of the discovery client to the balancer, as a real agent's loop does.
+// onWatchEvent passes an event of the discovery client to the balancer, as a real agent's event loop does.
 func (a *agent) onWatchEvent(incarnation uint32, watchEvent discovery.WatchEvent) {
 	if incarnation != a.incarnation || !a.isUp {
 		return
 	}
 	a.shard.cpu.measureControl(func() {
 		ev := watchEvent.Event(a.resolveEndpoints(watchEvent.Members))
-		a.handleForControl(ev)
+		a.handleControlEvent(ev)
 		if watchEvent.Update.KeepsEndpoints() {
 			return
 		}
@@ -119,17 +120,17 @@
 	}
 }
 
-// recordListInForce notes that the balancer has a revision of the list.
+// recordListInForce records that the balancer has applied a revision of the endpoint list.
 func (a *agent) recordListInForce(revision uint64) {
 	a.revision = revision
 	a.listTimes = append(a.listTimes, listTime{revision, int64(a.shard.clock.Now())})
 	if a.hasList && !a.synced {
 		a.synced = true
-		a.shard.fleet.noteSynced()
+		a.shard.fleet.recordSynced()
 	}
 }
 
-// resolveEndpoints translates the members of a list for the balancer and finds the modelled servers behind them.
+// resolveEndpoints converts list members to the balancer's endpoints and looks up the modelled servers behind them.
 func (a *agent) resolveEndpoints(members []discovery.Member) []balancer.Endpoint {
 	endpoints := a.endpoints.Endpoints(a.settings.Load(), members)
 	for i, endpoint := range endpoints {
@@ -143,7 +144,7 @@
 	return endpoints
 }
 
-// adoptSettings replaces the settings, or leaves all as it is and returns an error, as a real agent's loop does.
+// adoptSettings replaces the settings, as a real agent's event loop does. On an error it changes nothing.
 func (a *agent) adoptSettings(next *settings.Settings) (err error) {
 	a.shard.cpu.measureControl(func() {
 		err = a.balancer.Adopt(next.Balancer)
@@ -156,25 +157,27 @@
 		if sameNames || a.endpoints.Len() == 0 {
 			return
 		}
-		// The balancer knows zones and kinds by their positions in the settings, which have changed for all endpoints.
-		a.handleForControl(balancer.Event{
+		// The balancer identifies zones and kinds by their indexes in the settings. These have changed, so all
+		// endpoints are replaced.
+		a.handleControlEvent(balancer.Event{
 			Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: a.resolveEndpoints(a.endpoints.Members()),
 		})
 	})
 	return err
 }
 
-// handleForControl handles an event whose timers are accounted to control as well.
-func (a *agent) handleForControl(ev balancer.Event) {
-	a.forControl = true
+// handleControlEvent handles an event of the control plane. The timers it sets count as control plane work too.
+func (a *agent) handleControlEvent(ev balancer.Event) {
+	a.controlPlane = true
 	a.handle(ev)
-	a.forControl = false
+	a.controlPlane = false
 }
 
-// handle hands an event to the balancer and performs its actions, and so on with the events that these cause.
+// handle passes an event to the balancer and performs the resulting actions, then does the same for the events that
+// these actions append.
 func (a *agent) handle(ev balancer.Event) {
 	a.events = append(a.events, ev)
-	for i := 0; i < len(a.events); i++ { // perform may append to it
+	for i := 0; i < len(a.events); i++ { // perform may append to a.events
 		a.now = max(a.now, a.shard.now)
 		a.actions = a.balancer.Handle(a.now, a.events[i], a.actions[:0])
 		for j := range a.actions {
@@ -206,37 +209,39 @@
 	case balancer.ActionSetTimer:
 		a.shard.queue.push(event{
 			kind: eventTimer, due: a.now + action.Delay, agent: a, incarnation: a.incarnation, token: uint64(action.TimerID),
-			forControl: a.forControl,
+			controlPlane: a.controlPlane,
 		})
 	case balancer.ActionHealthCheck:
 		a.healthCheck(action.Server)
 	case balancer.ActionPollEndpoints:
 		a.pollEndpoints()
 	case balancer.ActionLog:
-		a.shard.counts.logLines++ // nobody reads the logs of so many agents
+		a.shard.counts.logLines++ // the logs of so many agents are only counted
 	}
 }
 
-// onTimer hands a due timer to the balancer. One that an endpoint list set polls discovery, and is accounted to control.
+// onTimer passes a due timer to the balancer. A timer set while handling an endpoint list polls discovery and counts as
+// control plane work.
 func (a *agent) onTimer(ev *event) {
 	if ev.incarnation != a.incarnation || !a.isUp {
 		return
 	}
 	fire := func() { a.handle(balancer.Event{Kind: balancer.EventTimer, TimerID: balancer.TimerID(ev.token)}) }
-	if ev.forControl {
+	if ev.controlPlane {
 		a.shard.cpu.measureControl(fire)
 	} else {
 		fire()
 	}
 }
 
-// scheduleRootCall draws when the agent's application makes its next call.
+// scheduleRootCall schedules the next root call of the agent's application after an exponentially distributed delay.
 func (a *agent) scheduleRootCall() {
 	due := a.shard.now + a.shard.exponential(1/a.rootCallsPerSecond)
 	a.shard.queue.push(event{kind: eventRootCall, due: due, agent: a, incarnation: a.incarnation})
 }
 
-// startRootCall makes a root call, if the agent and its application are there, and schedules the next.
+// startRootCall schedules the next root call and makes one, if the server is up, the application makes calls and
+// Options.RootCallsFrom has passed.
 func (a *agent) startRootCall(incarnation uint32) {
 	if incarnation != a.incarnation {
 		return
@@ -250,7 +255,7 @@
 	if len(calls) == 0 {
 		return
 	}
-	phase := s.phase()
+	phase := s.currentPhase()
 	second := s.counts.countRootCall(phase, s.now)
 	a.startCall(request{
 		service: pickService(s.rng.Float64(), calls), remaining: math.MaxInt64, phase: phase, second: second, root: true,
