--- a/internal/scale/realagent/realagent_test.go
+++ b/internal/scale/realagent/realagent_test.go
@@ -214,7 +214,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	w, err := world.Draw(s)
+	w, err := world.Generate(s)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/run/runner.go
+++ b/internal/scale/run/runner.go
@@ -83,7 +83,7 @@
 
 // drawWorld draws the scenario's world and its first list.
 func (r *runner) drawWorld() error {
-	w, err := world.Draw(r.scenario)
+	w, err := world.Generate(r.scenario)
 	if err != nil {
 		return err
 	}
--- a/internal/scale/simagent/discovery_test.go
+++ b/internal/scale/simagent/discovery_test.go
@@ -163,7 +163,7 @@
 	if change != nil {
 		change(s)
 	}
-	w, err := world.Draw(s)
+	w, err := world.Generate(s)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/simagent/service.go
+++ b/internal/scale/simagent/service.go
@@ -96,7 +96,7 @@
 	if s.fleet != nil {
 		return errAlreadyStarted
 	}
-	w, err := world.Draw(&args.Scenario)
+	w, err := world.Generate(&args.Scenario)
 	if err != nil {
 		return err
 	}
--- a/internal/scale/world/draw.go
+++ b/internal/scale/world/draw.go
@@ -19,11 +19,11 @@
 	streamEvents
 )
 
-// Draw draws a scenario's fleet. Its error is the scenario's, if that cannot be used.
+// Generate draws a scenario's fleet. Its error is the scenario's, if that cannot be used.
 //
 // An agent i stands beside the server i, modulo their number. Where there are fewer agents than servers, requests call
 // on by an agent of the same service; a service without any makes no calls, and root calls make up for that.
-func Draw(s *scenario.Scenario) (*World, error) {
+func Generate(s *scenario.Scenario) (*World, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
--- a/internal/scale/world/world.go
+++ b/internal/scale/world/world.go
@@ -1,6 +1,6 @@
 // Package world draws the fleet of a scenario from its seed: services, servers, zones, the call graph, the configurations
 // of the agents and the steps of the events. The same scenario draws the same world in every process. A World is immutable
-// after Draw and AddEcho, and may be read by several goroutines; the package runs nothing.
+// after Generate and AddEcho, and may be read by several goroutines; the package runs nothing.
 package world
 
 import (
--- a/internal/scale/world/world_test.go
+++ b/internal/scale/world/world_test.go
@@ -44,7 +44,7 @@
 
 func draw(t *testing.T, s *scenario.Scenario) *world.World {
 	t.Helper()
-	w, err := world.Draw(s)
+	w, err := world.Generate(s)
 	if err != nil {
 		t.Fatal(err)
 	}
