--- a/internal/scale/control/control_test.go
+++ b/internal/scale/control/control_test.go
@@ -62,8 +62,8 @@
 	return StartArgs{Costs: costs, Agents: make([]string, agents), Addrs: addresses(t, agents), Members: members(agents), Revision: 41}
 }
 
-// start plays control in this process.
-func start(t *testing.T, agents int, costs scenario.Control) (*Service, []string) {
+// startControl plays control in this process.
+func startControl(t *testing.T, agents int, costs scenario.Control) (*Service, []string) {
 	t.Helper()
 	s, args := new(Service), startArgs(t, agents, costs)
 	var reply StartReply
@@ -77,9 +77,9 @@
 // caller is one agent's connection, which counts its bytes.
 type caller struct {
 	net.Conn
-	in  *bufio.Reader
-	got int64
-	put int64
+	in           *bufio.Reader
+	bytesRead    int64
+	bytesWritten int64
 }
 
 func dial(t *testing.T, addr string) *caller {
@@ -96,17 +96,17 @@
 
 func (a *caller) Read(b []byte) (int, error) {
 	n, err := a.Conn.Read(b)
-	a.got += int64(n)
+	a.bytesRead += int64(n)
 	return n, err
 }
 
 func (a *caller) send(query string) error {
 	n, err := fmt.Fprintf(a.Conn, "GET %s%s HTTP/1.1\r\nHost: x\r\n\r\n", lists.Path, query)
-	a.put += int64(n)
+	a.bytesWritten += int64(n)
 	return err
 }
 
-func (a *caller) answer() (status int, l discovery.EndpointList, err error) {
+func (a *caller) readResponse() (status int, l discovery.EndpointList, err error) {
 	resp, err := http.ReadResponse(a.in, nil)
 	if err != nil {
 		return 0, l, err
@@ -123,7 +123,7 @@
 	if err := a.send(query); err != nil {
 		return 0, discovery.EndpointList{}, err
 	}
-	return a.answer()
+	return a.readResponse()
 }
 
 // callAll has one agent at each address do something at once.
@@ -149,14 +149,14 @@
 	return r
 }
 
-// until waits for something that is on its way.
-func until(what func() bool) {
+// waitUntil waits for something that is on its way.
+func waitUntil(what func() bool) {
 	for !what() {
 		runtime.Gosched()
 	}
 }
 
-func drains(i int) ChangeArgs {
+func terminatingChange(i int) ChangeArgs {
 	m := members(i + 1)[i]
 	m.State = "Terminating"
 	return ChangeArgs{[]discovery.Member{m}}
@@ -166,7 +166,7 @@
 // again; the bytes counted are those that agents see.
 func TestChange(t *testing.T) {
 	const agents, line = 12, 4 * time.Millisecond
-	s, addrs := start(t, agents, scenario.Control{CallMS: 0.1, EntryUS: float64(line / time.Microsecond), Parallel: 1, Log: 16})
+	s, addrs := startControl(t, agents, scenario.Control{CallMS: 0.1, EntryUS: float64(line / time.Microsecond), Parallel: 1, Log: 16})
 	first := make([]*caller, agents)
 	for i, addr := range addrs {
 		first[i] = dial(t, addr)
@@ -184,11 +184,11 @@
 		}
 	}
 	var change ChangeReply
-	if err := s.Change(drains(3), &change); err != nil || change.Revision != 42 {
+	if err := s.Change(terminatingChange(3), &change); err != nil || change.Revision != 42 {
 		t.Fatalf("%+v, %v", change, err)
 	}
 	for i, a := range first[:agents-1] { // the last one does not come again
-		status, l, err := a.answer()
+		status, l, err := a.readResponse()
 		if err != nil || status != 200 || l.Complete || *l.Revision != 42 || len(l.Members) != 1 || l.Members[0].State != "Terminating" {
 			t.Fatalf("agent %d: %d, %+v, %v", i, status, l, err)
 		}
@@ -196,10 +196,10 @@
 			t.Fatalf("agent %d: %d, %v", i, status, err)
 		}
 	}
-	if _, _, err := first[agents-1].answer(); err != nil {
+	if _, _, err := first[agents-1].readResponse(); err != nil {
 		t.Fatal(err)
 	}
-	until(func() bool { return stats(t, s).Machine.Calls == 3*agents-1 }) // the answer comes before it is noted
+	waitUntil(func() bool { return stats(t, s).Machine.Calls == 3*agents-1 }) // the answer comes before it is noted
 	r := stats(t, s)
 	if len(r.Changes) != 1 || r.Changes[0].Revision != 42 || r.Changes[0].At != change.At || r.Changes[0].Entries != 1 {
 		t.Fatalf("%+v", r.Changes)
@@ -222,13 +222,13 @@
 	}
 	var in, out int64
 	for i, a := range first {
-		if got := sumBins(r.Out[i : i+1]); got != a.got {
-			t.Errorf("agent %d: %d bytes counted, %d read", i, got, a.got)
+		if got := sumBins(r.Out[i : i+1]); got != a.bytesRead {
+			t.Errorf("agent %d: %d bytes counted, %d read", i, got, a.bytesRead)
 		}
-		if put := sumBins(r.In[i : i+1]); put != a.put {
-			t.Errorf("agent %d: %d bytes counted, %d written", i, put, a.put)
+		if put := sumBins(r.In[i : i+1]); put != a.bytesWritten {
+			t.Errorf("agent %d: %d bytes counted, %d written", i, put, a.bytesWritten)
 		}
-		in, out = in+a.put, out+a.got
+		in, out = in+a.bytesWritten, out+a.bytesRead
 	}
 	if r.Machine.BytesIn != in || r.Machine.BytesOut != out {
 		t.Errorf("%d and %d bytes in all, want %d and %d", r.Machine.BytesIn, r.Machine.BytesOut, in, out)
@@ -244,7 +244,7 @@
 // A call that has waited too long is refused, and not before its turn.
 func TestRejections(t *testing.T) {
 	const agents, cost, refuse = 12, 20 * time.Millisecond, 50 * time.Millisecond
-	s, addrs := start(t, agents, scenario.Control{CallMS: 20, Parallel: 1, RejectMS: 50})
+	s, addrs := startControl(t, agents, scenario.Control{CallMS: 20, Parallel: 1, RejectMS: 50})
 	began := time.Now()
 	var refused, served int64
 	var mu sync.Mutex
@@ -268,7 +268,7 @@
 	if took := time.Since(began); took < agents*cost {
 		t.Errorf("%d calls took %v", agents, took)
 	}
-	until(func() bool { return stats(t, s).Machine.Calls == agents })
+	waitUntil(func() bool { return stats(t, s).Machine.Calls == agents })
 	m := stats(t, s).Machine
 	if m.Rejected != refused || m.FullLists != served || refused == 0 || served == 0 || m.QueueMS.Max < float64(refuse/time.Millisecond) || m.QueueMax == 0 {
 		t.Errorf("%d served, %d refused: %+v", served, refused, m)
@@ -280,7 +280,7 @@
 // While control is down its connections are reset and new ones refused; it comes back at the same addresses and tells
 // what has changed meanwhile.
 func TestDown(t *testing.T) {
-	s, addrs := start(t, 3, scenario.Control{Parallel: 1, Log: 16})
+	s, addrs := startControl(t, 3, scenario.Control{Parallel: 1, Log: 16})
 	for range 2 {
 		revision := s.store.Revision()
 		var watching []*caller
@@ -300,7 +300,7 @@
 			}
 		}
 		for i, a := range watching {
-			if status, _, err := a.answer(); !isReset(err) {
+			if status, _, err := a.readResponse(); !isReset(err) {
 				t.Errorf("agent %d: %d, %v", i, status, err)
 			}
 			if _, err := net.Dial("tcp", addrs[i]); !errors.Is(err, syscall.ECONNREFUSED) {
@@ -308,7 +308,7 @@
 			}
 		}
 		var change ChangeReply
-		if err := s.Change(drains(int(revision)%3), &change); err != nil {
+		if err := s.Change(terminatingChange(int(revision)%3), &change); err != nil {
 			t.Fatal(err)
 		}
 		if err := s.Down(DownArgs{false}, nil); err != nil {
@@ -322,13 +322,13 @@
 			return nil
 		})
 	}
-	until(func() bool { return len(stats(t, s).Changes) == 2 })
+	waitUntil(func() bool { return len(stats(t, s).Changes) == 2 })
 }
 
 // Partitioned agents hear nothing at all, not even that control has gone; their connections are reset when the way
 // is back. The others do not notice.
 func TestPartition(t *testing.T) {
-	s, addrs := start(t, 2, scenario.Control{Parallel: 1, Log: 16})
+	s, addrs := startControl(t, 2, scenario.Control{Parallel: 1, Log: 16})
 	partition := func(partitioned bool) {
 		t.Helper()
 		if err := s.Partition(PartitionArgs{[]int{0}, partitioned}, nil); err != nil {
@@ -349,10 +349,10 @@
 	}
 	ends := make(chan ended, 4)
 	wait := func(name string, a *caller) {
-		before := a.got
+		before := a.bytesRead
 		go func() {
-			_, _, err := a.answer()
-			ends <- ended{name, a.got - before, err}
+			_, _, err := a.readResponse()
+			ends <- ended{name, a.bytesRead - before, err}
 		}()
 	}
 	idle, watch, other := dial(t, addrs[0]), dial(t, addrs[0]), dial(t, addrs[1])
@@ -373,18 +373,18 @@
 		t.Fatal(err)
 	}
 	left := dial(t, addrs[0]) // its agent gives up
-	until(held(4))
+	waitUntil(held(4))
 	left.Close()
-	until(held(3))
+	waitUntil(held(3))
 	wait("idle", idle)
 	wait("watch", watch)
 	wait("new", added)
 
 	var change ChangeReply
-	if err := s.Change(drains(1), &change); err != nil {
+	if err := s.Change(terminatingChange(1), &change); err != nil {
 		t.Fatal(err)
 	}
-	if status, l, err := other.answer(); status != 200 || *l.Revision != 42 || err != nil {
+	if status, l, err := other.readResponse(); status != 200 || *l.Revision != 42 || err != nil {
 		t.Errorf("the other agent: %d %+v, %v", status, l, err)
 	}
 	if err := other.send("?after=42&wait_ms=60000"); err != nil {
@@ -393,7 +393,7 @@
 	if err := s.Down(DownArgs{true}, nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := other.answer(); !isReset(err) {
+	if _, _, err := other.readResponse(); !isReset(err) {
 		t.Errorf("control went down: the other agent got %v", err)
 	}
 	if err := s.Down(DownArgs{false}, nil); err != nil {
@@ -425,7 +425,7 @@
 		t.Fatal(err)
 	}
 	defer taken.Close()
-	started, addrs := start(t, 1, scenario.Control{})
+	started, addrs := startControl(t, 1, scenario.Control{})
 	for _, c := range []struct {
 		name string
 		do   func() error
@@ -494,9 +494,9 @@
 	began = time.Now()
 	for i := range changes {
 		var change ChangeReply
-		do("Change", drains(i), &change)
+		do("Change", terminatingChange(i), &change)
 		for i, a := range fleet {
-			if status, l, err := a.answer(); status != 200 || err != nil || *l.Revision != change.Revision || l.Complete {
+			if status, l, err := a.readResponse(); status != 200 || err != nil || *l.Revision != change.Revision || l.Complete {
 				t.Fatalf("agent %d: %d %+v, %v", i, status, l, err)
 			}
 		}
@@ -504,7 +504,7 @@
 	}
 	var r StatsReply
 	var took time.Duration
-	until(func() bool {
+	waitUntil(func() bool {
 		r, took = StatsReply{}, time.Since(began)
 		do("Stats", struct{}{}, &r)
 		return r.Machine.Calls == int64(agents*changes)
--- a/internal/scale/control/cpuload.go
+++ b/internal/scale/control/cpuload.go
@@ -42,7 +42,7 @@
 		return
 	}
 	l.coreSeconds = append(l.coreSeconds, (now.cpu-l.last.cpu).Seconds()/wall)
-	if len(l.coreSeconds) > maxSeconds {
+	if len(l.coreSeconds) > maxTrackedSeconds {
 		l.coreSeconds = l.coreSeconds[1:]
 	}
 	l.last = now
--- a/internal/scale/control/port.go
+++ b/internal/scale/control/port.go
@@ -64,7 +64,7 @@
 		return
 	}
 	for c := range p.conns {
-		c.silent.Store(true)
+		c.partitioned.Store(true)
 	}
 }
 
@@ -87,14 +87,14 @@
 	}
 	p.conns[c] = struct{}{}
 	if p.partitioned {
-		c.silent.Store(true)
+		c.partitioned.Store(true)
 		go c.discard() // until the agent leaves or the partition ends
 		return nil
 	}
 	return c
 }
 
-func (p *port) forget(c *conn) {
+func (p *port) untrack(c *conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, c)
@@ -124,7 +124,7 @@
 type conn struct {
 	*net.TCPConn
 	port        *port
-	silent      atomic.Bool
+	partitioned atomic.Bool
 	releaseOnce sync.Once
 	released    chan struct{} // closed when the server need not wait for the connection any more
 }
@@ -142,14 +142,14 @@
 // discard drops what comes on a silent connection until its agent has left it or the port resets it.
 func (c *conn) discard() {
 	_, _ = io.Copy(io.Discard, c.TCPConn) // it ends with the connection, however that does
-	c.port.forget(c)
+	c.port.untrack(c)
 	c.reset()
 }
 
 // Read loses what arrives while the connection is silent, and returns once it is released.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
-	if !c.silent.Load() {
+	if !c.partitioned.Load() {
 		return n, err
 	}
 	<-c.released
@@ -158,7 +158,7 @@
 
 // Write writes nothing while the connection is silent, and returns once it is released.
 func (c *conn) Write(b []byte) (int, error) {
-	if !c.silent.Load() {
+	if !c.partitioned.Load() {
 		return c.TCPConn.Write(b)
 	}
 	<-c.released
@@ -169,7 +169,7 @@
 func (c *conn) Close() error {
 	c.port.mu.Lock()
 	defer c.port.mu.Unlock()
-	if c.silent.Load() {
+	if c.partitioned.Load() {
 		c.release()
 		return nil
 	}
--- a/internal/scale/control/relay.go
+++ b/internal/scale/control/relay.go
@@ -31,11 +31,11 @@
 // RelayService holds the methods of the part. Its zero value is ready for Start; all other methods fail before that.
 type RelayService struct {
 	machine
-	name          string
-	relay         *relay.Relay
-	http          *http.Server
-	countsAtStart relay.Metrics
-	cpuLoad       cpuLoad
+	name           string
+	relay          *relay.Relay
+	http           *http.Server
+	metricsAtStart relay.Metrics
+	cpuLoad        cpuLoad
 
 	acknowledgedMu sync.Mutex // guards what calls of agents add
 	acknowledged   [][]Acknowledgement
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	s.countsAtStart = s.relay.Metrics()
+	s.metricsAtStart = s.relay.Metrics()
 	s.cpuLoad.reset(now)
 	return nil
 }
@@ -126,9 +126,9 @@
 	}
 	s.acknowledgedMu.Unlock()
 	counts := s.relay.Metrics()
-	m.Calls = counts.Calls - s.countsAtStart.Calls
-	m.FullLists = counts.FullLists - s.countsAtStart.FullLists
-	m.Rejected = counts.Rejected - s.countsAtStart.Rejected
+	m.Calls = counts.Calls - s.metricsAtStart.Calls
+	m.FullLists = counts.FullLists - s.metricsAtStart.FullLists
+	m.Rejected = counts.Rejected - s.metricsAtStart.Rejected
 	m.Busy = m.CPUPercent / 100
 	m.Worst6s = s.cpuLoad.worst6s()
 	return nil
--- a/internal/scale/control/relay_test.go
+++ b/internal/scale/control/relay_test.go
@@ -10,8 +10,8 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// startRelayAt plays a relay of so many agents in this process, at one of control's addresses.
-func startRelayAt(t *testing.T, above, state string, agents int) (*RelayService, []string) {
+// startRelay plays a relay of so many agents in this process, at one of control's addresses.
+func startRelay(t *testing.T, above, state string, agents int) (*RelayService, []string) {
 	t.Helper()
 	s, addrs := new(RelayService), addresses(t, agents)
 	var reply StartReply
@@ -25,8 +25,8 @@
 // are partitioned get nothing, and are reset when the partition ends.
 func TestRelayService(t *testing.T) {
 	const agents = 3
-	c, above := start(t, agents+1, scenario.Control{Log: 16})
-	s, addrs := startRelayAt(t, above[agents], t.TempDir(), agents)
+	c, above := startControl(t, agents+1, scenario.Control{Log: 16})
+	s, addrs := startRelay(t, above[agents], t.TempDir(), agents)
 	if err := s.Start(RelayArgs{}, &StartReply{}); !errors.Is(err, errAlreadyStarted) {
 		t.Errorf("a second start: %v", err)
 	}
@@ -94,7 +94,7 @@
 	if err := s.Partition(PartitionArgs{Agents: []int{1}}, nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := silent.answer(); err == nil {
+	if _, _, err := silent.readResponse(); err == nil {
 		t.Error("a connection that was silent is answered")
 	}
 }
--- a/internal/scale/control/workqueue.go
+++ b/internal/scale/control/workqueue.go
@@ -11,8 +11,8 @@
 )
 
 const (
-	maxQueueMillis = 10 * 60 * 1000 // longer waits count as this
-	maxSeconds     = 3600           // that are kept apart
+	maxQueueMillis    = 10 * 60 * 1000 // longer waits count as this
+	maxTrackedSeconds = 3600           // that are kept apart
 )
 
 // workQueue plays the stated costs of calls: a number of workers take them in the order in which they come, each for its
@@ -131,8 +131,8 @@
 	for from.Before(to) {
 		second := int(from.Sub(q.startedAt) / time.Second)
 		end := q.startedAt.Add(time.Duration(second+1) * time.Second)
-		if second >= maxSeconds-1 || end.After(to) {
-			second = min(second, maxSeconds-1)
+		if second >= maxTrackedSeconds-1 || end.After(to) {
+			second = min(second, maxTrackedSeconds-1)
 			end = to
 		}
 		for len(q.busySeconds) <= second {
--- a/internal/scale/control/workqueue_test.go
+++ b/internal/scale/control/workqueue_test.go
@@ -15,24 +15,24 @@
 
 const ms = time.Millisecond
 
-// entry is a piece of work that comes at a time and is through, or refused, at another.
-type entry struct {
+// workItem is a piece of work that comes at a time and is through, or refused, at another.
+type workItem struct {
 	at       time.Duration
 	work     lists.Work
-	end      time.Duration
+	endsAt   time.Duration
 	rejected bool
 }
 
-// call is a call that begins, with so many lines; continued is one that goes on.
-func call(at time.Duration, lines int, end time.Duration, refused bool) entry {
-	return entry{at, lists.Work{Entries: lines}, end, refused}
+// newCall is a newCall that begins, with so many lines; continued is one that goes on.
+func newCall(at time.Duration, lines int, end time.Duration, refused bool) workItem {
+	return workItem{at, lists.Work{Entries: lines}, end, refused}
 }
 
-func continued(at time.Duration, lines int, end time.Duration, refused bool) entry {
-	return entry{at, lists.Work{Continues: true, Entries: lines}, end, refused}
+func continuedCall(at time.Duration, lines int, end time.Duration, refused bool) workItem {
+	return workItem{at, lists.Work{Continues: true, Entries: lines}, end, refused}
 }
 
-func near(a, b float64) bool { return math.Abs(a-b) <= 0.002*math.Max(math.Abs(a), math.Abs(b)) }
+func approxEqual(a, b float64) bool { return math.Abs(a-b) <= 0.002*math.Max(math.Abs(a), math.Abs(b)) }
 
 // Work is done in its turn, at its stated cost; what has waited too long is refused in its turn as well.
 func TestWorkQueue(t *testing.T) {
@@ -44,25 +44,25 @@
 	for _, c := range []struct {
 		name    string
 		costs   scenario.Control
-		entries []entry // the later ones come later
+		entries []workItem // the later ones come later
 		until   time.Duration
 		busy    float64
 		most    int
 		waited  float64 // the longest, ms
 	}{
-		{"alone", costs, []entry{call(0, 0, 10*ms, false)}, 100 * ms, 0.1, 0, 0},
-		{"lines", costs, []entry{call(0, 5, 15*ms, false)}, 100 * ms, 0.15, 0, 0},
-		{"goes on", costs, []entry{continued(0, 5, 5*ms, false)}, 100 * ms, 0.05, 0, 0},
-		{"in turn", costs, []entry{call(0, 0, 10*ms, false), call(1*ms, 0, 20*ms, false), continued(2*ms, 1, 21*ms, false)}, 100 * ms, 0.21, 2, 18},
-		{"after a pause", costs, []entry{call(0, 0, 10*ms, false), call(50*ms, 0, 60*ms, false)}, 100 * ms, 0.2, 0, 0},
-		{"refused after its work", costs, []entry{call(0, 20, 30*ms, false), call(1*ms, 0, 40*ms, true), call(2*ms, 0, 50*ms, true),
-			call(30*ms, 0, 60*ms, false)}, 100 * ms, 0.6, 2, 38},
-		{"just not refused", costs, []entry{call(0, 15, 25*ms, false), call(1*ms, 0, 35*ms, false)}, 100 * ms, 0.35, 1, 24},
-		{"patient", patient, []entry{call(0, 90, 100*ms, false), call(1*ms, 0, 110*ms, false)}, 110 * ms, 1, 1, 99},
-		{"two workers", two, []entry{call(0, 0, 10*ms, false), call(1*ms, 0, 11*ms, false), call(2*ms, 0, 20*ms, false), call(3*ms, 0, 21*ms, false)},
+		{"alone", costs, []workItem{newCall(0, 0, 10*ms, false)}, 100 * ms, 0.1, 0, 0},
+		{"lines", costs, []workItem{newCall(0, 5, 15*ms, false)}, 100 * ms, 0.15, 0, 0},
+		{"goes on", costs, []workItem{continuedCall(0, 5, 5*ms, false)}, 100 * ms, 0.05, 0, 0},
+		{"in turn", costs, []workItem{newCall(0, 0, 10*ms, false), newCall(1*ms, 0, 20*ms, false), continuedCall(2*ms, 1, 21*ms, false)}, 100 * ms, 0.21, 2, 18},
+		{"after a pause", costs, []workItem{newCall(0, 0, 10*ms, false), newCall(50*ms, 0, 60*ms, false)}, 100 * ms, 0.2, 0, 0},
+		{"refused after its work", costs, []workItem{newCall(0, 20, 30*ms, false), newCall(1*ms, 0, 40*ms, true), newCall(2*ms, 0, 50*ms, true),
+			newCall(30*ms, 0, 60*ms, false)}, 100 * ms, 0.6, 2, 38},
+		{"just not refused", costs, []workItem{newCall(0, 15, 25*ms, false), newCall(1*ms, 0, 35*ms, false)}, 100 * ms, 0.35, 1, 24},
+		{"patient", patient, []workItem{newCall(0, 90, 100*ms, false), newCall(1*ms, 0, 110*ms, false)}, 110 * ms, 1, 1, 99},
+		{"two workers", two, []workItem{newCall(0, 0, 10*ms, false), newCall(1*ms, 0, 11*ms, false), newCall(2*ms, 0, 20*ms, false), newCall(3*ms, 0, 21*ms, false)},
 			100 * ms, 0.2, 2, 8},
-		{"free", free, []entry{call(0, 800, 0, false), call(0, 800, 0, false)}, 100 * ms, 0, 0, 0},
-		{"not done yet", costs, []entry{call(0, 90, 100*ms, false)}, 50 * ms, 1, 0, 0},
+		{"free", free, []workItem{newCall(0, 800, 0, false), newCall(0, 800, 0, false)}, 100 * ms, 0, 0, 0},
+		{"not done yet", costs, []workItem{newCall(0, 90, 100*ms, false)}, 50 * ms, 1, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -74,15 +74,15 @@
 						due, err := q.Admit(t.Context(), e.work)
 						end := time.Since(began)
 						var refused lists.RejectedError
-						if end != e.end || errors.As(err, &refused) != e.rejected || due != e.end-e.at {
-							t.Errorf("entry %d ended at %v, due after %v, with %v; want %v, refused %v", i, end, due, err, e.end, e.rejected)
+						if end != e.endsAt || errors.As(err, &refused) != e.rejected || due != e.endsAt-e.at {
+							t.Errorf("entry %d ended at %v, due after %v, with %v; want %v, refused %v", i, end, due, err, e.endsAt, e.rejected)
 						}
 					}()
 				}
 				time.Sleep(c.until)
 				var m result.ControlMachine
 				q.stats(time.Now(), &m)
-				if !near(m.Busy, c.busy) || !near(m.Worst6s, c.busy) || m.QueueMax != c.most || !near(m.QueueMS.Max, c.waited) ||
+				if !approxEqual(m.Busy, c.busy) || !approxEqual(m.Worst6s, c.busy) || m.QueueMax != c.most || !approxEqual(m.QueueMS.Max, c.waited) ||
 					m.QueueMS.N != int64(len(c.entries)) {
 					t.Errorf("measured %+v, want busy %v, most %d, the longest wait %v", m, c.busy, c.most, c.waited)
 				}
@@ -120,7 +120,7 @@
 		time.Sleep(10 * time.Second)
 		var m result.ControlMachine
 		q.stats(time.Now(), &m)
-		if !near(m.Busy, 4.5/20) || !near(m.Worst6s, 3.0/6) {
+		if !approxEqual(m.Busy, 4.5/20) || !approxEqual(m.Worst6s, 3.0/6) {
 			t.Errorf("busy %v, worst %v; want 4.5 s of 20 and 3 of 6", m.Busy, m.Worst6s)
 		}
 		q.plan(time.Now(), 20*time.Second)
@@ -132,11 +132,11 @@
 			t.Errorf("after Begin: %+v", m)
 		}
 		q.reset(time.Now())
-		time.Sleep(2 * maxSeconds * time.Second)
+		time.Sleep(2 * maxTrackedSeconds * time.Second)
 		q.plan(time.Now(), time.Second)
 		time.Sleep(time.Second)
 		q.stats(time.Now(), &m)
-		if len(q.busySeconds) != maxSeconds || !near(m.Busy, 6.0/(2*maxSeconds+1)) {
+		if len(q.busySeconds) != maxTrackedSeconds || !approxEqual(m.Busy, 6.0/(2*maxTrackedSeconds+1)) {
 			t.Errorf("after two hours: %d seconds, busy %v", len(q.busySeconds), m.Busy)
 		}
 	})
--- a/internal/scale/world/agentconfig.go
+++ b/internal/scale/world/agentconfig.go
@@ -37,10 +37,10 @@
 	return -1
 }
 
-// settingsText is the part of the settings that the agents use. It has nothing more, as each agent is handed it at each
+// settingsJSON is the part of the settings that the agents use. It has nothing more, as each agent is handed it at each
 // change; a test holds its length below 3,000 bytes.
-type settingsText struct {
-	Classes    []classText `json:"categories"`
+type settingsJSON struct {
+	Classes    []classJSON `json:"categories"`
 	Localities []string    `json:"localities"`
 	Kinds      []string    `json:"skus"`
 	Agents     int         `json:"replicasOfMe"`
@@ -48,13 +48,13 @@
 	Zone       int         `json:"zone"`
 	Discovery  string      `json:"discovery"`
 	Tick       float64     `json:"tick"`
-	Report     reportText  `json:"report"`
-	Limits     limitsText  `json:"limits"`
-	Rules      rulesText   `json:"rules"`
+	Report     reportJSON  `json:"report"`
+	Limits     limitsJSON  `json:"limits"`
+	Rules      rulesJSON   `json:"rules"`
 }
 
-// classText is the class of the calls to one service. Times are in ms.
-type classText struct {
+// classJSON is the class of the calls to one service. Times are in ms.
+type classJSON struct {
 	Name             string  `json:"name"`
 	LatencyObjective float64 `json:"aim"`
 	Deadline         float64 `json:"deadline"`
@@ -64,12 +64,12 @@
 	Kinds            []int   `json:"boundTo"`
 }
 
-type reportText struct {
+type reportJSON struct {
 	Fields []string `json:"fields"`
 	Mode   string   `json:"how"`
 }
 
-type limitsText struct {
+type limitsJSON struct {
 	MaxAttempts    int     `json:"maxAttempts"`
 	Cancel         bool    `json:"cancel"`
 	Hedging        bool    `json:"secondCopies"`
@@ -78,7 +78,7 @@
 	IdleClose      float64 `json:"idleClose"`
 }
 
-type rulesText struct {
+type rulesJSON struct {
 	SlowStartMinWeight float64 `json:"coldFrom"`
 	OverloadFactor     float64 `json:"overloadFactor"`
 	SlowStartDuration  float64 `json:"warmAfter"`
@@ -95,17 +95,17 @@
 	return mustMarshal(w.settings(agent, revision, w.Agents[agent].Real))
 }
 
-func (w *World) settings(agent, revision int, echo bool) settingsText {
+func (w *World) settings(agent, revision int, echo bool) settingsJSON {
 	s := w.Scenario
-	t := settingsText{
+	t := settingsJSON{
 		Localities: w.Zones, Agents: len(w.Agents), Index: agent,
 		Zone: w.Servers[w.Agents[agent].Server].Zone, Discovery: "subscribe", Tick: 1,
-		Report: reportText{Fields: []string{"outstanding", "backlog", "recent_ms"}, Mode: "inline"},
-		Limits: limitsText{
+		Report: reportJSON{Fields: []string{"outstanding", "backlog", "recent_ms"}, Mode: "inline"},
+		Limits: limitsJSON{
 			MaxAttempts: s.Agent.MaxAttempts, Cancel: true, Hedging: true, RetryAfter: true,
 			ConnectTimeout: 250, IdleClose: 30000,
 		},
-		Rules: rulesText{
+		Rules: rulesJSON{
 			SlowStartMinWeight: s.Fleet.SlowStartMinWeight, OverloadFactor: 2, SlowStartDuration: s.Fleet.SlowStartS * 1000, DrainGrace: 300,
 			MaxPollInterval:  s.Agent.MaxPollIntervalS * 1000,
 			RetryBudgetRatio: s.Agent.RetryBudgetRatio, RetryBudgetMin: s.Agent.RetryBudgetMin, RetryBudgetWindow: s.Agent.RetryBudgetWindowS * 1000,
@@ -115,7 +115,7 @@
 		t.Kinds = append(t.Kinds, service.Name)
 	}
 	for _, service := range w.Classes(agent, echo) {
-		t.Classes = append(t.Classes, w.classText(service, revision))
+		t.Classes = append(t.Classes, w.classSettings(service, revision))
 	}
 	return t
 }
@@ -136,12 +136,12 @@
 	return out
 }
 
-// classText is the class of a service. Each revision has deadlines that are a microsecond longer: another text by which no
+// classSettings is the class of a service. Each revision has deadlines that are a microsecond longer: another text by which no
 // agent decides otherwise.
-func (w *World) classText(service, revision int) classText {
+func (w *World) classSettings(service, revision int) classJSON {
 	s := &w.Services[service]
 	class := &w.Scenario.Classes[s.Class]
-	c := classText{
+	c := classJSON{
 		Name: s.Name, LatencyObjective: class.LatencyObjectiveMS, Deadline: class.DeadlineMS,
 		PriorityWeight: class.PriorityWeight, Idempotency: class.Idempotency, DedupWindow: class.DedupWindowMS, Kinds: []int{service},
 	}
@@ -167,20 +167,20 @@
 	Seed              uint64
 }
 
-// configText is the agent's configuration file.
-type configText struct {
+// configJSON is the agent's configuration file.
+type configJSON struct {
 	Name            string             `json:"name"`
 	Listen          string             `json:"listen"`
 	Discovery       string             `json:"discovery"`
 	Console         string             `json:"console,omitempty"`
 	Relays          []string           `json:"relays,omitempty"`
 	Seed            string             `json:"seed"`
-	Limits          resourceLimitsText `json:"limits"`
+	Limits          resourceLimitsJSON `json:"limits"`
 	CachedEndpoints json.RawMessage    `json:"known,omitempty"`
-	Settings        settingsText       `json:"settings"`
+	Settings        settingsJSON       `json:"settings"`
 }
 
-type resourceLimitsText struct {
+type resourceLimitsJSON struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
@@ -188,10 +188,10 @@
 
 // Config returns an agent's configuration as JSON. It panics where CachedEndpoints is no JSON.
 func (w *World) Config(agent int, o ConfigOptions) []byte {
-	return mustMarshal(configText{
+	return mustMarshal(configJSON{
 		Name: w.Agents[agent].Name, Listen: o.Listen, Discovery: o.Discovery, Console: o.Console, Relays: o.Relays,
 		Seed:            fmt.Sprintf("%016x", o.Seed),
-		Limits:          resourceLimitsText{Cores: 1, MemoryMB: w.Scenario.Agent.MemoryMB, Sockets: w.Scenario.Agent.Sockets},
+		Limits:          resourceLimitsJSON{Cores: 1, MemoryMB: w.Scenario.Agent.MemoryMB, Sockets: w.Scenario.Agent.Sockets},
 		CachedEndpoints: o.CachedEndpoints, Settings: w.settings(agent, o.Revision, o.Echo),
 	})
 }
--- a/internal/scale/world/agentconfig_test.go
+++ b/internal/scale/world/agentconfig_test.go
@@ -12,14 +12,14 @@
 )
 
 // The agent's own reader takes every agent's configuration at the target, with the list, and each next revision of it.
-func TestAgentsTakeTheirConfigs(t *testing.T) {
+func TestAgentsAcceptTheirConfigs(t *testing.T) {
 	s, err := scenario.Load("../../../deploy/scale/target.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	w := draw(t, s)
+	w := generate(t, s)
 	w.AddEcho([]string{"127.0.0.1:1", "127.0.0.1:2"})
-	known := listText(t, w.Members(begin))
+	known := listJSON(t, w.Members(measurementStart))
 	if list, err := discovery.Parse(known); err != nil || len(list.Members) != s.Fleet.Servers+2 {
 		t.Fatalf("%d members, %v", len(list.Members), err)
 	}
@@ -45,8 +45,8 @@
 	}
 }
 
-// listText words a whole list as discovery does.
-func listText(t *testing.T, members []discovery.Member) []byte {
+// listJSON words a whole list as discovery does.
+func listJSON(t *testing.T, members []discovery.Member) []byte {
 	t.Helper()
 	lines := make([]map[string]any, len(members))
 	for i, m := range members {
--- a/internal/scale/world/callgraph.go
+++ b/internal/scale/world/callgraph.go
@@ -7,19 +7,19 @@
 // edge is a caller and a called service.
 type edge struct{ caller, called int }
 
-// drawCalls connects each layer to the next so that calls come to each service in proportion to its servers. It lays both
+// generateCalls connects each layer to the next so that calls come to each service in proportion to its servers. It lays both
 // layers along one line, each service as long as its share: where two overlap, one calls the other in proportion to the
 // overlap. Doing so in two random orders gives more than the fewest edges.
-func (w *World) drawCalls() {
+func (w *World) generateCalls() {
 	rng := w.rng(streamCalls)
 	for layer := range w.Scenario.Fleet.Depth {
-		callers := w.servicesOfLayer(layer)
-		called := w.servicesOfLayer(layer + 1)
+		callers := w.servicesInLayer(layer)
+		called := w.servicesInLayer(layer + 1)
 		flow := map[edge]float64{}
 		for range 2 {
 			rng.Shuffle(len(callers), func(i, j int) { callers[i], callers[j] = callers[j], callers[i] })
 			rng.Shuffle(len(called), func(i, j int) { called[i], called[j] = called[j], called[i] })
-			w.overlay(callers, called, flow)
+			w.addOverlaps(callers, called, flow)
 		}
 		total := float64(w.countServers(callers))
 		for _, c := range callers {
@@ -28,8 +28,8 @@
 	}
 }
 
-// overlay adds half of the overlaps of two layers' services that are laid along one line in their order.
-func (w *World) overlay(callers, called []int, flow map[edge]float64) {
+// addOverlaps adds half of the overlaps of two layers' services that are laid along one line in their order.
+func (w *World) addOverlaps(callers, called []int, flow map[edge]float64) {
 	// Each layer is as long as the product of both numbers of servers: in integers no sliver is left by rounding.
 	above := w.countServers(callers)
 	below := w.countServers(called)
--- a/internal/scale/world/draw.go
+++ b/internal/scale/world/draw.go
@@ -35,11 +35,11 @@
 	sizes := apportion(s.Fleet.Servers, s.Fleet.Services, func(i int) float64 {
 		return math.Pow(float64(i+1), -s.Fleet.Uneven)
 	})
-	w.drawServices(sizes)
-	w.drawServers()
-	w.drawCalls()
+	w.generateServices(sizes)
+	w.generateServers()
+	w.generateCalls()
 	w.placeAgents()
-	w.drawLoad()
+	w.generateLoad()
 	return w, nil
 }
 
--- a/internal/scale/world/drawn_test.go
+++ b/internal/scale/world/drawn_test.go
@@ -11,7 +11,7 @@
 )
 
 // What a seed draws stays the same: measurements of different days are of the same fleets, events and configurations.
-func TestDrawnWorldStays(t *testing.T) {
+func TestGeneratedWorldIsStable(t *testing.T) {
 	for _, c := range []struct{ file, want string }{
 		{"small", "e0abf3c3a457f4edac02318089332f3ddc0a3d2d394c09865b971ca8b6f7dbb4"},
 		{"target", "e9d21f1446746d469cbad7288d19de2e49c92fa151d009052ca617e16468b3fc"},
@@ -21,17 +21,17 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			w := draw(t, s)
+			w := generate(t, s)
 			w.AddEcho([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"})
-			if got := drawnHash(w); got != c.want {
+			if got := worldHash(w); got != c.want {
 				t.Errorf("the world of %s has the hash %s, want %s", c.file, got, c.want)
 			}
 		})
 	}
 }
 
-// drawnHash is of all that a world holds and of what is made of it, by values and in order, whatever their names are.
-func drawnHash(w *world.World) string {
+// worldHash is of all that a world holds and of what is made of it, by values and in order, whatever their names are.
+func worldHash(w *world.World) string {
 	h := sha256.New()
 	fmt.Fprintln(h, w.Zones, w.Deepest)
 	for _, s := range w.Services {
@@ -49,8 +49,8 @@
 		fmt.Fprintln(h, string(w.Config(i, o)))
 	}
 	fmt.Fprintln(h, w.ServiceRates(), w.LayerRates())
-	fmt.Fprintln(h, w.Members(begin))
-	for _, s := range w.Steps(begin) {
+	fmt.Fprintln(h, w.Members(measurementStart))
+	for _, s := range w.Steps(measurementStart) {
 		fmt.Fprintln(h, s.At, s.Event, s.Changes, s.Down, s.Silent, s.Up, s.Cold, s.Restart, s.Forget)
 		for _, b := range []*bool{s.PartitionRegions, s.Fail, s.ControlDown} {
 			if b != nil {
--- a/internal/scale/world/load.go
+++ b/internal/scale/world/load.go
@@ -4,9 +4,9 @@
 	"time"
 )
 
-// drawLoad sets the rates of root calls so that the fleet makes as many calls as the scenario says, and the services' work
+// generateLoad sets the rates of root calls so that the fleet makes as many calls as the scenario says, and the services' work
 // so that its mean over all calls is the scenario's.
-func (w *World) drawLoad() {
+func (w *World) generateLoad() {
 	w.setRootRates(1)
 	f := &w.Scenario.Fleet
 	rates := w.ServiceRates()
--- a/internal/scale/world/servers.go
+++ b/internal/scale/world/servers.go
@@ -7,8 +7,8 @@
 // machineSpeeds are those of the kinds of machine; each server is on a random one.
 var machineSpeeds = []float64{0.6, 0.8, 1, 1.2, 1.5}
 
-// drawServers places each service's servers in the zones in turn, from a random one on, and on random machines.
-func (w *World) drawServers() {
+// generateServers places each service's servers in the zones in turn, from a random one on, and on random machines.
+func (w *World) generateServers() {
 	f := &w.Scenario.Fleet
 	rng := w.rng(streamServers)
 	var first, others []int // the services of the first server of each, and of the others
--- a/internal/scale/world/services.go
+++ b/internal/scale/world/services.go
@@ -18,9 +18,9 @@
 	return out
 }
 
-// drawServices gives each service its layer and class. The largest service comes first and goes to the layer that lacks
+// generateServices gives each service its layer and class. The largest service comes first and goes to the layer that lacks
 // most servers for its calls, unless as many layers are empty as services are left.
-func (w *World) drawServices(sizes []int) {
+func (w *World) generateServices(sizes []int) {
 	f := &w.Scenario.Fleet
 	calls := callsPerLayer(f.Depth)
 	lacks := append([]float64{calls[0]}, calls...)
@@ -55,11 +55,11 @@
 		}
 	}
 	w.Deepest = slices.IndexFunc(w.Services, func(s Service) bool { return s.Layer == f.Depth }) // the first is the largest
-	w.drawClasses()
+	w.assignClasses()
 }
 
-// drawClasses divides the services among the classes by their shares, in random order.
-func (w *World) drawClasses() {
+// assignClasses divides the services among the classes by their shares, in random order.
+func (w *World) assignClasses() {
 	classes := w.Scenario.Classes
 	order := w.rng(streamClasses).Perm(len(w.Services))
 	class := 0
@@ -74,8 +74,8 @@
 	}
 }
 
-// servicesOfLayer returns the services of one layer.
-func (w *World) servicesOfLayer(layer int) (out []int) {
+// servicesInLayer returns the services of one layer.
+func (w *World) servicesInLayer(layer int) (out []int) {
 	for i, s := range w.Services {
 		if s.Layer == layer {
 			out = append(out, i)
--- a/internal/scale/world/steps.go
+++ b/internal/scale/world/steps.go
@@ -36,9 +36,9 @@
 	Begins, Ends          bool // the first or last step of the event
 }
 
-// stepper expands events. An event picks only servers that no earlier event is still busy with, or the list would
+// stepBuilder expands events. An event picks only servers that no earlier event is still busy with, or the list would
 // contradict itself; where there are too few it takes those. A restart leaves out agents that are away.
-type stepper struct {
+type stepBuilder struct {
 	*World
 	now        time.Time
 	rng        *rand.Rand
@@ -53,7 +53,7 @@
 // time, for a measured part that begins at a time. The result depends on the scenario and the time only.
 func (w *World) Steps(now time.Time) []Step {
 	n := w.Scenario.Fleet.Servers // echo servers are real sockets, to which nothing happens
-	s := &stepper{
+	s := &stepBuilder{
 		World: w, now: now, rng: w.rng(streamEvents),
 		generation: make([]int, n), startedAt: make([]time.Duration, n), freeAt: make([]time.Duration, n), awayUntil: make([]time.Duration, n),
 	}
@@ -82,7 +82,7 @@
 }
 
 // expandEvent adds the steps of one event, the first of which begins it and the last of which ends it.
-func (s *stepper) expandEvent(i int, e *scenario.Event) {
+func (s *stepBuilder) expandEvent(i int, e *scenario.Event) {
 	from := len(s.steps)
 	at, length := seconds(e.AtS), seconds(e.ForS)
 	s.steps = append(s.steps, Step{At: at, Begins: true})
@@ -121,7 +121,7 @@
 	s.steps[len(s.steps)-1].Ends = true
 }
 
-func (s *stepper) add(step Step) { s.steps = append(s.steps, step) }
+func (s *stepBuilder) add(step Step) { s.steps = append(s.steps, step) }
 
 // mergeFirst merges the step that marks an event's beginning with the next, if that is at the same time.
 func mergeFirst(own []Step) []Step {
@@ -133,7 +133,7 @@
 }
 
 // toggle sets something on and, after a while, off.
-func (s *stepper) toggle(at, length time.Duration, set func(*Step, *bool)) {
+func (s *stepBuilder) toggle(at, length time.Duration, set func(*Step, *bool)) {
 	for _, on := range []bool{true, false} {
 		step := Step{At: at}
 		set(&step, &on)
@@ -144,33 +144,33 @@
 
 // drain drains servers in waves. The list says so at once; the process ends when the drain does, and another starts in its
 // place: the same server or, as a replacement, another id at another address.
-func (s *stepper) drain(at, length time.Duration, servers []int, replace bool) {
+func (s *stepBuilder) drain(at, length time.Duration, servers []int, replace bool) {
 	drain, boot, notice := seconds(s.Scenario.Fleet.DrainS), seconds(s.Scenario.Fleet.BootS), s.noticeDelay()
 	for _, w := range waves(servers, length) {
 		ends := at + w.after + drain
 		starts := ends + boot
-		s.add(Step{At: at + w.after, Changes: s.memberLines(w.positions, stateTerminating)})
+		s.add(Step{At: at + w.after, Changes: s.memberEntries(w.positions, stateTerminating)})
 		s.add(Step{At: ends, Down: w.positions})
-		s.add(Step{At: ends + notice, Changes: s.memberLines(w.positions, stateGone)})
-		s.bringBack(starts, w.positions, replace, nil)
+		s.add(Step{At: ends + notice, Changes: s.memberEntries(w.positions, stateGone)})
+		s.restoreServers(starts, w.positions, replace, nil)
 	}
 }
 
 // failMachines makes servers and the agents beside them vanish. They come back together.
-func (s *stepper) failMachines(at, length time.Duration, servers []int) {
+func (s *stepBuilder) failMachines(at, length time.Duration, servers []int) {
 	if len(servers) == 0 {
 		return
 	}
 	s.add(Step{At: at, Down: servers, Silent: true})
-	s.add(Step{At: at + s.noticeDelay(), Changes: s.memberLines(servers, stateGone)})
+	s.add(Step{At: at + s.noticeDelay(), Changes: s.memberEntries(servers, stateGone)})
 	for _, i := range servers {
 		s.awayUntil[i] = at + length
 	}
-	s.bringBack(at+length, servers, false, s.agentsBeside(servers))
+	s.restoreServers(at+length, servers, false, s.agentsBeside(servers))
 }
 
-// bringBack starts servers, cold, with the agents that come back with them, and adds them to the list.
-func (s *stepper) bringBack(at time.Duration, servers []int, replace bool, agents []int) {
+// restoreServers starts servers, cold, with the agents that come back with them, and adds them to the list.
+func (s *stepBuilder) restoreServers(at time.Duration, servers []int, replace bool, agents []int) {
 	for _, i := range servers {
 		s.startedAt[i] = time.Duration(s.now.Add(at).UnixNano())
 		s.freeAt[i] = at + s.noticeDelay()
@@ -179,11 +179,11 @@
 		}
 	}
 	s.add(Step{At: at, Up: servers, Cold: true, Restart: agents})
-	s.add(Step{At: at + s.noticeDelay(), Changes: s.memberLines(servers, stateReady)})
+	s.add(Step{At: at + s.noticeDelay(), Changes: s.memberEntries(servers, stateReady)})
 }
 
-// memberLines are the servers' entries in the list as they are now.
-func (s *stepper) memberLines(servers []int, phase string) []discovery.Member {
+// memberEntries are the servers' entries in the list as they are now.
+func (s *stepBuilder) memberEntries(servers []int, phase string) []discovery.Member {
 	out := make([]discovery.Member, 0, len(servers))
 	for _, i := range servers {
 		m := s.member(i, phase)
@@ -196,7 +196,7 @@
 }
 
 // freeServers returns the servers that no event is busy with at a time and that match.
-func (s *stepper) freeServers(at time.Duration, match func(*Server) bool) (out []int) {
+func (s *stepBuilder) freeServers(at time.Duration, match func(*Server) bool) (out []int) {
 	for i, free := range s.freeAt {
 		if free <= at && match(&s.Servers[i]) {
 			out = append(out, i)
@@ -206,21 +206,21 @@
 }
 
 // pickServers draws n of the free servers, or all where there are fewer.
-func (s *stepper) pickServers(at time.Duration, n int) []int {
+func (s *stepBuilder) pickServers(at time.Duration, n int) []int {
 	all := s.freeServers(at, func(*Server) bool { return true })
 	s.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(n, len(all))]
 }
 
 // pickAgents draws n of the agents that are not away at a time, or all where there are fewer.
-func (s *stepper) pickAgents(at time.Duration, n int) []int {
+func (s *stepBuilder) pickAgents(at time.Duration, n int) []int {
 	all := s.rng.Perm(len(s.Agents))
 	all = slices.DeleteFunc(all, func(i int) bool { return s.awayUntil[s.Agents[i].Server] > at })
 	return all[:min(n, len(all))]
 }
 
 // agentsBeside returns the agents beside servers, in their order.
-func (s *stepper) agentsBeside(servers []int) (out []int) {
+func (s *stepBuilder) agentsBeside(servers []int) (out []int) {
 	down := make(map[int]bool, len(servers))
 	for _, i := range servers {
 		down[i] = true
@@ -234,7 +234,7 @@
 }
 
 // addConfigChanges adds the regular changes of configuration, in the middle of equal spans.
-func (s *stepper) addConfigChanges() {
+func (s *stepBuilder) addConfigChanges() {
 	perMinute := s.Scenario.ChangesPerMinute()
 	for k := range int(math.Round(perMinute * s.Scenario.Seconds / 60)) {
 		s.add(Step{At: seconds((float64(k) + 0.5) * 60 / perMinute), Event: -1, Config: 1})
@@ -242,7 +242,7 @@
 }
 
 // addRelayEvents adds the failure and the restart of a relay.
-func (s *stepper) addRelayEvents() {
+func (s *stepBuilder) addRelayEvents() {
 	r := &s.Scenario.Relays
 	if r.Count == 0 || r.KillAt == 0 {
 		return
@@ -253,7 +253,7 @@
 	}
 }
 
-func (s *stepper) noticeDelay() time.Duration { return seconds(s.Scenario.Control.NoticeMS / 1000) }
+func (s *stepBuilder) noticeDelay() time.Duration { return seconds(s.Scenario.Control.NoticeMS / 1000) }
 
 // wave is a part of the servers or agents of an event, and when after its beginning it comes.
 type wave struct {
--- a/internal/scale/world/steps_test.go
+++ b/internal/scale/world/steps_test.go
@@ -11,8 +11,8 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// plays are runs whose steps are followed below.
-func plays(t *testing.T) map[string]*scenario.Scenario {
+// stepScenarios are runs whose steps are followed below.
+func stepScenarios(t *testing.T) map[string]*scenario.Scenario {
 	t.Helper()
 	all := map[string]*scenario.Scenario{}
 	for _, name := range []string{"target", "small", "tiny"} {
@@ -42,12 +42,12 @@
 }
 
 func TestSteps(t *testing.T) {
-	for name, s := range plays(t) {
+	for name, s := range stepScenarios(t) {
 		t.Run(name, func(t *testing.T) {
-			w := draw(t, s)
+			w := generate(t, s)
 			w.AddEcho([]string{"127.0.0.1:1"})
-			steps := w.Steps(begin)
-			if again := w.Steps(begin); !reflect.DeepEqual(steps, again) {
+			steps := w.Steps(measurementStart)
+			if again := w.Steps(measurementStart); !reflect.DeepEqual(steps, again) {
 				t.Error("the same call had another answer")
 			}
 			checkOrder(t, s, steps)
@@ -108,7 +108,7 @@
 func checkLists(t *testing.T, w *world.World, steps []world.Step) {
 	t.Helper()
 	list := map[string]discovery.Member{}
-	for _, m := range w.Members(begin) {
+	for _, m := range w.Members(measurementStart) {
 		list[m.ID] = m
 	}
 	if len(list) != len(w.Servers) {
@@ -129,7 +129,7 @@
 				t.Fatalf("%+v after %+v", m, old)
 			case m.State == "Ready" && known == (w.Scenario.Events[step.Event].Kind == "replace"):
 				t.Fatalf("%+v comes back by %+v, known %v", m, w.Scenario.Events[step.Event], known)
-			case m.State == "Ready" && !(m.StartedAtMillis >= float64(begin.UnixMilli()) && m.StartedAtMillis <= float64(begin.Add(step.At).UnixMilli())):
+			case m.State == "Ready" && !(m.StartedAtMillis >= float64(measurementStart.UnixMilli()) && m.StartedAtMillis <= float64(measurementStart.Add(step.At).UnixMilli())):
 				t.Fatalf("%+v, listed at %v", m, step.At)
 			}
 			addrs[m.Address], list[m.ID] = m.ID, m
@@ -199,7 +199,7 @@
 }
 
 // What the kinds of events come to, in one small fleet.
-func TestKinds(t *testing.T) {
+func TestEventKinds(t *testing.T) {
 	for name, c := range map[string]struct {
 		event scenario.Event
 		want  []world.Step // their times, counts and switches
@@ -231,7 +231,7 @@
 				s.Fleet = small(s.Fleet, 16, 4, 3)
 				s.Events = []scenario.Event{c.event}
 			})
-			got := draw(t, s).Steps(begin)
+			got := generate(t, s).Steps(measurementStart)
 			if len(got) != len(c.want) {
 				t.Fatalf("%d steps, want %d: %+v", len(got), len(c.want), got)
 			}
@@ -244,26 +244,26 @@
 	}
 }
 
-// summary is what TestKinds compares of a step.
+// summary is what TestEventKinds compares of a step.
 func summary(s world.Step) []any {
 	return []any{s.At, s.Config, len(s.Changes), len(s.Down), s.Silent, len(s.Up), s.Cold, len(s.Restart), s.Forget,
 		s.PartitionRegions != nil, s.Fail != nil, s.ControlDown != nil}
 }
 
 // A whole rack or zone vanishes, and nothing beside it.
-func TestAgentsVanishWithTheirServers(t *testing.T) {
+func TestMachineFailureTakesServersAndAgents(t *testing.T) {
 	for name, e := range map[string]scenario.Event{
 		"rack": {Kind: "rack", AtS: 1, ForS: 2, Zone: 3, Count: 2},
 		"zone": {Kind: "zone", AtS: 1, ForS: 2, Zone: 3},
 	} {
-		w := draw(t, fleet(t, func(s *scenario.Scenario) { s.Events = []scenario.Event{e} }))
+		w := generate(t, fleet(t, func(s *scenario.Scenario) { s.Events = []scenario.Event{e} }))
 		var want []int
 		for i, s := range w.Servers {
 			if s.Zone == 3 && (name == "zone" || s.Rack == 2) {
 				want = append(want, i)
 			}
 		}
-		steps := w.Steps(begin)
+		steps := w.Steps(measurementStart)
 		if len(want) == 0 || !slices.Equal(steps[0].Down, want) || !slices.Equal(steps[2].Restart, want) {
 			t.Errorf("%s: %v vanish, want %v; agents %v come back", name, steps[0].Down, want, steps[2].Restart)
 		}
--- a/internal/scale/world/world_test.go
+++ b/internal/scale/world/world_test.go
@@ -14,8 +14,8 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// begin is when the measured parts of these runs begin.
-var begin = time.UnixMilli(1_750_000_000_000)
+// measurementStart is when the measured parts of these runs measurementStart.
+var measurementStart = time.UnixMilli(1_750_000_000_000)
 
 // fleet is a scenario of the size of the target, but for what a test changes.
 func fleet(t *testing.T, change func(*scenario.Scenario)) *scenario.Scenario {
@@ -42,7 +42,7 @@
 	return s
 }
 
-func draw(t *testing.T, s *scenario.Scenario) *world.World {
+func generate(t *testing.T, s *scenario.Scenario) *world.World {
 	t.Helper()
 	w, err := world.Generate(s)
 	if err != nil {
@@ -76,11 +76,11 @@
 	return f
 }
 
-func TestDraw(t *testing.T) {
+func TestGenerate(t *testing.T) {
 	for name, change := range shapes {
 		t.Run(name, func(t *testing.T) {
 			s := fleet(t, change)
-			w := draw(t, s)
+			w := generate(t, s)
 			checkServices(t, w)
 			checkServers(t, w)
 			checkAgents(t, w)
@@ -92,7 +92,7 @@
 			if len(rates) != s.Fleet.Depth || math.Abs(total/s.Fleet.CallsPerSecond-1) > 1e-9 {
 				t.Errorf("%v calls a second in %d layers, want %v", total, len(rates), s.Fleet.CallsPerSecond)
 			}
-			if again := draw(t, fleet(t, change)); !reflect.DeepEqual(w, again) {
+			if again := generate(t, fleet(t, change)); !reflect.DeepEqual(w, again) {
 				t.Error("the same scenario drew another world")
 			}
 		})
@@ -172,36 +172,36 @@
 }
 
 func TestSeedsDiffer(t *testing.T) {
-	a := draw(t, fleet(t, nil))
-	b := draw(t, fleet(t, func(s *scenario.Scenario) { s.Seed = 2 }))
+	a := generate(t, fleet(t, nil))
+	b := generate(t, fleet(t, func(s *scenario.Scenario) { s.Seed = 2 }))
 	if reflect.DeepEqual(a.Services, b.Services) || a.Servers[0].ID == b.Servers[0].ID {
 		t.Error("two seeds drew one world")
 	}
 }
 
 // With some agents real, the fleet that the others see is the same.
-func TestRealAgentsLeaveTheFleet(t *testing.T) {
-	a, b := draw(t, fleet(t, nil)), draw(t, fleet(t, shapes["none real"]))
+func TestRealAgentsDoNotChangeTheFleet(t *testing.T) {
+	a, b := generate(t, fleet(t, nil)), generate(t, fleet(t, shapes["none real"]))
 	if !reflect.DeepEqual(a.Servers, b.Servers) || !reflect.DeepEqual(a.Services, b.Services) {
 		t.Error("40 real agents changed the services or servers")
 	}
 }
 
-func TestAllReal(t *testing.T) {
-	w := draw(t, fleet(t, func(s *scenario.Scenario) { s.Fleet = small(s.Fleet, 16, 4, 3); s.Fleet.Real = 16 }))
+func TestAllAgentsReal(t *testing.T) {
+	w := generate(t, fleet(t, func(s *scenario.Scenario) { s.Fleet = small(s.Fleet, 16, 4, 3); s.Fleet.Real = 16 }))
 	if got := w.LayerRates(); !reflect.DeepEqual(got, []float64{0, 0, 0}) {
 		t.Errorf("%v calls a second with no modelled agent", got)
 	}
 }
 
 // The committed fleets carry their calls: no service is asked for more than half of what it can do.
-func TestFleetCarriesItsCalls(t *testing.T) {
+func TestFleetHasCapacityForItsCalls(t *testing.T) {
 	for _, name := range []string{"target", "small", "tiny"} {
 		s, err := scenario.Load("../../../deploy/scale/" + name + ".toml")
 		if err != nil {
 			t.Fatal(err)
 		}
-		w := draw(t, s)
+		w := generate(t, s)
 		work, calls, room, most := 0.0, 0.0, 0.0, 0.0
 		for i, rate := range w.ServiceRates() {
 			s, own := w.Services[i], 0.0
@@ -225,7 +225,7 @@
 func TestSettings(t *testing.T) {
 	for name, change := range shapes {
 		t.Run(name, func(t *testing.T) {
-			w := draw(t, fleet(t, change))
+			w := generate(t, fleet(t, change))
 			w.AddEcho([]string{"127.0.0.1:1", "127.0.0.1:2"})
 			step := 1
 			if name != "target" {
@@ -263,7 +263,7 @@
 
 // Every revision is another text, and every one of them can be taken.
 func TestRevisionsDiffer(t *testing.T) {
-	w := draw(t, fleet(t, nil))
+	w := generate(t, fleet(t, nil))
 	seen := map[string]bool{}
 	for revision := range 3000 {
 		text := w.Settings(5, revision)
@@ -275,7 +275,7 @@
 }
 
 func TestConfig(t *testing.T) {
-	w := draw(t, fleet(t, nil))
+	w := generate(t, fleet(t, nil))
 	w.AddEcho([]string{"127.0.0.1:1"})
 	o := world.ConfigOptions{Listen: "127.0.0.1:2", Discovery: "127.64.0.1:3", Seed: 1}
 	for name, c := range map[string]struct {
