--- a/internal/scale/control/agentports.go
+++ b/internal/scale/control/agentports.go
@@ -10,8 +10,8 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// agentPorts are the ports of a machine of the control side, one for each agent, and the meter of their bytes. Its service
-// guards it.
+// agentPorts holds the ports of a control plane machine, one per agent, and the meter that counts their bytes. The mutex of
+// the service that owns it guards it.
 type agentPorts struct {
 	ports []*port // by agent
 	meter *meter.Meter
@@ -25,7 +25,8 @@
 	return p
 }
 
-// serve opens all ports and serves them; identify marks a listener's calls as an agent's. After an error some are open.
+// serve opens and serves all ports. identify wraps a listener so that its calls are attributed to an agent. After an error
+// some ports may be open.
 func (p *agentPorts) serve(server *http.Server, identify func(l net.Listener, agent int) net.Listener) error {
 	for _, port := range p.ports {
 		l, err := port.listen()
@@ -33,7 +34,7 @@
 			return err
 		}
 		metered := identify(p.meter.Listener(l, port.agent), port.agent)
-		go func() { _ = server.Serve(metered) }() // it ends with an error when its port closes
+		go func() { _ = server.Serve(metered) }() // returns an error when the port closes
 	}
 	return nil
 }
@@ -44,11 +45,11 @@
 	}
 }
 
-// setPartitioned partitions agents from the machine, or ends that.
+// setPartitioned starts or ends a partition between agents and the machine.
 func (p *agentPorts) setPartitioned(agents []int, partitioned bool) error {
 	for _, agent := range agents {
 		if agent < 0 || agent >= len(p.ports) {
-			return fmt.Errorf("partitioning agent %d of %d", agent, len(p.ports))
+			return fmt.Errorf("cannot partition agent %d: there are %d agents", agent, len(p.ports))
 		}
 	}
 	for _, agent := range agents {
@@ -57,7 +58,7 @@
 	return nil
 }
 
-// bytes returns the bytes by agent and second, and puts their sums into the machine's result.
+// bytes returns the bytes received and sent by agent and second, and sets their sums in m.
 func (p *agentPorts) bytes(m *result.ControlMachine) (in, out [][]int64) {
 	in, out = p.meter.Bins()
 	m.BytesIn = sumBins(in)
--- a/internal/scale/control/control.go
+++ b/internal/scale/control/control.go
@@ -1,10 +1,11 @@
-// Package control stands in for the platform's control side in a scale run: Service for discovery, which serves the list
-// to every agent at an address of its own and plays the stated costs of its work in time, and RelayService for relays
-// between it and the agents. Both can be partitioned from agents and measure themselves.
+// Package control stands in for the platform's control plane in a scale run. Service is the discovery service: it serves
+// the endpoint list to each agent at a separate address and simulates the configured costs of its work as delays.
+// RelayService runs a relay between the discovery service and the agents. Both can be partitioned from agents and measure
+// their own resource usage.
 //
-// Each service is a process of its own, called by role. One method runs at a time under the service's mutex; what calls of
-// agents change (notifications, the work queue, the ports) has mutexes of its own. The package never decides anything for
-// agents, and keeps no list that agents could not have got from the platform.
+// Each service runs in a separate process, which package role starts and calls. One method runs at a time under the
+// service's mutex; state that agents' calls change (notifications, the work queue, the ports) has its own mutexes. The
+// package makes no decisions for agents and serves no list that agents could not have received from the platform.
 package control
 
 import (
@@ -16,10 +17,10 @@
 	"example.org/ryeloft/internal/scale/role"
 )
 
-// ServiceName is the name by which the part's methods are called.
+// ServiceName is the net/rpc name of Service.
 const ServiceName = "Control"
 
-// The methods of Service, as role.Child calls them.
+// These are the methods of Service by the names that role.Child.Call takes.
 const (
 	MethodStart     = ServiceName + ".Start"
 	MethodChange    = ServiceName + ".Change"
@@ -29,10 +30,10 @@
 	MethodStats     = ServiceName + ".Stats"
 )
 
-// Main is the program of the part "control": it serves a Service until its input ends.
+// Main runs a process with the role "control": it serves a Service until standard input ends.
 func Main() error { return role.Serve(ServiceName, new(Service)) }
 
-// Service holds the methods of the part. Its zero value is ready for Start; all other methods fail before that.
+// Service is the discovery service. Its zero value is ready for Start; all other methods fail before Start.
 type Service struct {
 	machine
 	store         *lists.Store
@@ -43,7 +44,7 @@
 	down          bool
 }
 
-// Start listens for all agents.
+// Start opens and serves a listener for each agent.
 func (s *Service) Start(args StartArgs, reply *StartReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -51,7 +52,7 @@
 		return errAlreadyStarted
 	}
 	if len(args.Addrs) != len(args.Agents) {
-		return fmt.Errorf("starting control: %d agents have %d addresses", len(args.Agents), len(args.Addrs))
+		return fmt.Errorf("starting control: got %d addresses for %d agents", len(args.Addrs), len(args.Agents))
 	}
 	now, err := currentUsage()
 	if err != nil {
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// Change makes the next revision and notifies the watches. It does so while control is down as well; agents get it when
-// they can call again.
+// Change publishes the next revision and notifies the watches. It also works while the service is down; agents then receive
+// the revision when they can call again.
 func (s *Service) Change(args ChangeArgs, reply *ChangeReply) error {
 	if err := s.lockStarted(); err != nil {
 		return err
@@ -95,8 +96,8 @@
 	return nil
 }
 
-// Down takes control down, which resets all connections that can be reset and drops the work that waits, or brings it
-// back at the same addresses.
+// Down takes the service down or brings it back up at the same addresses. Taking it down resets the connections of agents
+// that are not partitioned and drops the planned work.
 func (s *Service) Down(args DownArgs, _ *struct{}) error {
 	if err := s.lockStarted(); err != nil {
 		return err
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// Begin starts all counts from 0, and forgets the changes before.
+// Begin resets all counts to 0 and discards the recorded changes.
 func (s *Service) Begin(struct{}, *struct{}) error {
 	if err := s.lockStarted(); err != nil {
 		return err
@@ -131,7 +132,7 @@
 	return nil
 }
 
-// Stats sums up what was measured.
+// Stats returns what was measured since Begin, or since Start before it.
 func (s *Service) Stats(_ struct{}, reply *StatsReply) error {
 	if err := s.lockStarted(); err != nil {
 		return err
--- a/internal/scale/control/control_test.go
+++ b/internal/scale/control/control_test.go
@@ -436,12 +436,12 @@
 		{"cut before start", func() error { return new(Service).Partition(PartitionArgs{}, nil) }, "not been started"},
 		{"begin before start", func() error { return new(Service).Begin(struct{}{}, nil) }, "not been started"},
 		{"stats before start", func() error { return new(Service).Stats(struct{}{}, new(StatsReply)) }, "not been started"},
-		{"start twice", func() error { return started.Start(StartArgs{}, new(StartReply)) }, "started before"},
-		{"names and addresses", func() error { return new(Service).Start(StartArgs{Agents: []string{"a"}}, new(StartReply)) }, "1 agents have 0"},
+		{"start twice", func() error { return started.Start(StartArgs{}, new(StartReply)) }, "already been started"},
+		{"names and addresses", func() error { return new(Service).Start(StartArgs{Agents: []string{"a"}}, new(StartReply)) }, "got 0 addresses for 1 agents"},
 		{"address taken", func() error {
 			return new(Service).Start(StartArgs{Agents: make([]string, 2), Addrs: []string{"127.0.0.1:0", taken.Addr().String()}}, new(StartReply))
 		}, "address already in use"},
-		{"no such agent", func() error { return started.Partition(PartitionArgs{[]int{0, 1}, true}, nil) }, "agent 1 of 1"},
+		{"no such agent", func() error { return started.Partition(PartitionArgs{[]int{0, 1}, true}, nil) }, "agent 1: there are 1 agents"},
 	} {
 		if err := c.do(); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %v, want %q", c.name, err, c.want)
--- a/internal/scale/control/cpuload.go
+++ b/internal/scale/control/cpuload.go
@@ -7,14 +7,14 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// cpuLoad samples the processor time of this process once a second. mu guards its state.
+// cpuLoad samples the CPU time of this process once a second. mu guards its state.
 type cpuLoad struct {
 	mu          sync.Mutex
 	last        usage
-	coreSeconds []float64 // cores used in each second; the last maxSeconds
+	coreSeconds []float64 // cores used in each of the last maxTrackedSeconds seconds
 }
 
-// reset starts anew.
+// reset discards all samples and starts from now.
 func (l *cpuLoad) reset(now usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -22,7 +22,7 @@
 	l.coreSeconds = nil
 }
 
-// run samples for as long as the process runs.
+// run takes samples until the process ends.
 func (l *cpuLoad) run() {
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -33,7 +33,7 @@
 	}
 }
 
-// sample adds what was used since the last sample as one second.
+// sample records the mean usage since the last sample as one second.
 func (l *cpuLoad) sample(now usage) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -48,7 +48,8 @@
 	l.last = now
 }
 
-// worst6s is the worst window in cores; 0 if there are not enough seconds for one yet.
+// worst6s returns the mean cores used in the busiest window of result.WorstWindowSeconds, or 0 if there are too few samples
+// for a window.
 func (l *cpuLoad) worst6s() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scale/control/machine.go
+++ b/internal/scale/control/machine.go
@@ -8,20 +8,20 @@
 )
 
 var (
-	errNotStarted     = errors.New("the part has not been started")
-	errAlreadyStarted = errors.New("the part has been started before")
+	errNotStarted     = errors.New("the service has not been started")
+	errAlreadyStarted = errors.New("the service has already been started")
 )
 
-// machine is what the services of control and of relays have in common: one method runs at a time, under mu, which guards
-// all fields of the service, and agents can be partitioned from it.
+// machine is the common part of Service and RelayService. One method runs at a time, under mu, which guards all fields of
+// the service. Agents can be partitioned from the machine.
 type machine struct {
 	mu           sync.Mutex
 	started      bool
 	ports        *agentPorts
-	usageAtStart usage // when the measured part began
+	usageAtStart usage // at the beginning of the measurement
 }
 
-// lockStarted locks the machine if it has been started.
+// lockStarted locks mu, or returns errNotStarted with mu unlocked.
 func (m *machine) lockStarted() error {
 	m.mu.Lock()
 	if !m.started {
@@ -31,7 +31,8 @@
 	return nil
 }
 
-// Partition partitions agents from the machine: their connections fall silent, new ones too. When that ends, these are reset.
+// Partition starts or ends a partition between agents and the machine. During a partition the agents' connections, new ones
+// included, carry no data. When the partition ends, they are reset.
 func (m *machine) Partition(args PartitionArgs, _ *struct{}) error {
 	if err := m.lockStarted(); err != nil {
 		return err
@@ -40,7 +41,7 @@
 	return m.ports.setPartitioned(args.Agents, args.Partitioned)
 }
 
-// beginMeasurement starts the counts of bytes and usage from 0. mu is held.
+// beginMeasurement resets the measured bytes and usage. The caller holds mu.
 func (m *machine) beginMeasurement() (usage, error) {
 	now, err := currentUsage()
 	if err != nil {
@@ -51,7 +52,8 @@
 	return now, nil
 }
 
-// measure puts role, name, bytes and usage into a result, and returns the bytes by agent and second. mu is held.
+// measure sets role, name, bytes and usage in r, and returns the bytes received and sent by agent and second. The caller
+// holds mu.
 func (m *machine) measure(role, name string, r *result.ControlMachine) (in, out [][]int64, err error) {
 	now, err := currentUsage()
 	if err != nil {
--- a/internal/scale/control/messages.go
+++ b/internal/scale/control/messages.go
@@ -6,72 +6,72 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// The messages of the parts follow. gob sends them by the names of their fields. All times are Unix times in nanoseconds.
+// The types in this file are sent by net/rpc. gob encodes them by field name. All times are Unix times in nanoseconds.
 
-// StartArgs say what control is to serve.
+// StartArgs configures a Service.
 type StartArgs struct {
 	Costs    scenario.Control
 	Agents   []string // names
-	Addrs    []string // to listen at, by agent
+	Addrs    []string // to listen on, by agent
 	Members  []discovery.Member
 	Revision uint64
 }
 
-// StartReply says how many agents can call.
+// StartReply reports how many agents can call.
 type StartReply struct{ Ready int }
 
-// ChangeArgs are the entries that change, removed ones among them.
+// ChangeArgs holds the changed list entries, including removed ones.
 type ChangeArgs struct{ Members []discovery.Member }
 
-// ChangeReply says which revision the change became, and when.
+// ChangeReply reports the revision of the change and the time at which it was made.
 type ChangeReply struct {
 	Revision uint64
 	At       int64
 }
 
-// DownArgs say whether control is down.
+// DownArgs selects whether the service is down.
 type DownArgs struct{ Down bool }
 
-// PartitionArgs say which agents are partitioned from a machine, or no longer are.
+// PartitionArgs selects agents and whether they are partitioned from the machine.
 type PartitionArgs struct {
 	Agents      []int
 	Partitioned bool
 }
 
-// StatsReply is what was measured since Begin, or since Start before it.
+// StatsReply holds what a Service measured since Begin, or since Start before it.
 type StatsReply struct {
 	Machine           result.ControlMachine
 	In, Out           [][]int64 // bytes by agent and second
 	Changes           []ChangeNotification
-	LateNotifications int // changes that were written to a waiting watch later than queue and stated costs explain
+	LateNotifications int // changes written to a waiting watch later than the queue and the configured costs explain
 }
 
-// ChangeNotification says when a change was made and came to each agent.
+// ChangeNotification records when a change was made and when each agent received it.
 type ChangeNotification struct {
 	Revision       uint64
 	At             int64
-	AcknowledgedAt []int64 // by agent: when it acknowledged this revision or a newer one by its next call; 0: not yet
+	AcknowledgedAt []int64 // by agent: when its next call acknowledged this revision or a newer one; 0: not yet
 	WrittenAt      []int64 // by agent: when this revision or a newer one had been written to it; 0: not yet
 	Entries        int     // entries that changed
 }
 
-// RelayArgs say what one relay follows, and where it answers.
+// RelayArgs configures a RelayService.
 type RelayArgs struct {
 	Name               string
-	Discovery          string   // the relay's own address at control
-	State              string   // its directory, in which a restarted relay finds its list
-	Addrs              []string // to listen at, by agent
-	FullListsPerSecond float64  // full lists a second that it hands out
+	Discovery          string   // address of the discovery service for this relay
+	State              string   // directory from which a restarted relay loads its list
+	Addrs              []string // to listen on, by agent
+	FullListsPerSecond float64  // limit of full lists sent per second
 }
 
-// RelayStats is what a relay measured since Begin, or since Start before it.
+// RelayStats holds what a relay measured since Begin, or since Start before it.
 type RelayStats struct {
 	Machine          result.ControlMachine
 	In, Out          [][]int64           // bytes by agent and second
-	Acknowledgements [][]Acknowledgement // by agent, revisions rising
+	Acknowledgements [][]Acknowledgement // by agent, in ascending order of revision
 }
 
-// Acknowledgement says when an agent first acknowledged a revision at a relay.
+// Acknowledgement records when an agent first acknowledged a revision at a relay.
 type Acknowledgement struct {
 	Revision uint64
 	At       int64
--- a/internal/scale/control/notifications.go
+++ b/internal/scale/control/notifications.go
@@ -12,32 +12,32 @@
 )
 
 const (
-	// writeSlack is by how much a change may be written later than the queue and the stated costs explain: the slack that
-	// the protocol gives every limit on sockets.
+	// writeSlack is how much later a change may be written than the queue and the configured costs explain. The protocol
+	// grants the same slack to every time limit on sockets.
 	writeSlack = 50 * time.Millisecond
-	// maxChanges bounds memory: 54 MB at 830 agents.
+	// maxChanges bounds the memory for recorded changes to 54 MB at 830 agents.
 	maxChanges = 4096
 )
 
-// notificationLog records when changes come to agents, and counts calls. mu guards its state.
+// notificationLog records when agents receive changes, and counts calls. mu guards its state.
 type notificationLog struct {
 	agents int
 
 	mu           sync.Mutex
-	changes      []ChangeNotification // by revision, without gaps
-	late         []bool               // by change: it was written late to some watch
-	acknowledged []int                // by agent: how many of the changes it has acknowledged
-	written      []int                // by agent: how many of the changes have been written to it
+	changes      []ChangeNotification // in order of revision, without gaps
+	late         []bool               // by change: whether it was written late to any watch
+	acknowledged []int                // by agent: number of changes that it has acknowledged
+	written      []int                // by agent: number of changes that have been written to it
 	calls        int64
 	fullLists    int64
-	rejected     int64 // for a long wait, or too many calls at a time
+	rejected     int64 // after a long wait, or because of too many concurrent calls
 }
 
 func newNotificationLog(agents int) *notificationLog {
 	return &notificationLog{agents: agents, acknowledged: make([]int, agents), written: make([]int, agents)}
 }
 
-// reset forgets everything.
+// reset discards all changes and counts.
 func (n *notificationLog) reset() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -50,28 +50,29 @@
 	n.rejected = 0
 }
 
-// addChange records a change that is made now. It comes before the change is published, or an agent could have it sooner.
-func (n *notificationLog) addChange(revision uint64, lines int) (time.Time, error) {
+// addChange records a change and returns the time of the record. It must be called before the change is published;
+// otherwise an agent could receive the change before that time.
+func (n *notificationLog) addChange(revision uint64, entries int) (time.Time, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if len(n.changes) >= maxChanges {
-		return time.Time{}, fmt.Errorf("recording revision %d: there are %d changes already", revision, maxChanges)
+		return time.Time{}, fmt.Errorf("recording revision %d: the limit of %d changes is reached", revision, maxChanges)
 	}
 	now := time.Now()
 	n.changes = append(n.changes, ChangeNotification{
-		Revision: revision, At: now.UnixNano(), Entries: lines,
+		Revision: revision, At: now.UnixNano(), Entries: entries,
 		AcknowledgedAt: make([]int64, n.agents), WrittenAt: make([]int64, n.agents),
 	})
 	n.late = append(n.late, false)
 	return now, nil
 }
 
-// changesUpTo is how many changes there are up to a revision. mu is held.
+// changesUpTo returns the number of changes up to and including a revision. The caller holds mu.
 func (n *notificationLog) changesUpTo(revision uint64) int {
 	return sort.Search(len(n.changes), func(i int) bool { return n.changes[i].Revision > revision })
 }
 
-// acknowledge records that an agent holds a revision.
+// acknowledge records that an agent has applied a revision and all earlier ones.
 func (n *notificationLog) acknowledge(agent int, revision uint64, at time.Time) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -80,7 +81,7 @@
 	}
 }
 
-// callDone records how a call ended.
+// callDone records a finished call.
 func (n *notificationLog) callDone(c lists.CallRecord) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -110,7 +111,7 @@
 	}
 }
 
-// fill puts copies of what was recorded into a reply.
+// fill sets the counts and copies of the recorded changes in r.
 func (n *notificationLog) fill(r *StatsReply) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/scale/control/port.go
+++ b/internal/scale/control/port.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 )
 
-// port is one agent's way to a machine: an address, and the connections that came in there. It can be closed, and it can
-// fall silent, as a network partition makes it. Silent connections stay open whatever happens to the machine; they are
-// reset when the partition ends. mu guards its state.
+// port is the address at which one agent calls a machine, with the connections accepted there. It can be closed, and it can
+// be partitioned from the agent. Partitioned connections stay open whatever happens to the machine; they are reset when
+// the partition ends. mu guards its state.
 type port struct {
 	agent int
 	addr  string
@@ -26,7 +26,7 @@
 	return &port{agent: agent, addr: addr, conns: make(map[*conn]struct{})}
 }
 
-// listen opens the port. The listener ends when the port is closed.
+// listen opens the port. Closing the port closes the listener.
 func (p *port) listen() (net.Listener, error) {
 	l, err := new(net.ListenConfig).Listen(context.Background(), "tcp4", p.addr)
 	if err != nil {
@@ -38,7 +38,7 @@
 	return &listener{p.tcpListener, p}, nil
 }
 
-// close closes the port and resets its connections, other than silent ones: no reset reaches a partitioned agent.
+// close closes the port and resets its connections unless they are partitioned: no reset reaches a partitioned agent.
 func (p *port) close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -51,7 +51,7 @@
 	}
 }
 
-// setPartitioned makes the port silent, or resets its silent connections.
+// setPartitioned starts a partition, or ends it and resets the port's connections.
 func (p *port) setPartitioned(partitioned bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -68,7 +68,7 @@
 	}
 }
 
-// resetAll resets all connections. mu is held.
+// resetAll resets all connections. The caller holds mu.
 func (p *port) resetAll() {
 	for c := range p.conns {
 		c.reset()
@@ -76,19 +76,19 @@
 	clear(p.conns)
 }
 
-// track makes a new connection one of the port's. It returns nil if the connection is not to be served.
+// track adds a new connection to the port. It returns nil if the connection must not be served.
 func (p *port) track(l *net.TCPListener, tcp *net.TCPConn) *conn {
 	c := &conn{TCPConn: tcp, port: p, released: make(chan struct{})}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.tcpListener != l { // closed meanwhile
+	if p.tcpListener != l { // the port was closed after the connection was accepted
 		c.reset()
 		return nil
 	}
 	p.conns[c] = struct{}{}
 	if p.partitioned {
 		c.partitioned.Store(true)
-		go c.discard() // until the agent leaves or the partition ends
+		go c.discard() // returns when the agent closes the connection or the partition ends
 		return nil
 	}
 	return c
@@ -100,7 +100,7 @@
 	delete(p.conns, c)
 }
 
-// listener hands out the connections of a port that are to be served.
+// listener accepts those connections of a port that are to be served.
 type listener struct {
 	*net.TCPListener
 	port *port
@@ -119,19 +119,19 @@
 	}
 }
 
-// conn is a connection that can fall silent: then nothing that comes is handed on, nothing is written, and it stays open
-// when its server closes it, until the port resets it or its agent has left it.
+// conn is a connection that can be partitioned. A partitioned connection delivers no received data and writes nothing. It
+// stays open after its server closes it, until the port resets it or its agent closes it.
 type conn struct {
 	*net.TCPConn
 	port        *port
 	partitioned atomic.Bool
 	releaseOnce sync.Once
-	released    chan struct{} // closed when the server need not wait for the connection any more
+	released    chan struct{} // closed when the server no longer needs to wait for the connection
 }
 
-// reset ends the connection as the death of a process does.
+// reset closes the connection with a TCP reset, as a process crash does.
 func (c *conn) reset() {
-	// Both fail only for a connection that has ended.
+	// Both fail only for a connection that is already closed.
 	_ = c.SetLinger(0)
 	_ = c.TCPConn.Close()
 	c.release()
@@ -139,14 +139,14 @@
 
 func (c *conn) release() { c.releaseOnce.Do(func() { close(c.released) }) }
 
-// discard drops what comes on a silent connection until its agent has left it or the port resets it.
+// discard drops the data received on a partitioned connection until its agent closes it or the port resets it.
 func (c *conn) discard() {
-	_, _ = io.Copy(io.Discard, c.TCPConn) // it ends with the connection, however that does
+	_, _ = io.Copy(io.Discard, c.TCPConn) // returns when the connection ends, with or without an error
 	c.port.untrack(c)
 	c.reset()
 }
 
-// Read loses what arrives while the connection is silent, and returns once it is released.
+// Read drops data that arrives while the connection is partitioned, and then returns once the connection is released.
 func (c *conn) Read(b []byte) (int, error) {
 	n, err := c.TCPConn.Read(b)
 	if !c.partitioned.Load() {
@@ -156,7 +156,7 @@
 	return 0, net.ErrClosed
 }
 
-// Write writes nothing while the connection is silent, and returns once it is released.
+// Write writes nothing while the connection is partitioned, and then returns once the connection is released.
 func (c *conn) Write(b []byte) (int, error) {
 	if !c.partitioned.Load() {
 		return c.TCPConn.Write(b)
@@ -165,7 +165,7 @@
 	return 0, net.ErrClosed
 }
 
-// Close leaves a silent connection open for its agent.
+// Close closes the connection, but leaves a partitioned one open for its agent.
 func (c *conn) Close() error {
 	c.port.mu.Lock()
 	defer c.port.mu.Unlock()
--- a/internal/scale/control/relay.go
+++ b/internal/scale/control/relay.go
@@ -14,10 +14,10 @@
 	"example.org/ryeloft/internal/scale/role"
 )
 
-// RelayServiceName is the name by which the part's methods are called.
+// RelayServiceName is the net/rpc name of RelayService.
 const RelayServiceName = "Relay"
 
-// The methods of RelayService, as role.Child calls them.
+// These are the methods of RelayService by the names that role.Child.Call takes.
 const (
 	RelayMethodStart     = RelayServiceName + ".Start"
 	RelayMethodPartition = RelayServiceName + ".Partition"
@@ -25,10 +25,10 @@
 	RelayMethodStats     = RelayServiceName + ".Stats"
 )
 
-// RelayMain is the program of the part "relay": it serves a RelayService until its input ends.
+// RelayMain runs a process with the role "relay": it serves a RelayService until standard input ends.
 func RelayMain() error { return role.Serve(RelayServiceName, new(RelayService)) }
 
-// RelayService holds the methods of the part. Its zero value is ready for Start; all other methods fail before that.
+// RelayService runs one relay. Its zero value is ready for Start; all other methods fail before Start.
 type RelayService struct {
 	machine
 	name           string
@@ -37,15 +37,15 @@
 	metricsAtStart relay.Metrics
 	cpuLoad        cpuLoad
 
-	acknowledgedMu sync.Mutex // guards what calls of agents add
-	acknowledged   [][]Acknowledgement
+	acknowledgedMu sync.Mutex          // guards acknowledged, to which agents' calls append
+	acknowledged   [][]Acknowledgement // by agent
 }
 
-// relayCallsPerAgent bounds the calls that a relay of a run holds at a time, for each agent that can call it.
+// relayCallsPerAgent, times the number of agents that can call a relay, bounds its concurrent calls.
 const relayCallsPerAgent = 4
 
-// Start makes the relay, which reads the list that it had, and listens for all agents. The relay's goroutines end with
-// the process.
+// Start creates the relay, which loads the list that it stored before a restart, and opens a listener for each agent. The
+// relay's goroutines run until the process ends.
 func (s *RelayService) Start(args RelayArgs, reply *StartReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// acknowledge records when an agent first acknowledges a revision.
+// acknowledge records the time at which an agent first acknowledges a revision.
 func (s *RelayService) acknowledge(agent int, revision uint64, at time.Time) {
 	s.acknowledgedMu.Lock()
 	defer s.acknowledgedMu.Unlock()
@@ -92,7 +92,7 @@
 	}
 }
 
-// Begin starts all counts from 0. Acknowledgements from before stay.
+// Begin resets all counts to 0. It keeps earlier acknowledgements.
 func (s *RelayService) Begin(struct{}, *struct{}) error {
 	if err := s.lockStarted(); err != nil {
 		return err
@@ -107,7 +107,8 @@
 	return nil
 }
 
-// Stats sums up what was measured. A relay's cost is real processor time: no cost of it is stated.
+// Stats returns what was measured since Begin, or since Start before it. A relay has no configured costs: its busy share is
+// its real CPU usage.
 func (s *RelayService) Stats(_ struct{}, reply *RelayStats) error {
 	if err := s.lockStarted(); err != nil {
 		return err
@@ -121,8 +122,8 @@
 	reply.In = in
 	reply.Out = out
 	s.acknowledgedMu.Lock()
-	for _, ofAgent := range s.acknowledged {
-		reply.Acknowledgements = append(reply.Acknowledgements, slices.Clone(ofAgent))
+	for _, acknowledgements := range s.acknowledged {
+		reply.Acknowledgements = append(reply.Acknowledgements, slices.Clone(acknowledgements))
 	}
 	s.acknowledgedMu.Unlock()
 	counts := s.relay.Metrics()
--- a/internal/scale/control/usage.go
+++ b/internal/scale/control/usage.go
@@ -8,11 +8,11 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// usage is what this process had used by a time.
+// usage is the resource usage of this process at one time.
 type usage struct {
 	at       time.Time
-	cpu      time.Duration
-	rssBytes float64 // held at that time
+	cpu      time.Duration // since the process started
+	rssBytes float64
 }
 
 func currentUsage() (usage, error) {
@@ -20,14 +20,14 @@
 	if err != nil {
 		return usage{}, err
 	}
-	held, err := procstat.ResidentBytes(os.Getpid())
+	rss, err := procstat.ResidentBytes(os.Getpid())
 	if err != nil {
 		return usage{}, err
 	}
-	return usage{at: time.Now(), cpu: cpu, rssBytes: float64(held)}, nil
+	return usage{at: time.Now(), cpu: cpu, rssBytes: float64(rss)}, nil
 }
 
-// fill puts what was used since an earlier time, and is held now, into a machine's result.
+// fill sets the mean CPU usage since an earlier time and the current memory in m.
 func (u usage) fill(m *result.ControlMachine, since usage) {
 	if wall := u.at.Sub(since.at); wall > 0 {
 		m.CPUPercent = 100 * float64(u.cpu-since.cpu) / float64(wall)
--- a/internal/scale/control/workqueue.go
+++ b/internal/scale/control/workqueue.go
@@ -11,26 +11,26 @@
 )
 
 const (
-	maxQueueMillis    = 10 * 60 * 1000 // longer waits count as this
-	maxTrackedSeconds = 3600           // that are kept apart
+	maxQueueMillis    = 10 * 60 * 1000 // longer waits are counted as this
+	maxTrackedSeconds = 3600           // number of seconds with separate samples
 )
 
-// workQueue plays the stated costs of calls: a number of workers take them in the order in which they come, each for its
-// cost in time. Work is planned when a call comes, from when the workers will be free, so that late wake-ups of this
-// machine do not add up. mu guards its state.
+// workQueue simulates the configured costs of calls: a fixed number of workers process them in order of arrival, each for
+// the duration of its cost. Work is planned when a call arrives, from the times at which the workers become free, so that
+// late wake-ups of this machine do not accumulate. mu guards its state.
 //
-// A call that has waited too long is rejected only after its work is done, as the platform's service does: rejections and
-// callers that leave do not shorten the queue.
+// A call that has waited too long is rejected only after its work is done, as the platform's service does. Rejected calls
+// and callers that disconnect do not shorten the queue.
 type workQueue struct {
 	costs scenario.Control
 
 	mu            sync.Mutex
-	workerFreeAt  []time.Time // when each worker has done what is planned
-	plannedStarts []time.Time // of work that had not begun by the last call, in order
-	maxQueued     int         // of these at a time
+	workerFreeAt  []time.Time // when each worker has finished its planned work
+	plannedStarts []time.Time // of work that had not started at the last call, in ascending order
+	maxQueued     int         // maximum length of plannedStarts
 	waits         *result.Histogram
 	startedAt     time.Time
-	busySeconds   []float64 // seconds of planned work in each second since startedAt; the last holds all after it
+	busySeconds   []float64 // seconds of work planned per second since startedAt; the last element includes all later work
 }
 
 func newWorkQueue(costs scenario.Control, now time.Time) *workQueue {
@@ -39,7 +39,7 @@
 	return q
 }
 
-// reset forgets what was measured. What is planned stays.
+// reset discards all measurements and keeps the planned work.
 func (q *workQueue) reset(now time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -52,7 +52,7 @@
 	}
 }
 
-// dropPlanned forgets the work that waits, as when the service dies.
+// dropPlanned discards the planned work that is not done, as a crash of the service does.
 func (q *workQueue) dropPlanned() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -66,7 +66,7 @@
 	q.plannedStarts = nil
 }
 
-// cost is the stated time of a piece of work.
+// cost returns the configured duration of a piece of work.
 func (q *workQueue) cost(w lists.Work) time.Duration {
 	us := q.costs.EntryUS * float64(w.Entries)
 	if !w.Continues {
@@ -75,7 +75,8 @@
 	return time.Duration(us * float64(time.Microsecond))
 }
 
-// Admit implements lists.Limiter: it waits for the work's turn and its cost.
+// Admit implements lists.Limiter. It waits until a worker has done the work, and returns the planned delay, including the
+// cost of the work.
 func (q *workQueue) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
 	now := time.Now()
 	start, end := q.plan(now, q.cost(w))
@@ -95,7 +96,7 @@
 	return end.Sub(now), nil
 }
 
-// plan gives work to the worker that is free first.
+// plan assigns work to the worker that becomes free first.
 func (q *workQueue) plan(now time.Time, cost time.Duration) (start, end time.Time) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -123,7 +124,7 @@
 	return start, end
 }
 
-// addBusy adds a span of time, or takes it away, in each second in which it lies. mu is held.
+// addBusy adds the span from from to to, times sign, to busySeconds. The caller holds mu.
 func (q *workQueue) addBusy(from, to time.Time, sign float64) {
 	if from.Before(q.startedAt) {
 		from = q.startedAt
@@ -143,28 +144,28 @@
 	}
 }
 
-// stats sums up what was planned until now. Shares are of all workers' time; the worst window counts whole seconds, or all
-// there is if that is less.
+// stats sets the measurements up to now in m. Busy shares are relative to the time of all workers. The worst window is
+// measured in whole seconds; before there are enough of them, it is the busy share since startedAt.
 func (q *workQueue) stats(now time.Time, m *result.ControlMachine) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	past := now.Sub(q.startedAt).Seconds()
+	elapsed := now.Sub(q.startedAt).Seconds()
 	workers := float64(len(q.workerFreeAt))
 	var done float64
 	for _, s := range q.busySeconds {
 		done += s
 	}
 	for _, free := range q.workerFreeAt {
-		done -= max(free.Sub(now), 0).Seconds() // planned, but not done yet
+		done -= max(free.Sub(now), 0).Seconds() // planned but not done
 	}
-	if past > 0 {
-		m.Busy = done / past / workers
+	if elapsed > 0 {
+		m.Busy = done / elapsed / workers
 	}
 	m.Worst6s = m.Busy
-	if past >= result.WorstWindowSeconds {
-		whole := make([]float64, int(past))
-		copy(whole, q.busySeconds)
-		m.Worst6s = result.WorstWindow(whole) / workers
+	if elapsed >= result.WorstWindowSeconds {
+		wholeSeconds := make([]float64, int(elapsed))
+		copy(wholeSeconds, q.busySeconds)
+		m.Worst6s = result.WorstWindow(wholeSeconds) / workers
 	}
 	m.QueueMS = q.waits.Distribution()
 	m.QueueMax = q.maxQueued
--- a/internal/scale/role/role.go
+++ b/internal/scale/role/role.go
@@ -1,6 +1,6 @@
-// Package role starts the parts of a scale run as processes of their own, so that the cost of each can be measured, and
-// calls them by net/rpc over their standard input and output. All parts end with the process that started them. The
-// package knows nothing of what a part does.
+// Package role starts the components of a scale run as child processes, so that the cost of each can be measured, and calls
+// them by net/rpc over their standard input and output. All child processes end with the process that started them. The
+// package does not depend on what a component does.
 package role
 
 import (
@@ -16,20 +16,21 @@
 	"time"
 )
 
-// Env names the part that a process is to be; a program that finds it set calls Serve before anything else.
+// Env is the environment variable with the role of a child process. A program that finds it set must call Serve before it
+// does anything else.
 const Env = "SCALE_ROLE"
 
-// The parts, by the names that Env, printed results and errors have for them.
+// These are the roles, as they appear in Env, printed results and errors.
 const (
 	Control         = "control"
 	Relay           = "relay"
 	SimulatedAgents = "hollow"
 )
 
-// stopTimeout is how long a part may take to end after its input, before it is killed.
+// stopTimeout is how long a child process may run after its standard input is closed, before it is killed.
 const stopTimeout = 2 * time.Second
 
-// Child is a part that runs. A goroutine waits for the process; mu guards how it ended.
+// Child is a child process. A goroutine waits for the process to end; mu guards err.
 type Child struct {
 	Role  string
 	cmd   *exec.Cmd
@@ -37,10 +38,11 @@
 	stdin io.Closer
 	done  chan struct{}
 	mu    sync.Mutex
-	err   error // how it ended
+	err   error // from exec.Cmd.Wait; set before done is closed
 }
 
-// Start runs this program again as a part. It is killed if the starter dies, however that comes.
+// Start runs this program again as a child process with the given role. The child is killed when ctx is done or when the
+// process that started it dies for any reason.
 func Start(ctx context.Context, role string, stderr io.Writer) (*Child, error) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -63,7 +65,7 @@
 	}
 	c := &Child{Role: role, cmd: cmd, stdin: stdin, done: make(chan struct{})}
 	c.rpc = rpc.NewClient(stdio{stdout, stdin})
-	go func() { // ends with the process
+	go func() { // returns when the process ends
 		err := cmd.Wait()
 		c.mu.Lock()
 		c.err = err
@@ -73,13 +75,13 @@
 	return c, nil
 }
 
-// PID is the process's number.
+// PID returns the process ID.
 func (c *Child) PID() int { return c.cmd.Process.Pid }
 
-// Done is closed when the part has ended.
+// Done returns a channel that is closed when the process has ended.
 func (c *Child) Done() <-chan struct{} { return c.done }
 
-// Call calls a method such as "Control.Change" and waits for its reply, for as long as the context lasts.
+// Call calls a method such as "Control.Change" and waits for its reply or until ctx is done.
 func (c *Child) Call(ctx context.Context, method string, args, reply any) error {
 	call := c.rpc.Go(method, args, reply, make(chan *rpc.Call, 1))
 	select {
@@ -93,20 +95,21 @@
 	}
 }
 
-// Kill ends the part at once, as a crash of its machine would.
+// Kill kills the process, which simulates a crash of its machine, and waits until it has ended.
 func (c *Child) Kill() {
-	_ = c.cmd.Process.Kill() // it fails only for a process that has ended
+	_ = c.cmd.Process.Kill() // fails only if the process has already ended
 	<-c.done
 }
 
-// Close ends the part's input, by which it ends, and waits for that; one that does not is killed.
+// Close closes the standard input of the process, which makes it end, and waits for that. If the process is still running
+// after stopTimeout, Close kills it and returns an error. Close also returns an error if the process exited unsuccessfully.
 func (c *Child) Close() error {
-	_ = c.stdin.Close() // closed already where the process has ended
+	_ = c.stdin.Close() // fails only if it is already closed because the process has ended
 	select {
 	case <-c.done:
 	case <-time.After(stopTimeout):
 		c.Kill()
-		return fmt.Errorf("%s did not end within %v", c.Role, stopTimeout)
+		return fmt.Errorf("%s did not exit within %v after its standard input was closed", c.Role, stopTimeout)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,8 +120,8 @@
 	return nil
 }
 
-// Serve is the part's side: it offers a receiver's methods under a name until the standard input ends. What the part
-// prints for people goes to standard error.
+// Serve runs in the child process. It serves the methods of receiver under a net/rpc name until standard input ends. The
+// child must print its own output to standard error, because standard output carries the replies.
 func Serve(name string, receiver any) error {
 	s := rpc.NewServer()
 	if err := s.RegisterName(name, receiver); err != nil {
@@ -128,7 +131,7 @@
 	return nil
 }
 
-// stdio joins two one-way streams.
+// stdio combines two one-way streams into an io.ReadWriteCloser.
 type stdio struct {
 	io.ReadCloser
 	io.WriteCloser
