--- a/internal/scale/control/notifications_test.go
+++ b/internal/scale/control/notifications_test.go
@@ -7,22 +7,23 @@
 	"example.org/ryeloft/internal/lists"
 )
 
-// A change is late if a watch that waited for it was written later than its queue, its cost and the allowance explain.
+// TestLateNotifications checks that a change counts as late only if it was written to a watch that waited for it, and later
+// than its planned queue delay and writeSlack allow.
 func TestLateNotifications(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		held    time.Duration // before the change; 0: the call did not wait
-		due     time.Duration
+		waited  time.Duration // before the change; 0: the call did not wait
+		planned time.Duration
 		written time.Duration // after the change
 		status  int
 		late    int
 	}{
-		{"at once", time.Second, 0, time.Millisecond, 200, 0},
-		{"within the allowance", time.Second, 0, writeSlack - time.Millisecond, 200, 0},
+		{"immediate", time.Second, 0, time.Millisecond, 200, 0},
+		{"within writeSlack", time.Second, 0, writeSlack - time.Millisecond, 200, 0},
 		{"late", time.Second, 0, writeSlack + time.Millisecond, 200, 1},
 		{"within its cost", time.Second, time.Second, time.Second + writeSlack - time.Millisecond, 200, 0},
 		{"later than its cost", time.Second, time.Second, time.Second + writeSlack + time.Millisecond, 200, 1},
-		{"began to wait after it", -time.Millisecond, 0, time.Second, 200, 0},
+		{"began to wait after the change", -time.Millisecond, 0, time.Second, 200, 0},
 		{"did not wait", 0, 0, time.Second, 200, 0},
 		{"never written", time.Second, 0, time.Second, 0, 0},
 	} {
@@ -32,9 +33,9 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			done := lists.CallRecord{Agent: 1, Status: c.status, SinceRevision: 7, HasSince: true, Revision: 8, Entries: 1, QueueDelay: c.due, WrittenAt: at.Add(c.written)}
-			if c.held != 0 {
-				done.HeldAt = at.Add(-c.held)
+			done := lists.CallRecord{Agent: 1, Status: c.status, SinceRevision: 7, HasSince: true, Revision: 8, Entries: 1, QueueDelay: c.planned, WrittenAt: at.Add(c.written)}
+			if c.waited != 0 {
+				done.HeldAt = at.Add(-c.waited)
 			}
 			log.callDone(done)
 			var r StatsReply
@@ -44,13 +45,14 @@
 				written = 0
 			}
 			if r.LateNotifications != c.late || r.Changes[0].WrittenAt[1] != written || r.Changes[0].WrittenAt[0] != 0 {
-				t.Errorf("%d late, %+v", r.LateNotifications, r.Changes)
+				t.Errorf("got %d late, changes %+v; want %d late, written to agent 1 only, at %d", r.LateNotifications, r.Changes, c.late, written)
 			}
 		})
 	}
 }
 
-// The first sign of a revision, or of a newer one, counts; changes are bounded.
+// TestFirstAcknowledgement checks that the first acknowledgement and write of a revision or a newer one is recorded, and
+// that the number of recorded changes is bounded.
 func TestFirstAcknowledgement(t *testing.T) {
 	log := newNotificationLog(1)
 	begin := time.Now()
@@ -68,11 +70,11 @@
 	for i, want := range []int64{1, 1, 4} {
 		c := r.Changes[i]
 		if c.AcknowledgedAt[0] != begin.UnixNano()+want || c.WrittenAt[0] != begin.UnixNano()+10*want || c.Revision != uint64(10+i) {
-			t.Errorf("change %d: %+v, want %d after %d", i, c, want, begin.UnixNano())
+			t.Errorf("change %d: got %+v, want it acknowledged %d ns and written %d ns after %d", i, c, want, 10*want, begin.UnixNano())
 		}
 	}
 	if r.Machine.Calls != 5 || r.Machine.FullLists != 1 || r.Machine.Rejected != 0 {
-		t.Errorf("%+v", r.Machine)
+		t.Errorf("got %+v, want 5 calls, 1 full list and none rejected", r.Machine)
 	}
 	for r := uint64(13); r < 10+maxChanges; r++ {
 		if _, err := log.addChange(r, 1); err != nil {
@@ -80,10 +82,10 @@
 		}
 	}
 	if _, err := log.addChange(10+maxChanges, 1); err == nil {
-		t.Error("more changes than can be kept are taken in")
+		t.Error("addChange beyond maxChanges: got no error")
 	}
 	log.reset()
 	if _, err := log.addChange(10+maxChanges, 1); err != nil {
-		t.Errorf("after Begin: %v", err)
+		t.Errorf("addChange after reset: %v", err)
 	}
 }
--- a/internal/scale/control/relay_test.go
+++ b/internal/scale/control/relay_test.go
@@ -10,37 +10,36 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// startRelay plays a relay of so many agents in this process, at one of control's addresses.
-func startRelay(t *testing.T, above, state string, agents int) (*RelayService, []string) {
+// startRelay runs a relay in this process for the given number of agents. upstream is an address of the discovery service.
+func startRelay(t *testing.T, upstream, state string, agents int) (*RelayService, []string) {
 	t.Helper()
 	s, addrs := new(RelayService), addresses(t, agents)
 	var reply StartReply
-	if err := s.Start(RelayArgs{Name: "r", Discovery: above, State: state, Addrs: addrs, FullListsPerSecond: 1000}, &reply); err != nil || reply.Ready != agents {
-		t.Fatalf("%+v, %v", reply, err)
+	if err := s.Start(RelayArgs{Name: "r", Discovery: upstream, State: state, Addrs: addrs, FullListsPerSecond: 1000}, &reply); err != nil || reply.Ready != agents {
+		t.Fatalf("Start: got %+v, %v, want %d agents ready", reply, err, agents)
 	}
 	return s, addrs
 }
 
-// A change comes to agents through a relay, and the relay reports when they acknowledged it and what it cost; agents that
-// are partitioned get nothing, and are reset when the partition ends.
+// TestRelayService checks that a change reaches agents through a relay, that the relay reports their acknowledgements and
+// its own usage, and that a partitioned agent gets no response, only an error after the partition has ended.
 func TestRelayService(t *testing.T) {
 	const agents = 3
-	c, above := startControl(t, agents+1, scenario.Control{Log: 16})
-	s, addrs := startRelay(t, above[agents], t.TempDir(), agents)
+	c, upstream := startControl(t, agents+1, scenario.Control{Log: 16})
+	s, addrs := startRelay(t, upstream[agents], t.TempDir(), agents)
 	if err := s.Start(RelayArgs{}, &StartReply{}); !errors.Is(err, errAlreadyStarted) {
-		t.Errorf("a second start: %v", err)
+		t.Errorf("second Start: got %v, want %v", err, errAlreadyStarted)
 	}
 	if err := s.Begin(struct{}{}, nil); err != nil {
 		t.Fatal(err)
 	}
-	first := int64(0)
 	callAll(t, addrs, func(agent int, a *caller) error {
 		status, l, err := a.call("")
 		if err != nil {
 			return err
 		}
 		if status != 200 || !l.Complete || *l.Revision != 41 {
-			return fmt.Errorf("status %d, revision %v", status, l.Revision)
+			return fmt.Errorf("got status %d, revision %v, want 200 and the full list of revision 41", status, l.Revision)
 		}
 		return nil
 	})
@@ -52,14 +51,13 @@
 		return reply
 	}
 	made := change()
-	first = made.At
 	callAll(t, addrs, func(agent int, a *caller) error {
 		status, l, err := a.call("?after=41&wait_ms=20000")
 		if err != nil {
 			return err
 		}
 		if status != 200 || *l.Revision != made.Revision {
-			return fmt.Errorf("status %d, %+v", status, l)
+			return fmt.Errorf("got status %d, %+v, want 200 and revision %d", status, l, made.Revision)
 		}
 		_, _, err = a.call(fmt.Sprintf("?after=%d", made.Revision))
 		return err
@@ -70,43 +68,43 @@
 	}
 	m := stats.Machine
 	if m.Role != "relay" || m.Name != "r" || m.FullLists != agents || m.Calls < 3*agents || m.BytesOut == 0 || m.CPUPercent <= 0 || m.RSSBytes == 0 {
-		t.Errorf("%+v", m)
+		t.Errorf("got %+v, want %d full lists, at least %d calls and nonzero usage", m, agents, 3*agents)
 	}
-	for agent, marks := range stats.Acknowledgements {
-		last := marks[len(marks)-1]
-		if last.Revision != made.Revision || last.At < first || last.At > time.Now().UnixNano() {
-			t.Errorf("agent %d: %+v, made %+v", agent, marks, made)
+	for agent, acknowledgements := range stats.Acknowledgements {
+		last := acknowledgements[len(acknowledgements)-1]
+		if last.Revision != made.Revision || last.At < made.At || last.At > time.Now().UnixNano() {
+			t.Errorf("agent %d: got acknowledgements %+v, want the last one for %+v", agent, acknowledgements, made)
 		}
 	}
 	if err := s.Partition(PartitionArgs{Agents: []int{agents}, Partitioned: true}, nil); err == nil {
-		t.Error("an agent that there is not can be partitioned")
+		t.Error("Partition of an unknown agent: got no error")
 	}
-	silent := dial(t, addrs[1])
-	if _, _, err := silent.call("?after=42"); err != nil {
+	partitioned := dial(t, addrs[1])
+	if _, _, err := partitioned.call("?after=42"); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Partition(PartitionArgs{Agents: []int{1}, Partitioned: true}, nil); err != nil {
 		t.Fatal(err)
 	}
-	if err := silent.send("?after=42"); err != nil {
+	if err := partitioned.send("?after=42"); err != nil {
 		t.Fatal(err)
 	}
 	if err := s.Partition(PartitionArgs{Agents: []int{1}}, nil); err != nil {
 		t.Fatal(err)
 	}
-	if _, _, err := silent.readResponse(); err == nil {
-		t.Error("a connection that was silent is answered")
+	if _, _, err := partitioned.readResponse(); err == nil {
+		t.Error("got a response on a connection that was partitioned")
 	}
 }
 
-// Before its start a relay says so, and one whose address is taken does not start.
+// TestRelayServiceFails checks that calls before Start fail, and that Start fails if its address is in use.
 func TestRelayServiceFails(t *testing.T) {
 	s := new(RelayService)
 	for name, err := range map[string]error{
 		"Begin": s.Begin(struct{}{}, nil), "Partition": s.Partition(PartitionArgs{}, nil), "Stats": s.Stats(struct{}{}, &RelayStats{}),
 	} {
 		if !errors.Is(err, errNotStarted) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got %v, want %v", name, err, errNotStarted)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -115,30 +113,30 @@
 	}
 	defer l.Close()
 	if err := s.Start(RelayArgs{State: t.TempDir(), Discovery: "127.0.0.1:1", Addrs: []string{l.Addr().String()}, FullListsPerSecond: 1}, &StartReply{}); err == nil {
-		t.Error("it starts at an address that is taken")
+		t.Error("Start at an address in use: got no error")
 	}
 }
 
 func TestCPULoad(t *testing.T) {
-	begun := time.Now()
+	start := time.Now()
 	at := func(second int, cpu float64) usage {
-		return usage{at: begun.Add(time.Duration(second) * time.Second), cpu: time.Duration(cpu * float64(time.Second))}
+		return usage{at: start.Add(time.Duration(second) * time.Second), cpu: time.Duration(cpu * float64(time.Second))}
 	}
 	var l cpuLoad
 	l.reset(at(0, 1))
-	for i, cpu := range []float64{1, 1, 2, 3, 4, 4} { // seconds of processor time by then
+	for i, cpu := range []float64{1, 1, 2, 3, 4, 4} { // total CPU seconds
 		l.sample(at(i+1, cpu))
 	}
 	if got, want := l.worst6s(), 3.0/6; got < want-1e-9 || got > want+1e-9 {
-		t.Errorf("worst %v of six seconds, want %v", got, want)
+		t.Errorf("got worst %v after six seconds, want %v", got, want)
 	}
-	l.sample(at(6, 9)) // no time has passed
+	l.sample(at(6, 9)) // ignored: no time has passed
 	l.sample(at(7, 10))
 	if got, want := l.worst6s(), 9.0/6; got < want-1e-9 || got > want+1e-9 {
-		t.Errorf("worst %v, want %v", got, want)
+		t.Errorf("got worst %v, want %v", got, want)
 	}
 	l.reset(at(7, 10))
 	if got := l.worst6s(); got != 0 {
-		t.Errorf("worst %v at the begin", got)
+		t.Errorf("got worst %v after reset, want 0", got)
 	}
 }
--- a/internal/scale/control/workqueue_test.go
+++ b/internal/scale/control/workqueue_test.go
@@ -15,7 +15,7 @@
 
 const ms = time.Millisecond
 
-// workItem is a piece of work that comes at a time and is through, or refused, at another.
+// workItem is a piece of work with its arrival and the expected time at which it is done or rejected.
 type workItem struct {
 	at       time.Duration
 	work     lists.Work
@@ -23,92 +23,96 @@
 	rejected bool
 }
 
-// newCall is a newCall that begins, with so many lines; continued is one that goes on.
-func newCall(at time.Duration, lines int, end time.Duration, refused bool) workItem {
-	return workItem{at, lists.Work{Entries: lines}, end, refused}
+// newCall returns the work of a new call with the given number of entries.
+func newCall(at time.Duration, entries int, endsAt time.Duration, rejected bool) workItem {
+	return workItem{at, lists.Work{Entries: entries}, endsAt, rejected}
 }
 
-func continuedCall(at time.Duration, lines int, end time.Duration, refused bool) workItem {
-	return workItem{at, lists.Work{Continues: true, Entries: lines}, end, refused}
+// continuedCall returns the work of a call that began earlier.
+func continuedCall(at time.Duration, entries int, endsAt time.Duration, rejected bool) workItem {
+	return workItem{at, lists.Work{Continues: true, Entries: entries}, endsAt, rejected}
 }
 
 func approxEqual(a, b float64) bool { return math.Abs(a-b) <= 0.002*math.Max(math.Abs(a), math.Abs(b)) }
 
-// Work is done in its turn, at its stated cost; what has waited too long is refused in its turn as well.
+// TestWorkQueue checks that work is done in order of arrival at its configured cost, and that work which has waited too
+// long is rejected only after its own cost.
 func TestWorkQueue(t *testing.T) {
 	costs := scenario.Control{CallMS: 10, EntryUS: 1000, Parallel: 1, RejectMS: 25}
-	two, free, patient := costs, costs, costs
-	two.Parallel = 2
+	twoWorkers, free, noRejections := costs, costs, costs
+	twoWorkers.Parallel = 2
 	free.CallMS, free.EntryUS = 0, 0
-	patient.RejectMS = 0
+	noRejections.RejectMS = 0
 	for _, c := range []struct {
-		name    string
-		costs   scenario.Control
-		entries []workItem // the later ones come later
-		until   time.Duration
-		busy    float64
-		most    int
-		waited  float64 // the longest, ms
+		name      string
+		costs     scenario.Control
+		items     []workItem // in order of arrival
+		until     time.Duration
+		busy      float64
+		maxQueued int
+		maxWaitMS float64
 	}{
-		{"alone", costs, []workItem{newCall(0, 0, 10*ms, false)}, 100 * ms, 0.1, 0, 0},
-		{"lines", costs, []workItem{newCall(0, 5, 15*ms, false)}, 100 * ms, 0.15, 0, 0},
-		{"goes on", costs, []workItem{continuedCall(0, 5, 5*ms, false)}, 100 * ms, 0.05, 0, 0},
-		{"in turn", costs, []workItem{newCall(0, 0, 10*ms, false), newCall(1*ms, 0, 20*ms, false), continuedCall(2*ms, 1, 21*ms, false)}, 100 * ms, 0.21, 2, 18},
-		{"after a pause", costs, []workItem{newCall(0, 0, 10*ms, false), newCall(50*ms, 0, 60*ms, false)}, 100 * ms, 0.2, 0, 0},
-		{"refused after its work", costs, []workItem{newCall(0, 20, 30*ms, false), newCall(1*ms, 0, 40*ms, true), newCall(2*ms, 0, 50*ms, true),
+		{"one call", costs, []workItem{newCall(0, 0, 10*ms, false)}, 100 * ms, 0.1, 0, 0},
+		{"entries", costs, []workItem{newCall(0, 5, 15*ms, false)}, 100 * ms, 0.15, 0, 0},
+		{"continued call", costs, []workItem{continuedCall(0, 5, 5*ms, false)}, 100 * ms, 0.05, 0, 0},
+		{"in order", costs, []workItem{newCall(0, 0, 10*ms, false), newCall(1*ms, 0, 20*ms, false), continuedCall(2*ms, 1, 21*ms, false)}, 100 * ms, 0.21, 2, 18},
+		{"after an idle time", costs, []workItem{newCall(0, 0, 10*ms, false), newCall(50*ms, 0, 60*ms, false)}, 100 * ms, 0.2, 0, 0},
+		{"rejected after its work", costs, []workItem{newCall(0, 20, 30*ms, false), newCall(1*ms, 0, 40*ms, true), newCall(2*ms, 0, 50*ms, true),
 			newCall(30*ms, 0, 60*ms, false)}, 100 * ms, 0.6, 2, 38},
-		{"just not refused", costs, []workItem{newCall(0, 15, 25*ms, false), newCall(1*ms, 0, 35*ms, false)}, 100 * ms, 0.35, 1, 24},
-		{"patient", patient, []workItem{newCall(0, 90, 100*ms, false), newCall(1*ms, 0, 110*ms, false)}, 110 * ms, 1, 1, 99},
-		{"two workers", two, []workItem{newCall(0, 0, 10*ms, false), newCall(1*ms, 0, 11*ms, false), newCall(2*ms, 0, 20*ms, false), newCall(3*ms, 0, 21*ms, false)},
+		{"just below the limit", costs, []workItem{newCall(0, 15, 25*ms, false), newCall(1*ms, 0, 35*ms, false)}, 100 * ms, 0.35, 1, 24},
+		{"no rejections", noRejections, []workItem{newCall(0, 90, 100*ms, false), newCall(1*ms, 0, 110*ms, false)}, 110 * ms, 1, 1, 99},
+		{"two workers", twoWorkers, []workItem{newCall(0, 0, 10*ms, false), newCall(1*ms, 0, 11*ms, false), newCall(2*ms, 0, 20*ms, false), newCall(3*ms, 0, 21*ms, false)},
 			100 * ms, 0.2, 2, 8},
-		{"free", free, []workItem{newCall(0, 800, 0, false), newCall(0, 800, 0, false)}, 100 * ms, 0, 0, 0},
+		{"no costs", free, []workItem{newCall(0, 800, 0, false), newCall(0, 800, 0, false)}, 100 * ms, 0, 0, 0},
 		{"not done yet", costs, []workItem{newCall(0, 90, 100*ms, false)}, 50 * ms, 1, 0, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				began := time.Now()
 				q := newWorkQueue(c.costs, began)
-				for i, e := range c.entries {
+				for i, item := range c.items {
 					go func() {
-						time.Sleep(e.at) // of the bubble's clock
-						due, err := q.Admit(t.Context(), e.work)
+						time.Sleep(item.at)
+						planned, err := q.Admit(t.Context(), item.work)
 						end := time.Since(began)
-						var refused lists.RejectedError
-						if end != e.endsAt || errors.As(err, &refused) != e.rejected || due != e.endsAt-e.at {
-							t.Errorf("entry %d ended at %v, due after %v, with %v; want %v, refused %v", i, end, due, err, e.endsAt, e.rejected)
+						var rejected lists.RejectedError
+						if end != item.endsAt || errors.As(err, &rejected) != item.rejected || planned != item.endsAt-item.at {
+							t.Errorf("item %d: got end at %v, planned delay %v, error %v; want end at %v, planned delay %v, rejected %v",
+								i, end, planned, err, item.endsAt, item.endsAt-item.at, item.rejected)
 						}
 					}()
 				}
 				time.Sleep(c.until)
 				var m result.ControlMachine
 				q.stats(time.Now(), &m)
-				if !approxEqual(m.Busy, c.busy) || !approxEqual(m.Worst6s, c.busy) || m.QueueMax != c.most || !approxEqual(m.QueueMS.Max, c.waited) ||
-					m.QueueMS.N != int64(len(c.entries)) {
-					t.Errorf("measured %+v, want busy %v, most %d, the longest wait %v", m, c.busy, c.most, c.waited)
+				if !approxEqual(m.Busy, c.busy) || !approxEqual(m.Worst6s, c.busy) || m.QueueMax != c.maxQueued || !approxEqual(m.QueueMS.Max, c.maxWaitMS) ||
+					m.QueueMS.N != int64(len(c.items)) {
+					t.Errorf("got %+v, want busy %v, at most %d queued, longest wait %v ms", m, c.busy, c.maxQueued, c.maxWaitMS)
 				}
-				time.Sleep(time.Second) // until all has ended
+				time.Sleep(time.Second) // until all items have ended
 			})
 		})
 	}
 }
 
-// Who leaves does so at once; its work is done all the same.
+// TestWorkQueueCallerLeaves checks that Admit returns when its context ends, and that the queue still does the work.
 func TestWorkQueueCallerLeaves(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		q := newWorkQueue(scenario.Control{CallMS: 10, Parallel: 1}, began)
-		ctx, leave := context.WithTimeout(t.Context(), 3*ms)
-		defer leave()
+		ctx, cancel := context.WithTimeout(t.Context(), 3*ms)
+		defer cancel()
 		if _, err := q.Admit(ctx, lists.Work{}); !errors.Is(err, context.DeadlineExceeded) || time.Since(began) != 3*ms {
-			t.Errorf("left after %v with %v", time.Since(began), err)
+			t.Errorf("got %v after %v, want %v after 3 ms", err, time.Since(began), context.DeadlineExceeded)
 		}
 		if _, err := q.Admit(t.Context(), lists.Work{}); err != nil || time.Since(began) != 20*ms {
-			t.Errorf("the next ended after %v with %v", time.Since(began), err)
+			t.Errorf("next call: got %v after %v, want success after 20 ms", err, time.Since(began))
 		}
 	})
 }
 
-// What waits is forgotten when control goes down, and the worst span is the worst one, of whole seconds.
+// TestWorkQueueDropAndWorstWindow checks that planned work is dropped when the service goes down, and that the worst window
+// is the busiest one of whole seconds. It also covers reset and seconds beyond maxTrackedSeconds.
 func TestWorkQueueDropAndWorstWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newWorkQueue(scenario.Control{CallMS: 1000, Parallel: 1}, time.Now())
@@ -121,15 +125,15 @@
 		var m result.ControlMachine
 		q.stats(time.Now(), &m)
 		if !approxEqual(m.Busy, 4.5/20) || !approxEqual(m.Worst6s, 3.0/6) {
-			t.Errorf("busy %v, worst %v; want 4.5 s of 20 and 3 of 6", m.Busy, m.Worst6s)
+			t.Errorf("got busy %v, worst %v, want %v and %v", m.Busy, m.Worst6s, 4.5/20, 3.0/6)
 		}
 		q.plan(time.Now(), 20*time.Second)
 		time.Sleep(5 * time.Second)
-		q.reset(time.Now()) // with 15 s to go
+		q.reset(time.Now()) // 15 s of planned work remain
 		time.Sleep(10 * time.Second)
 		q.stats(time.Now(), &m)
 		if m.Busy != 1 || m.Worst6s != 1 || m.QueueMS.N != 0 {
-			t.Errorf("after Begin: %+v", m)
+			t.Errorf("after reset: got %+v, want fully busy and no waits", m)
 		}
 		q.reset(time.Now())
 		time.Sleep(2 * maxTrackedSeconds * time.Second)
@@ -137,7 +141,7 @@
 		time.Sleep(time.Second)
 		q.stats(time.Now(), &m)
 		if len(q.busySeconds) != maxTrackedSeconds || !approxEqual(m.Busy, 6.0/(2*maxTrackedSeconds+1)) {
-			t.Errorf("after two hours: %d seconds, busy %v", len(q.busySeconds), m.Busy)
+			t.Errorf("after two hours: got %d tracked seconds, busy %v, want %d and %v", len(q.busySeconds), m.Busy, maxTrackedSeconds, 6.0/(2*maxTrackedSeconds+1))
 		}
 	})
 }
