--- a/internal/scale/world/agentconfig.go
+++ b/internal/scale/world/agentconfig.go
@@ -9,17 +9,17 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// EchoService is the name of the service, and of its class, that AddEcho adds.
+// EchoService is the name of the service that AddEcho adds, and of its class.
 const EchoService = "echo"
 
-// The echo class's times; its servers answer at once.
+// These are the times of the echo class, whose servers respond immediately.
 const (
 	echoLatencyObjectiveMS = 250
 	echoDeadlineMS         = 2000
 )
 
-// AddEcho adds an idempotent service of layer 0 whose servers are real sockets: one at each address, in the zones in turn.
-// Every process of a run has to add the same ones, or their worlds differ.
+// AddEcho adds an idempotent service of layer 0 whose servers are real sockets: one at each address, assigned to the zones
+// in rotation. Every process of a run must add the same addresses; otherwise their worlds differ.
 func (w *World) AddEcho(addrs []string) {
 	class := max(0, slices.IndexFunc(w.Scenario.Classes, func(c scenario.Class) bool { return c.Idempotency == scenario.Idempotent }))
 	w.Services = append(w.Services, Service{Name: EchoService, Class: class})
@@ -29,7 +29,7 @@
 	}
 }
 
-// echoService returns the position of the echo service, or -1.
+// echoService returns the position of the echo service, or -1 if there is none.
 func (w *World) echoService() int {
 	if last := len(w.Services) - 1; w.Services[last].Name == EchoService {
 		return last
@@ -37,8 +37,8 @@
 	return -1
 }
 
-// settingsJSON is the part of the settings that the agents use. It has nothing more, as each agent is handed it at each
-// change; a test holds its length below 3,000 bytes.
+// settingsJSON contains only those settings that the agents use, because every agent receives them at each change. A test
+// limits the encoded size to 3,000 bytes.
 type settingsJSON struct {
 	Classes    []classJSON `json:"categories"`
 	Localities []string    `json:"localities"`
@@ -53,7 +53,7 @@
 	Rules      rulesJSON   `json:"rules"`
 }
 
-// classJSON is the class of the calls to one service. Times are in ms.
+// classJSON is the class of the calls to one service. Times are in milliseconds.
 type classJSON struct {
 	Name             string  `json:"name"`
 	LatencyObjective float64 `json:"aim"`
@@ -89,8 +89,8 @@
 	RetryBudgetWindow  float64 `json:"extraWindow"`
 }
 
-// Settings returns the settings of an agent as a revision words them; each revision from 0 on words them differently. Once
-// AddEcho was called, a real agent may call the echo service.
+// Settings returns the settings of an agent in a revision from 0 on, as JSON. Each revision has a different text. After
+// AddEcho, a real agent may call the echo service.
 func (w *World) Settings(agent int, revision int) []byte {
 	return mustMarshal(w.settings(agent, revision, w.Agents[agent].Real))
 }
@@ -120,8 +120,9 @@
 	return t
 }
 
-// Classes returns the services that an agent's classes stand for, in the order of its settings: those that its own service
-// calls, and the echo service if it may call that. As settings need a class, an agent that calls nothing has its own.
+// Classes returns the services that an agent's classes represent, in the order of its settings: those that its own service
+// calls, then the echo service if echo is true and the service exists. Settings need at least one class, so an agent that
+// calls no service has the class of its own service.
 func (w *World) Classes(agent int, echo bool) (out []int) {
 	own := w.Servers[w.Agents[agent].Server].Service
 	for _, c := range w.Services[own].Calls {
@@ -136,8 +137,8 @@
 	return out
 }
 
-// classSettings is the class of a service. Each revision has deadlines that are a microsecond longer: another text by which no
-// agent decides otherwise.
+// classSettings returns the class of a service. Each revision lengthens the deadline by a microsecond, which changes the
+// text but no decision of an agent.
 func (w *World) classSettings(service, revision int) classJSON {
 	s := &w.Services[service]
 	class := &w.Scenario.Classes[s.Class]
@@ -156,18 +157,18 @@
 	return c
 }
 
-// ConfigOptions are what a configuration says beside the settings.
+// ConfigOptions contains the parts of an agent's configuration that do not follow from the world.
 type ConfigOptions struct {
 	Listen, Discovery string   // host and port
-	Console           string   // the same; empty: none
-	Relays            []string // likewise
+	Console           string   // host and port; empty: none
+	Relays            []string // host and port of each
 	Revision          int      // of the settings
-	CachedEndpoints   []byte   // a full list in discovery's form; nil: none
-	Echo              bool     // the agent may call the echo service, where there is one
+	CachedEndpoints   []byte   // a full list in the discovery service's format; nil: none
+	Echo              bool     // whether the agent may call the echo service, if there is one
 	Seed              uint64
 }
 
-// configJSON is the agent's configuration file.
+// configJSON is an agent's configuration file.
 type configJSON struct {
 	Name            string             `json:"name"`
 	Listen          string             `json:"listen"`
@@ -186,7 +187,7 @@
 	Sockets  int     `json:"sockets"`
 }
 
-// Config returns an agent's configuration as JSON. It panics where CachedEndpoints is no JSON.
+// Config returns an agent's configuration as JSON. It panics if CachedEndpoints is not valid JSON.
 func (w *World) Config(agent int, o ConfigOptions) []byte {
 	return mustMarshal(configJSON{
 		Name: w.Agents[agent].Name, Listen: o.Listen, Discovery: o.Discovery, Console: o.Console, Relays: o.Relays,
@@ -196,7 +197,7 @@
 	})
 }
 
-// mustMarshal marshals plain types, which can fail only by a RawMessage that is no JSON.
+// mustMarshal marshals plain types, which fails only if a RawMessage is not valid JSON.
 func mustMarshal(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/scale/world/agents.go
+++ b/internal/scale/world/agents.go
@@ -4,8 +4,8 @@
 	"fmt"
 )
 
-// placeAgents puts agents beside the servers and chooses the real ones: spread evenly and, where possible, so that each
-// service keeps a simulated one.
+// placeAgents assigns agents to servers and chooses the real ones: evenly distributed and, where possible, so that each
+// service keeps a simulated agent.
 func (w *World) placeAgents() {
 	n := w.Scenario.Agents()
 	realAgents := w.Scenario.Fleet.Real
@@ -26,7 +26,8 @@
 	w.assignCallingAgents()
 }
 
-// nextSimulated returns the first simulated agent from a position on, cyclically, whose service is accepted, or -1.
+// nextSimulated returns the first simulated agent whose service is accepted, or -1. It searches cyclically, starting at the
+// position from.
 func (w *World) nextSimulated(from int, accept func(service int) bool) int {
 	for k := range w.Agents {
 		i := (from + k) % len(w.Agents)
@@ -37,10 +38,10 @@
 	return -1
 }
 
-// assignCallingAgents finds for each server the agent by which its requests call on.
+// assignCallingAgents sets the agent through which each server's requests make their calls.
 func (w *World) assignCallingAgents() {
 	w.callingAgent = make([]int, len(w.Servers))
-	byService := make([][]int, len(w.Services)) // simulated agents
+	byService := make([][]int, len(w.Services)) // the simulated agents
 	for i := range w.callingAgent {
 		w.callingAgent[i] = -1
 	}
@@ -63,11 +64,11 @@
 	}
 }
 
-// CallingAgent returns the agent by which a server's requests call on: the simulated one beside it, or else one of the same
-// service. Below 0 means that there is none, and that they call nothing.
+// CallingAgent returns the agent through which a server's requests make their calls: the first simulated agent beside it,
+// or otherwise one of the same service. A negative result means that there is none and the requests make no calls.
 func (w *World) CallingAgent(server int) int {
 	if server < len(w.callingAgent) {
 		return w.callingAgent[server]
 	}
-	return -1 // echo servers call nothing
+	return -1 // echo servers make no calls
 }
--- a/internal/scale/world/callgraph.go
+++ b/internal/scale/world/callgraph.go
@@ -4,12 +4,13 @@
 	"slices"
 )
 
-// edge is a caller and a called service.
+// edge is an edge of the call graph, between two services.
 type edge struct{ caller, called int }
 
-// generateCalls connects each layer to the next so that calls come to each service in proportion to its servers. It lays both
-// layers along one line, each service as long as its share: where two overlap, one calls the other in proportion to the
-// overlap. Doing so in two random orders gives more than the fewest edges.
+// generateCalls connects each layer to the next so that each service receives calls in proportion to its number of servers.
+// It places both layers on a line of the same length, where each service covers an interval proportional to its number of
+// servers. Services with overlapping intervals get an edge weighted by the overlap. Averaging over two random orders
+// gives more edges than the minimum.
 func (w *World) generateCalls() {
 	rng := w.rng(streamCalls)
 	for layer := range w.Scenario.Fleet.Depth {
@@ -28,24 +29,24 @@
 	}
 }
 
-// addOverlaps adds half of the overlaps of two layers' services that are laid along one line in their order.
+// addOverlaps places the services of two layers on a line in the given orders, and adds half of each overlap to flow.
 func (w *World) addOverlaps(callers, called []int, flow map[edge]float64) {
-	// Each layer is as long as the product of both numbers of servers: in integers no sliver is left by rounding.
-	above := w.countServers(callers)
-	below := w.countServers(called)
-	whole := float64(above) * float64(below)
+	// The line's length is the product of both layers' numbers of servers. Integers avoid tiny overlaps from rounding.
+	callerServers := w.countServers(callers)
+	calledServers := w.countServers(called)
+	length := float64(callerServers) * float64(calledServers)
 	i, j, leftI, leftJ := 0, 0, 0, 0
 	for i < len(callers) || j < len(called) {
 		if leftI == 0 {
-			leftI = len(w.Services[callers[i]].Servers) * below
+			leftI = len(w.Services[callers[i]].Servers) * calledServers
 		}
 		if leftJ == 0 {
-			leftJ = len(w.Services[called[j]].Servers) * above
+			leftJ = len(w.Services[called[j]].Servers) * callerServers
 		}
-		both := min(leftI, leftJ)
-		flow[edge{callers[i], called[j]}] += float64(both) / whole / 2
-		leftI -= both
-		leftJ -= both
+		overlap := min(leftI, leftJ)
+		flow[edge{callers[i], called[j]}] += float64(overlap) / length / 2
+		leftI -= overlap
+		leftJ -= overlap
 		if leftI == 0 {
 			i++
 		}
@@ -55,17 +56,18 @@
 	}
 }
 
-// setCalls turns a caller's part of the flow, which is 1 for all callers together, into chances, in the services' order.
+// setCalls converts the caller's share of flow, which adds up to 1 over all callers, into the chances of its calls, in the
+// order of the services. total is the number of servers in the callers' layer.
 func (w *World) setCalls(caller int, called []int, flow map[edge]float64, total float64, layer int) {
 	s := &w.Services[caller]
-	out := 1.0
+	callsPerRequest := 1.0
 	if layer > 0 {
-		out = fanOut
+		callsPerRequest = fanOut
 	}
 	share := float64(len(s.Servers)) / total
 	for _, to := range slices.Sorted(slices.Values(called)) {
 		if f := flow[edge{caller, to}]; f > 0 {
-			s.Calls = append(s.Calls, Call{Service: to, Chance: min(1, out*f/share)})
+			s.Calls = append(s.Calls, Call{Service: to, Chance: min(1, callsPerRequest*f/share)})
 		}
 	}
 }
--- a/internal/scale/world/draw.go
+++ b/internal/scale/world/draw.go
@@ -10,7 +10,8 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// The streams of random numbers are independent, so that a fleet with more real agents is otherwise the same fleet.
+// These are independent streams of random numbers, so that a change to the number of real agents changes nothing else in
+// the deployment.
 const (
 	streamClasses = iota + 1
 	streamCalls
@@ -21,16 +22,17 @@
 
 // Generate draws a scenario's fleet. Its error is the scenario's, if that cannot be used.
 //
-// An agent i stands beside the server i, modulo their number. Where there are fewer agents than servers, requests call
-// on by an agent of the same service; a service without any makes no calls, and root calls make up for that.
+// Agent i runs beside server i modulo the number of servers. If there are fewer agents than servers, requests of a server
+// without an agent make their calls through an agent of the same service. A service without simulated agents makes no
+// calls; the rate of root calls is raised to compensate.
 func Generate(s *scenario.Scenario) (*World, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
 	}
 	w := &World{Scenario: s}
-	perRegion := s.Fleet.Zones / s.Fleet.Regions
+	zonesPerRegion := s.Fleet.Zones / s.Fleet.Regions
 	for z := range s.Fleet.Zones {
-		w.Zones = append(w.Zones, fmt.Sprintf("r%d-z%d", z/perRegion, z%perRegion))
+		w.Zones = append(w.Zones, fmt.Sprintf("r%d-z%d", z/zonesPerRegion, z%zonesPerRegion))
 	}
 	sizes := apportion(s.Fleet.Servers, s.Fleet.Services, func(i int) float64 {
 		return math.Pow(float64(i+1), -s.Fleet.Uneven)
@@ -47,8 +49,8 @@
 	return rand.New(rand.NewPCG(w.Scenario.Seed, stream))
 }
 
-// apportion divides a whole number by weight into n parts of at least 1, by the largest remainder.
-func apportion(whole, n int, weight func(int) float64) []int {
+// apportion divides total into n parts of at least 1 in proportion to their weights, by the largest remainder method.
+func apportion(total, n int, weight func(int) float64) []int {
 	sum := 0.0
 	for i := range n {
 		sum += weight(i)
@@ -56,9 +58,9 @@
 	out := make([]int, n)
 	remainder := make([]float64, n)
 	order := make([]int, n)
-	left := whole
+	left := total
 	for i := range n {
-		exact := float64(whole-n) * weight(i) / sum
+		exact := float64(total-n) * weight(i) / sum
 		out[i] = 1 + int(exact)
 		order[i] = i
 		remainder[i] = exact - math.Floor(exact)
--- a/internal/scale/world/load.go
+++ b/internal/scale/world/load.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// generateLoad sets the rates of root calls so that the fleet makes as many calls as the scenario says, and the services' work
-// so that its mean over all calls is the scenario's.
+// generateLoad sets the rates of root calls so that the fleet makes the scenario's total calls per second, and the work of
+// the services so that its mean over all calls is the scenario's.
 func (w *World) generateLoad() {
 	w.setRootRates(1)
 	f := &w.Scenario.Fleet
@@ -31,7 +31,8 @@
 	}
 }
 
-// setRootRates gives each front service a rate of root calls for each of its servers, spread over its simulated agents.
+// setRootRates gives each front service perServer root calls per second for each of its servers, distributed evenly over
+// its simulated agents.
 func (w *World) setRootRates(perServer float64) {
 	simulated := make([]int, len(w.Services))
 	for _, a := range w.Agents {
@@ -47,33 +48,34 @@
 	}
 }
 
-// ServiceRates returns the calls a second to expect at each service; the front and echo services are not called.
+// ServiceRates returns the expected calls per second to each service. The rates of the front and echo services are 0.
 func (w *World) ServiceRates() []float64 {
 	rates := make([]float64, len(w.Services))
-	made := make([]float64, len(w.Services)) // requests that make calls
+	callingRequests := make([]float64, len(w.Services)) // requests per second that make calls
 	for _, a := range w.Agents {
-		made[w.Servers[a.Server].Service] += a.RootCallsPerSecond
+		callingRequests[w.Servers[a.Server].Service] += a.RootCallsPerSecond
 	}
-	for i, s := range w.Services { // callers stand before those they call
+	for i, s := range w.Services { // callers are sorted before the services that they call
 		if s.Layer > 0 {
-			made[i] = rates[i] * w.callingShare(i)
+			callingRequests[i] = rates[i] * w.callingShare(i)
 		}
 		for _, c := range s.Calls {
-			rates[c.Service] += made[i] * c.Chance
+			rates[c.Service] += callingRequests[i] * c.Chance
 		}
 	}
 	return rates
 }
 
-// callingShare is the share of a service's requests that have an agent to call on by.
+// callingShare returns the share of a service's requests that have a calling agent.
 func (w *World) callingShare(service int) float64 {
-	if w.CallingAgent(w.Services[service].Servers[0]) < 0 { // all of a service's servers have one, or none
+	// Either all servers of a service have a calling agent or none has.
+	if w.CallingAgent(w.Services[service].Servers[0]) < 0 {
 		return 0
 	}
 	return 1
 }
 
-// LayerRates returns the calls a second to expect at layers 1 to depth, the first one at position 0.
+// LayerRates returns the expected calls per second to the layers from 1 to the depth. The element 0 is layer 1.
 func (w *World) LayerRates() []float64 {
 	out := make([]float64, w.Scenario.Fleet.Depth)
 	for i, rate := range w.ServiceRates() {
--- a/internal/scale/world/servers.go
+++ b/internal/scale/world/servers.go
@@ -4,14 +4,15 @@
 	"fmt"
 )
 
-// machineSpeeds are those of the kinds of machine; each server is on a random one.
+// machineSpeeds are the speeds of the machine types. Each server runs on a machine of a random type.
 var machineSpeeds = []float64{0.6, 0.8, 1, 1.2, 1.5}
 
-// generateServers places each service's servers in the zones in turn, from a random one on, and on random machines.
+// generateServers assigns the servers of each service to the zones in rotation, starting at a random zone, and to random
+// racks and machine types.
 func (w *World) generateServers() {
 	f := &w.Scenario.Fleet
 	rng := w.rng(streamServers)
-	var first, others []int // the services of the first server of each, and of the others
+	var first, others []int // the services of the servers to add: first one server of each service, then the others
 	for i := range w.Services {
 		first = append(first, i)
 		for range cap(w.Services[i].Servers) - 1 {
@@ -40,23 +41,26 @@
 	})
 }
 
-// IDs and addresses are made from a server's position and its generation, which counts how often it was replaced.
+// IDs and addresses are derived from a server's position in World.Servers and its generation, which is how often it was
+// replaced.
 const (
 	positionBits  = 13
 	addrsPerOctet = 250
 	serverPort    = 9000
 )
 
-// feistelRounds mix an id's halves.
+// feistelRounds is the number of rounds that mix the halves of an ID.
 const feistelRounds uint64 = 4
 
-// serverAddr is unique to a server and generation, within 127.16 to 127.63; control and relays have the networks above.
+// serverAddr returns the address of a generation of a server. It is unique, and within the networks 127.16 to 127.63; the
+// discovery service and relays use the networks above.
 func serverAddr(position, generation int) string {
 	n := generation<<positionBits | position
 	return fmt.Sprintf("127.%d.%d.%d:%d", 16+n/(addrsPerOctet*addrsPerOctet)%48, n/addrsPerOctet%addrsPerOctet, n%addrsPerOctet+1, serverPort)
 }
 
-// serverID is unique to a server and generation: a Feistel permutation of both, which looks random.
+// serverID returns the ID of a generation of a server. It is unique and looks random: a Feistel permutation of the position
+// and the generation.
 func (w *World) serverID(position, generation int) string {
 	n := uint32(generation<<positionBits | position)
 	left, right := uint16(n>>16), uint16(n)
@@ -66,7 +70,7 @@
 	return fmt.Sprintf("s-%04x%04x", left, right)
 }
 
-// ServerPosition returns the server that has an id in any generation; false if it is none of the world's.
+// ServerPosition returns the position of the server that has the ID in any generation, and whether the ID is valid.
 func (w *World) ServerPosition(id string) (int, bool) {
 	var left, right uint16
 	if n, err := fmt.Sscanf(id, "s-%04x%04x", &left, &right); n != 2 || err != nil || len(id) != len("s-01234567") {
@@ -80,7 +84,7 @@
 	return position, position < len(w.Servers)
 }
 
-// mixRound is the round function of the permutation.
+// mixRound is the round function of the Feistel permutation.
 func (w *World) mixRound(v uint16, round uint64) uint16 {
 	x := (uint64(v) + round<<16 + 1) * (w.Scenario.Seed | 1) * 0x9e3779b97f4a7c15
 	x ^= x >> 29
--- a/internal/scale/world/services.go
+++ b/internal/scale/world/services.go
@@ -6,10 +6,10 @@
 	"slices"
 )
 
-// fanOut is how many calls a request makes in the mean. It is below 1, as few requests go all the way down.
+// fanOut is the mean number of calls that a request makes. It is below 1 because few requests reach the deepest layer.
 const fanOut = 0.9
 
-// callsPerLayer returns the calls to layers 1 to depth for each root call, if all requests call on.
+// callsPerLayer returns the calls per root call to each layer from 1 to depth, if all requests can make calls.
 func callsPerLayer(depth int) []float64 {
 	out := make([]float64, depth)
 	for d := range out {
@@ -18,20 +18,21 @@
 	return out
 }
 
-// generateServices gives each service its layer and class. The largest service comes first and goes to the layer that lacks
-// most servers for its calls, unless as many layers are empty as services are left.
+// generateServices creates the services with their layers and classes. In descending order of size, each service goes to
+// the layer that is missing the most servers for its calls. Once there are only as many services left as empty layers,
+// each goes to an empty layer.
 func (w *World) generateServices(sizes []int) {
 	f := &w.Scenario.Fleet
 	calls := callsPerLayer(f.Depth)
-	lacks := append([]float64{calls[0]}, calls...)
+	missing := append([]float64{calls[0]}, calls...) // servers, by layer
 	sum := 0.0
-	for _, c := range lacks {
+	for _, c := range missing {
 		sum += c
 	}
-	for i := range lacks {
-		lacks[i] *= float64(f.Servers) / sum
+	for i := range missing {
+		missing[i] *= float64(f.Servers) / sum
 	}
-	layers := make([][]int, f.Depth+1) // of services' sizes
+	layers := make([][]int, f.Depth+1) // sizes of the services of each layer
 	empty := len(layers)
 	for i, size := range sizes {
 		best := -1
@@ -39,7 +40,7 @@
 			if empty == len(sizes)-i && len(layers[l]) > 0 {
 				continue
 			}
-			if best < 0 || lacks[l] > lacks[best] {
+			if best < 0 || missing[l] > missing[best] {
 				best = l
 			}
 		}
@@ -47,18 +48,19 @@
 			empty--
 		}
 		layers[best] = append(layers[best], size)
-		lacks[best] -= float64(size)
+		missing[best] -= float64(size)
 	}
-	for l, of := range layers {
-		for i, size := range of {
+	for l, layerSizes := range layers {
+		for i, size := range layerSizes {
 			w.Services = append(w.Services, Service{Name: fmt.Sprintf("d%d-%d", l, i), Layer: l, Servers: make([]int, 0, size)})
 		}
 	}
-	w.Deepest = slices.IndexFunc(w.Services, func(s Service) bool { return s.Layer == f.Depth }) // the first is the largest
+	// The first service of a layer is its largest.
+	w.Deepest = slices.IndexFunc(w.Services, func(s Service) bool { return s.Layer == f.Depth })
 	w.assignClasses()
 }
 
-// assignClasses divides the services among the classes by their shares, in random order.
+// assignClasses assigns the services in random order to the classes, according to the classes' shares.
 func (w *World) assignClasses() {
 	classes := w.Scenario.Classes
 	order := w.rng(streamClasses).Perm(len(w.Services))
@@ -84,7 +86,7 @@
 	return out
 }
 
-// countServers returns how many servers some services have.
+// countServers returns the total number of servers of some services.
 func (w *World) countServers(services []int) (n int) {
 	for _, s := range services {
 		n += len(w.Services[s].Servers)
--- a/internal/scale/world/steps.go
+++ b/internal/scale/world/steps.go
@@ -11,51 +11,52 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// Step is what the run does at one time to the world, to control and to agents. A field at its zero value changes nothing.
-// Steps are sent to the parts as JSON, by the fields' names or tags.
+// Step is a set of actions that the run applies at one time to servers, agents, relays and the discovery service. A field
+// with its zero value changes nothing. Steps are sent to child processes as JSON, by the names or tags of the fields.
 //
-// A change of the world (Down, Up) and of the list (Changes) are steps of their own, with control's delay between them. A
-// planned leave changes the list first.
+// A change of servers (Down, Up) and the resulting change of the list (Changes) are separate steps, because the discovery
+// service notices changes after a delay. A planned shutdown changes the list first.
 type Step struct {
-	At      time.Duration      // from the beginning of the measured part
-	Event   int                // position among the scenario's; -1: the run's own
-	Changes []discovery.Member // control makes these one revision
+	At      time.Duration      // since the beginning of the measured part of the run
+	Event   int                // position in Scenario.Events; -1: none, a regular step of the run
+	Changes []discovery.Member // entries that change in one revision of the list
 	Down    []int              // servers whose processes end
-	Silent  bool               // those of Down vanish, with the agents beside them; else their connections are reset
-	Up      []int              // servers whose processes start; after a replacement under another id, at the same position
-	Cold    bool               // those of Up start cold
-	Restart []int              // agents that restart with nothing but their configuration
-	Forget  bool               // those of Restart have no cached list in it
+	Silent  bool               // whether the Down servers and their agents stop responding instead of resetting connections
+	Up      []int              // servers whose processes start; a replacement keeps its position but has another ID
+	Cold    bool               // whether the Up servers start cold
+	Restart []int              // agents that restart and keep only their configuration
+	Forget  bool               // whether that configuration has no cached list
 
 	PartitionRegions *bool // whether the regions are partitioned from each other
-	Fail             *bool // whether the deepest service answers errors
+	Fail             *bool // whether the deepest service responds with errors
 	ControlDown      *bool
 
-	Config                int // revision of the configuration that is handed out from now on; 0: no new one
+	Config                int // revision of the configuration to apply; 0: no new one
 	KillRelay, StartRelay bool
-	Begins, Ends          bool // the first or last step of the event
+	Begins, Ends          bool // whether this is the first or last step of the event
 }
 
-// stepBuilder expands events. An event picks only servers that no earlier event is still busy with, or the list would
-// contradict itself; where there are too few it takes those. A restart leaves out agents that are away.
+// stepBuilder expands events into steps. An event picks only servers that no earlier event still affects, because
+// overlapping events would make the list inconsistent; if there are too few, it picks all of these. A restart excludes
+// agents that are down.
 type stepBuilder struct {
 	*World
 	now        time.Time
 	rng        *rand.Rand
 	steps      []Step
-	generation []int           // by server: how often it was replaced
-	startedAt  []time.Duration // by server: Unix time of its process
-	freeAt     []time.Duration // by server: when the last event with it is over
-	awayUntil  []time.Duration // by server: when it is back after it vanished
+	generation []int           // by server: number of its replacements
+	startedAt  []time.Duration // by server: Unix time at which its process started
+	freeAt     []time.Duration // by server: when the last event that affects it ends
+	downUntil  []time.Duration // by server: when it is back after a machine failure
 }
 
-// Steps expands the scenario's events, its regular changes of configuration and the failure of a relay, in the order of
-// time, for a measured part that begins at a time. The result depends on the scenario and the time only.
+// Steps expands the scenario's events, its regular configuration changes and the relay failure into steps in order of time.
+// now is the beginning of the measured part. The result depends only on the scenario and now.
 func (w *World) Steps(now time.Time) []Step {
-	n := w.Scenario.Fleet.Servers // echo servers are real sockets, to which nothing happens
+	n := w.Scenario.Fleet.Servers // echo servers are real sockets, which events do not affect
 	s := &stepBuilder{
 		World: w, now: now, rng: w.rng(streamEvents),
-		generation: make([]int, n), startedAt: make([]time.Duration, n), freeAt: make([]time.Duration, n), awayUntil: make([]time.Duration, n),
+		generation: make([]int, n), startedAt: make([]time.Duration, n), freeAt: make([]time.Duration, n), downUntil: make([]time.Duration, n),
 	}
 	for i := range s.startedAt {
 		s.startedAt[i] = w.Servers[i].Start
@@ -81,7 +82,7 @@
 	return s.steps
 }
 
-// expandEvent adds the steps of one event, the first of which begins it and the last of which ends it.
+// expandEvent adds the steps of one event. The first step has Begins set, the last one Ends.
 func (s *stepBuilder) expandEvent(i int, e *scenario.Event) {
 	from := len(s.steps)
 	at, length := seconds(e.AtS), seconds(e.ForS)
@@ -112,27 +113,27 @@
 	case scenario.EventFail:
 		s.toggle(at, length, func(step *Step, on *bool) { step.Fail = on })
 	}
-	own := s.steps[from:]
-	slices.SortStableFunc(own, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
-	for k := range own {
-		own[k].Event = i
+	eventSteps := s.steps[from:]
+	slices.SortStableFunc(eventSteps, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
+	for k := range eventSteps {
+		eventSteps[k].Event = i
 	}
-	s.steps = append(s.steps[:from], mergeFirst(own)...)
+	s.steps = append(s.steps[:from], mergeFirst(eventSteps)...)
 	s.steps[len(s.steps)-1].Ends = true
 }
 
 func (s *stepBuilder) add(step Step) { s.steps = append(s.steps, step) }
 
-// mergeFirst merges the step that marks an event's beginning with the next, if that is at the same time.
-func mergeFirst(own []Step) []Step {
-	if len(own) > 1 && own[0].At == own[1].At {
-		own = own[1:]
-		own[0].Begins = true
+// mergeFirst merges the step that marks the beginning of an event with the next step, if both are at the same time.
+func mergeFirst(steps []Step) []Step {
+	if len(steps) > 1 && steps[0].At == steps[1].At {
+		steps = steps[1:]
+		steps[0].Begins = true
 	}
-	return own
+	return steps
 }
 
-// toggle sets something on and, after a while, off.
+// toggle adds a step that turns something on and, after length, one that turns it off.
 func (s *stepBuilder) toggle(at, length time.Duration, set func(*Step, *bool)) {
 	for _, on := range []bool{true, false} {
 		step := Step{At: at}
@@ -142,8 +143,8 @@
 	}
 }
 
-// drain drains servers in waves. The list says so at once; the process ends when the drain does, and another starts in its
-// place: the same server or, as a replacement, another id at another address.
+// drain drains servers in waves. The list shows the drain immediately. At its end the process ends, and another one starts
+// in its place: the same server or, for a replacement, a server with another ID and address.
 func (s *stepBuilder) drain(at, length time.Duration, servers []int, replace bool) {
 	drain, boot, notice := seconds(s.Scenario.Fleet.DrainS), seconds(s.Scenario.Fleet.BootS), s.noticeDelay()
 	for _, w := range waves(servers, length) {
@@ -156,7 +157,7 @@
 	}
 }
 
-// failMachines makes servers and the agents beside them vanish. They come back together.
+// failMachines makes servers and the agents beside them stop responding. They restart together.
 func (s *stepBuilder) failMachines(at, length time.Duration, servers []int) {
 	if len(servers) == 0 {
 		return
@@ -164,12 +165,12 @@
 	s.add(Step{At: at, Down: servers, Silent: true})
 	s.add(Step{At: at + s.noticeDelay(), Changes: s.memberEntries(servers, stateGone)})
 	for _, i := range servers {
-		s.awayUntil[i] = at + length
+		s.downUntil[i] = at + length
 	}
 	s.restoreServers(at+length, servers, false, s.agentsBeside(servers))
 }
 
-// restoreServers starts servers, cold, with the agents that come back with them, and adds them to the list.
+// restoreServers starts servers cold, restarts the given agents with them, and adds the servers to the list.
 func (s *stepBuilder) restoreServers(at time.Duration, servers []int, replace bool, agents []int) {
 	for _, i := range servers {
 		s.startedAt[i] = time.Duration(s.now.Add(at).UnixNano())
@@ -182,11 +183,11 @@
 	s.add(Step{At: at + s.noticeDelay(), Changes: s.memberEntries(servers, stateReady)})
 }
 
-// memberEntries are the servers' entries in the list as they are now.
-func (s *stepBuilder) memberEntries(servers []int, phase string) []discovery.Member {
+// memberEntries returns the list entries of the current generations of servers.
+func (s *stepBuilder) memberEntries(servers []int, state string) []discovery.Member {
 	out := make([]discovery.Member, 0, len(servers))
 	for _, i := range servers {
-		m := s.member(i, phase)
+		m := s.member(i, state)
 		m.ID = s.serverID(i, s.generation[i])
 		m.Address = serverAddr(i, s.generation[i])
 		m.StartedAtMillis = float64(s.startedAt[i].Milliseconds())
@@ -195,7 +196,7 @@
 	return out
 }
 
-// freeServers returns the servers that no event is busy with at a time and that match.
+// freeServers returns the matching servers that no event affects at the given time.
 func (s *stepBuilder) freeServers(at time.Duration, match func(*Server) bool) (out []int) {
 	for i, free := range s.freeAt {
 		if free <= at && match(&s.Servers[i]) {
@@ -205,35 +206,35 @@
 	return out
 }
 
-// pickServers draws n of the free servers, or all where there are fewer.
+// pickServers returns n random free servers, or all if there are fewer.
 func (s *stepBuilder) pickServers(at time.Duration, n int) []int {
 	all := s.freeServers(at, func(*Server) bool { return true })
 	s.rng.Shuffle(len(all), func(i, j int) { all[i], all[j] = all[j], all[i] })
 	return all[:min(n, len(all))]
 }
 
-// pickAgents draws n of the agents that are not away at a time, or all where there are fewer.
+// pickAgents returns n random agents that are not down at the given time, or all if there are fewer.
 func (s *stepBuilder) pickAgents(at time.Duration, n int) []int {
 	all := s.rng.Perm(len(s.Agents))
-	all = slices.DeleteFunc(all, func(i int) bool { return s.awayUntil[s.Agents[i].Server] > at })
+	all = slices.DeleteFunc(all, func(i int) bool { return s.downUntil[s.Agents[i].Server] > at })
 	return all[:min(n, len(all))]
 }
 
-// agentsBeside returns the agents beside servers, in their order.
+// agentsBeside returns the agents beside the servers, in ascending order.
 func (s *stepBuilder) agentsBeside(servers []int) (out []int) {
-	down := make(map[int]bool, len(servers))
+	selected := make(map[int]bool, len(servers))
 	for _, i := range servers {
-		down[i] = true
+		selected[i] = true
 	}
 	for i, a := range s.Agents {
-		if down[a.Server] {
+		if selected[a.Server] {
 			out = append(out, i)
 		}
 	}
 	return out
 }
 
-// addConfigChanges adds the regular changes of configuration, in the middle of equal spans.
+// addConfigChanges adds the regular configuration changes, each in the middle of one of equally long intervals.
 func (s *stepBuilder) addConfigChanges() {
 	perMinute := s.Scenario.ChangesPerMinute()
 	for k := range int(math.Round(perMinute * s.Scenario.Seconds / 60)) {
@@ -241,7 +242,7 @@
 	}
 }
 
-// addRelayEvents adds the failure and the restart of a relay.
+// addRelayEvents adds the crash and the restart of a relay.
 func (s *stepBuilder) addRelayEvents() {
 	r := &s.Scenario.Relays
 	if r.Count == 0 || r.KillAt == 0 {
@@ -255,13 +256,13 @@
 
 func (s *stepBuilder) noticeDelay() time.Duration { return seconds(s.Scenario.Control.NoticeMS / 1000) }
 
-// wave is a part of the servers or agents of an event, and when after its beginning it comes.
+// wave is a group of the servers or agents of an event that change together.
 type wave struct {
-	after     time.Duration
+	after     time.Duration // since the beginning of the event
 	positions []int
 }
 
-// waves spreads servers or agents evenly over a time, in at most one wave a second.
+// waves divides servers or agents into at most 1+over/time.Second waves, evenly spread over the duration over.
 func waves(all []int, over time.Duration) (out []wave) {
 	n := min(len(all), 1+int(over/time.Second))
 	for k := range n {
--- a/internal/scale/world/world.go
+++ b/internal/scale/world/world.go
@@ -1,6 +1,7 @@
-// Package world draws the fleet of a scenario from its seed: services, servers, zones, the call graph, the configurations
-// of the agents and the steps of the events. The same scenario draws the same world in every process. A World is immutable
-// after Generate and AddEcho, and may be read by several goroutines; the package runs nothing.
+// Package world generates the simulated deployment of a scenario from its seed: services, servers, zones, the call graph,
+// the configurations of the agents and the steps of the events. The same scenario gives the same world in every process. A
+// World is immutable after Generate and AddEcho and may then be read by several goroutines. The package starts no
+// goroutines or processes.
 package world
 
 import (
@@ -9,55 +10,55 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// Service is one of the fleet's services. Its name is its servers' kind in lists and settings.
+// Service is one service of the deployment. Its name is the kind of its servers in lists and settings.
 //
-// Services of layer 0 are the front, where calls begin and which nobody calls: a root call is one of an agent beside a
-// front server, to one of the service's Calls, whose chances add up to 1. Services of layer d call those of layer d+1
-// only, so that a call to layer d is d deep.
+// The services of layer 0 are the front services: calls begin there, and no service calls them. A root call is made by an
+// agent beside a front server, to one of the front service's Calls, whose chances add up to 1. Services of layer d call
+// only services of layer d+1, so a call to layer d has depth d.
 type Service struct {
 	Name    string
-	Class   int           // position among the scenario's classes
-	Layer   int           // how deep below the root it stands, from 1; 0: the front, and the echo service
-	Servers []int         // positions among the world's servers
-	Calls   []Call        // what one request of it calls, in turn; for the front: what a root call may call
-	Work    time.Duration // mean, at speed 1
+	Class   int           // position in Scenario.Classes
+	Layer   int           // depth of the calls to it, from 1; 0: the front services and the echo service
+	Servers []int         // positions in World.Servers
+	Calls   []Call        // calls that a request may make, in this order; for a front service, the root calls
+	Work    time.Duration // mean processing time of a request at speed 1
 }
 
 // Call is one edge of the call graph.
 type Call struct {
-	Service int
-	Chance  float64 // that a request makes it
+	Service int     // position in World.Services
+	Chance  float64 // probability that a request makes the call
 }
 
-// Server is one counter server, with its agent beside it.
+// Server is one server of the deployment. It is simulated, unless it is an echo server, which is a real socket.
 type Server struct {
 	ID      string
-	Addr    string // host and port; nobody listens there unless it is an echo server
-	Service int
+	Addr    string // host and port; only echo servers listen on theirs
+	Service int    // position in World.Services
 	Region  int
-	Zone    int     // in all
-	Rack    int     // in its zone
-	Speed   float64 // as its size in lists
-	Slots   int
-	Start   time.Duration // Unix time of its process; 0: long ago. Steps start later ones
+	Zone    int           // position in World.Zones
+	Rack    int           // number within its zone
+	Speed   float64       // also its size in lists
+	Slots   int           // requests that it processes concurrently
+	Start   time.Duration // Unix time of the first process start; 0: long before the run; see Steps for later starts
 }
 
-// Agent is one agent, beside a server.
+// Agent is one agent. It runs beside a server.
 type Agent struct {
 	Name               string
-	Server             int     // its position
-	RootCallsPerSecond float64 // above 0 for the simulated agents of the front
-	Real               bool
+	Server             int     // position in World.Servers
+	RootCallsPerSecond float64 // positive only for simulated agents of front services
+	Real               bool    // runs the agent's program; otherwise it is simulated
 }
 
-// World is what a scenario draws.
+// World is the simulated deployment of a scenario.
 type World struct {
 	Scenario *scenario.Scenario
 	Zones    []string
-	Services []Service // by layer; the last one is the echo service where there are echo servers
-	Servers  []Server  // one of each service first, by layer, then the others, then the echo servers
+	Services []Service // by layer; the echo service, if any, is last
+	Servers  []Server  // first one server of each service, by layer, then the others, then the echo servers
 	Agents   []Agent
-	Deepest  int // the service that the event fail hits: the largest one of the deepest layer
+	Deepest  int // position of the service that the event "fail" affects: the largest one of the deepest layer
 
-	callingAgent []int // by server; below 0: none
+	callingAgent []int // by server; negative: none
 }
