--- a/internal/scale/world/drawn_test.go
+++ b/internal/scale/world/drawn_test.go
@@ -10,7 +10,8 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// What a seed draws stays the same: measurements of different days are of the same fleets, events and configurations.
+// TestGeneratedWorldIsStable guards against changes to what a seed generates, which would make measurements of different
+// days incomparable because their deployments, events and configurations differ.
 func TestGeneratedWorldIsStable(t *testing.T) {
 	for _, c := range []struct{ file, want string }{
 		{"small", "e0abf3c3a457f4edac02318089332f3ddc0a3d2d394c09865b971ca8b6f7dbb4"},
@@ -24,13 +25,14 @@
 			w := generate(t, s)
 			w.AddEcho([]string{"127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3"})
 			if got := worldHash(w); got != c.want {
-				t.Errorf("the world of %s has the hash %s, want %s", c.file, got, c.want)
+				t.Errorf("world of %s: got hash %s, want %s", c.file, got, c.want)
 			}
 		})
 	}
 }
 
-// worldHash is of all that a world holds and of what is made of it, by values and in order, whatever their names are.
+// worldHash returns a hash of all values of a world and of all values derived from it, in order. The names of fields do not
+// affect it.
 func worldHash(w *world.World) string {
 	h := sha256.New()
 	fmt.Fprintln(h, w.Zones, w.Deepest)
--- a/internal/scale/world/steps_test.go
+++ b/internal/scale/world/steps_test.go
@@ -11,7 +11,7 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// stepScenarios are runs whose steps are followed below.
+// stepScenarios returns the scenarios whose steps TestSteps checks.
 func stepScenarios(t *testing.T) map[string]*scenario.Scenario {
 	t.Helper()
 	all := map[string]*scenario.Scenario{}
@@ -23,7 +23,7 @@
 		all[name] = s
 	}
 	all["none"] = fleet(t, nil)
-	all["on top of each other"] = fleet(t, func(s *scenario.Scenario) {
+	all["overlapping events"] = fleet(t, func(s *scenario.Scenario) {
 		s.Fleet.BootS = 0
 		s.Relays = scenario.Relays{Count: 2, FullListsPerS: 10, KillAt: 20, RestartAfter: 5}
 		s.Events = []scenario.Event{
@@ -48,7 +48,7 @@
 			w.AddEcho([]string{"127.0.0.1:1"})
 			steps := w.Steps(measurementStart)
 			if again := w.Steps(measurementStart); !reflect.DeepEqual(steps, again) {
-				t.Error("the same call had another answer")
+				t.Error("a second call of Steps returned different steps")
 			}
 			checkOrder(t, s, steps)
 			checkLists(t, w, steps)
@@ -58,24 +58,25 @@
 	}
 }
 
-// checkOrder wants steps by time and within the run, each event begun and ended once, and configurations counted up.
+// checkOrder checks that steps are in order of time and within the run, that each event begins and ends once, and that
+// configuration revisions are consecutive.
 func checkOrder(t *testing.T, s *scenario.Scenario, steps []world.Step) {
 	t.Helper()
 	begun, ended := make([]int, len(s.Events)), make([]int, len(s.Events))
 	configs, at := 0, time.Duration(0)
 	for _, step := range steps {
 		if step.At < at || step.At.Seconds() > s.Seconds {
-			t.Errorf("%+v at %v after %v", step, step.At, at)
+			t.Errorf("step %+v: got time %v, want it between %v and %v s", step, step.At, at, s.Seconds)
 		}
 		at = step.At
 		if step.Config > 0 {
 			if configs++; step.Config != configs {
-				t.Errorf("configuration %d, want %d", step.Config, configs)
+				t.Errorf("got configuration revision %d, want %d", step.Config, configs)
 			}
 		}
 		if step.Event < 0 {
 			if step.Begins || step.Ends {
-				t.Errorf("no event, but %+v", step)
+				t.Errorf("step %+v has no event but begins or ends one", step)
 			}
 			continue
 		}
@@ -84,27 +85,28 @@
 			begun[e]++
 		}
 		if begun[e] != 1 || ended[e] != 0 {
-			t.Errorf("event %d has a step at %v, outside of it", e, step.At)
+			t.Errorf("event %d has a step at %v, before its beginning or after its end", e, step.At)
 		}
 		if step.Ends {
 			ended[e]++
 		}
 	}
-	want := int(s.ChangesPerMinute()*s.Seconds/60 + 0.5)
+	wantConfigs := int(s.ChangesPerMinute()*s.Seconds/60 + 0.5)
 	for i, e := range s.Events {
 		if begun[i] != 1 || ended[i] != 1 {
-			t.Errorf("event %d begins %d times and ends %d times", i, begun[i], ended[i])
+			t.Errorf("event %d: got %d beginnings and %d ends, want 1 of each", i, begun[i], ended[i])
 		}
 		if e.Kind == "config" {
-			want++
+			wantConfigs++
 		}
 	}
-	if configs != want {
-		t.Errorf("%d configurations, want %d", configs, want)
+	if configs != wantConfigs {
+		t.Errorf("got %d configurations, want %d", configs, wantConfigs)
 	}
 }
 
-// checkLists follows the list: what leaves drains first or vanishes, ids are never used again, what is back has started anew.
+// checkLists applies the changes to the list and checks their states: a server drains or fails before it is gone, IDs and
+// addresses are never reused by another server, and a server that comes back has a new start time.
 func checkLists(t *testing.T, w *world.World, steps []world.Step) {
 	t.Helper()
 	list := map[string]discovery.Member{}
@@ -112,7 +114,7 @@
 		list[m.ID] = m
 	}
 	if len(list) != len(w.Servers) {
-		t.Fatalf("%d lines for %d servers", len(list), len(w.Servers))
+		t.Fatalf("got %d list entries for %d servers", len(list), len(w.Servers))
 	}
 	addrs := map[string]string{}
 	for _, step := range steps {
@@ -121,16 +123,16 @@
 			position, ok := w.ServerPosition(m.ID)
 			switch {
 			case !ok || m.Kind != w.Services[w.Servers[position].Service].Name:
-				t.Fatalf("%+v is at %d, %v", m, position, ok)
+				t.Fatalf("%+v: got server position %d, %v", m, position, ok)
 			case addrs[m.Address] != "" && addrs[m.Address] != m.ID:
-				t.Fatalf("%+v has the address of %s", m, addrs[m.Address])
+				t.Fatalf("%+v reuses the address of %s", m, addrs[m.Address])
 			case m.State == "Terminating" && old.State != "Ready", m.State == "Gone" && old.State != "Ready" && old.State != "Terminating",
 				m.State == "Ready" && known && (old.State != "Gone" || m.StartedAtMillis <= old.StartedAtMillis):
-				t.Fatalf("%+v after %+v", m, old)
+				t.Fatalf("invalid transition to %+v from %+v", m, old)
 			case m.State == "Ready" && known == (w.Scenario.Events[step.Event].Kind == "replace"):
-				t.Fatalf("%+v comes back by %+v, known %v", m, w.Scenario.Events[step.Event], known)
+				t.Fatalf("%+v becomes ready by event %+v: got ID known %v", m, w.Scenario.Events[step.Event], known)
 			case m.State == "Ready" && !(m.StartedAtMillis >= float64(measurementStart.UnixMilli()) && m.StartedAtMillis <= float64(measurementStart.Add(step.At).UnixMilli())):
-				t.Fatalf("%+v, listed at %v", m, step.At)
+				t.Fatalf("%+v: start time is not between the beginning of the run and the step at %v", m, step.At)
 			}
 			addrs[m.Address], list[m.ID] = m.ID, m
 		}
@@ -142,67 +144,68 @@
 		}
 	}
 	if ready != len(w.Servers) {
-		t.Errorf("%d of %d servers are listed at the end", ready, len(w.Servers))
+		t.Errorf("got %d ready servers at the end, want %d", ready, len(w.Servers))
 	}
 }
 
-// checkProcesses wants each server down and up in turn, back within the run, and never listed as ready while it is down.
+// checkProcesses checks that each server goes down and up alternately, is up at the end of the run, and is never listed as
+// ready while it is down.
 func checkProcesses(t *testing.T, w *world.World, steps []world.Step) {
 	t.Helper()
 	down := make([]bool, len(w.Servers))
 	for _, step := range steps {
 		for _, i := range step.Down {
 			if down[i] {
-				t.Errorf("server %d ends twice, at %v", i, step.At)
+				t.Errorf("server %d goes down at %v while it is down", i, step.At)
 			}
 			down[i] = true
 		}
 		for _, i := range step.Up {
 			if !down[i] || !step.Cold {
-				t.Errorf("server %d starts at %v, cold %v", i, step.At, step.Cold)
+				t.Errorf("server %d starts at %v: got down %v, cold %v, want both", i, step.At, down[i], step.Cold)
 			}
 			down[i] = false
 		}
 		for _, m := range step.Changes {
 			if i, _ := w.ServerPosition(m.ID); m.State == "Ready" && down[i] {
-				t.Errorf("server %d is ready and down at %v", i, step.At)
+				t.Errorf("server %d becomes ready at %v while it is down", i, step.At)
 			}
 		}
 		for _, a := range step.Restart {
 			if len(step.Up) > 0 && !slices.Contains(step.Up, w.Agents[a].Server) {
-				t.Errorf("agent %d comes back without its machine", a)
+				t.Errorf("agent %d restarts without its server", a)
 			}
 		}
 	}
 	if slices.Contains(down, true) {
-		t.Errorf("down at the end: %v", down)
+		t.Errorf("servers down at the end: %v", down)
 	}
 }
 
-// checkSwitches wants what is turned on to be turned off.
+// checkSwitches checks that partitions, failures and outages are turned on and off alternately, and are off at the end.
 func checkSwitches(t *testing.T, steps []world.Step) {
 	t.Helper()
-	var cut, fail, loss bool
+	var partitioned, failing, controlDown bool
 	for _, step := range steps {
-		for is, to := range map[*bool]*bool{&cut: step.PartitionRegions, &fail: step.Fail, &loss: step.ControlDown} {
-			if to != nil {
-				if *is == *to {
-					t.Errorf("turned %v twice, at %v", *to, step.At)
+		for current, next := range map[*bool]*bool{&partitioned: step.PartitionRegions, &failing: step.Fail, &controlDown: step.ControlDown} {
+			if next != nil {
+				if *current == *next {
+					t.Errorf("step at %v sets a switch to %v twice", step.At, *next)
 				}
-				*is = *to
+				*current = *next
 			}
 		}
 	}
-	if cut || fail || loss {
-		t.Errorf("left on: regions %v, fail %v, control %v", cut, fail, loss)
+	if partitioned || failing || controlDown {
+		t.Errorf("at the end: got regions partitioned %v, service failing %v, control down %v, want all false", partitioned, failing, controlDown)
 	}
 }
 
-// What the kinds of events come to, in one small fleet.
+// TestEventKinds checks the steps of each kind of event in a small fleet.
 func TestEventKinds(t *testing.T) {
 	for name, c := range map[string]struct {
 		event scenario.Event
-		want  []world.Step // their times, counts and switches
+		want  []world.Step // only what summary compares
 	}{
 		"config": {scenario.Event{Kind: "config", AtS: 1}, []world.Step{{At: time.Second, Config: 1}}},
 		"restart": {scenario.Event{Kind: "restart", AtS: 1, ForS: 4, Count: 2}, []world.Step{
@@ -233,24 +236,25 @@
 			})
 			got := generate(t, s).Steps(measurementStart)
 			if len(got) != len(c.want) {
-				t.Fatalf("%d steps, want %d: %+v", len(got), len(c.want), got)
+				t.Fatalf("got %d steps, want %d: %+v", len(got), len(c.want), got)
 			}
 			for i, step := range got {
 				if want := c.want[i]; !reflect.DeepEqual(summary(step), summary(want)) {
-					t.Errorf("step %d: %+v, want %+v", i, step, want)
+					t.Errorf("step %d: got %+v, want %+v", i, step, want)
 				}
 			}
 		})
 	}
 }
 
-// summary is what TestEventKinds compares of a step.
+// summary returns the parts of a step that TestEventKinds compares: times, counts and which switches are set.
 func summary(s world.Step) []any {
 	return []any{s.At, s.Config, len(s.Changes), len(s.Down), s.Silent, len(s.Up), s.Cold, len(s.Restart), s.Forget,
 		s.PartitionRegions != nil, s.Fail != nil, s.ControlDown != nil}
 }
 
-// A whole rack or zone vanishes, and nothing beside it.
+// TestMachineFailureTakesServersAndAgents checks that a rack or zone failure affects exactly the servers in it, and that
+// the agents beside them restart with them.
 func TestMachineFailureTakesServersAndAgents(t *testing.T) {
 	for name, e := range map[string]scenario.Event{
 		"rack": {Kind: "rack", AtS: 1, ForS: 2, Zone: 3, Count: 2},
@@ -265,7 +269,7 @@
 		}
 		steps := w.Steps(measurementStart)
 		if len(want) == 0 || !slices.Equal(steps[0].Down, want) || !slices.Equal(steps[2].Restart, want) {
-			t.Errorf("%s: %v vanish, want %v; agents %v come back", name, steps[0].Down, want, steps[2].Restart)
+			t.Errorf("%s: got servers %v down and agents %v restarted, want %v for both", name, steps[0].Down, steps[2].Restart, want)
 		}
 	}
 }
--- a/internal/scale/world/world_test.go
+++ b/internal/scale/world/world_test.go
@@ -14,10 +14,10 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// measurementStart is when the measured parts of these runs measurementStart.
+// measurementStart is the beginning of the measured part of the runs in these tests.
 var measurementStart = time.UnixMilli(1_750_000_000_000)
 
-// fleet is a scenario of the size of the target, but for what a test changes.
+// fleet returns a scenario of the size of the target, modified by change.
 func fleet(t *testing.T, change func(*scenario.Scenario)) *scenario.Scenario {
 	t.Helper()
 	s, err := scenario.Parse([]byte(`name = "t"
@@ -51,24 +51,24 @@
 	return w
 }
 
-// shapes are sizes that a sweep may come to.
+// shapes are fleet sizes that a sweep may reach, and edge cases.
 var shapes = map[string]func(*scenario.Scenario){
-	"target":           nil,
-	"none real":        func(s *scenario.Scenario) { s.Fleet.Real = 0 },
-	"fewer agents":     func(s *scenario.Scenario) { s.Fleet.Agents = 200 },
-	"fewer yet":        func(s *scenario.Scenario) { s.Fleet.Agents, s.Fleet.Real = 9, 3 },
-	"one agent":        func(s *scenario.Scenario) { s.Fleet.Agents, s.Fleet.Real = 1, 0 },
-	"more agents":      func(s *scenario.Scenario) { s.Fleet.Agents = 2000 },
-	"one layer":        func(s *scenario.Scenario) { s.Fleet.Depth = 1 },
-	"service each":     func(s *scenario.Scenario) { s.Fleet.Services, s.Fleet.Servers = 300, 300 },
-	"layer each":       func(s *scenario.Scenario) { s.Fleet.Services = 15 },
-	"smallest":         func(s *scenario.Scenario) { s.Fleet = small(s.Fleet, 2, 2, 1) },
-	"small":            func(s *scenario.Scenario) { s.Fleet = small(s.Fleet, 16, 4, 3) },
-	"all alike":        func(s *scenario.Scenario) { s.Fleet.Uneven = 0 },
-	"very uneven":      func(s *scenario.Scenario) { s.Fleet.Uneven = 3 },
-	"one zone":         func(s *scenario.Scenario) { s.Fleet.Zones, s.Fleet.Regions = 1, 1 },
-	"largest":          func(s *scenario.Scenario) { s.Fleet.Servers, s.Fleet.Services = 4096, 1024 },
-	"all but one real": func(s *scenario.Scenario) { s.Fleet = small(s.Fleet, 16, 4, 3); s.Fleet.Real = 15 },
+	"target":             nil,
+	"no real agents":     func(s *scenario.Scenario) { s.Fleet.Real = 0 },
+	"fewer agents":       func(s *scenario.Scenario) { s.Fleet.Agents = 200 },
+	"few agents":         func(s *scenario.Scenario) { s.Fleet.Agents, s.Fleet.Real = 9, 3 },
+	"one agent":          func(s *scenario.Scenario) { s.Fleet.Agents, s.Fleet.Real = 1, 0 },
+	"more agents":        func(s *scenario.Scenario) { s.Fleet.Agents = 2000 },
+	"one layer":          func(s *scenario.Scenario) { s.Fleet.Depth = 1 },
+	"server per service": func(s *scenario.Scenario) { s.Fleet.Services, s.Fleet.Servers = 300, 300 },
+	"service per layer":  func(s *scenario.Scenario) { s.Fleet.Services = 15 },
+	"smallest":           func(s *scenario.Scenario) { s.Fleet = small(s.Fleet, 2, 2, 1) },
+	"small":              func(s *scenario.Scenario) { s.Fleet = small(s.Fleet, 16, 4, 3) },
+	"equal services":     func(s *scenario.Scenario) { s.Fleet.Uneven = 0 },
+	"very uneven":        func(s *scenario.Scenario) { s.Fleet.Uneven = 3 },
+	"one zone":           func(s *scenario.Scenario) { s.Fleet.Zones, s.Fleet.Regions = 1, 1 },
+	"largest":            func(s *scenario.Scenario) { s.Fleet.Servers, s.Fleet.Services = 4096, 1024 },
+	"all but one real":   func(s *scenario.Scenario) { s.Fleet = small(s.Fleet, 16, 4, 3); s.Fleet.Real = 15 },
 }
 
 func small(f scenario.Fleet, servers, services, depth int) scenario.Fleet {
@@ -90,16 +90,17 @@
 				total += rate
 			}
 			if len(rates) != s.Fleet.Depth || math.Abs(total/s.Fleet.CallsPerSecond-1) > 1e-9 {
-				t.Errorf("%v calls a second in %d layers, want %v", total, len(rates), s.Fleet.CallsPerSecond)
+				t.Errorf("got %v calls per second in %d layers, want %v in %d", total, len(rates), s.Fleet.CallsPerSecond, s.Fleet.Depth)
 			}
 			if again := generate(t, fleet(t, change)); !reflect.DeepEqual(w, again) {
-				t.Error("the same scenario drew another world")
+				t.Error("the same scenario gave a different world")
 			}
 		})
 	}
 }
 
-// checkServices wants the sizes to make the fleet, calls to lead one layer down, and one path of the full depth.
+// checkServices checks that the services' sizes add up to the fleet, that calls go exactly one layer down, and that the
+// deepest service is reached at the full depth.
 func checkServices(t *testing.T, w *world.World) {
 	t.Helper()
 	f := &w.Scenario.Fleet
@@ -107,7 +108,7 @@
 	for i, s := range w.Services {
 		servers += len(s.Servers)
 		if len(s.Servers) < 1 || s.Work <= 0 || s.Layer > 0 && !called[i] {
-			t.Errorf("%s has %d servers, works %v, is called %v", s.Name, len(s.Servers), s.Work, called[i])
+			t.Errorf("%s: got %d servers, work %v, called %v", s.Name, len(s.Servers), s.Work, called[i])
 		}
 		chances := 0.0
 		for _, c := range s.Calls {
@@ -115,15 +116,16 @@
 			deepest[c.Service] = max(deepest[c.Service], deepest[i]+1)
 			chances += c.Chance
 			if w.Services[c.Service].Layer != s.Layer+1 || !(c.Chance > 0 && c.Chance <= 1) {
-				t.Errorf("%s of layer %d calls %+v", s.Name, s.Layer, c)
+				t.Errorf("%s of layer %d: got invalid call %+v", s.Name, s.Layer, c)
 			}
 		}
 		if s.Layer == 0 && math.Abs(chances-1) > 1e-9 || s.Layer < f.Depth && chances == 0 {
-			t.Errorf("%s of layer %d calls %v in the mean", s.Name, s.Layer, chances)
+			t.Errorf("%s of layer %d: got chances that add up to %v", s.Name, s.Layer, chances)
 		}
 	}
 	if servers != f.Servers || len(w.Services) != f.Services || deepest[w.Deepest] != f.Depth {
-		t.Errorf("%d servers in %d services, the deepest one %d deep", servers, len(w.Services), deepest[w.Deepest])
+		t.Errorf("got %d servers in %d services, depth %d of the deepest one; want %d, %d and %d",
+			servers, len(w.Services), deepest[w.Deepest], f.Servers, f.Services, f.Depth)
 	}
 }
 
@@ -135,17 +137,17 @@
 		at, ok := w.ServerPosition(s.ID)
 		switch {
 		case seen[s.ID] || seen[s.Addr]:
-			t.Errorf("%s at %s is there twice", s.ID, s.Addr)
+			t.Errorf("duplicate ID %s or address %s", s.ID, s.Addr)
 		case !ok || at != i:
-			t.Errorf("%s is found at %d, %v, want %d", s.ID, at, ok, i)
+			t.Errorf("%s: got position %d, %v, want %d", s.ID, at, ok, i)
 		case s.Zone >= f.Zones || s.Region != s.Zone/(f.Zones/f.Regions) || s.Rack >= f.Racks || s.Speed < 0.6 || s.Speed > 1.5:
-			t.Errorf("%+v", s)
+			t.Errorf("server %d has invalid values: %+v", i, s)
 		}
 		seen[s.ID], seen[s.Addr] = true, true
 		zones[s.Zone]++
 	}
 	if len(w.Zones) != f.Zones || f.Servers > 500 && len(zones) != f.Zones {
-		t.Errorf("%d zones, servers in %v", len(w.Zones), zones)
+		t.Errorf("got %d zones and servers per zone %v, want %d zones", len(w.Zones), zones, f.Zones)
 	}
 }
 
@@ -158,15 +160,15 @@
 		}
 		front := w.Services[w.Servers[a.Server].Service].Layer == 0
 		if a.Server != i%len(w.Servers) || (a.RootCallsPerSecond > 0) != (front && !a.Real) {
-			t.Errorf("agent %d: %+v", i, a)
+			t.Errorf("agent %d has a wrong server or rate of root calls: %+v", i, a)
 		}
 	}
 	if real != w.Scenario.Fleet.Real || len(w.Agents) != w.Scenario.Agents() {
-		t.Errorf("%d of %d agents are real", real, len(w.Agents))
+		t.Errorf("got %d real agents of %d, want %d of %d", real, len(w.Agents), w.Scenario.Fleet.Real, w.Scenario.Agents())
 	}
 	for i, s := range w.Servers {
 		if a := w.CallingAgent(i); a >= 0 && (w.Agents[a].Real || w.Servers[w.Agents[a].Server].Service != s.Service) {
-			t.Errorf("server %d calls on by agent %d", i, a)
+			t.Errorf("server %d: got calling agent %d, which is real or of another service", i, a)
 		}
 	}
 }
@@ -175,13 +177,13 @@
 	a := generate(t, fleet(t, nil))
 	b := generate(t, fleet(t, func(s *scenario.Scenario) { s.Seed = 2 }))
 	if reflect.DeepEqual(a.Services, b.Services) || a.Servers[0].ID == b.Servers[0].ID {
-		t.Error("two seeds drew one world")
+		t.Error("two seeds gave the same services or server IDs")
 	}
 }
 
-// With some agents real, the fleet that the others see is the same.
+// TestRealAgentsDoNotChangeTheFleet checks that the number of real agents does not affect servers and services.
 func TestRealAgentsDoNotChangeTheFleet(t *testing.T) {
-	a, b := generate(t, fleet(t, nil)), generate(t, fleet(t, shapes["none real"]))
+	a, b := generate(t, fleet(t, nil)), generate(t, fleet(t, shapes["no real agents"]))
 	if !reflect.DeepEqual(a.Servers, b.Servers) || !reflect.DeepEqual(a.Services, b.Services) {
 		t.Error("40 real agents changed the services or servers")
 	}
@@ -190,11 +192,12 @@
 func TestAllAgentsReal(t *testing.T) {
 	w := generate(t, fleet(t, func(s *scenario.Scenario) { s.Fleet = small(s.Fleet, 16, 4, 3); s.Fleet.Real = 16 }))
 	if got := w.LayerRates(); !reflect.DeepEqual(got, []float64{0, 0, 0}) {
-		t.Errorf("%v calls a second with no modelled agent", got)
+		t.Errorf("got %v calls per second without simulated agents, want 0", got)
 	}
 }
 
-// The committed fleets carry their calls: no service is asked for more than half of what it can do.
+// TestFleetHasCapacityForItsCalls checks that no service of the committed scenarios is utilized by more than half, and that
+// the mean work per call is the scenario's.
 func TestFleetHasCapacityForItsCalls(t *testing.T) {
 	for _, name := range []string{"target", "small", "tiny"} {
 		s, err := scenario.Load("../../../deploy/scale/" + name + ".toml")
@@ -202,26 +205,27 @@
 			t.Fatal(err)
 		}
 		w := generate(t, s)
-		work, calls, room, most := 0.0, 0.0, 0.0, 0.0
+		work, calls, capacity, maxUtilization := 0.0, 0.0, 0.0, 0.0
 		for i, rate := range w.ServiceRates() {
-			s, own := w.Services[i], 0.0
+			s, serviceCapacity := w.Services[i], 0.0
 			for _, server := range s.Servers {
-				own += w.Servers[server].Speed * float64(w.Servers[server].Slots)
+				serviceCapacity += w.Servers[server].Speed * float64(w.Servers[server].Slots)
 			}
-			most = max(most, rate*s.Work.Seconds()/own)
-			work, calls, room = work+rate*s.Work.Seconds(), calls+rate, room+own
+			maxUtilization = max(maxUtilization, rate*s.Work.Seconds()/serviceCapacity)
+			work, calls, capacity = work+rate*s.Work.Seconds(), calls+rate, capacity+serviceCapacity
 		}
-		t.Logf("%s: servers are busy %.3f in the mean, %.3f where most", name, work/room, most)
-		if most > 0.5 {
-			t.Errorf("%s: a service is busy %.2f", name, most)
+		t.Logf("%s: utilization is %.3f on average, %.3f at the busiest service", name, work/capacity, maxUtilization)
+		if maxUtilization > 0.5 {
+			t.Errorf("%s: got utilization %.2f of a service, want at most 0.5", name, maxUtilization)
 		}
 		if mean := work / calls * 1000; math.Abs(mean-s.Fleet.ServiceMS) > 1e-3 {
-			t.Errorf("%s: calls work %v ms in the mean", name, mean)
+			t.Errorf("%s: got mean work of %v ms per call, want %v", name, mean, s.Fleet.ServiceMS)
 		}
 	}
 }
 
-// Each agent's text is one that an agent takes, and names the services that its own one calls.
+// TestSettings checks that an agent accepts its settings, and that their classes are the services that its own service
+// calls.
 func TestSettings(t *testing.T) {
 	for name, change := range shapes {
 		t.Run(name, func(t *testing.T) {
@@ -234,7 +238,7 @@
 			for i := 0; i < len(w.Agents); i += step {
 				a, text := w.Agents[i], w.Settings(i, 3)
 				if len(text) > 3000 && name == "target" {
-					t.Errorf("agent %d: %d bytes", i, len(text))
+					t.Errorf("agent %d: got %d bytes, want at most 3000", i, len(text))
 				}
 				got, err := settings.Parse(text)
 				if err != nil {
@@ -245,15 +249,15 @@
 				}
 				own := w.Services[w.Servers[a.Server].Service]
 				want := len(own.Calls)
-				if a.Real || want == 0 { // echo, or its own
+				if a.Real || want == 0 { // the echo service, or its own service
 					want++
 				}
 				if len(got.ClassNames) != want {
-					t.Errorf("agent %d of %s has classes %v", i, own.Name, got.ClassNames)
+					t.Errorf("agent %d of %s: got classes %v, want %d", i, own.Name, got.ClassNames, want)
 				}
 				for c, class := range got.Balancer.Classes {
 					if len(class.Kinds) != 1 || got.KindNames[class.Kinds[0]] != got.ClassNames[c] {
-						t.Errorf("agent %d: class %s is bound to %v", i, got.ClassNames[c], class.Kinds)
+						t.Errorf("agent %d, class %s: got kinds %v, want only the service of that name", i, got.ClassNames[c], class.Kinds)
 					}
 				}
 			}
@@ -261,14 +265,14 @@
 	}
 }
 
-// Every revision is another text, and every one of them can be taken.
+// TestRevisionsDiffer checks that each revision of the settings has a different text.
 func TestRevisionsDiffer(t *testing.T) {
 	w := generate(t, fleet(t, nil))
 	seen := map[string]bool{}
 	for revision := range 3000 {
 		text := w.Settings(5, revision)
 		if seen[string(text)] {
-			t.Fatalf("revision %d has the text of an earlier one", revision)
+			t.Fatalf("revision %d has the same text as an earlier one", revision)
 		}
 		seen[string(text)] = true
 	}
@@ -280,12 +284,12 @@
 	o := world.ConfigOptions{Listen: "127.0.0.1:2", Discovery: "127.64.0.1:3", Seed: 1}
 	for name, c := range map[string]struct {
 		change func(*world.ConfigOptions)
-		keys   []string // beside those that are always there
-		echo   int
+		keys   []string // in addition to those that are always present
+		echo   int      // number of echo classes
 	}{
 		"plain":  {change: func(*world.ConfigOptions) {}},
 		"relays": {change: func(o *world.ConfigOptions) { o.Relays = []string{"127.65.0.1:3"} }, keys: []string{"relays"}},
-		"known":  {change: func(o *world.ConfigOptions) { o.CachedEndpoints = []byte(`{"revision":1}`) }, keys: []string{"known"}},
+		"cached": {change: func(o *world.ConfigOptions) { o.CachedEndpoints = []byte(`{"revision":1}`) }, keys: []string{"known"}},
 		"all": {change: func(o *world.ConfigOptions) {
 			o.Console, o.Echo = "127.0.0.1:4", true
 		}, keys: []string{"console"}, echo: 1},
@@ -300,15 +304,15 @@
 			keys := append([]string{"name", "listen", "discovery", "seed", "limits", "settings"}, c.keys...)
 			for _, key := range keys {
 				if got[key] == nil {
-					t.Errorf("no %s", key)
+					t.Errorf("key %q is missing", key)
 				}
 			}
 			if len(got) != len(keys) || got["seed"] != "0000000000000001" || got["name"] != "n7" {
-				t.Errorf("%v", got)
+				t.Errorf("got %v, want only the keys %q, seed 0000000000000001 and name n7", got, keys)
 			}
 			classes := got["settings"].(map[string]any)["categories"].([]any)
 			if want := len(w.Classes(7, false)) + c.echo; len(classes) != want {
-				t.Errorf("%d classes, want %d: %v", len(classes), want, fmt.Sprint(classes))
+				t.Errorf("got %d classes, want %d: %v", len(classes), want, fmt.Sprint(classes))
 			}
 		})
 	}
