--- a/internal/scale/control/control_test.go
+++ b/internal/scale/control/control_test.go
@@ -200,7 +200,8 @@
 	if _, _, err := callers[agents-1].readResponse(); err != nil {
 		t.Fatal(err)
 	}
-	waitUntil(func() bool { return stats(t, s).Machine.Calls == 3*agents-1 }) // the response arrives before the call is recorded
+	// A response arrives before its call is recorded.
+	waitUntil(func() bool { return stats(t, s).Machine.Calls == 3*agents-1 })
 	r := stats(t, s)
 	if len(r.Changes) != 1 || r.Changes[0].Revision != 42 || r.Changes[0].At != change.At || r.Changes[0].Entries != 1 {
 		t.Fatalf("got changes %+v, want only %+v with 1 entry", r.Changes, change)
@@ -272,7 +273,8 @@
 	waitUntil(func() bool { return stats(t, s).Machine.Calls == agents })
 	m := stats(t, s).Machine
 	if m.Rejected != rejected || m.FullLists != served || rejected == 0 || served == 0 || m.QueueMS.Max < float64(rejectAfter/time.Millisecond) || m.QueueMax == 0 {
-		t.Errorf("agents got %d lists and %d rejections, want some of both, as in %+v", served, rejected, m)
+		t.Errorf("got %+v, want the %d full lists and %d rejections that the agents got, both positive, and a queue delay of at least %v",
+			m, served, rejected, rejectAfter)
 	}
 }
 
--- a/internal/scale/control/usage.go
+++ b/internal/scale/control/usage.go
@@ -27,7 +27,7 @@
 	return usage{at: time.Now(), cpu: cpu, rssBytes: float64(rss)}, nil
 }
 
-// fill sets the mean CPU usage since an earlier time and the current memory in m.
+// fill sets the mean CPU usage since an earlier time and the current resident memory in m.
 func (u usage) fill(m *result.ControlMachine, since usage) {
 	if wall := u.at.Sub(since.at); wall > 0 {
 		m.CPUPercent = 100 * float64(u.cpu-since.cpu) / float64(wall)
--- a/internal/scale/control/workqueue.go
+++ b/internal/scale/control/workqueue.go
@@ -12,7 +12,7 @@
 
 const (
 	maxQueueMillis    = 10 * 60 * 1000 // longer waits are counted as this
-	maxTrackedSeconds = 3600           // number of seconds with separate samples
+	maxTrackedSeconds = 3600           // seconds that are recorded separately
 )
 
 // workQueue simulates the configured costs of calls: a fixed number of workers process them in order of arrival, each for
@@ -124,7 +124,7 @@
 	return start, end
 }
 
-// addBusy adds the span from from to to, times sign, to busySeconds. The caller holds mu.
+// addBusy adds the time between from and to, multiplied by sign, to busySeconds. The caller holds mu.
 func (q *workQueue) addBusy(from, to time.Time, sign float64) {
 	if from.Before(q.startedAt) {
 		from = q.startedAt
--- a/internal/scale/world/draw.go
+++ b/internal/scale/world/draw.go
@@ -11,7 +11,7 @@
 )
 
 // These are independent streams of random numbers, so that a change to the number of real agents changes nothing else in
-// the deployment.
+// the fleet.
 const (
 	streamClasses = iota + 1
 	streamCalls
@@ -20,7 +20,7 @@
 	streamEvents
 )
 
-// Generate draws a scenario's fleet. Its error is the scenario's, if that cannot be used.
+// Generate generates the fleet of a scenario from its seed. It returns the scenario's validation error if there is one.
 //
 // Agent i runs beside server i modulo the number of servers. If there are fewer agents than servers, requests of a server
 // without an agent make their calls through an agent of the same service. A service without simulated agents makes no
--- a/internal/scale/world/drawn_test.go
+++ b/internal/scale/world/drawn_test.go
@@ -11,7 +11,7 @@
 )
 
 // TestGeneratedWorldIsStable guards against changes to what a seed generates, which would make measurements of different
-// days incomparable because their deployments, events and configurations differ.
+// days incomparable because their fleets, events and configurations differ.
 func TestGeneratedWorldIsStable(t *testing.T) {
 	for _, c := range []struct{ file, want string }{
 		{"small", "e0abf3c3a457f4edac02318089332f3ddc0a3d2d394c09865b971ca8b6f7dbb4"},
--- a/internal/scale/world/world.go
+++ b/internal/scale/world/world.go
@@ -1,4 +1,4 @@
-// Package world generates the simulated deployment of a scenario from its seed: services, servers, zones, the call graph,
+// Package world generates the fleet of a scenario from its seed: services, servers, zones, the call graph,
 // the configurations of the agents and the steps of the events. The same scenario gives the same world in every process. A
 // World is immutable after Generate and AddEcho and may then be read by several goroutines. The package starts no
 // goroutines or processes.
@@ -10,7 +10,7 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// Service is one service of the deployment. Its name is the kind of its servers in lists and settings.
+// Service is one service of the fleet. Its name is the kind of its servers in lists and settings.
 //
 // The services of layer 0 are the front services: calls begin there, and no service calls them. A root call is made by an
 // agent beside a front server, to one of the front service's Calls, whose chances add up to 1. Services of layer d call
@@ -30,7 +30,7 @@
 	Chance  float64 // probability that a request makes the call
 }
 
-// Server is one server of the deployment. It is simulated, unless it is an echo server, which is a real socket.
+// Server is one server of the fleet. It is simulated, unless it is an echo server, which is a real socket.
 type Server struct {
 	ID      string
 	Addr    string // host and port; only echo servers listen on theirs
@@ -51,7 +51,7 @@
 	Real               bool    // runs the agent's program; otherwise it is simulated
 }
 
-// World is the simulated deployment of a scenario.
+// World is the fleet of a scenario.
 type World struct {
 	Scenario *scenario.Scenario
 	Zones    []string
