--- a/internal/scale/simagent/discovery_test.go
+++ b/internal/scale/simagent/discovery_test.go
@@ -164,7 +164,7 @@
 	if change != nil {
 		change(s)
 	}
-	w, err := world.Draw(s)
+	w, err := world.Generate(s)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/scale/world/agentconfig.go
+++ b/internal/scale/world/agentconfig.go
@@ -9,17 +9,17 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// EchoService is the name of the service, and of its class, that AddEcho adds.
+// EchoService is the name of the service that AddEcho adds, and of its class.
 const EchoService = "echo"
 
-// The echo class's times; its servers answer at once.
+// These are the times of the echo class, whose servers respond immediately.
 const (
 	echoLatencyObjectiveMS = 250
 	echoDeadlineMS         = 2000
 )
 
-// AddEcho adds an idempotent service of layer 0 whose servers are real sockets: one at each address, in the zones in turn.
-// Every process of a run has to add the same ones, or their worlds differ.
+// AddEcho adds an idempotent service of layer 0 whose servers are real sockets: one at each address, assigned to the zones
+// in rotation. Every process of a run must add the same addresses; otherwise their worlds differ.
 func (w *World) AddEcho(addrs []string) {
 	class := max(0, slices.IndexFunc(w.Scenario.Classes, func(c scenario.Class) bool { return c.Idempotency == scenario.Idempotent }))
 	w.Services = append(w.Services, Service{Name: EchoService, Class: class})
@@ -29,7 +29,7 @@
 	}
 }
 
-// echoService returns the position of the echo service, or -1.
+// echoService returns the position of the echo service, or -1 if there is none.
 func (w *World) echoService() int {
 	if last := len(w.Services) - 1; w.Services[last].Name == EchoService {
 		return last
@@ -37,10 +37,10 @@
 	return -1
 }
 
-// settingsText is the part of the settings that the agents use. It has nothing more, as each agent is handed it at each
-// change; a test holds its length below 3,000 bytes.
-type settingsText struct {
-	Classes    []classText `json:"categories"`
+// settingsJSON contains only those settings that the agents use, because every agent receives them at each change. A test
+// limits the encoded size to 3,000 bytes.
+type settingsJSON struct {
+	Classes    []classJSON `json:"categories"`
 	Localities []string    `json:"localities"`
 	Kinds      []string    `json:"skus"`
 	Agents     int         `json:"replicasOfMe"`
@@ -48,13 +48,13 @@
 	Zone       int         `json:"zone"`
 	Discovery  string      `json:"discovery"`
 	Tick       float64     `json:"tick"`
-	Report     reportText  `json:"report"`
-	Limits     limitsText  `json:"limits"`
-	Rules      rulesText   `json:"rules"`
+	Report     reportJSON  `json:"report"`
+	Limits     limitsJSON  `json:"limits"`
+	Rules      rulesJSON   `json:"rules"`
 }
 
-// classText is the class of the calls to one service. Times are in ms.
-type classText struct {
+// classJSON is the class of the calls to one service. Times are in milliseconds.
+type classJSON struct {
 	Name             string  `json:"name"`
 	LatencyObjective float64 `json:"aim"`
 	Deadline         float64 `json:"deadline"`
@@ -64,12 +64,12 @@
 	Kinds            []int   `json:"boundTo"`
 }
 
-type reportText struct {
+type reportJSON struct {
 	Fields []string `json:"fields"`
 	Mode   string   `json:"how"`
 }
 
-type limitsText struct {
+type limitsJSON struct {
 	MaxAttempts    int     `json:"maxAttempts"`
 	Cancel         bool    `json:"cancel"`
 	Hedging        bool    `json:"secondCopies"`
@@ -78,7 +78,7 @@
 	IdleClose      float64 `json:"idleClose"`
 }
 
-type rulesText struct {
+type rulesJSON struct {
 	SlowStartMinWeight float64 `json:"coldFrom"`
 	OverloadFactor     float64 `json:"overloadFactor"`
 	SlowStartDuration  float64 `json:"warmAfter"`
@@ -89,23 +89,23 @@
 	RetryBudgetWindow  float64 `json:"extraWindow"`
 }
 
-// Settings returns the settings of an agent as a revision words them; each revision from 0 on words them differently. Once
-// AddEcho was called, a real agent may call the echo service.
+// Settings returns the settings of an agent in a revision from 0 on, as JSON. Each revision has a different text. After
+// AddEcho, a real agent may call the echo service.
 func (w *World) Settings(agent int, revision int) []byte {
 	return mustMarshal(w.settings(agent, revision, w.Agents[agent].Real))
 }
 
-func (w *World) settings(agent, revision int, echo bool) settingsText {
+func (w *World) settings(agent, revision int, echo bool) settingsJSON {
 	s := w.Scenario
-	t := settingsText{
+	t := settingsJSON{
 		Localities: w.Zones, Agents: len(w.Agents), Index: agent,
 		Zone: w.Servers[w.Agents[agent].Server].Zone, Discovery: "subscribe", Tick: 1,
-		Report: reportText{Fields: []string{"outstanding", "backlog", "recent_ms"}, Mode: "inline"},
-		Limits: limitsText{
+		Report: reportJSON{Fields: []string{"outstanding", "backlog", "recent_ms"}, Mode: "inline"},
+		Limits: limitsJSON{
 			MaxAttempts: s.Agent.MaxAttempts, Cancel: true, Hedging: true, RetryAfter: true,
 			ConnectTimeout: 250, IdleClose: 30000,
 		},
-		Rules: rulesText{
+		Rules: rulesJSON{
 			SlowStartMinWeight: s.Fleet.SlowStartMinWeight, OverloadFactor: 2, SlowStartDuration: s.Fleet.SlowStartS * 1000, DrainGrace: 300,
 			MaxPollInterval:  s.Agent.MaxPollIntervalS * 1000,
 			RetryBudgetRatio: s.Agent.RetryBudgetRatio, RetryBudgetMin: s.Agent.RetryBudgetMin, RetryBudgetWindow: s.Agent.RetryBudgetWindowS * 1000,
@@ -115,13 +115,14 @@
 		t.Kinds = append(t.Kinds, service.Name)
 	}
 	for _, service := range w.Classes(agent, echo) {
-		t.Classes = append(t.Classes, w.classText(service, revision))
+		t.Classes = append(t.Classes, w.classSettings(service, revision))
 	}
 	return t
 }
 
-// Classes returns the services that an agent's classes stand for, in the order of its settings: those that its own service
-// calls, and the echo service if it may call that. As settings need a class, an agent that calls nothing has its own.
+// Classes returns the services that an agent's classes represent, in the order of its settings: those that its own service
+// calls, then the echo service if echo is true and the service exists. Settings need at least one class, so an agent that
+// calls no service has the class of its own service.
 func (w *World) Classes(agent int, echo bool) (out []int) {
 	own := w.Servers[w.Agents[agent].Server].Service
 	for _, c := range w.Services[own].Calls {
@@ -136,12 +137,12 @@
 	return out
 }
 
-// classText is the class of a service. Each revision has deadlines that are a microsecond longer: another text by which no
-// agent decides otherwise.
-func (w *World) classText(service, revision int) classText {
+// classSettings returns the class of a service. Each revision lengthens the deadline by a microsecond, which changes the
+// text but no decision of an agent.
+func (w *World) classSettings(service, revision int) classJSON {
 	s := &w.Services[service]
 	class := &w.Scenario.Classes[s.Class]
-	c := classText{
+	c := classJSON{
 		Name: s.Name, LatencyObjective: class.LatencyObjectiveMS, Deadline: class.DeadlineMS,
 		PriorityWeight: class.PriorityWeight, Idempotency: class.Idempotency, DedupWindow: class.DedupWindowMS, Kinds: []int{service},
 	}
@@ -156,47 +157,47 @@
 	return c
 }
 
-// ConfigOptions are what a configuration says beside the settings.
+// ConfigOptions contains the parts of an agent's configuration that do not follow from the world.
 type ConfigOptions struct {
 	Listen, Discovery string   // host and port
-	Console           string   // the same; empty: none
-	Relays            []string // likewise
+	Console           string   // host and port; empty: none
+	Relays            []string // host and port of each
 	Revision          int      // of the settings
-	CachedEndpoints   []byte   // a full list in discovery's form; nil: none
-	Echo              bool     // the agent may call the echo service, where there is one
+	CachedEndpoints   []byte   // a full list in the discovery service's format; nil: none
+	Echo              bool     // whether the agent may call the echo service, if there is one
 	Seed              uint64
 }
 
-// configText is the agent's configuration file.
-type configText struct {
+// configJSON is an agent's configuration file.
+type configJSON struct {
 	Name            string             `json:"name"`
 	Listen          string             `json:"listen"`
 	Discovery       string             `json:"discovery"`
 	Console         string             `json:"console,omitempty"`
 	Relays          []string           `json:"relays,omitempty"`
 	Seed            string             `json:"seed"`
-	Limits          resourceLimitsText `json:"limits"`
+	Limits          resourceLimitsJSON `json:"limits"`
 	CachedEndpoints json.RawMessage    `json:"known,omitempty"`
-	Settings        settingsText       `json:"settings"`
+	Settings        settingsJSON       `json:"settings"`
 }
 
-type resourceLimitsText struct {
+type resourceLimitsJSON struct {
 	Cores    float64 `json:"cores"`
 	MemoryMB int     `json:"memory_mb"`
 	Sockets  int     `json:"sockets"`
 }
 
-// Config returns an agent's configuration as JSON. It panics where CachedEndpoints is no JSON.
+// Config returns an agent's configuration as JSON. It panics if CachedEndpoints is not valid JSON.
 func (w *World) Config(agent int, o ConfigOptions) []byte {
-	return mustMarshal(configText{
+	return mustMarshal(configJSON{
 		Name: w.Agents[agent].Name, Listen: o.Listen, Discovery: o.Discovery, Console: o.Console, Relays: o.Relays,
 		Seed:            fmt.Sprintf("%016x", o.Seed),
-		Limits:          resourceLimitsText{Cores: 1, MemoryMB: w.Scenario.Agent.MemoryMB, Sockets: w.Scenario.Agent.Sockets},
+		Limits:          resourceLimitsJSON{Cores: 1, MemoryMB: w.Scenario.Agent.MemoryMB, Sockets: w.Scenario.Agent.Sockets},
 		CachedEndpoints: o.CachedEndpoints, Settings: w.settings(agent, o.Revision, o.Echo),
 	})
 }
 
-// mustMarshal marshals plain types, which can fail only by a RawMessage that is no JSON.
+// mustMarshal marshals plain types, which fails only if a RawMessage is not valid JSON.
 func mustMarshal(v any) []byte {
 	text, err := json.Marshal(v)
 	if err != nil {
