--- a/internal/scale/realagent/addedlatency.go
+++ b/internal/scale/realagent/addedlatency.go
@@ -91,45 +91,45 @@
 		if tries == 2*pairs+2*warmUpPairs {
 			return c.agent.errorf("%d pairs of calls gave only %d to measure, %d calls failed", tries, len(c.pairs[throughAgent]), c.failed)
 		}
-		if err := c.pair(ctx, gap); err != nil {
+		if err := c.callPair(ctx, gap); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// pair makes one call through the agent and one directly.
-func (c *client) pair(ctx context.Context, gap time.Duration) error {
+// callPair makes one call through the agent and one directly.
+func (c *client) callPair(ctx context.Context, gap time.Duration) error {
 	var took [2]time.Duration
-	counts := true
-	for way, e := range c.routes {
+	measured := true
+	for i, route := range c.routes {
 		if err := pause(ctx, gap/2+time.Duration(c.random.Float64()*float64(gap))); err != nil {
 			return err
 		}
-		t, clean, err := c.call(ctx, way)
+		t, clean, err := c.call(ctx, i)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if err != nil {
 			c.failed++
 		}
-		counts = counts && clean && err == nil && e.warmUpLeft == 0
-		took[way] = t
+		measured = measured && clean && err == nil && route.warmUpLeft == 0
+		took[i] = t
 	}
-	if counts {
-		for way := range took {
-			c.pairs[way] = append(c.pairs[way], took[way])
+	if measured {
+		for i := range took {
+			c.pairs[i] = append(c.pairs[i], took[i])
 		}
 	}
-	for _, e := range c.routes {
-		e.warmUpLeft = max(0, e.warmUpLeft-1)
+	for _, route := range c.routes {
+		route.warmUpLeft = max(0, route.warmUpLeft-1)
 	}
 	return nil
 }
 
 // call makes a call by one route and returns how long it took, and whether it was sent once, on an open connection.
-func (c *client) call(ctx context.Context, way int) (took time.Duration, clean bool, err error) {
-	if way == throughAgent {
+func (c *client) call(ctx context.Context, routeIndex int) (took time.Duration, clean bool, err error) {
+	if routeIndex == throughAgent {
 		c.agent.processMu.RLock()
 		defer c.agent.processMu.RUnlock()
 		c.agent.calls.Add(1)
@@ -138,10 +138,10 @@
 	id := c.prefix + strconv.Itoa(c.calls)
 	request := fmt.Appendf(nil, "GET /%s/1 HTTP/1.1\r\nHost: service.internal\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %s\r\n\r\n",
 		world.EchoService, id, world.EchoService, callBudget)
-	e := c.routes[way]
-	clean = e.conn != nil
+	route := c.routes[routeIndex]
+	clean = route.conn != nil
 	for sent := 1; ; sent++ {
-		took, err = e.call(ctx, request, id)
+		took, err = route.call(ctx, request, id)
 		// A kept connection that ends without any response has crossed its close: the call is retried once.
 		if !errors.Is(err, errNoResponse) || !clean || sent == 2 {
 			return took, clean && sent == 1, err
@@ -160,8 +160,8 @@
 		r.conn = newHTTPConn(c)
 		r.warmUpLeft = warmUpPairs
 	}
-	begun := time.Now()
-	r.conn.SetDeadline(begun.Add(callTimeout))
+	startedAt := time.Now()
+	r.conn.SetDeadline(startedAt.Add(callTimeout))
 	response, err := r.conn.roundTrip(request)
 	switch {
 	case err != nil:
@@ -173,7 +173,7 @@
 	if err != nil || response.close {
 		r.close()
 	}
-	return response.receivedAt.Sub(begun), err
+	return response.receivedAt.Sub(startedAt), err
 }
 
 func (r *route) close() {
@@ -184,8 +184,8 @@
 }
 
 func (c *client) close() {
-	for _, e := range c.routes {
-		e.close()
+	for _, route := range c.routes {
+		route.close()
 	}
 }
 
--- a/internal/scale/realagent/addedlatency_test.go
+++ b/internal/scale/realagent/addedlatency_test.go
@@ -19,9 +19,9 @@
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(id), id)
 	}
 	for what, c := range map[string]struct {
-		answer func(id string, n int) string // of the connection's n-th request; empty: the connection is closed
-		failed bool
-		clean  bool
+		respond func(id string, n int) string // of the connection's n-th request; empty: the connection is closed
+		failed  bool
+		clean   bool
 	}{
 		"served":          {func(id string, _ int) string { return echo(id) }, false, true},
 		"crossed a close": {func(id string, n int) string { return strings.Repeat(echo(id), 1-n) }, false, false},
@@ -35,7 +35,7 @@
 		"half an answer":   {func(id string, n int) string { return echo(id)[:len(echo(id))-n] }, true, true},
 	} {
 		t.Run(what, func(t *testing.T) {
-			addr := respondingServer(t, c.answer)
+			addr := respondingServer(t, c.respond)
 			k := newClient(&agent{listen: addr}, addr, 0)
 			defer k.close()
 			if _, clean, err := k.call(t.Context(), 0); clean || err != nil {
@@ -49,13 +49,13 @@
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	if err := newClient(&agent{}, "", 0).pair(ctx, time.Hour); !errors.Is(err, context.Canceled) {
+	if err := newClient(&agent{}, "", 0).callPair(ctx, time.Hour); !errors.Is(err, context.Canceled) {
 		t.Errorf("a pair after the context's end: %v", err)
 	}
 }
 
 // respondingServer serves connections until the test ends; half an answer is the end of one.
-func respondingServer(t *testing.T, answer func(id string, n int) string) string {
+func respondingServer(t *testing.T, respond func(id string, n int) string) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -75,7 +75,7 @@
 					if err != nil {
 						return
 					}
-					text := answer(r.Header.Get(callIDHeader), n)
+					text := respond(r.Header.Get(callIDHeader), n)
 					if io.WriteString(c, text); text == "" {
 						return
 					}
--- a/internal/scale/realagent/build.go
+++ b/internal/scale/realagent/build.go
@@ -23,8 +23,8 @@
 	cmd := exec.CommandContext(ctx, "go", append(args, "-o", bin, "./cmd/agent")...)
 	cmd.Dir = root
 	cmd.Env = append(os.Environ(), "CGO_ENABLED=1")
-	if said, err := cmd.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the agent: %w\n%s", err, said)
+	if output, err := cmd.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("building the agent: %w\n%s", err, output)
 	}
 	return bin, nil
 }
--- a/internal/scale/realagent/configure.go
+++ b/internal/scale/realagent/configure.go
@@ -26,13 +26,13 @@
 func (f *Fleet) Configure(ctx context.Context, revision int, perAgent time.Duration) error {
 	f.configureMu.Lock()
 	defer f.configureMu.Unlock()
-	begun := time.Now()
-	change := ConfigChange{Revision: revision, At: begun.UnixNano(), InForce: make([]int64, len(f.agents))}
+	startedAt := time.Now()
+	change := ConfigChange{Revision: revision, At: startedAt.UnixNano(), InForce: make([]int64, len(f.agents))}
 	errs := make([]error, len(f.agents))
 	var rollouts sync.WaitGroup
 	for i, a := range f.agents {
 		rollouts.Go(func() {
-			errs[i] = pause(ctx, time.Until(begun.Add(time.Duration(i)*perAgent)))
+			errs[i] = pause(ctx, time.Until(startedAt.Add(time.Duration(i)*perAgent)))
 			if errs[i] != nil {
 				return
 			}
@@ -52,7 +52,7 @@
 func (f *Fleet) configure(ctx context.Context, a *agent, revision int) (time.Time, error) {
 	a.processMu.RLock()
 	defer a.processMu.RUnlock()
-	p := a.running()
+	p := a.currentProcess()
 	if p == nil {
 		return time.Time{}, a.errorf("does not run: configuration %d is not handed out", revision)
 	}
--- a/internal/scale/realagent/echo.go
+++ b/internal/scale/realagent/echo.go
@@ -37,8 +37,8 @@
 	conns  map[net.Conn]struct{}
 }
 
-// Echo starts so many servers.
-func Echo(n int) (*EchoServers, error) {
+// StartEchoServers starts so many servers.
+func StartEchoServers(n int) (*EchoServers, error) {
 	e := &EchoServers{}
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -80,7 +80,7 @@
 		if s.track(c) {
 			e.conns.Go(func() {
 				s.serve(c)
-				s.forget(c)
+				s.untrack(c)
 			})
 		}
 	}
@@ -97,7 +97,7 @@
 	return true
 }
 
-func (s *echoServer) forget(c net.Conn) {
+func (s *echoServer) untrack(c net.Conn) {
 	c.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -127,12 +127,12 @@
 		if _, err := io.Copy(io.Discard, r.Body); err != nil {
 			return
 		}
-		begun := time.Now()
+		startedAt := time.Now()
 		s.inProgress.Add(1)
 		text = s.appendResponse(text[:0], r)
 		_, err = c.Write(text)
 		s.inProgress.Add(-1)
-		s.recentNanos.Store(int64(time.Since(begun)))
+		s.recentNanos.Store(int64(time.Since(startedAt)))
 		if err != nil || r.Close {
 			return
 		}
--- a/internal/scale/realagent/httpconn.go
+++ b/internal/scale/realagent/httpconn.go
@@ -40,18 +40,18 @@
 		return response{}, noResponse(err)
 	}
 	for n := 0; ; {
-		got, err := t.Read(t.buf[n:])
-		last := time.Now()
-		n += got
+		read, err := t.Read(t.buf[n:])
+		receivedAt := time.Now()
+		n += read
 		if err != nil {
 			if n == 0 {
 				err = noResponse(err)
 			}
 			return response{}, err
 		}
-		r, whole, err := parseResponse(t.buf[:n])
-		if err != nil || whole {
-			r.receivedAt = last
+		r, complete, err := parseResponse(t.buf[:n])
+		if err != nil || complete {
+			r.receivedAt = receivedAt
 			return r, err
 		}
 		if n == len(t.buf) {
@@ -70,9 +70,9 @@
 
 // parseResponse reads a response with a Content-Length, as far as it has come; agents and echo servers use no other framing
 // for short bodies.
-func parseResponse(text []byte) (r response, whole bool, err error) {
-	head, body, ended := bytes.Cut(text, []byte("\r\n\r\n"))
-	if !ended {
+func parseResponse(text []byte) (r response, complete bool, err error) {
+	head, body, ok := bytes.Cut(text, []byte("\r\n\r\n"))
+	if !ok {
 		return r, false, nil
 	}
 	status, fields, _ := bytes.Cut(head, []byte("\r\n"))
--- a/internal/scale/realagent/httpconn_test.go
+++ b/internal/scale/realagent/httpconn_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-func TestEchoAnswers(t *testing.T) {
-	e, err := Echo(1)
+func TestEchoResponses(t *testing.T) {
+	e, err := StartEchoServers(1)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -19,7 +19,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(20 * time.Second))
-	tk := newHTTPConn(c)
+	conn := newHTTPConn(c)
 	for _, q := range []struct {
 		request string
 		status  int
@@ -30,19 +30,19 @@
 		{"GET /echo/1 HTTP/1.1\r\nHost: x\r\n\r\n", 404, "no X-Call-Id\n"},
 		{"GET /alive HTTP/1.1\r\nHost: x\r\n\r\n", 200, "alive\n"},
 	} {
-		r, err := tk.roundTrip([]byte(q.request))
+		r, err := conn.roundTrip([]byte(q.request))
 		if err != nil || r.status != q.status || string(r.body) != q.body || r.close {
 			t.Errorf("%q: %d %q, closes %v, error %v", q.request, r.status, r.body, r.close, err)
 		}
 	}
-	r, err := tk.roundTrip([]byte("GET /metrics/load HTTP/1.1\r\nHost: x\r\n\r\n"))
+	r, err := conn.roundTrip([]byte("GET /metrics/load HTTP/1.1\r\nHost: x\r\n\r\n"))
 	if err != nil || !strings.HasPrefix(string(r.body), "outstanding=1,backlog=0,recent_ms=") {
 		t.Errorf("load %q, error %v", r.body, err)
 	}
 	if err := e.Close(); err != nil {
 		t.Error(err)
 	}
-	if _, err := tk.roundTrip([]byte("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")); !errors.Is(err, errNoResponse) {
+	if _, err := conn.roundTrip([]byte("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")); !errors.Is(err, errNoResponse) {
 		t.Errorf("after its end: %v", err)
 	}
 }
@@ -50,27 +50,27 @@
 func TestParseResponse(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n"
 	for text, want := range map[string]struct {
-		whole, bad, close bool
-		status            int
-		body              string
+		complete, bad, close bool
+		status               int
+		body                 string
 	}{
-		head + "\r\nok":                      {whole: true, status: 200, body: "ok"},
-		head + "connection: CLOSE\r\n\r\nok": {whole: true, status: 200, body: "ok", close: true},
+		head + "\r\nok":                      {complete: true, status: 200, body: "ok"},
+		head + "connection: CLOSE\r\n\r\nok": {complete: true, status: 200, body: "ok", close: true},
 		head + "\r\no":                       {status: 200, body: "o"},
 		head:                                 {},
 		head + "\r\nokay":                    {bad: true},
-		"HTTP/1.1 503 X\r\ncontent-length:0\r\n\r\n":     {whole: true, status: 503},
+		"HTTP/1.1 503 X\r\ncontent-length:0\r\n\r\n":     {complete: true, status: 503},
 		"HTTP/1.1 200 OK\r\n\r\n":                        {bad: true},
 		"HTTP/1.1 200 OK\r\nContent-Length: -2\r\n\r\n":  {bad: true},
 		"HTTP/1.0 200 OK\r\nContent-Length: 2\r\n\r\nok": {bad: true},
 		"HTTP/1.1 \r\n\r\n":                              {bad: true},
 	} {
-		r, whole, err := parseResponse([]byte(text))
+		r, complete, err := parseResponse([]byte(text))
 		if (err != nil) != want.bad {
 			t.Errorf("%q: error %v", text, err)
 		}
-		if err == nil && (whole != want.whole || r.status != want.status || string(r.body) != want.body || r.close != want.close) {
-			t.Errorf("%q: %+v, whole %v", text, r, whole)
+		if err == nil && (complete != want.complete || r.status != want.status || string(r.body) != want.body || r.close != want.close) {
+			t.Errorf("%q: %+v, complete %v", text, r, complete)
 		}
 	}
 }
--- a/internal/scale/realagent/logtail.go
+++ b/internal/scale/realagent/logtail.go
@@ -35,7 +35,7 @@
 // lineWriter hands on what is written to it line by line, with the time at which it came. An unfinished line waits for
 // the next write.
 type lineWriter struct {
-	each       func(at time.Time, line string)
+	onLine     func(at time.Time, line string)
 	unfinished []byte
 }
 
@@ -46,7 +46,7 @@
 		line, after, ended := bytes.Cut(rest, []byte("\n"))
 		w.unfinished = append(w.unfinished, line[:min(len(line), maxLineBytes-len(w.unfinished))]...)
 		if ended {
-			w.each(at, string(w.unfinished))
+			w.onLine(at, string(w.unfinished))
 			w.unfinished = w.unfinished[:0]
 		}
 		rest = after
--- a/internal/scale/realagent/process.go
+++ b/internal/scale/realagent/process.go
@@ -40,7 +40,7 @@
 		"TMPDIR=" + filepath.Join(a.dir, "tmp"),
 	}
 	cmd.Dir = a.dir
-	cmd.Stderr = &lineWriter{each: a.onLogLine}
+	cmd.Stderr = &lineWriter{onLine: a.onLogLine}
 	cmd.WaitDelay = stderrGrace
 	// A process group of its own, as a terminal's interrupt is the parent's to pass on.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
@@ -63,8 +63,8 @@
 	return p, nil
 }
 
-// running is the present process, or nil.
-func (a *agent) running() *process {
+// currentProcess is the present process, or nil.
+func (a *agent) currentProcess() *process {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.process
@@ -74,8 +74,8 @@
 func (a *agent) awaitUp(ctx context.Context, p *process) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, upTimeout)
 	defer cancel()
-	look := time.NewTicker(upPollInterval)
-	defer look.Stop()
+	poll := time.NewTicker(upPollInterval)
+	defer poll.Stop()
 	status := "nothing"
 	for {
 		select {
@@ -83,7 +83,7 @@
 			return 0, a.errorf("ended before it was up: %w", exitError(p.err))
 		case <-ctx.Done():
 			return 0, a.errorf("not up after %v (/up: %s): %w", time.Since(p.startedAt).Round(time.Millisecond), status, ctx.Err())
-		case <-look.C:
+		case <-poll.C:
 		}
 		status = queryUp(ctx, a.listen)
 		if status == upStatus {
--- a/internal/scale/realagent/realagent.go
+++ b/internal/scale/realagent/realagent.go
@@ -123,7 +123,7 @@
 		f.agents = append(f.agents, a)
 	}
 	return parallel.ForEach(f.agents, startConcurrency, func(a *agent) error {
-		took, err := f.run(ctx, a)
+		took, err := f.startAndAwaitUp(ctx, a)
 		if err == nil {
 			f.options.Log.Debug("real agent up", "agent", a.name, "listen", a.listen, "took", took)
 		}
@@ -166,8 +166,8 @@
 	return l.Addr().String(), nil
 }
 
-// run starts an agent's process and waits until it is up.
-func (f *Fleet) run(ctx context.Context, a *agent) (time.Duration, error) {
+// startAndAwaitUp starts an agent's process and waits until it is up.
+func (f *Fleet) startAndAwaitUp(ctx context.Context, a *agent) (time.Duration, error) {
 	p, err := a.startProcess(f.ctx, f.options.Program, func(p *process) { f.onExit(a, p) })
 	if err != nil {
 		return 0, err
@@ -212,7 +212,7 @@
 	err := parallel.ForEach(f.agents, maxAgents, func(a *agent) error {
 		a.processMu.Lock()
 		defer a.processMu.Unlock()
-		p := a.running()
+		p := a.currentProcess()
 		switch {
 		case p == nil:
 			return nil
--- a/internal/scale/realagent/realagent_test.go
+++ b/internal/scale/realagent/realagent_test.go
@@ -18,8 +18,8 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// wait bounds what a test waits for; nothing passes by it.
-const wait = 20 * time.Second
+// testTimeout bounds what a test waits for; nothing passes by it.
+const testTimeout = 20 * time.Second
 
 // built is the agent's program, built once for all tests.
 var built struct {
@@ -36,7 +36,7 @@
 	os.Exit(code)
 }
 
-func binary(t *testing.T) string {
+func agentProgram(t *testing.T) string {
 	t.Helper()
 	built.once.Do(func() {
 		if built.dir, built.err = os.MkdirTemp("", "realagent-test-"); built.err == nil {
@@ -49,8 +49,8 @@
 	return built.bin
 }
 
-// discovery is one with a list of these servers that never changes.
-func discovery(t *testing.T, servers []string) string {
+// startDiscovery is one with a list of these servers that never changes.
+func startDiscovery(t *testing.T, servers []string) string {
 	list := string(listOf(servers))
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("after") != "" {
@@ -71,8 +71,8 @@
 	return fmt.Appendf(nil, `{"revision":1,"complete":true,"members":[%s]}`, strings.Join(members, ","))
 }
 
-// config is a configuration with one class; the revision is in its aim, and attempts from revision 100 on are bad.
-func config(agent int, o world.ConfigOptions) []byte {
+// testConfig is a configuration with one class; the revision is in its aim, and attempts from revision 100 on are bad.
+func testConfig(agent int, o world.ConfigOptions) []byte {
 	attempts, known := 2, ""
 	if o.Revision >= 100 {
 		attempts = 0
@@ -90,11 +90,11 @@
 		agent, o.Listen, o.Discovery, o.Seed, known, 100+o.Revision, attempts)
 }
 
-// options are those of two agents, the first one busy, before two echo servers. The tests run at once, so each has
+// testOptions are those of two agents, the first one busy, before two echo servers. The tests run at once, so each has
 // agents of its own: this position and the next but one.
-func options(t *testing.T, first int) Options {
+func testOptions(t *testing.T, first int) Options {
 	t.Helper()
-	echo, err := Echo(2)
+	echo, err := StartEchoServers(2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,14 +103,14 @@
 			t.Error(err)
 		}
 	})
-	addr := discovery(t, echo.Addrs())
+	addr := startDiscovery(t, echo.Addrs())
 	return Options{
-		Config: config, Agents: []int{first, first + 2}, Echo: echo.Addrs(), Program: binary(t), Dir: t.TempDir(),
+		Config: testConfig, Agents: []int{first, first + 2}, Echo: echo.Addrs(), Program: agentProgram(t), Dir: t.TempDir(),
 		Discovery: slices.Repeat([]string{addr}, first+3),
 	}
 }
 
-func fleet(t *testing.T, ctx context.Context, o Options) *Fleet {
+func startFleet(t *testing.T, ctx context.Context, o Options) *Fleet {
 	t.Helper()
 	f, err := Start(ctx, o)
 	if err != nil {
@@ -132,8 +132,8 @@
 	return pids
 }
 
-// gone checks that no process of these numbers is left, not even one that nobody has waited for.
-func gone(t *testing.T, pids []int) {
+// checkProcessesGone checks that no process of these numbers is left, not even one that nobody has waited for.
+func checkProcessesGone(t *testing.T, pids []int) {
 	t.Helper()
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
@@ -142,7 +142,7 @@
 	}
 }
 
-func mentions(t *testing.T, err error, parts ...string) {
+func checkErrorContains(t *testing.T, err error, parts ...string) {
 	t.Helper()
 	if err == nil {
 		t.Fatal("no error")
@@ -157,8 +157,8 @@
 // A fleet from start to close: up, calls, a configuration in force, a restart, measurements of all that, and no process behind it.
 func TestFleet(t *testing.T) {
 	t.Parallel()
-	o := options(t, 20)
-	f := fleet(t, t.Context(), o)
+	o := testOptions(t, 20)
+	f := startFleet(t, t.Context(), o)
 	f.Begin()
 	added, err := f.MeasureAdded(t.Context(), 100, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 100 || added.Through.N != 100 || added.Direct.N != 100 {
@@ -179,12 +179,12 @@
 	if s.Each[0].PID != before[0] || s.Each[1].PID == before[1] || s.Each[0].Restarts != 0 || s.Each[1].Restarts != 1 || s.StartupMS.N != 1 {
 		t.Errorf("not agent 22 alone was restarted: %+v, before %v", s, before)
 	}
-	gone(t, before[1:])
+	checkProcessesGone(t, before[1:])
 	if d := s.ConfigInForce.Distribution(); d.N != 2 || d.Max < 20 || len(s.Configs) != 1 || s.Configs[0].Revision != 1 {
 		t.Errorf("in force after %+v ms: %+v", d, s.Configs)
 	}
 	for i, at := range s.Configs[0].InForce {
-		if took := time.Duration(at - s.Configs[0].At); took < time.Duration(i)*push || took > wait {
+		if took := time.Duration(at - s.Configs[0].At); took < time.Duration(i)*push || took > testTimeout {
 			t.Errorf("agent %d has it in force %v after the beginning", i, took)
 		}
 	}
@@ -201,14 +201,14 @@
 	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
-	gone(t, left)
+	checkProcessesGone(t, left)
 	if files, err := os.ReadDir(o.Dir); err != nil || len(files) != 0 {
 		t.Errorf("files are left: %v, %v", files, err)
 	}
 }
 
 // A drawn world's agents come up on its configurations, reach its echo servers and take its next revision.
-func TestWorldsAgents(t *testing.T) {
+func TestAgentsOfDrawnWorld(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Load("../../../deploy/scale/tiny.toml")
 	if err != nil {
@@ -218,16 +218,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := options(t, 60)
+	o := testOptions(t, 60)
 	w.AddEcho(o.Echo)
 	o.Config, o.Agents, o.Discovery = w.Config, nil, nil
-	addr := discovery(t, o.Echo)
+	addr := startDiscovery(t, o.Echo)
 	for i, a := range w.Agents {
 		if o.Discovery = append(o.Discovery, addr); a.Real {
 			o.Agents = append(o.Agents, i)
 		}
 	}
-	f := fleet(t, t.Context(), o)
+	f := startFleet(t, t.Context(), o)
 	added, err := f.MeasureAdded(t.Context(), 10, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 10 {
 		t.Errorf("added %+v, error %v", added, err)
@@ -241,33 +241,33 @@
 }
 
 // An agent that dies in the run is an error with its name, and the others end well after it.
-func TestDeathIsReported(t *testing.T) {
+func TestAgentDeathIsReported(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, t.Context(), options(t, 30))
+	f := startFleet(t, t.Context(), testOptions(t, 30))
 	left := pids(t, f)
 	if err := syscall.Kill(left[1], syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-f.Failed():
-	case <-time.After(wait):
+	case <-time.After(testTimeout):
 		t.Fatal("nobody hears of it")
 	}
-	mentions(t, f.Err(), "agent r32", "killed", "last lines")
-	mentions(t, f.Configure(t.Context(), 1, 0), "agent r32", "does not run")
-	mentions(t, f.Restart(t.Context(), []int{32}, nil), "agent r32", "does not run")
+	checkErrorContains(t, f.Err(), "agent r32", "killed", "last lines")
+	checkErrorContains(t, f.Configure(t.Context(), 1, 0), "agent r32", "does not run")
+	checkErrorContains(t, f.Restart(t.Context(), []int{32}, nil), "agent r32", "does not run")
 	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
-	gone(t, left)
+	checkProcessesGone(t, left)
 }
 
 // What an agent says of a configuration that it cannot use is in the error, at its start and in the run.
 func TestBadConfigurationIsReported(t *testing.T) {
 	t.Parallel()
-	o := options(t, 40)
-	f := fleet(t, t.Context(), o)
-	mentions(t, f.Configure(t.Context(), 100, 0), "agent r40", "agent r42", reloadRejectedMessage, "MaxAttempts")
+	o := testOptions(t, 40)
+	f := startFleet(t, t.Context(), o)
+	checkErrorContains(t, f.Configure(t.Context(), 100, 0), "agent r40", "agent r42", reloadRejectedMessage, "MaxAttempts")
 	if s := f.Stats(); s.ConfigInForce.Distribution().N != 0 || f.Err() != nil {
 		t.Errorf("in force all the same: %+v, error %v", s.ConfigInForce.Distribution(), f.Err())
 	}
@@ -279,30 +279,30 @@
 	}
 	o.Config = func(agent int, c world.ConfigOptions) []byte {
 		c.Revision = 100
-		return config(agent, c)
+		return testConfig(agent, c)
 	}
 	_, err := Start(t.Context(), o)
-	mentions(t, err, "agent r40", "ended before it was up", "MaxAttempts")
+	checkErrorContains(t, err, "agent r40", "ended before it was up", "MaxAttempts")
 	if files, err := os.ReadDir(o.Dir); err != nil || len(files) != 0 {
 		t.Errorf("files are left: %v, %v", files, err)
 	}
 }
 
 // All processes end with the context, which is no agent's fault.
-func TestContextEndsAll(t *testing.T) {
+func TestContextEndsAllProcesses(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	f := fleet(t, ctx, options(t, 50))
+	f := startFleet(t, ctx, testOptions(t, 50))
 	left := pids(t, f)
 	cancel()
 	if err := f.Close(); err != nil || f.Err() != nil {
 		t.Errorf("closing: %v, in the run: %v", err, f.Err())
 	}
-	gone(t, left)
+	checkProcessesGone(t, left)
 }
 
-func TestOptions(t *testing.T) {
+func TestOptionsValidate(t *testing.T) {
 	good := Options{Agents: []int{0, 2}, Discovery: make([]string, 3)}
 	for what, c := range map[string]struct {
 		change func(*Options)
@@ -324,14 +324,14 @@
 			if c.want == "" && err == nil {
 				return
 			}
-			mentions(t, err, c.want)
+			checkErrorContains(t, err, c.want)
 		})
 	}
 }
 
 func TestLogLines(t *testing.T) {
 	var got []string
-	l := &lineWriter{each: func(_ time.Time, line string) { got = append(got, line) }}
+	l := &lineWriter{onLine: func(_ time.Time, line string) { got = append(got, line) }}
 	for _, part := range []string{"one\ntw", "o\n", "\nthree", "\n", "half"} {
 		l.Write([]byte(part))
 	}
--- a/internal/scale/realagent/restart.go
+++ b/internal/scale/realagent/restart.go
@@ -36,7 +36,7 @@
 func (f *Fleet) restart(ctx context.Context, a *agent, cached []byte) (time.Duration, error) {
 	a.processMu.Lock()
 	defer a.processMu.Unlock()
-	p := a.running()
+	p := a.currentProcess()
 	if p == nil {
 		return 0, a.errorf("does not run: it is not restarted")
 	}
@@ -49,5 +49,5 @@
 	if err := a.writeConfig(a.configText(f.options.Config)); err != nil {
 		return 0, err
 	}
-	return f.run(ctx, a)
+	return f.startAndAwaitUp(ctx, a)
 }
--- a/internal/scale/run/budgets.go
+++ b/internal/scale/run/budgets.go
@@ -24,30 +24,30 @@
 // budgetLines are all budgets, in the order in which they are printed. An agent's cost is that of the more expensive sort,
 // simulated or real, so that a fault of the model, which the ratios show, passes no budget.
 var budgetLines = []budgetLine{
-	{"added_p99", "ms", func(b scenario.Budgets) float64 { return b.AddedP99MS }, anyReal,
+	{"added_p99", "ms", func(b scenario.Budgets) float64 { return b.AddedP99MS }, hasRealAgents,
 		func(r *result.Run) (float64, bool) {
 			// Failed calls have no time: with more than one in a hundred, the 99th of the others is not the 99th.
 			return r.Added.P99MS, r.Added.Through.N > 0 && r.Added.Failed*100 <= r.Added.CallsEach
 		}},
 	{"agent_cpu", "% of a core", func(b scenario.Budgets) float64 { return b.AgentCPU }, nil,
 		func(r *result.Run) (float64, bool) {
-			return worse(r, func(a result.AgentControl) float64 { return a.CPUPercent })
+			return maxOverAgentTypes(r, func(a result.AgentControl) float64 { return a.CPUPercent })
 		}},
 	{"agent_memory", "MB", func(b scenario.Budgets) float64 { return b.AgentMemMB }, nil,
 		func(r *result.Run) (float64, bool) {
-			return worse(r, func(a result.AgentControl) float64 { return max(a.HeapBytes, a.RSSBytes.Max) / bytesPerMB })
+			return maxOverAgentTypes(r, func(a result.AgentControl) float64 { return max(a.HeapBytes, a.RSSBytes.Max) / bytesPerMB })
 		}},
 	{"agent_bytes", "KB/s", func(b scenario.Budgets) float64 { return b.AgentKBps }, nil,
 		func(r *result.Run) (float64, bool) {
-			return worse(r, func(a result.AgentControl) float64 { return a.Worst6s.Max / bytesPerKB })
+			return maxOverAgentTypes(r, func(a result.AgentControl) float64 { return a.Worst6s.Max / bytesPerKB })
 		}},
-	{"in_force_list", "s", func(b scenario.Budgets) float64 { return b.InForceS }, anyListChange,
+	{"in_force_list", "s", func(b scenario.Budgets) float64 { return b.InForceS }, hasListChanges,
 		func(r *result.Run) (float64, bool) {
-			return inForce(r, func(a result.AgentControl) result.Distribution { return a.ListInForce })
+			return inForceSeconds(r, func(a result.AgentControl) result.Distribution { return a.ListInForce })
 		}},
-	{"in_force_config", "s", func(b scenario.Budgets) float64 { return b.InForceS }, anyConfig,
+	{"in_force_config", "s", func(b scenario.Budgets) float64 { return b.InForceS }, hasConfigs,
 		func(r *result.Run) (float64, bool) {
-			return inForce(r, func(a result.AgentControl) result.Distribution { return a.ConfigInForce })
+			return inForceSeconds(r, func(a result.AgentControl) result.Distribution { return a.ConfigInForce })
 		}},
 	{"control_machines", "machines", func(b scenario.Budgets) float64 { return b.ControlBusy }, nil,
 		func(r *result.Run) (float64, bool) {
@@ -57,7 +57,7 @@
 			}
 			return sum, len(r.Control) > 0
 		}},
-	{"attempts_per_call", "times", func(b scenario.Budgets) float64 { return b.Attempts }, anyFailure,
+	{"attempts_per_call", "times", func(b scenario.Budgets) float64 { return b.Attempts }, hasFailures,
 		func(r *result.Run) (float64, bool) {
 			if len(r.Depths) == 0 {
 				return 0, false
@@ -67,27 +67,27 @@
 		}},
 }
 
-func anyReal(s result.Sizes) bool       { return s.Real > 0 }
-func anyListChange(s result.Sizes) bool { return s.ListChanges > 0 }
-func anyConfig(s result.Sizes) bool     { return s.Configs > 0 }
-func anyFailure(s result.Sizes) bool    { return s.Failures > 0 && s.Agents > s.Real }
+func hasRealAgents(s result.Sizes) bool  { return s.Real > 0 }
+func hasListChanges(s result.Sizes) bool { return s.ListChanges > 0 }
+func hasConfigs(s result.Sizes) bool     { return s.Configs > 0 }
+func hasFailures(s result.Sizes) bool    { return s.Failures > 0 && s.Agents > s.Real }
 
-// worse is the larger value of the two sorts of agents, false where neither is above 0: a cost of nothing was not measured.
-func worse(r *result.Run, of func(result.AgentControl) float64) (float64, bool) {
-	v := max(of(r.Simulated), of(r.Real))
+// maxOverAgentTypes is the larger value of the two sorts of agents, false where neither is above 0: a cost of nothing was not measured.
+func maxOverAgentTypes(r *result.Run, metric func(result.AgentControl) float64) (float64, bool) {
+	v := max(metric(r.Simulated), metric(r.Real))
 	return v, v > 0 && !math.IsInf(v, 0)
 }
 
-// inForce is the time until the last agent had a change, in seconds. It returns false where a change that was due had not
+// inForceSeconds is the time until the last agent had a change, in seconds. It returns false where a change that was due had not
 // come to an agent when the run ended, or a sort of agents has had none.
-func inForce(r *result.Run, of func(result.AgentControl) result.Distribution) (float64, bool) {
-	ok := of(r.Simulated).N+of(r.Real).N > 0
+func inForceSeconds(r *result.Run, metric func(result.AgentControl) result.Distribution) (float64, bool) {
+	ok := metric(r.Simulated).N+metric(r.Real).N > 0
 	for _, a := range []result.AgentControl{r.Simulated, r.Real} {
-		if a.Agents > 0 && (of(a).N == 0 || a.Undelivered > 0) {
+		if a.Agents > 0 && (metric(a).N == 0 || a.Undelivered > 0) {
 			ok = false
 		}
 	}
-	return max(of(r.Simulated).Max, of(r.Real).Max) / 1000, ok
+	return max(metric(r.Simulated).Max, metric(r.Real).Max) / 1000, ok
 }
 
 // checkBudgets checks a run against the operators' limits. A budget that the run should have measured and did not is not
--- a/internal/scale/run/check_test.go
+++ b/internal/scale/run/check_test.go
@@ -27,9 +27,9 @@
 }
 
 // The causes of a failed run are printed.
-func TestCauses(t *testing.T) {
+func TestErrorTexts(t *testing.T) {
 	for want, err := range map[string]error{
-		"the part control died": PartDiedError{"control"},
+		"the part control died": ProcessDiedError{"control"},
 		"all processes together hold 11264 MB, they may hold 10240": MemoryError{HeldBytes: 11 << 30, LimitBytes: maxMemoryBytes},
 	} {
 		if err.Error() != want {
--- a/internal/scale/run/collect.go
+++ b/internal/scale/run/collect.go
@@ -41,7 +41,7 @@
 	controlStats, machines, controlErr := r.collectControlSide(ctx)
 	m.control = *controlStats
 	m.machines = machines
-	simulatedErr := r.simulatedPart.Call(ctx, simagent.MethodStats, simagent.StatsArgs{}, &m.simulated)
+	simulatedErr := r.simulatedProcess.Call(ctx, simagent.MethodStats, simagent.StatsArgs{}, &m.simulated)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.summarizeAgents(m)
@@ -71,16 +71,16 @@
 // summarizeAgents sums up what control cost the agents of both sorts.
 func (r *runner) summarizeAgents(m *measurements) {
 	acknowledged, inForce := r.listDeliveries(m, anyEvent)
-	r.summarizeSort(&r.result.Simulated, r.simulatedPositions, m, acknowledged, inForce)
-	r.summarizeSort(&r.result.Real, r.realPositions, m, acknowledged, acknowledged)
+	r.summarizeAgentType(&r.result.Simulated, r.simulatedPositions, m, acknowledged, inForce)
+	r.summarizeAgentType(&r.result.Real, r.realPositions, m, acknowledged, acknowledged)
 	r.result.Simulated.CPUPercent = m.simulated.Control.CPUPercent
 	r.result.Simulated.HeapBytes = m.simulated.Control.HeapBytes
 	r.result.Real.CPUPercent = m.realAgents.CPUPercent
 	r.result.Real.RSSBytes = m.realAgents.RSSBytes
 }
 
-// summarizeSort sums up bytes and deliveries of the agents of one sort.
-func (r *runner) summarizeSort(cost *result.AgentControl, agents []int, m *measurements, acknowledged, inForce []delivery) {
+// summarizeAgentType sums up bytes and deliveries of the agents of one sort.
+func (r *runner) summarizeAgentType(cost *result.AgentControl, agents []int, m *measurements, acknowledged, inForce []delivery) {
 	summarize := func(changes []delivery) (result.Distribution, int) {
 		return summarizeDeliveries(changes, agents, r.reachability, r.endedAt.UnixNano(), r.deliveryTimeout())
 	}
@@ -110,13 +110,13 @@
 			continue
 		}
 		notification := m.control.Changes[i]
-		acknowledged = append(acknowledged, delivery{madeAt: notification.At, receivedAt: notification.AcknowledgedAt})
-		own := delivery{madeAt: notification.At}
+		acknowledged = append(acknowledged, delivery{publishedAt: notification.At, receivedAt: notification.AcknowledgedAt})
+		delivered := delivery{publishedAt: notification.At}
 		j := slices.IndexFunc(m.simulated.Lists, func(l simagent.ListChange) bool { return l.Revision == c.revision })
 		if j >= 0 {
-			own.receivedAt = m.simulated.Lists[j].At
+			delivered.receivedAt = m.simulated.Lists[j].At
 		}
-		inForce = append(inForce, own)
+		inForce = append(inForce, delivered)
 	}
 	return acknowledged, inForce
 }
@@ -128,7 +128,7 @@
 		if event != anyEvent && rollout.event != event {
 			continue
 		}
-		d := delivery{madeAt: rollout.due.UnixNano(), receivedAt: make([]int64, len(r.world.Agents))}
+		d := delivery{publishedAt: rollout.due.UnixNano(), receivedAt: make([]int64, len(r.world.Agents))}
 		for _, c := range m.simulated.Configs {
 			if c.Revision == rollout.revision {
 				copy(d.receivedAt, c.At)
@@ -151,7 +151,7 @@
 func mergeDeliveries(acknowledged, inForce []delivery, simulated []int) []delivery {
 	all := make([]delivery, len(acknowledged))
 	for i, d := range acknowledged {
-		all[i] = delivery{madeAt: d.madeAt, receivedAt: slices.Clone(d.receivedAt)}
+		all[i] = delivery{publishedAt: d.publishedAt, receivedAt: slices.Clone(d.receivedAt)}
 		for _, a := range simulated {
 			if a < len(all[i].receivedAt) {
 				all[i].receivedAt[a] = timeAt(inForce[i].receivedAt, a)
@@ -174,8 +174,8 @@
 // which also calls the parts and plays the steps: more than the source's own.
 func (r *runner) sourceMachine(m *measurements) result.ControlMachine {
 	machine := result.ControlMachine{Role: "source", Name: "source"}
-	if held, err := procstat.ResidentBytes(os.Getpid()); err == nil {
-		machine.RSSBytes = float64(held)
+	if resident, err := procstat.ResidentBytes(os.Getpid()); err == nil {
+		machine.RSSBytes = float64(resident)
 	}
 	if m.lengthSeconds <= 0 {
 		return machine
--- a/internal/scale/run/messages_test.go
+++ b/internal/scale/run/messages_test.go
@@ -16,7 +16,7 @@
 )
 
 // Parts are called by these methods, and gob sends messages by the names of their fields.
-func TestMessagesStay(t *testing.T) {
+func TestMessageFormatsUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		service any
@@ -58,7 +58,7 @@
 }
 
 // Steps are sent as JSON, by these keys.
-func TestStepMessageStays(t *testing.T) {
+func TestStepMessageFormatUnchanged(t *testing.T) {
 	yes, no := true, false
 	step := world.Step{
 		At: time.Second, Event: 2, Changes: []discovery.Member{{ID: "x", State: "Gone"}}, Down: []int{1}, Silent: true, Up: []int{2}, Cold: true,
--- a/internal/scale/run/output_test.go
+++ b/internal/scale/run/output_test.go
@@ -11,8 +11,8 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// everything is a run that has all tables and all words of the text, and every key of the JSON.
-func everything() *result.Run {
+// fullRun is a run that has all tables and all words of the text, and every key of the JSON.
+func fullRun() *result.Run {
 	r := passingRun()
 	r.Simulated.CPUPercent = 2.5
 	r.LateNotifications, r.RestartsNotUp, r.ModelKeptTime, r.WallSeconds = 3, 1, false, 20.5
@@ -27,14 +27,14 @@
 }
 
 // Text and JSON of results are read by people and programs of other days: no word and no key of them changes.
-func TestPrintedStays(t *testing.T) {
-	over, held := everything(), evaluate(passingRun(), limits)
+func TestOutputUnchanged(t *testing.T) {
+	over, passing := fullRun(), evaluate(passingRun(), limits)
 	for _, c := range []struct {
 		file  string
 		write func(*bytes.Buffer) error
 	}{
 		{"over.txt", func(b *bytes.Buffer) error { return WriteText(b, over) }},
-		{"ok.txt", func(b *bytes.Buffer) error { return WriteText(b, held) }},
+		{"ok.txt", func(b *bytes.Buffer) error { return WriteText(b, passing) }},
 		{"over.json", func(b *bytes.Buffer) error {
 			text, err := json.MarshalIndent(over, "", "  ")
 			b.Write(append(text, '\n'))
@@ -59,7 +59,7 @@
 }
 
 // The names of budgets and ratios stand in last lines, in JSON and in the figures file.
-func TestNamesStay(t *testing.T) {
+func TestBudgetAndRatioNamesUnchanged(t *testing.T) {
 	var names []string
 	for _, b := range checkBudgets(limits, passingRun()) {
 		names = append(names, b.Name)
--- a/internal/scale/run/ratios.go
+++ b/internal/scale/run/ratios.go
@@ -19,9 +19,9 @@
 var ratioRules = []ratioRule{
 	{"bytes", 1.5, 0, nil, func(a result.AgentControl) float64 { return a.BytesIn.Mean + a.BytesOut.Mean },
 		"one client sends and reads both; only the reports' figures have other lengths, and real agents serve no modelled calls"},
-	{"list_in_force", 4, 50, anyListChange, func(a result.AgentControl) float64 { return a.ListAcknowledged.Mean },
+	{"list_in_force", 4, 50, hasListChanges, func(a result.AgentControl) float64 { return a.ListAcknowledged.Mean },
 		"both as control hears of it, in the mean; a change waits for an agent's turn, and few real ones stand at other turns; ms, below 50, the protocol's slack, as 50"},
-	{"config_in_force", 4, 100, anyConfig, func(a result.AgentControl) float64 { return a.ConfigInForce.P50 },
+	{"config_in_force", 4, 100, hasConfigs, func(a result.AgentControl) float64 { return a.ConfigInForce.P50 },
 		"real ones read a file after a signal and answer in their log, hollow ones parse the same bytes in turn; ms, below 100 as 100"},
 	{"cpu", 4, 0.2, nil, func(a result.AgentControl) float64 { return a.CPUPercent },
 		"a real one's wake-ups, system calls and collector are its own, hollow ones share theirs and the fixed cost of their process; % of a core, below 0.2 as 0.2"},
--- a/internal/scale/run/reachability.go
+++ b/internal/scale/run/reachability.go
@@ -24,15 +24,15 @@
 	return &reachability{outages: make([][]outage, agents), ongoing: make([][]int64, agents)}
 }
 
-// lose begins an outage for some agents.
-func (r *reachability) lose(agents []int, at time.Time) {
+// beginOutage begins an outage for some agents.
+func (r *reachability) beginOutage(agents []int, at time.Time) {
 	for _, a := range agents {
 		r.ongoing[a] = append(r.ongoing[a], at.UnixNano())
 	}
 }
 
-// regain ends the latest outage of each of some agents.
-func (r *reachability) regain(agents []int, at time.Time) {
+// endOutage ends the latest outage of each of some agents.
+func (r *reachability) endOutage(agents []int, at time.Time) {
 	for _, a := range agents {
 		last := len(r.ongoing[a]) - 1
 		if last < 0 {
@@ -45,17 +45,17 @@
 
 // reachableFrom is when an agent could first be notified of what was made at a time; never, where it could not be.
 func (r *reachability) reachableFrom(agent int, at int64) int64 {
-	for moved := true; moved; {
-		moved = false
+	for advanced := true; advanced; {
+		advanced = false
 		for _, o := range r.outages[agent] {
 			if o.from <= at && at < o.to {
 				at = o.to
-				moved = true
+				advanced = true
 			}
 		}
 	}
-	for _, began := range r.ongoing[agent] {
-		if began <= at {
+	for _, from := range r.ongoing[agent] {
+		if from <= at {
 			return never
 		}
 	}
@@ -64,8 +64,8 @@
 
 // delivery is when a change was made and when each agent had it, in Unix ns; 0: it had not.
 type delivery struct {
-	madeAt     int64
-	receivedAt []int64
+	publishedAt int64
+	receivedAt  []int64
 }
 
 // maxMillis bounds the times that are distinguished.
@@ -77,7 +77,7 @@
 	took := result.NewHistogram(maxMillis)
 	for _, c := range changes {
 		for _, a := range agents {
-			from := r.reachableFrom(a, c.madeAt)
+			from := r.reachableFrom(a, c.publishedAt)
 			received := timeAt(c.receivedAt, a)
 			switch {
 			case received != 0:
--- a/internal/scale/run/relays.go
+++ b/internal/scale/run/relays.go
@@ -75,7 +75,7 @@
 
 // startRelay starts or restarts one relay.
 func (r *runner) startRelay(ctx context.Context, relay *relayProcess) error {
-	process, err := r.startPart(ctx, role.Relay)
+	process, err := r.startProcess(ctx, role.Relay)
 	if err != nil {
 		return err
 	}
@@ -149,14 +149,14 @@
 			return err
 		}
 	}
-	return r.controlPart.Call(ctx, control.MethodPartition, fromControl, &struct{}{})
+	return r.controlProcess.Call(ctx, control.MethodPartition, fromControl, &struct{}{})
 }
 
 // collectControlSide asks control and the relays, and adds up what agents sent, received and acknowledged at any of them.
 // The machines come control first.
 func (r *runner) collectControlSide(ctx context.Context) (*control.StatsReply, []result.ControlMachine, error) {
 	var all control.StatsReply
-	if err := r.controlPart.Call(ctx, control.MethodStats, struct{}{}, &all); err != nil {
+	if err := r.controlProcess.Call(ctx, control.MethodStats, struct{}{}, &all); err != nil {
 		return &all, nil, err
 	}
 	machines := []result.ControlMachine{all.Machine}
@@ -190,11 +190,11 @@
 	if p.process == nil {
 		return incarnations, nil
 	}
-	present := relayCounts{startedAt: p.startedAt}
-	if err := p.process.Call(ctx, control.RelayMethodStats, struct{}{}, &present.stats); err != nil {
+	current := relayCounts{startedAt: p.startedAt}
+	if err := p.process.Call(ctx, control.RelayMethodStats, struct{}{}, &current.stats); err != nil {
 		return nil, err
 	}
-	return append(incarnations, present), nil
+	return append(incarnations, current), nil
 }
 
 // sumRelayCounts sums up the incarnations of a relay: counts add, rates are the largest.
--- a/internal/scale/run/run.go
+++ b/internal/scale/run/run.go
@@ -89,7 +89,7 @@
 	ctx, fail := context.WithCancelCause(ctx)
 	defer fail(nil)
 	r := &runner{scenario: s, options: o.withDefaults(), fail: fail, result: &result.Run{Scenario: s.Name, Sizes: sizesOf(s)}}
-	err := r.play(ctx)
+	err := r.execute(ctx)
 	if err != nil {
 		if cause := context.Cause(ctx); cause != nil {
 			err = cause // the call that it interrupted says less
@@ -135,9 +135,9 @@
 }
 
 // play plays all of the run. What it has collected before an error stays in the result.
-func (r *runner) play(ctx context.Context) error {
+func (r *runner) execute(ctx context.Context) error {
 	r.options.Progress("starts the parts")
-	if err := r.startParts(ctx); err != nil {
+	if err := r.startProcesses(ctx); err != nil {
 		return err
 	}
 	go r.watchProcesses(ctx) // ends with the context, which Run cancels
@@ -148,9 +148,9 @@
 	if err := r.beginMeasurement(ctx); err != nil {
 		return err
 	}
-	played := r.playSteps(ctx)
+	stepsErr := r.runSteps(ctx)
 	// An interrupted run reports as well, within a time of its own.
 	reportCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), endTimeout)
 	defer stop()
-	return errors.Join(played, r.collect(reportCtx))
+	return errors.Join(stepsErr, r.collect(reportCtx))
 }
--- a/internal/scale/run/runner.go
+++ b/internal/scale/run/runner.go
@@ -36,8 +36,8 @@
 
 	world              *world.World
 	echo               *realagent.EchoServers
-	controlPart        *role.Child
-	simulatedPart      *role.Child
+	controlProcess     *role.Child
+	simulatedProcess   *role.Child
 	realAgents         *realagent.Fleet
 	discoveryAddrs     []string // control's, by agent, and behind them by relay
 	relays             []*relayProcess
@@ -165,11 +165,11 @@
 	if r.realAgents != nil {
 		errs = append(errs, r.realAgents.Close())
 	}
-	children := []*role.Child{r.simulatedPart}
+	children := []*role.Child{r.simulatedProcess}
 	for _, relay := range r.relays {
 		children = append(children, relay.process)
 	}
-	children = append(children, r.controlPart)
+	children = append(children, r.controlProcess)
 	for _, child := range children {
 		if child != nil {
 			errs = append(errs, child.Close())
--- a/internal/scale/run/schedule.go
+++ b/internal/scale/run/schedule.go
@@ -15,14 +15,14 @@
 // secondsAfterEvent is how long behind an event bytes, lists and rejections still count as its own.
 const secondsAfterEvent = 6
 
-// partQueues are what the steps ask of the parts. A step is never waited for when the next is due.
-type partQueues struct{ control, simulated, real, source *taskQueue }
+// taskQueues are what the steps ask of the parts. A step is never waited for when the next is due.
+type taskQueues struct{ control, simulated, real, source *taskQueue }
 
-// newPartQueues starts a queue for each part. Names are printed in errors.
-func newPartQueues(ctx context.Context, steps int, length time.Duration) *partQueues {
+// newTaskQueues starts a queue for each part. Names are printed in errors.
+func newTaskQueues(ctx context.Context, steps int, length time.Duration) *taskQueues {
 	const tasksPerStep = 4
 	capacity := steps*tasksPerStep + 1
-	return &partQueues{
+	return &taskQueues{
 		control:   newTaskQueue(ctx, role.Control, capacity, taskTimeout),
 		simulated: newTaskQueue(ctx, role.SimulatedAgents, capacity, taskTimeout),
 		real:      newTaskQueue(ctx, "real agents", capacity, restartTimeout),
@@ -31,8 +31,8 @@
 	}
 }
 
-// playSteps plays the world's steps at their times until the measured part is over.
-func (r *runner) playSteps(ctx context.Context) error {
+// runSteps plays the world's steps at their times until the measured part is over.
+func (r *runner) runSteps(ctx context.Context) error {
 	steps := r.world.Steps(r.startedAt)
 	length := seconds(r.scenario.Seconds)
 	end := r.startedAt.Add(length)
@@ -41,7 +41,7 @@
 	r.options.Progress(fmt.Sprintf("plays %d steps in %g s", len(steps), r.scenario.Seconds))
 	queueCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	queues := newPartQueues(queueCtx, len(steps), length)
+	queues := newTaskQueues(queueCtx, len(steps), length)
 	for _, action := range r.schedule(queues, steps) {
 		due := r.startedAt.Add(action.at)
 		if due.After(end) {
@@ -80,7 +80,7 @@
 }
 
 // schedule lists the steps and, a while behind the last one of each event or at the run's end, the snapshots of counters.
-func (r *runner) schedule(queues *partQueues, steps []world.Step) (all []timedAction) {
+func (r *runner) schedule(queues *taskQueues, steps []world.Step) (all []timedAction) {
 	for _, step := range steps {
 		all = append(all, timedAction{step.At, func(due time.Time) { r.applyStep(queues, step, due) }})
 		if !step.Ends || step.Event < 0 {
@@ -109,7 +109,7 @@
 
 // drainQueues waits a little for what was begun. A rollout that is still on is no failure: its agents count as not having
 // the revision.
-func (r *runner) drainQueues(ctx context.Context, queues *partQueues) error {
+func (r *runner) drainQueues(ctx context.Context, queues *taskQueues) error {
 	ctx, stop := context.WithTimeout(ctx, taskTimeout)
 	defer stop()
 	err := errors.Join(queues.control.close(ctx), queues.simulated.close(ctx), queues.real.close(ctx))
--- a/internal/scale/run/start.go
+++ b/internal/scale/run/start.go
@@ -15,11 +15,11 @@
 	"example.org/ryeloft/internal/scale/simagent"
 )
 
-// startParts starts everything, in the order in which each needs the other. All agents start with the list, as the
+// startProcesses starts everything, in the order in which each needs the other. All agents start with the list, as the
 // platform hands it to agents that it starts one after another.
-func (r *runner) startParts(ctx context.Context) error {
+func (r *runner) startProcesses(ctx context.Context) error {
 	if r.scenario.Fleet.Real > 0 {
-		echo, err := realagent.Echo(echoServers)
+		echo, err := realagent.StartEchoServers(echoServers)
 		if err != nil {
 			return err
 		}
@@ -44,14 +44,14 @@
 	return r.startSimulatedAgents(ctx)
 }
 
-// startPart starts a part. An interrupt does not end it, as it has to report; close ends it.
-func (r *runner) startPart(ctx context.Context, name string) (*role.Child, error) {
+// startProcess starts a part. An interrupt does not end it, as it has to report; close ends it.
+func (r *runner) startProcess(ctx context.Context, name string) (*role.Child, error) {
 	return role.Start(context.WithoutCancel(ctx), name, r.options.Stderr)
 }
 
 // startControl starts control's stand-in, with an address for each agent and relay.
 func (r *runner) startControl(ctx context.Context) (err error) {
-	r.controlPart, err = r.startPart(ctx, role.Control)
+	r.controlProcess, err = r.startProcess(ctx, role.Control)
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 		if err != nil {
 			return err
 		}
-		err = r.controlPart.Call(ctx, control.MethodStart, args, &control.StartReply{})
+		err = r.controlProcess.Call(ctx, control.MethodStart, args, &control.StartReply{})
 		if err == nil {
 			break
 		}
@@ -99,7 +99,7 @@
 }
 
 func (r *runner) startSimulatedAgents(ctx context.Context) (err error) {
-	r.simulatedPart, err = r.startPart(ctx, role.SimulatedAgents)
+	r.simulatedProcess, err = r.startProcess(ctx, role.SimulatedAgents)
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	}
 	r.options.Progress(fmt.Sprintf("starts %d %s agents", len(r.simulatedPositions), role.SimulatedAgents))
 	var reply simagent.StartReply
-	if err := r.simulatedPart.Call(ctx, simagent.MethodStart, args, &reply); err != nil {
+	if err := r.simulatedProcess.Call(ctx, simagent.MethodStart, args, &reply); err != nil {
 		return err
 	}
 	r.options.Log.Info("simulated agents started", "agents", len(r.simulatedPositions), "ready", reply.Ready)
@@ -126,8 +126,8 @@
 	r.options.Progress(fmt.Sprintf("starts %d real agents", len(r.realPositions)))
 	// Once they are up the processes outlive ctx, as they have to report.
 	processCtx, kill := context.WithCancel(context.WithoutCancel(ctx))
-	up := context.AfterFunc(ctx, kill)
-	defer up()
+	cancelKill := context.AfterFunc(ctx, kill)
+	defer cancelKill()
 	r.realAgents, err = realagent.Start(processCtx, realagent.Options{
 		Config: r.world.Config, Agents: r.realPositions, Echo: r.echo.Addrs(), Program: r.options.AgentProgram,
 		Discovery: r.discoveryAddrs, Relays: r.relayAddrs(), CachedEndpoints: r.cachedEndpoints(false), Log: r.options.Log,
@@ -155,12 +155,12 @@
 	ctx, stop := context.WithTimeout(ctx, startTimeout)
 	defer stop()
 	var reply control.ChangeReply
-	if err := r.controlPart.Call(ctx, control.MethodChange, control.ChangeArgs{Members: r.currentList()[:1]}, &reply); err != nil {
+	if err := r.controlProcess.Call(ctx, control.MethodChange, control.ChangeArgs{Members: r.currentList()[:1]}, &reply); err != nil {
 		return err
 	}
 	r.revision = reply.Revision
-	look := time.NewTicker(100 * time.Millisecond)
-	defer look.Stop()
+	poll := time.NewTicker(100 * time.Millisecond)
+	defer poll.Stop()
 	for {
 		stats, _, err := r.collectControlSide(ctx)
 		if err != nil {
@@ -171,7 +171,7 @@
 			return nil
 		}
 		select {
-		case <-look.C:
+		case <-poll.C:
 		case <-ctx.Done():
 			cause := context.Cause(ctx)
 			if !errors.Is(cause, context.DeadlineExceeded) {
@@ -204,13 +204,13 @@
 
 // beginMeasurement begins the measured part everywhere.
 func (r *runner) beginMeasurement(ctx context.Context) error {
-	if err := r.controlPart.Call(ctx, control.MethodBegin, struct{}{}, &struct{}{}); err != nil {
+	if err := r.controlProcess.Call(ctx, control.MethodBegin, struct{}{}, &struct{}{}); err != nil {
 		return err
 	}
 	if err := r.beginRelayMeasurement(ctx); err != nil {
 		return err
 	}
-	if err := r.simulatedPart.Call(ctx, simagent.MethodBegin, struct{}{}, &struct{}{}); err != nil {
+	if err := r.simulatedProcess.Call(ctx, simagent.MethodBegin, struct{}{}, &struct{}{}); err != nil {
 		return err
 	}
 	if r.realAgents != nil {
--- a/internal/scale/run/steps.go
+++ b/internal/scale/run/steps.go
@@ -12,7 +12,7 @@
 )
 
 // applyStep hands a step to the queues of the parts that it concerns.
-func (r *runner) applyStep(queues *partQueues, step world.Step, due time.Time) {
+func (r *runner) applyStep(queues *taskQueues, step world.Step, due time.Time) {
 	r.options.Log.Info("scenario step", "at", step.At.Seconds(), "event", step.Event, "changes", len(step.Changes), "config", step.Config)
 	r.recordReachability(step)
 	if step.Begins && step.Event >= 0 {
@@ -63,16 +63,16 @@
 // setReachable begins or ends an outage of some agents. mu is held.
 func (r *runner) setReachable(reachable bool, agents []int, at time.Time) {
 	if reachable {
-		r.reachability.regain(agents, at)
+		r.reachability.endOutage(agents, at)
 	} else {
-		r.reachability.lose(agents, at)
+		r.reachability.beginOutage(agents, at)
 	}
 }
 
 // applyToControl plays a step's part for control and the relays: outages, and the list's changes.
 func (r *runner) applyToControl(ctx context.Context, step world.Step) error {
 	if step.ControlDown != nil {
-		if err := r.controlPart.Call(ctx, control.MethodDown, control.DownArgs{Down: *step.ControlDown}, &struct{}{}); err != nil {
+		if err := r.controlProcess.Call(ctx, control.MethodDown, control.DownArgs{Down: *step.ControlDown}, &struct{}{}); err != nil {
 			return err
 		}
 	}
@@ -96,7 +96,7 @@
 // partitionRegions partitions the regions from each other, or ends that.
 func (r *runner) partitionRegions(ctx context.Context, partitioned bool) error {
 	args := control.PartitionArgs{Agents: r.agentsOutsideControlRegion(), Partitioned: partitioned}
-	if err := r.controlPart.Call(ctx, control.MethodPartition, args, &struct{}{}); err != nil {
+	if err := r.controlProcess.Call(ctx, control.MethodPartition, args, &struct{}{}); err != nil {
 		return err
 	}
 	return r.partitionRelays(ctx, partitioned)
@@ -119,7 +119,7 @@
 
 // applyToSimulatedAgents plays a step's part for the simulated agents.
 func (r *runner) applyToSimulatedAgents(ctx context.Context, step world.Step) error {
-	if err := r.simulatedPart.Call(ctx, simagent.MethodStep, simagent.StepArgs{Step: step}, &struct{}{}); err != nil {
+	if err := r.simulatedProcess.Call(ctx, simagent.MethodStep, simagent.StepArgs{Step: step}, &struct{}{}); err != nil {
 		return err
 	}
 	if len(step.Restart) > 0 && len(step.Up) == 0 {
@@ -140,7 +140,7 @@
 // publishChange makes a revision of the list.
 func (r *runner) publishChange(ctx context.Context, event int, members []discovery.Member) error {
 	var reply control.ChangeReply
-	if err := r.controlPart.Call(ctx, control.MethodChange, control.ChangeArgs{Members: members}, &reply); err != nil {
+	if err := r.controlProcess.Call(ctx, control.MethodChange, control.ChangeArgs{Members: members}, &reply); err != nil {
 		return err
 	}
 	r.mu.Lock()
@@ -193,7 +193,7 @@
 	totalMillis := r.scenario.Control.PushMS * float64(len(r.world.Agents))
 	if n := len(r.simulatedPositions); n > 0 {
 		args := simagent.ConfigArgs{Revision: step.Config, PushMS: totalMillis / float64(n)}
-		if err := r.simulatedPart.Call(ctx, simagent.MethodConfigure, args, &struct{}{}); err != nil {
+		if err := r.simulatedProcess.Call(ctx, simagent.MethodConfigure, args, &struct{}{}); err != nil {
 			return err
 		}
 	}
--- a/internal/scale/run/steps_test.go
+++ b/internal/scale/run/steps_test.go
@@ -9,8 +9,8 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// newDrawnRunner is a play of a small fleet in which nothing was started.
-func newDrawnRunner(t *testing.T, events ...scenario.Event) *runner {
+// newRunnerWithWorld is a play of a small fleet in which nothing was started.
+func newRunnerWithWorld(t *testing.T, events ...scenario.Event) *runner {
 	t.Helper()
 	s, err := scenario.Load("../../../deploy/scale/small.toml")
 	if err != nil {
@@ -26,7 +26,7 @@
 }
 
 func TestCountAffected(t *testing.T) {
-	r := newDrawnRunner(t,
+	r := newRunnerWithWorld(t,
 		scenario.Event{Kind: "config", AtS: 1}, scenario.Event{Kind: "replace", AtS: 1, Count: 2}, scenario.Event{Kind: "restart", AtS: 1, Count: 7},
 		scenario.Event{Kind: "regions", AtS: 1, ForS: 1}, scenario.Event{Kind: "control-loss", AtS: 1, ForS: 1}, scenario.Event{Kind: "agents-back", AtS: 2},
 		scenario.Event{Kind: "machine", AtS: 1, ForS: 1, Count: 1}, scenario.Event{Kind: "fail", AtS: 1, ForS: 1},
@@ -39,8 +39,8 @@
 
 // TestSchedule holds what is counted behind an event to its time, and to the run's.
 func TestSchedule(t *testing.T) {
-	r := newDrawnRunner(t, scenario.Event{Kind: "control-loss", AtS: 1, ForS: 2}, scenario.Event{Kind: "control-loss", AtS: 12, ForS: 1})
-	all := r.schedule(&partQueues{}, r.world.Steps(r.startedAt))
+	r := newRunnerWithWorld(t, scenario.Event{Kind: "control-loss", AtS: 1, ForS: 2}, scenario.Event{Kind: "control-loss", AtS: 12, ForS: 1})
+	all := r.schedule(&taskQueues{}, r.world.Steps(r.startedAt))
 	var at []time.Duration
 	for _, m := range all {
 		at = append(at, m.at/time.Second)
@@ -59,7 +59,7 @@
 // TestRecordReachability checks from when agents can be notified of what was made while their machines were away, through a loss of control
 // that is over before they are back.
 func TestRecordReachability(t *testing.T) {
-	r := newDrawnRunner(t)
+	r := newRunnerWithWorld(t)
 	down, up, away := true, false, r.simulatedPositions[0]
 	server := r.world.Agents[away].Server
 	other := r.simulatedPositions[1]
--- a/internal/scale/run/taskqueue.go
+++ b/internal/scale/run/taskqueue.go
@@ -32,8 +32,8 @@
 
 // task is one thing to do, and when it was added.
 type task struct {
-	due time.Time
-	do  func(context.Context) error
+	addedAt time.Time
+	do      func(context.Context) error
 }
 
 // taskTiming is how long a task waited for those before it, and how long it took.
@@ -55,13 +55,13 @@
 }
 
 func (q *taskQueue) runTask(ctx context.Context, t task) {
-	begun := time.Now()
+	startedAt := time.Now()
 	ctx, stop := context.WithTimeout(ctx, q.limit)
 	defer stop()
 	err := t.do(ctx)
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.timings = append(q.timings, taskTiming{waited: max(0, begun.Sub(t.due)), took: time.Since(begun)})
+	q.timings = append(q.timings, taskTiming{waited: max(0, startedAt.Sub(t.addedAt)), took: time.Since(startedAt)})
 	if err != nil {
 		q.errs = append(q.errs, fmt.Errorf("%s: %w", q.name, err))
 	}
--- a/internal/scale/run/taskqueue_test.go
+++ b/internal/scale/run/taskqueue_test.go
@@ -36,13 +36,13 @@
 		if len(order) != 3 || order[0] != 1 || order[1] != 2 || order[2] != 4 {
 			t.Errorf("order %v", order)
 		}
-		if w := timingsOf(q); w[1].waited != 2*time.Second || w[3].waited != 6*time.Second || w[2].took != 3*time.Second {
+		if w := queueTimings(q); w[1].waited != 2*time.Second || w[3].waited != 6*time.Second || w[2].took != 3*time.Second {
 			t.Errorf("waits %v", w)
 		}
 	})
 }
 
-func TestTaskQueueLeavesWhatHangs(t *testing.T) {
+func TestTaskQueueCloseTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, stop := context.WithTimeout(t.Context(), time.Second)
 		defer stop()
@@ -59,8 +59,8 @@
 	})
 }
 
-// timingsOf are the timings of a queue so far.
-func timingsOf(q *taskQueue) []taskTiming {
+// queueTimings are the timings of a queue so far.
+func queueTimings(q *taskQueue) []taskTiming {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	return slices.Clone(q.timings)
--- a/internal/scale/run/verdict_test.go
+++ b/internal/scale/run/verdict_test.go
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestBudgetsLeftOut(t *testing.T) {
+func TestBudgetsWithoutLimitOmitted(t *testing.T) {
 	if got := checkBudgets(scenario.Budgets{AgentCPU: 1.6}, passingRun()); len(got) != 1 || got[0].Name != "agent_cpu" {
 		t.Errorf("with one limit: %+v", got)
 	}
--- a/internal/scale/run/watchdog.go
+++ b/internal/scale/run/watchdog.go
@@ -12,11 +12,11 @@
 // memoryCheckInterval is how often the memory of all processes is summed up.
 const memoryCheckInterval = 500 * time.Millisecond
 
-// PartDiedError is the end of a part in the middle of a run.
-type PartDiedError struct{ Part string }
+// ProcessDiedError is the end of a part in the middle of a run.
+type ProcessDiedError struct{ Role string }
 
 // Error implements error.
-func (e PartDiedError) Error() string { return fmt.Sprintf("the part %s died", e.Part) }
+func (e ProcessDiedError) Error() string { return fmt.Sprintf("the part %s died", e.Role) }
 
 // MemoryError is a run whose processes together hold more memory than they may.
 type MemoryError struct{ HeldBytes, LimitBytes int64 }
@@ -39,18 +39,18 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-r.controlPart.Done():
-			r.fail(PartDiedError{r.controlPart.Role})
+		case <-r.controlProcess.Done():
+			r.fail(ProcessDiedError{r.controlProcess.Role})
 			return
-		case <-r.simulatedPart.Done():
-			r.fail(PartDiedError{r.simulatedPart.Role})
+		case <-r.simulatedProcess.Done():
+			r.fail(ProcessDiedError{r.simulatedProcess.Role})
 			return
 		case <-realAgentDied:
 			r.fail(r.realAgents.Err())
 			return
 		case <-memoryCheck.C:
-			if held := procstat.TreeResidentBytes(os.Getpid()); held > maxMemoryBytes {
-				r.fail(MemoryError{HeldBytes: held, LimitBytes: maxMemoryBytes})
+			if resident := procstat.TreeResidentBytes(os.Getpid()); resident > maxMemoryBytes {
+				r.fail(MemoryError{HeldBytes: resident, LimitBytes: maxMemoryBytes})
 				return
 			}
 		}
--- a/internal/scale/run/windows_test.go
+++ b/internal/scale/run/windows_test.go
@@ -23,7 +23,7 @@
 	}
 }
 
-func TestServedAndRecovered(t *testing.T) {
+func TestServedPercentAndRecoveredAfter(t *testing.T) {
 	w := []result.Window{{Second: 0, Roots: 10, Served: 10}, {Second: 1, Roots: 10, Served: 2}, {Second: 2, Roots: 10, Served: 5}, {Second: 3, Roots: 10, Served: 9}}
 	if got := servedPercent(w, 1, 3); got != 35 {
 		t.Errorf("served %g %%, want 35", got)
