--- a/internal/scale/run/budgets.go
+++ b/internal/scale/run/budgets.go
@@ -8,25 +8,25 @@
 )
 
 const (
-	bytesPerKB = 1000    // in the operators' limits
+	bytesPerKB = 1000    // as in the operators' limits
 	bytesPerMB = 1 << 20 // of memory
 )
 
-// budgetLine is one budget: its name, its limit (0 leaves it out) and how it is read from a run. measure returns false
-// where the run has nothing to measure it by.
+// budgetLine is one budget: its name, its limit (0: no budget) and how it is measured from a run. measure returns false
+// if the run lacks the measurement.
 type budgetLine struct {
 	name, unit string
 	limit      func(scenario.Budgets) float64
-	applies    func(result.Sizes) bool // nil: each run can measure it
+	applies    func(result.Sizes) bool // nil: every run can measure it
 	measure    func(*result.Run) (v float64, ok bool)
 }
 
-// budgetLines are all budgets, in the order in which they are printed. An agent's cost is that of the more expensive sort,
-// simulated or real, so that a fault of the model, which the ratios show, passes no budget.
+// budgetLines lists all budgets in the order in which they are printed. An agent's cost is that of the more expensive
+// type, simulated or real, so that an error of the model, which the ratios show, cannot make a run pass a budget.
 var budgetLines = []budgetLine{
 	{"added_p99", "ms", func(b scenario.Budgets) float64 { return b.AddedP99MS }, hasRealAgents,
 		func(r *result.Run) (float64, bool) {
-			// Failed calls have no time: with more than one in a hundred, the 99th of the others is not the 99th.
+			// Failed calls have no latency: if more than 1% fail, the p99 of the others is not the p99 of all calls.
 			return r.Added.P99MS, r.Added.Through.N > 0 && r.Added.Failed*100 <= r.Added.CallsEach
 		}},
 	{"agent_cpu", "% of a core", func(b scenario.Budgets) float64 { return b.AgentCPU }, nil,
@@ -72,14 +72,15 @@
 func hasConfigs(s result.Sizes) bool     { return s.Configs > 0 }
 func hasFailures(s result.Sizes) bool    { return s.Failures > 0 && s.Agents > s.Real }
 
-// maxOverAgentTypes is the larger value of the two sorts of agents, false where neither is above 0: a cost of nothing was not measured.
+// maxOverAgentTypes returns the larger value of the two agent types. It returns false if neither is above 0, because a
+// cost of 0 means that it was not measured.
 func maxOverAgentTypes(r *result.Run, metric func(result.AgentControl) float64) (float64, bool) {
 	v := max(metric(r.Simulated), metric(r.Real))
 	return v, v > 0 && !math.IsInf(v, 0)
 }
 
-// inForceSeconds is the time until the last agent had a change, in seconds. It returns false where a change that was due had not
-// come to an agent when the run ended, or a sort of agents has had none.
+// inForceSeconds returns the longest time until a change was in force at an agent, in seconds. It returns false if a
+// change was undelivered when the run ended, or if agents of one type received none.
 func inForceSeconds(r *result.Run, metric func(result.AgentControl) result.Distribution) (float64, bool) {
 	ok := metric(r.Simulated).N+metric(r.Real).N > 0
 	for _, a := range []result.AgentControl{r.Simulated, r.Real} {
@@ -90,8 +91,8 @@
 	return max(metric(r.Simulated).Max, metric(r.Real).Max) / 1000, ok
 }
 
-// checkBudgets checks a run against the operators' limits. A budget that the run should have measured and did not is not
-// ok. One that nothing played could measure (no real agents, no change of the list) is left out.
+// checkBudgets checks a run against the operators' limits. A budget that the run should have measured but did not is
+// not OK. A budget that the scenario cannot measure, such as one without real agents or list changes, is omitted.
 func checkBudgets(limits scenario.Budgets, r *result.Run) []result.Budget {
 	var all []result.Budget
 	for _, line := range budgetLines {
--- a/internal/scale/run/collect.go
+++ b/internal/scale/run/collect.go
@@ -15,25 +15,26 @@
 	"example.org/ryeloft/internal/scale/simagent"
 )
 
-// defaultDeliveryTimeout is how long a change may take where the budgets do not say.
+// defaultDeliveryTimeout is the time within which a change must be delivered if the budgets set no limit.
 const defaultDeliveryTimeout = 6 * time.Second
 
-// secondsBeforeEvent is how many seconds before an event say what was served without it.
+// secondsBeforeEvent is the length of the baseline for the served share before an event.
 const secondsBeforeEvent = 5
 
-// measurements are what the parts reported at the end.
+// measurements holds the measurements that the processes reported at the end.
 type measurements struct {
-	control       control.StatsReply // with what agents sent and acknowledged at relays
+	control       control.StatsReply // includes bytes and acknowledgements at relays
 	machines      []result.ControlMachine
 	simulated     simagent.StatsReply
 	realAgents    realagent.Stats
-	lengthSeconds float64 // of the measured part
+	lengthSeconds float64 // of the measurement
 	sourceCPU     time.Duration
 }
 
-// collect asks every part for its measurements and makes the result of them. A part that does not answer is left out.
+// collect fetches the measurements of every process and fills in the result. A process that does not respond is
+// omitted.
 func (r *runner) collect(ctx context.Context) error {
-	r.options.Progress("gathers the figures")
+	r.options.Progress("collects the measurements")
 	m := &measurements{lengthSeconds: r.endedAt.Sub(r.startedAt).Seconds(), sourceCPU: ownCPU() - r.cpuAtStart}
 	if r.realAgents != nil {
 		m.realAgents = r.realAgents.Stats()
@@ -47,7 +48,7 @@
 	r.summarizeAgents(m)
 	r.summarizeControl(m)
 	r.result.Depths = m.simulated.Depths
-	// Calls that began in the last second have had no time to be served.
+	// Calls that started in the last second may not have had time to complete.
 	r.result.Windows = slices.DeleteFunc(m.simulated.Windows, func(w result.Window) bool {
 		return float64(w.Second) >= math.Ceil(m.lengthSeconds)-1
 	})
@@ -60,7 +61,7 @@
 	return errors.Join(controlErr, simulatedErr)
 }
 
-// deliveryTimeout is how long after a change an agent that has not had it counts as one that should have.
+// deliveryTimeout returns the time after which a change that an agent has not received counts as undelivered.
 func (r *runner) deliveryTimeout() time.Duration {
 	if r.scenario.Budgets.InForceS > 0 {
 		return seconds(r.scenario.Budgets.InForceS)
@@ -68,7 +69,7 @@
 	return defaultDeliveryTimeout
 }
 
-// summarizeAgents sums up what control cost the agents of both sorts.
+// summarizeAgents summarizes the cost of control for the agents of both types.
 func (r *runner) summarizeAgents(m *measurements) {
 	acknowledged, inForce := r.listDeliveries(m, anyEvent)
 	r.summarizeAgentType(&r.result.Simulated, r.simulatedPositions, m, acknowledged, inForce)
@@ -79,14 +80,14 @@
 	r.result.Real.RSSBytes = m.realAgents.RSSBytes
 }
 
-// summarizeAgentType sums up bytes and deliveries of the agents of one sort.
+// summarizeAgentType summarizes bytes and deliveries of the agents of one type.
 func (r *runner) summarizeAgentType(cost *result.AgentControl, agents []int, m *measurements, acknowledged, inForce []delivery) {
 	summarize := func(changes []delivery) (result.Distribution, int) {
 		return summarizeDeliveries(changes, agents, r.reachability, r.endedAt.UnixNano(), r.deliveryTimeout())
 	}
 	cost.Agents = len(agents)
 	wholeSeconds := max(1, int(m.lengthSeconds))
-	// What control sends is what agents receive.
+	// The bytes that control sends are the bytes that agents receive.
 	cost.BytesIn, cost.BytesOut, cost.Worst6s = rates(m.control.Out, m.control.In, agents, wholeSeconds)
 	var undeliveredLists, undeliveredConfigs int
 	cost.ListAcknowledged, _ = summarize(acknowledged)
@@ -95,11 +96,11 @@
 	cost.Undelivered = undeliveredLists + undeliveredConfigs
 }
 
-// anyEvent selects the changes of all events, and of none.
+// anyEvent selects the changes of all events and those without an event.
 const anyEvent = -1
 
-// listDeliveries are the changes of the list that an event made: as agents acknowledged them to control, and as they came
-// in force at the simulated agents by these themselves.
+// listDeliveries returns the deliveries of the list changes of an event: acknowledged by the time at which agents
+// acknowledged them to control, inForce by the time at which the simulated agents reported them in force.
 func (r *runner) listDeliveries(m *measurements, event int) (acknowledged, inForce []delivery) {
 	for _, c := range r.listChanges {
 		if event != anyEvent && c.event != event {
@@ -121,8 +122,8 @@
 	return acknowledged, inForce
 }
 
-// configDeliveries are the revisions of the configuration that an event made. Their time counts from when the source
-// should have begun to hand them out, as waiting for the rollout before is the source's fault.
+// configDeliveries returns the deliveries of the configuration revisions of an event. Their time counts from when the
+// source should have started the rollout, because waiting for the previous rollout is a cost of the source.
 func (r *runner) configDeliveries(m *measurements, event int) (all []delivery) {
 	for _, rollout := range r.configRollouts {
 		if event != anyEvent && rollout.event != event {
@@ -147,7 +148,7 @@
 	return all
 }
 
-// mergeDeliveries takes the simulated agents' own times in the place of control's.
+// mergeDeliveries returns acknowledged with the times of the simulated agents replaced by those of inForce.
 func mergeDeliveries(acknowledged, inForce []delivery, simulated []int) []delivery {
 	all := make([]delivery, len(acknowledged))
 	for i, d := range acknowledged {
@@ -161,17 +162,18 @@
 	return all
 }
 
-// summarizeControl lists control, its relays and the source of configuration.
+// summarizeControl adds control, its relays and the configuration source to the result.
 func (r *runner) summarizeControl(m *measurements) {
-	if len(m.machines) == 0 { // control did not answer
+	if len(m.machines) == 0 { // control did not respond
 		m.machines = []result.ControlMachine{{Role: "control", Name: "control"}}
 	}
 	r.result.Control = append(r.result.Control, m.machines...)
 	r.result.Control = append(r.result.Control, r.sourceMachine(m))
 }
 
-// sourceMachine is what handing out configurations took, by its stated cost. Processor time and memory are this process's,
-// which also calls the parts and plays the steps: more than the source's own.
+// sourceMachine returns the cost of distributing configurations, by its stated cost per agent. CPU time and memory are
+// those of this process, which also applies the steps and calls the other processes, so they overstate the source's
+// cost.
 func (r *runner) sourceMachine(m *measurements) result.ControlMachine {
 	machine := result.ControlMachine{Role: "source", Name: "source"}
 	if resident, err := procstat.ResidentBytes(os.Getpid()); err == nil {
@@ -187,13 +189,13 @@
 	for _, rollout := range r.configRollouts {
 		queue.AddDuration(rollout.startedAt.Sub(rollout.due))
 		for i := range r.world.Agents {
-			begun := rollout.startedAt.Sub(r.startedAt).Seconds() + float64(i)*perAgent
-			if begun >= m.lengthSeconds {
+			startSecond := rollout.startedAt.Sub(r.startedAt).Seconds() + float64(i)*perAgent
+			if startSecond >= m.lengthSeconds {
 				break
 			}
 			machine.Calls++
 			machine.BytesOut += int64(len(r.world.Settings(i, rollout.revision)))
-			addSpan(bins, begun, perAgent)
+			addSpan(bins, startSecond, perAgent)
 		}
 	}
 	for _, busy := range bins {
@@ -205,16 +207,16 @@
 	return machine
 }
 
-// addSpan adds a span of time to bins of a second; what is behind the last one is left out.
+// addSpan adds a time span, in seconds, to bins of one second each. Time after the last bin is ignored.
 func addSpan(bins []float64, from, length float64) {
 	for i := int(from); i < len(bins) && float64(i) < from+length; i++ {
 		bins[i] += min(from+length, float64(i+1)) - max(from, float64(i))
 	}
 }
 
-// maxQueuedRollouts is the most configurations that were due and not begun at once.
+// maxQueuedRollouts returns the maximum number of configurations that were due and not yet started at the same time.
 func (r *runner) maxQueuedRollouts() int {
-	most := 0
+	maxQueued := 0
 	for _, at := range r.configRollouts {
 		queued := 0
 		for _, other := range r.configRollouts {
@@ -222,12 +224,12 @@
 				queued++
 			}
 		}
-		most = max(most, queued)
+		maxQueued = max(maxQueued, queued)
 	}
-	return most
+	return maxQueued
 }
 
-// summarizeEvent sums up one event as it was played.
+// summarizeEvent summarizes the effects of one event.
 func (r *runner) summarizeEvent(i int, m *measurements) result.EventResult {
 	e := r.scenario.Events[i]
 	from := int(e.AtS)
@@ -254,7 +256,7 @@
 	return out
 }
 
-// ownCPU is the processor time that this process has used so far, or 0 where that cannot be read.
+// ownCPU returns the CPU time that this process has used, or 0 if it cannot be read.
 func ownCPU() time.Duration {
 	cpu, err := procstat.OwnCPU()
 	if err != nil {
--- a/internal/scale/run/messages_test.go
+++ b/internal/scale/run/messages_test.go
@@ -15,7 +15,7 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// Parts are called by these methods, and gob sends messages by the names of their fields.
+// TestMessageFormatsUnchanged guards the RPC methods and the field names of their messages, which gob encodes by name.
 func TestMessageFormatsUnchanged(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -52,12 +52,12 @@
 			got = append(got, m.Name+"("+fieldNames(m.Type.In(1))+") ("+fieldNames(m.Type.In(2).Elem())+")")
 		}
 		if !slices.Equal(got, c.want) {
-			t.Errorf("%s:\n%s\nwant\n%s", c.name, strings.Join(got, "\n"), strings.Join(c.want, "\n"))
+			t.Errorf("%s: got\n%s\nwant\n%s", c.name, strings.Join(got, "\n"), strings.Join(c.want, "\n"))
 		}
 	}
 }
 
-// Steps are sent as JSON, by these keys.
+// TestStepMessageFormatUnchanged guards the JSON keys by which steps are sent.
 func TestStepMessageFormatUnchanged(t *testing.T) {
 	yes, no := true, false
 	step := world.Step{
@@ -77,10 +77,10 @@
 		"Silent", "StartRelay", "Up",
 	}
 	if got := slices.Sorted(maps.Keys(keys)); !slices.Equal(got, want) {
-		t.Errorf("keys %q, want %q", got, want)
+		t.Errorf("got keys %q, want %q", got, want)
 	}
 	if string(keys["PartitionRegions"]) != "true" || string(keys["Fail"]) != "false" || string(keys["ControlDown"]) != "null" {
-		t.Errorf("%s", text)
+		t.Errorf("got %s, want PartitionRegions true, Fail false and ControlDown null", text)
 	}
 }
 
--- a/internal/scale/run/output_test.go
+++ b/internal/scale/run/output_test.go
@@ -11,7 +11,7 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// fullRun is a run that has all tables and all words of the text, and every key of the JSON.
+// fullRun returns a run whose text has every table and whose JSON has every key.
 func fullRun() *result.Run {
 	r := passingRun()
 	r.Simulated.CPUPercent = 2.5
@@ -26,7 +26,7 @@
 	return evaluate(r, limits)
 }
 
-// Text and JSON of results are read by people and programs of other days: no word and no key of them changes.
+// TestOutputUnchanged guards the text and the JSON keys of results, which later versions and other programs read.
 func TestOutputUnchanged(t *testing.T) {
 	over, passing := fullRun(), evaluate(passingRun(), limits)
 	for _, c := range []struct {
@@ -52,13 +52,14 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got.Bytes(), want) {
-				t.Errorf("printed:\n%s\nwant:\n%s", &got, want)
+				t.Errorf("got:\n%s\nwant:\n%s", &got, want)
 			}
 		})
 	}
 }
 
-// The names of budgets and ratios stand in last lines, in JSON and in the figures file.
+// TestBudgetAndRatioNamesUnchanged guards the names that appear in the last lines of runs, in JSON and in the figures
+// file.
 func TestBudgetAndRatioNamesUnchanged(t *testing.T) {
 	var names []string
 	for _, b := range checkBudgets(limits, passingRun()) {
@@ -66,16 +67,16 @@
 	}
 	want := []string{"added_p99", "agent_cpu", "agent_memory", "agent_bytes", "in_force_list", "in_force_config", "control_machines", "attempts_per_call"}
 	if !slices.Equal(names, want) {
-		t.Errorf("budgets %q, want %q", names, want)
+		t.Errorf("got budgets %q, want %q", names, want)
 	}
 	if got := checkBudgets(scenario.Budgets{}, passingRun()); got != nil {
-		t.Errorf("without limits: %+v", got)
+		t.Errorf("without limits: got budgets %+v, want none", got)
 	}
 	names = nil
 	for _, x := range compareRatios(passingRun()) {
 		names = append(names, x.Name)
 	}
 	if want := []string{"bytes", "list_in_force", "config_in_force", "cpu"}; !slices.Equal(names, want) {
-		t.Errorf("ratios %q, want %q", names, want)
+		t.Errorf("got ratios %q, want %q", names, want)
 	}
 }
--- a/internal/scale/run/ratios.go
+++ b/internal/scale/run/ratios.go
@@ -6,14 +6,14 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// ratioRule compares one measurement of the simulated agents with that of the real ones of the same run.
+// ratioRule compares a measurement of the simulated agents with that of the real agents of the same run.
 type ratioRule struct {
 	name    string
-	factor  float64                 // simulated over real may lie between 1/factor and factor
-	floor   float64                 // smaller values count as this: they show the clock and the scheduler, not the agent
-	applies func(result.Sizes) bool // nil: to each run
+	factor  float64                 // simulated/real must lie between 1/factor and factor
+	floor   float64                 // smaller values count as this, because clock and scheduler dominate them
+	applies func(result.Sizes) bool // nil: applies to every run
 	measure func(result.AgentControl) float64
-	reason  string // for the factor, as printed
+	reason  string // why the factor was chosen, as printed
 }
 
 var ratioRules = []ratioRule{
@@ -27,7 +27,8 @@
 		"a real one's wake-ups, system calls and collector are its own, hollow ones share theirs and the fixed cost of their process; % of a core, below 0.2 as 0.2"},
 }
 
-// compareRatios applies the rules to a run that has agents of both sorts. A measurement that one sort lacks is not ok.
+// compareRatios applies the rules to a run with agents of both types. A ratio for which one type lacks the measurement
+// is not OK.
 func compareRatios(r *result.Run) []result.Ratio {
 	if r.Simulated.Agents == 0 || r.Real.Agents == 0 {
 		return nil
@@ -47,7 +48,7 @@
 	return all
 }
 
-// ratioReason says why a ratio has its factor.
+// ratioReason returns why a ratio has its factor, or an empty string for an unknown name.
 func ratioReason(name string) string {
 	i := slices.IndexFunc(ratioRules, func(r ratioRule) bool { return r.name == name })
 	if i < 0 {
--- a/internal/scale/run/reachability.go
+++ b/internal/scale/run/reachability.go
@@ -7,31 +7,32 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// outage is a time, in Unix ns, in which an agent could not be notified: it was down or partitioned, or control was.
+// outage is a period, in Unix ns, in which an agent could not be notified because it or control was down or
+// partitioned.
 type outage struct{ from, to int64 }
 
-// never is the end of an outage that the run did not end.
+// never is the end of an outage that lasted until the end of the run.
 const never = int64(math.MaxInt64)
 
-// reachability keeps, by agent, when it could not be notified of anything. The time of a delivery counts from when the
-// agent could be notified: how long a partition lasts is the scenario's choice and no cost of a role.
+// reachability records the outages of each agent. The time of a delivery counts from when the agent could be notified,
+// because the length of a partition is set by the scenario and is not a cost of any process.
 type reachability struct {
 	outages [][]outage
-	ongoing [][]int64 // by agent, the beginnings of outages that last; outages may overlap
+	ongoing [][]int64 // by agent, the start times of ongoing outages; outages may overlap
 }
 
 func newReachability(agents int) *reachability {
 	return &reachability{outages: make([][]outage, agents), ongoing: make([][]int64, agents)}
 }
 
-// beginOutage begins an outage for some agents.
+// beginOutage begins an outage of the given agents.
 func (r *reachability) beginOutage(agents []int, at time.Time) {
 	for _, a := range agents {
 		r.ongoing[a] = append(r.ongoing[a], at.UnixNano())
 	}
 }
 
-// endOutage ends the latest outage of each of some agents.
+// endOutage ends the most recent ongoing outage of each given agent.
 func (r *reachability) endOutage(agents []int, at time.Time) {
 	for _, a := range agents {
 		last := len(r.ongoing[a]) - 1
@@ -43,7 +44,7 @@
 	}
 }
 
-// reachableFrom is when an agent could first be notified of what was made at a time; never, where it could not be.
+// reachableFrom returns the first time at or after at, in Unix ns, when the agent could be notified, or never.
 func (r *reachability) reachableFrom(agent int, at int64) int64 {
 	for advanced := true; advanced; {
 		advanced = false
@@ -62,17 +63,18 @@
 	return at
 }
 
-// delivery is when a change was made and when each agent had it, in Unix ns; 0: it had not.
+// delivery is when a change was published and when each agent received it, in Unix ns; 0: not received.
 type delivery struct {
 	publishedAt int64
 	receivedAt  []int64
 }
 
-// maxMillis bounds the times that are distinguished.
+// maxMillis is the upper bound of the histograms of times.
 const maxMillis = 1e6
 
-// summarizeDeliveries sums up when some agents had some changes, in ms. Undelivered are the pairs of an agent and a change
-// that had not come within the timeout, counted from when the agent could be notified, by the end of the run.
+// summarizeDeliveries returns the distribution of delivery times of the changes to the agents, in ms, counted from when
+// each agent was reachable. undelivered counts the pairs of agent and change for which the timeout passed before the
+// end of the run without a delivery.
 func summarizeDeliveries(changes []delivery, agents []int, r *reachability, end int64, timeout time.Duration) (d result.Distribution, undelivered int) {
 	took := result.NewHistogram(maxMillis)
 	for _, c := range changes {
@@ -90,7 +92,7 @@
 	return took.Distribution(), undelivered
 }
 
-// timeAt is the time of an agent, 0 where there is none.
+// timeAt returns the time of an agent, or 0 if it has none.
 func timeAt(all []int64, agent int) int64 {
 	if agent >= len(all) {
 		return 0
--- a/internal/scale/run/relays.go
+++ b/internal/scale/run/relays.go
@@ -15,16 +15,16 @@
 	"example.org/ryeloft/internal/scale/role"
 )
 
-// relayProcess is one relay of the run, with its present incarnation.
+// relayProcess is one relay of the run and its current incarnation.
 type relayProcess struct {
 	args      control.RelayArgs
 	region    int
-	process   *role.Child   // nil while it is killed
-	startedAt time.Time     // of what it counts now
-	earlier   []relayCounts // of incarnations that were killed
+	process   *role.Child   // nil after it was killed
+	startedAt time.Time     // of the current counts
+	earlier   []relayCounts // of killed incarnations
 }
 
-// relayCounts is what one incarnation of a relay has counted since a time.
+// relayCounts holds the counts of one incarnation of a relay since startedAt.
 type relayCounts struct {
 	startedAt time.Time
 	stats     control.RelayStats
@@ -32,15 +32,15 @@
 
 func relayName(k int) string { return fmt.Sprintf("relay%d", k+1) }
 
-// startRelays starts the relays, each at a machine and, as far as there are so many, in a region of its own. Each keeps
-// its list in a directory that a later incarnation finds again.
+// startRelays starts the relays, each on a separate machine, and distributes them over the regions in turn. Each stores
+// its list in a directory that later incarnations reuse.
 func (r *runner) startRelays(ctx context.Context) error {
 	if r.scenario.Relays.Count == 0 {
 		return nil
 	}
 	dir, err := os.MkdirTemp("", "scale-relays-")
 	if err != nil {
-		return fmt.Errorf("making the relays' directory: %w", err)
+		return fmt.Errorf("creating the relays' directory: %w", err)
 	}
 	r.relayDir = dir
 	agents := len(r.world.Agents)
@@ -57,7 +57,8 @@
 	return nil
 }
 
-// startRelayAtFreePort starts a relay for the first time, at the first of portAttempts ports that is free for all agents.
+// startRelayAtFreePort starts a relay for the first time. It tries up to portAttempts ports until one is free on all
+// addresses.
 func (r *runner) startRelayAtFreePort(ctx context.Context, relay *relayProcess, machine int) (err error) {
 	for attempt := range portAttempts {
 		relay.args.Addrs, err = controlAddrs(machine, len(r.world.Agents))
@@ -89,7 +90,7 @@
 	return nil
 }
 
-// killRelay ends a relay as the crash of its machine would, and keeps what it had counted.
+// killRelay kills a relay, as a crash of its machine would, and keeps its counts.
 func (r *runner) killRelay(ctx context.Context, relay *relayProcess) error {
 	var stats control.RelayStats
 	if err := relay.process.Call(ctx, control.RelayMethodStats, struct{}{}, &stats); err != nil {
@@ -103,7 +104,7 @@
 	return nil
 }
 
-// relayAddrs are the addresses of all relays, by agent; nil if there are none.
+// relayAddrs returns the addresses of all relays by agent, or nil if there are no relays.
 func (r *runner) relayAddrs() [][]string {
 	if len(r.relays) == 0 {
 		return nil
@@ -117,7 +118,7 @@
 	return all
 }
 
-// beginRelayMeasurement begins the measured part at the relays.
+// beginRelayMeasurement starts the measurement in the relays.
 func (r *runner) beginRelayMeasurement(ctx context.Context) error {
 	for _, relay := range r.relays {
 		if err := relay.process.Call(ctx, control.RelayMethodBegin, struct{}{}, &struct{}{}); err != nil {
@@ -128,8 +129,8 @@
 	return nil
 }
 
-// partitionRelays partitions regions, or ends that, as far as relays are concerned: agents and relays of one region reach
-// each other, and control is in region 0.
+// partitionRelays begins or ends a partition between the regions at the relays: agents and relays of the same region
+// reach each other, and control is in region 0.
 func (r *runner) partitionRelays(ctx context.Context, partitioned bool) error {
 	fromControl := control.PartitionArgs{Partitioned: partitioned}
 	for k, relay := range r.relays {
@@ -152,8 +153,8 @@
 	return r.controlProcess.Call(ctx, control.MethodPartition, fromControl, &struct{}{})
 }
 
-// collectControlSide asks control and the relays, and adds up what agents sent, received and acknowledged at any of them.
-// The machines come control first.
+// collectControlSide fetches the stats of control and the relays, and merges the bytes and acknowledgements of agents
+// at any of them. The first of the machines is control.
 func (r *runner) collectControlSide(ctx context.Context) (*control.StatsReply, []result.ControlMachine, error) {
 	var all control.StatsReply
 	if err := r.controlProcess.Call(ctx, control.MethodStats, struct{}{}, &all); err != nil {
@@ -161,7 +162,7 @@
 	}
 	machines := []result.ControlMachine{all.Machine}
 	agents := len(r.world.Agents)
-	if len(all.In) > agents { // those behind are the relays
+	if len(all.In) > agents { // the remaining ones are relays
 		all.In = all.In[:agents]
 		all.Out = all.Out[:agents]
 	}
@@ -184,7 +185,7 @@
 	return &all, machines, nil
 }
 
-// counts are those of all incarnations of a relay.
+// counts returns the counts of all incarnations of a relay.
 func (p *relayProcess) counts(ctx context.Context) ([]relayCounts, error) {
 	incarnations := slices.Clone(p.earlier)
 	if p.process == nil {
@@ -197,7 +198,7 @@
 	return append(incarnations, current), nil
 }
 
-// sumRelayCounts sums up the incarnations of a relay: counts add, rates are the largest.
+// sumRelayCounts sums the counts of a relay's incarnations. Rates and memory are the maximum over them.
 func sumRelayCounts(incarnations []relayCounts) (sum result.ControlMachine) {
 	for i, counts := range incarnations {
 		m := counts.stats.Machine
@@ -218,14 +219,15 @@
 	return sum
 }
 
-// addShifted adds bins by agent and second to others, so many seconds later. Agents that one of them lacks are left out.
-func addShifted(to, more [][]int64, seconds int) [][]int64 {
+// addShifted adds the bins of more, by agent and second, to those of to after the given delay in seconds. Agents that
+// are missing in either are ignored.
+func addShifted(to, more [][]int64, delay int) [][]int64 {
 	for agent := range to {
 		if agent >= len(more) {
 			break
 		}
 		for second, n := range more[agent] {
-			at := seconds + second
+			at := delay + second
 			if at >= len(to[agent]) {
 				if n == 0 {
 					continue
@@ -238,7 +240,7 @@
 	return to
 }
 
-// addAcknowledgements notes in changes what agents acknowledged elsewhere, where that was sooner.
+// addAcknowledgements updates changes with agents' acknowledgements at a relay where these are earlier.
 func addAcknowledgements(changes []control.ChangeNotification, byAgent [][]control.Acknowledgement) {
 	for _, c := range changes {
 		for agent, acknowledged := range byAgent {
--- a/internal/scale/run/run.go
+++ b/internal/scale/run/run.go
@@ -1,9 +1,10 @@
-// Package run plays a scenario whole: it starts the parts, plays the world's steps at their times, collects what each part
-// measured and checks it against the budgets.
+// Package run executes a scenario: it starts the processes, applies the world's steps at their times, collects the
+// measurements of each process and checks them against the budgets.
 //
-// A runner owns the state of one run. Its steps are handed to one task queue for each part, whose goroutines share the
-// state that the runner's mutex guards; drainQueues waits for them. The package never measures by itself what a part costs
-// but for the source of configuration, whose work it does.
+// A runner owns the state of one run. It adds the work of each step to one task queue per process or group of
+// processes. The queues' goroutines share the state that the runner's mutex guards; drainQueues waits for them.
+// Processes measure their own cost. The package itself measures only the cost of the configuration source, which runs
+// in this process.
 package run
 
 import (
@@ -19,15 +20,15 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// Options say how a scenario is played.
+// Options configures Run.
 type Options struct {
-	AgentProgram string // the real agents' program; not needed without real agents
+	AgentProgram string // path of the agent binary; not needed without real agents
 	Log          *slog.Logger
-	Progress     func(string) // is called with what goes on, for a person
-	Stderr       io.Writer    // of the parts
+	Progress     func(string) // is called with progress messages for the user
+	Stderr       io.Writer    // receives the standard error of the started processes
 }
 
-// withDefaults replaces what is not given by what discards.
+// withDefaults returns o with unset fields replaced by ones that discard their input.
 func (o Options) withDefaults() Options {
 	if o.Log == nil {
 		o.Log = slog.New(slog.DiscardHandler)
@@ -42,48 +43,50 @@
 }
 
 const (
-	// maxProcesses counts this program, the parts and the real agents.
+	// maxProcesses is the maximum number of processes, including this one and the real agents.
 	maxProcesses = 250
-	// maxMemoryBytes of all of them together.
+	// maxMemoryBytes is the maximum resident memory of all these processes together.
 	maxMemoryBytes = 10 << 30
-	// startTimeout is how long it may take until every agent has acknowledged the first revision.
+	// startTimeout bounds the time until every agent has acknowledged the first revision.
 	startTimeout = 3 * time.Minute
-	// addedLatencyTimeout is how long the calls that measure the added latency may take.
+	// addedLatencyTimeout bounds the measurement of the added latency.
 	addedLatencyTimeout = 2 * time.Minute
-	// endTimeout is how long the parts may take to report and to end.
+	// endTimeout bounds the time in which the processes report and end.
 	endTimeout = 30 * time.Second
-	// addedCallGap keeps the calls that measure the added latency apart: each is alone on its way.
+	// addedCallGap separates the calls that measure the added latency, so that they do not delay each other.
 	addedCallGap = 10 * time.Millisecond
-	// echoServers answer the real agents' calls.
+	// echoServers is the number of servers that respond to the real agents' calls.
 	echoServers = 4
 )
 
-// errRunTimeout ends a run that takes longer than the sum of what its phases may take.
-var errRunTimeout = errors.New("the run took longer than it may")
+// errRunTimeout is the cause of a run that exceeds runTimeout.
+var errRunTimeout = errors.New("the run exceeded its time limit")
 
-// Build builds the real agents' program out of the repository at root into the directory dir.
+// Build builds the agent binary from the repository at root into the directory dir and returns its path.
 func Build(ctx context.Context, root, dir string) (bin string, err error) {
 	return realagent.Build(ctx, root, dir)
 }
 
-// Check reports what of a scenario cannot be played on one machine, beyond what its own checks do, and names the field.
+// Check returns an error if the scenario cannot run on one machine. It complements the scenario's own validation. The
+// error names the field.
 func Check(s *scenario.Scenario) error {
 	if n := s.Fleet.Real + s.Relays.Count + fixedProcesses; n > maxProcesses {
-		return fmt.Errorf("fleet.real: %d real agents make %d processes with the parts, there may be %d", s.Fleet.Real, n, maxProcesses)
+		return fmt.Errorf("fleet.real: with %d real agents the run has %d processes, the maximum is %d", s.Fleet.Real, n, maxProcesses)
 	}
 	if s.Fleet.Real > s.Agents() {
-		return fmt.Errorf("fleet.real: %d of %d agents", s.Fleet.Real, s.Agents())
+		return fmt.Errorf("fleet.real: %d real agents, but the fleet has only %d agents", s.Fleet.Real, s.Agents())
 	}
 	return nil
 }
 
-// Run plays a scenario. When it is interrupted, a part dies or memory runs out, it returns what there is, marked
-// Incomplete, along with the cause; the result is nil only where nothing was started. All processes have ended then.
+// Run executes a scenario. If the run is interrupted, a process dies or memory runs out, Run returns the partial
+// result, marked Incomplete, and the cause. The result is nil only if nothing was started. All processes have ended
+// when Run returns.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*result.Run, error) {
 	if err := Check(s); err != nil {
 		return nil, err
 	}
-	begun := time.Now()
+	startedAt := time.Now()
 	ctx, stop := context.WithTimeoutCause(ctx, runTimeout(s), errRunTimeout)
 	defer stop()
 	ctx, fail := context.WithCancelCause(ctx)
@@ -92,7 +95,7 @@
 	err := r.execute(ctx)
 	if err != nil {
 		if cause := context.Cause(ctx); cause != nil {
-			err = cause // the call that it interrupted says less
+			err = cause // more specific than the error of the interrupted call
 		}
 		r.options.Log.Error("scale run failed", "error", err)
 		r.result.Incomplete = truncated(err)
@@ -103,14 +106,15 @@
 	}
 	r.result.Budgets = checkBudgets(s.Budgets, r.result)
 	r.result.Ratios = compareRatios(r.result)
-	r.result.WallSeconds = time.Since(begun).Seconds()
+	r.result.WallSeconds = time.Since(startedAt).Seconds()
 	if err != nil {
 		err = fmt.Errorf("the run failed: %s", r.result.Incomplete)
 	}
 	return r.result, err
 }
 
-// truncated is an error's text without most of what agents' logs add to it; the log has all of it.
+// truncated returns the start of an error's text, which can include many lines of agents' logs. The log has the full
+// text.
 func truncated(err error) string {
 	const maxBytes = 1000
 	text := err.Error()
@@ -120,7 +124,7 @@
 	return text
 }
 
-// runTimeout is how long a whole run may take.
+// runTimeout returns the time limit of a whole run, the sum of the limits of its phases.
 func runTimeout(s *scenario.Scenario) time.Duration {
 	return startTimeout + addedLatencyTimeout + seconds(s.Seconds) + endTimeout
 }
@@ -134,9 +138,9 @@
 	}
 }
 
-// play plays all of the run. What it has collected before an error stays in the result.
+// execute performs the run. After an error, the result keeps the measurements collected until then.
 func (r *runner) execute(ctx context.Context) error {
-	r.options.Progress("starts the parts")
+	r.options.Progress("starts the processes")
 	if err := r.startProcesses(ctx); err != nil {
 		return err
 	}
@@ -149,7 +153,7 @@
 		return err
 	}
 	stepsErr := r.runSteps(ctx)
-	// An interrupted run reports as well, within a time of its own.
+	// An interrupted run is also reported, with a separate timeout.
 	reportCtx, stop := context.WithTimeout(context.WithoutCancel(ctx), endTimeout)
 	defer stop()
 	return errors.Join(stepsErr, r.collect(reportCtx))
--- a/internal/scale/run/runner.go
+++ b/internal/scale/run/runner.go
@@ -18,20 +18,21 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// fixedProcesses are the processes of a run beside real agents and relays: this one, control and the simulated agents.
+// fixedProcesses is the number of processes of a run other than real agents and relays: this one, control and the
+// simulated agents.
 const fixedProcesses = 3
 
-// firstRevision is the list's that control begins with.
+// firstRevision is the revision of the list with which control starts.
 const firstRevision = 1
 
-// stateGone is the state of a member that leaves the list.
+// stateGone is the state of a member that is removed from the list.
 const stateGone = "Gone"
 
-// runner is one run as it goes on. Fields above mu are set before the steps begin, or used by one goroutine only.
+// runner is the state of one run. Fields above mu are set before the steps begin, or used by only one goroutine.
 type runner struct {
 	scenario *scenario.Scenario
 	options  Options
-	fail     context.CancelCauseFunc // ends the run, for a reason
+	fail     context.CancelCauseFunc // ends the run with a cause
 	result   *result.Run
 
 	world              *world.World
@@ -39,20 +40,20 @@
 	controlProcess     *role.Child
 	simulatedProcess   *role.Child
 	realAgents         *realagent.Fleet
-	discoveryAddrs     []string // control's, by agent, and behind them by relay
+	discoveryAddrs     []string // of control, by agent, followed by those for the relays
 	relays             []*relayProcess
-	realPositions      []int // agents of the world, by sort
+	realPositions      []int // of the agents in the world
 	simulatedPositions []int
-	relayDir           string // of the relays' lists; empty: there are no relays
+	relayDir           string // stores the relays' lists; empty: there are no relays
 
-	startedAt       time.Time // of the measured part
+	startedAt       time.Time // of the measurement
 	endedAt         time.Time
-	cpuAtStart      time.Duration // processor time of this process
+	cpuAtStart      time.Duration // CPU time of this process at startedAt
 	affectedByEvent map[int]int
 
-	mu                 sync.Mutex // guards what follows and, of the result, what steps count
+	mu                 sync.Mutex // guards the fields below and the result's fields that steps update
 	reachability       *reachability
-	unreachableServers []int // whose machines are away
+	unreachableServers []int // on failed machines
 	members            map[string]discovery.Member
 	revision           uint64
 	listChanges        []listChange
@@ -60,28 +61,28 @@
 	configRollouts     []configRollout
 }
 
-// listChange is a revision of the list that a step made.
+// listChange is a revision of the list published by a step.
 type listChange struct {
 	revision uint64
 	event    int // -1: none
 }
 
-// countersSnapshot is what the control side had counted when an event began, or a while after it.
+// countersSnapshot holds the counters of control and relays when an event began, or secondsAfterEvent after it ended.
 type countersSnapshot struct {
 	event               int
 	atEnd               bool
 	fullLists, rejected int64
 }
 
-// configRollout is one configuration that the source handed out.
+// configRollout is one configuration that the source distributed.
 type configRollout struct {
 	revision  int
 	event     int
-	due       time.Time // when the source should have begun
+	due       time.Time // when the source should have started
 	startedAt time.Time
 }
 
-// drawWorld draws the scenario's world and its first list.
+// drawWorld generates the scenario's world and its first list from the seed.
 func (r *runner) drawWorld() error {
 	w, err := world.Generate(r.scenario)
 	if err != nil {
@@ -107,7 +108,7 @@
 	return nil
 }
 
-// currentList is the list of the moment, by id. mu is held, or the steps have not begun.
+// currentList returns the current list, sorted by ID. Callers must hold mu, unless the steps have not begun.
 func (r *runner) currentList() []discovery.Member {
 	var all []discovery.Member
 	for _, m := range r.members {
@@ -117,7 +118,7 @@
 	return all
 }
 
-// applyMember takes a change of one member into the list of the moment. mu is held.
+// applyMember applies the change of one member to the current list. Callers must hold mu.
 func (r *runner) applyMember(m discovery.Member) {
 	if m.State == stateGone {
 		delete(r.members, m.ID)
@@ -126,7 +127,7 @@
 	}
 }
 
-// cachedEndpoints is the list that restarted agents are given, in discovery's form; nil if they are to forget it.
+// cachedEndpoints returns the list that restarted agents get, in discovery's format, or nil if they start without one.
 func (r *runner) cachedEndpoints(forget bool) []byte {
 	if forget {
 		return nil
@@ -136,7 +137,7 @@
 	return lists.Encode(r.revision, true, r.currentList())
 }
 
-// agentsOutsideControlRegion are the agents that a partition of the regions cuts off from control.
+// agentsOutsideControlRegion returns the agents that a partition of the regions separates from control.
 func (r *runner) agentsOutsideControlRegion() (agents []int) {
 	for i, a := range r.world.Agents {
 		if r.world.Servers[a.Server].Region != 0 {
@@ -146,7 +147,7 @@
 	return agents
 }
 
-// simulatedBeside are the simulated agents beside some servers.
+// simulatedBeside returns the simulated agents on the same machines as the given servers.
 func (r *runner) simulatedBeside(servers []int) (agents []int) {
 	for _, a := range r.simulatedPositions {
 		if slices.Contains(servers, r.world.Agents[a].Server) {
@@ -156,10 +157,10 @@
 	return agents
 }
 
-// allAgents are the positions of all agents, simulated ones first.
+// allAgents returns the positions of all agents, simulated ones first.
 func (r *runner) allAgents() []int { return slices.Concat(r.simulatedPositions, r.realPositions) }
 
-// close ends all processes.
+// close ends all processes and removes the relays' directory.
 func (r *runner) close() error {
 	var errs []error
 	if r.realAgents != nil {
--- a/internal/scale/run/schedule.go
+++ b/internal/scale/run/schedule.go
@@ -12,13 +12,14 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// secondsAfterEvent is how long behind an event bytes, lists and rejections still count as its own.
+// secondsAfterEvent is how long after an event bytes, lists and rejections are still attributed to it.
 const secondsAfterEvent = 6
 
-// taskQueues are what the steps ask of the parts. A step is never waited for when the next is due.
+// taskQueues holds the tasks of the steps, one queue per group of processes. No step waits for an earlier one to
+// finish.
 type taskQueues struct{ control, simulated, real, source *taskQueue }
 
-// newTaskQueues starts a queue for each part. Names are printed in errors.
+// newTaskQueues starts the queues. Their names appear in errors.
 func newTaskQueues(ctx context.Context, steps int, length time.Duration) *taskQueues {
 	const tasksPerStep = 4
 	capacity := steps*tasksPerStep + 1
@@ -26,12 +27,12 @@
 		control:   newTaskQueue(ctx, role.Control, capacity, taskTimeout),
 		simulated: newTaskQueue(ctx, role.SimulatedAgents, capacity, taskTimeout),
 		real:      newTaskQueue(ctx, "real agents", capacity, restartTimeout),
-		// A rollout takes as long as it takes; what is left at the end counts as undelivered.
+		// A rollout may take as long as the run; what remains at the end counts as undelivered.
 		source: newTaskQueue(ctx, "source", capacity, length),
 	}
 }
 
-// runSteps plays the world's steps at their times until the measured part is over.
+// runSteps applies the world's steps at their times and waits until the measurement ends.
 func (r *runner) runSteps(ctx context.Context) error {
 	steps := r.world.Steps(r.startedAt)
 	length := seconds(r.scenario.Seconds)
@@ -57,7 +58,7 @@
 	return errors.Join(err, r.drainQueues(ctx, queues))
 }
 
-// countSteps counts, in the result, what is played.
+// countSteps counts the changes and failures of the steps in the result's sizes.
 func (r *runner) countSteps(steps []world.Step) {
 	sizes := &r.result.Sizes
 	for _, step := range steps {
@@ -73,13 +74,14 @@
 	}
 }
 
-// timedAction is something to do at a time of the measured part.
+// timedAction is an action and its time since the start of the measurement.
 type timedAction struct {
 	at time.Duration
 	do func(due time.Time)
 }
 
-// schedule lists the steps and, a while behind the last one of each event or at the run's end, the snapshots of counters.
+// schedule returns the actions of the run by time: all steps, and a snapshot of the counters secondsAfterEvent after
+// the last step of each event, or at the end of the run if that is earlier.
 func (r *runner) schedule(queues *taskQueues, steps []world.Step) (all []timedAction) {
 	for _, step := range steps {
 		all = append(all, timedAction{step.At, func(due time.Time) { r.applyStep(queues, step, due) }})
@@ -95,7 +97,7 @@
 	return all
 }
 
-// waitUntil waits until a time or the end of the context.
+// waitUntil waits until t, or returns the context's cause if ctx ends first.
 func waitUntil(ctx context.Context, t time.Time) error {
 	timer := time.NewTimer(time.Until(t))
 	defer timer.Stop()
@@ -107,8 +109,8 @@
 	}
 }
 
-// drainQueues waits a little for what was begun. A rollout that is still on is no failure: its agents count as not having
-// the revision.
+// drainQueues waits up to taskTimeout for the remaining tasks. A rollout that is still in progress is not an error: its
+// remaining agents count as not having the revision.
 func (r *runner) drainQueues(ctx context.Context, queues *taskQueues) error {
 	ctx, stop := context.WithTimeout(ctx, taskTimeout)
 	defer stop()
@@ -123,7 +125,7 @@
 	return errors.Join(err, sourceErr)
 }
 
-// countAffected counts, by event, what it affects: servers where their processes end, agents otherwise.
+// countAffected returns how many servers each event affects, or agents if it affects no servers.
 func (r *runner) countAffected(steps []world.Step) map[int]int {
 	servers := map[int]map[int]bool{}
 	agents := map[int]map[int]bool{}
--- a/internal/scale/run/start.go
+++ b/internal/scale/run/start.go
@@ -15,8 +15,8 @@
 	"example.org/ryeloft/internal/scale/simagent"
 )
 
-// startProcesses starts everything, in the order in which each needs the other. All agents start with the list, as the
-// platform hands it to agents that it starts one after another.
+// startProcesses starts all processes in the order of their dependencies. All agents start with the list, because the
+// platform gives it to the agents that it starts one after another.
 func (r *runner) startProcesses(ctx context.Context) error {
 	if r.scenario.Fleet.Real > 0 {
 		echo, err := realagent.StartEchoServers(echoServers)
@@ -34,7 +34,7 @@
 	if err := r.startRelays(ctx); err != nil {
 		return err
 	}
-	// The added latency is measured before the simulated agents are there, as these would compete for the same cores.
+	// The added latency is measured before the simulated agents start, as they would compete for the same cores.
 	if err := r.startRealAgents(ctx); err != nil {
 		return err
 	}
@@ -44,12 +44,13 @@
 	return r.startSimulatedAgents(ctx)
 }
 
-// startProcess starts a part. An interrupt does not end it, as it has to report; close ends it.
+// startProcess starts a process with the given role. An interrupt does not end it, because it must still report; close
+// ends it.
 func (r *runner) startProcess(ctx context.Context, name string) (*role.Child, error) {
 	return role.Start(context.WithoutCancel(ctx), name, r.options.Stderr)
 }
 
-// startControl starts control's stand-in, with an address for each agent and relay.
+// startControl starts the stand-in for control, with a separate address for each agent and relay.
 func (r *runner) startControl(ctx context.Context) (err error) {
 	r.controlProcess, err = r.startProcess(ctx, role.Control)
 	if err != nil {
@@ -62,7 +63,7 @@
 	for k := range r.scenario.Relays.Count {
 		args.Agents = append(args.Agents, relayName(k))
 	}
-	// A port that is free at the first address may be taken at another, or be taken meanwhile.
+	// A port that is free on the first address may be in use on another one, or another process may take it first.
 	for attempt := range portAttempts {
 		args.Addrs, err = controlAddrs(0, len(args.Agents))
 		if err != nil {
@@ -78,11 +79,11 @@
 	return err
 }
 
-// portAttempts are how many ports are tried for a machine of the control side.
+// portAttempts is how many ports are tried for control or a relay.
 const portAttempts = 3
 
-// controlAddrs are where a machine of the control side listens, by agent: each agent has an address of its own, by which
-// the machine can tell who calls, at one port that is free now.
+// controlAddrs returns the addresses on which control or a relay listens, by agent. Each agent has a separate address,
+// which identifies it, and all addresses share one port that is currently free.
 func controlAddrs(machine, agents int) ([]string, error) {
 	host := func(agent int) string { return fmt.Sprintf("127.%d.%d.%d", 64+machine, agent/250, agent%250+1) }
 	l, err := net.Listen("tcp4", host(0)+":0")
@@ -124,7 +125,7 @@
 		return nil
 	}
 	r.options.Progress(fmt.Sprintf("starts %d real agents", len(r.realPositions)))
-	// Once they are up the processes outlive ctx, as they have to report.
+	// Once they are up, the processes outlive ctx, because they must still report.
 	processCtx, kill := context.WithCancel(context.WithoutCancel(ctx))
 	cancelKill := context.AfterFunc(ctx, kill)
 	defer cancelKill()
@@ -135,14 +136,14 @@
 	return err
 }
 
-// measureAddedLatency measures what real agents add to a call while only control, the relays and the real agents run and
-// nothing changes.
+// measureAddedLatency measures the latency that real agents add to a call, while only control, the relays and the real
+// agents run and nothing changes.
 func (r *runner) measureAddedLatency(ctx context.Context) error {
 	samples := r.scenario.Budgets.AddedSamples
 	if r.realAgents == nil || samples == 0 {
 		return nil
 	}
-	r.options.Progress(fmt.Sprintf("measures the time added, %d calls each way", samples))
+	r.options.Progress(fmt.Sprintf("measures the added latency, %d calls each way", samples))
 	ctx, stop := context.WithTimeout(ctx, addedLatencyTimeout)
 	defer stop()
 	added, err := r.realAgents.MeasureAdded(ctx, samples, addedCallGap)
@@ -150,7 +151,7 @@
 	return err
 }
 
-// awaitFirstList waits until every agent has acknowledged a revision, which is made for that and changes nothing.
+// awaitFirstList publishes a revision without changes and waits until every agent has acknowledged it.
 func (r *runner) awaitFirstList(ctx context.Context) error {
 	ctx, stop := context.WithTimeout(ctx, startTimeout)
 	defer stop()
@@ -183,7 +184,7 @@
 	}
 }
 
-// agentsWithoutFirstList names the agents that have not acknowledged the revision that awaitFirstList makes.
+// agentsWithoutFirstList returns the names of the agents that have not acknowledged the revision of awaitFirstList.
 func (r *runner) agentsWithoutFirstList(stats *control.StatsReply) (names []string) {
 	for i, a := range r.world.Agents {
 		if len(stats.Changes) == 0 || timeAt(stats.Changes[0].AcknowledgedAt, i) == 0 {
@@ -193,7 +194,7 @@
 	return names
 }
 
-// firstNames lists the first of many names.
+// firstNames joins the first names of a list that may be long.
 func firstNames(names []string) string {
 	const maxNames = 8
 	if len(names) > maxNames {
@@ -202,7 +203,7 @@
 	return strings.Join(names, ", ")
 }
 
-// beginMeasurement begins the measured part everywhere.
+// beginMeasurement starts the measurement in all processes.
 func (r *runner) beginMeasurement(ctx context.Context) error {
 	if err := r.controlProcess.Call(ctx, control.MethodBegin, struct{}{}, &struct{}{}); err != nil {
 		return err
--- a/internal/scale/run/steps.go
+++ b/internal/scale/run/steps.go
@@ -11,7 +11,7 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// applyStep hands a step to the queues of the parts that it concerns.
+// applyStep adds the tasks of a step to the queues of the processes that it affects.
 func (r *runner) applyStep(queues *taskQueues, step world.Step, due time.Time) {
 	r.options.Log.Info("scenario step", "at", step.At.Seconds(), "event", step.Event, "changes", len(step.Changes), "config", step.Config)
 	r.recordReachability(step)
@@ -35,7 +35,8 @@
 	return step.ControlDown != nil || step.PartitionRegions != nil || step.KillRelay || step.StartRelay || len(step.Changes) > 0
 }
 
-// recordReachability records which agents cannot be notified from a step on. Real agents stay up when a machine fails.
+// recordReachability records which agents become unreachable or reachable with a step. Real agents stay up when a
+// machine fails.
 func (r *runner) recordReachability(step world.Step) {
 	now := time.Now()
 	r.mu.Lock()
@@ -50,17 +51,17 @@
 		r.setReachable(false, r.simulatedBeside(step.Down), now)
 		r.unreachableServers = append(r.unreachableServers, step.Down...)
 	}
-	var back []int
+	var recovered []int
 	for _, i := range step.Up {
 		if slices.Contains(r.unreachableServers, i) {
-			back = append(back, i)
+			recovered = append(recovered, i)
 		}
 	}
-	r.unreachableServers = slices.DeleteFunc(r.unreachableServers, func(i int) bool { return slices.Contains(back, i) })
-	r.setReachable(true, r.simulatedBeside(back), now)
+	r.unreachableServers = slices.DeleteFunc(r.unreachableServers, func(i int) bool { return slices.Contains(recovered, i) })
+	r.setReachable(true, r.simulatedBeside(recovered), now)
 }
 
-// setReachable begins or ends an outage of some agents. mu is held.
+// setReachable begins or ends an outage of the given agents. Callers must hold mu.
 func (r *runner) setReachable(reachable bool, agents []int, at time.Time) {
 	if reachable {
 		r.reachability.endOutage(agents, at)
@@ -69,7 +70,7 @@
 	}
 }
 
-// applyToControl plays a step's part for control and the relays: outages, and the list's changes.
+// applyToControl applies a step's outages and list changes to control and the relays.
 func (r *runner) applyToControl(ctx context.Context, step world.Step) error {
 	if step.ControlDown != nil {
 		if err := r.controlProcess.Call(ctx, control.MethodDown, control.DownArgs{Down: *step.ControlDown}, &struct{}{}); err != nil {
@@ -93,7 +94,7 @@
 	return r.publishChange(ctx, step.Event, step.Changes)
 }
 
-// partitionRegions partitions the regions from each other, or ends that.
+// partitionRegions begins or ends a partition between the regions.
 func (r *runner) partitionRegions(ctx context.Context, partitioned bool) error {
 	args := control.PartitionArgs{Agents: r.agentsOutsideControlRegion(), Partitioned: partitioned}
 	if err := r.controlProcess.Call(ctx, control.MethodPartition, args, &struct{}{}); err != nil {
@@ -102,7 +103,7 @@
 	return r.partitionRelays(ctx, partitioned)
 }
 
-// applyToFirstRelay kills or restarts the first relay, if the step says so and there is one.
+// applyToFirstRelay kills or restarts the first relay, if the step requests it and the run has relays.
 func (r *runner) applyToFirstRelay(ctx context.Context, step world.Step) error {
 	if len(r.relays) == 0 {
 		return nil
@@ -117,7 +118,7 @@
 	return nil
 }
 
-// applyToSimulatedAgents plays a step's part for the simulated agents.
+// applyToSimulatedAgents applies a step to the simulated agents.
 func (r *runner) applyToSimulatedAgents(ctx context.Context, step world.Step) error {
 	if err := r.simulatedProcess.Call(ctx, simagent.MethodStep, simagent.StepArgs{Step: step}, &struct{}{}); err != nil {
 		return err
@@ -128,16 +129,16 @@
 	return nil
 }
 
-// publishMarker makes a revision that repeats one line of the list. When it comes to an agent, that has the list again
-// after an event that does not change the list itself, such as a restart or a loss of control.
+// publishMarker publishes a revision that repeats one member of the list. An agent that acknowledges it has recovered
+// from an event that does not change the list itself, such as a restart or a loss of control.
 func (r *runner) publishMarker(ctx context.Context, event int) error {
 	r.mu.Lock()
-	line := r.currentList()[:1]
+	member := r.currentList()[:1]
 	r.mu.Unlock()
-	return r.publishChange(ctx, event, line)
+	return r.publishChange(ctx, event, member)
 }
 
-// publishChange makes a revision of the list.
+// publishChange publishes a revision of the list with the changed members.
 func (r *runner) publishChange(ctx context.Context, event int, members []discovery.Member) error {
 	var reply control.ChangeReply
 	if err := r.controlProcess.Call(ctx, control.MethodChange, control.ChangeArgs{Members: members}, &reply); err != nil {
@@ -153,8 +154,8 @@
 	return nil
 }
 
-// restartRealAgents restarts real agents. One that is not up in time, as no list comes to it, is a finding of the run and
-// no failure; one that dies is.
+// restartRealAgents restarts real agents. An agent that is not up in time, because it gets no list, is counted in
+// RestartsNotUp and does not fail the run. An agent that dies fails it.
 func (r *runner) restartRealAgents(ctx context.Context, agents []int, cached []byte) error {
 	err := r.realAgents.Restart(ctx, agents, cached)
 	if err == nil || r.realAgents.Err() != nil {
@@ -167,7 +168,7 @@
 	return nil
 }
 
-// takeSnapshot keeps what the control side has counted so far, at the beginning or the end of an event.
+// takeSnapshot records the counters of control and the relays at the beginning or end of an event.
 func (r *runner) takeSnapshot(ctx context.Context, event int, atEnd bool) error {
 	_, machines, err := r.collectControlSide(ctx)
 	if err != nil {
@@ -184,8 +185,8 @@
 	return nil
 }
 
-// rollOutConfig hands out a revision of the configuration. Simulated and real agents are each spread evenly over the time
-// that the source takes for all of them, so that both get theirs as they would in one row.
+// rollOutConfig distributes a revision of the configuration. Simulated and real agents are each spread evenly over the
+// time that the source takes for all agents, so that the timing is that of one sequence over both types.
 func (r *runner) rollOutConfig(ctx context.Context, step world.Step, due time.Time) error {
 	r.mu.Lock()
 	r.configRollouts = append(r.configRollouts, configRollout{step.Config, step.Event, due, time.Now()})
--- a/internal/scale/run/steps_test.go
+++ b/internal/scale/run/steps_test.go
@@ -9,7 +9,7 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// newRunnerWithWorld is a play of a small fleet in which nothing was started.
+// newRunnerWithWorld returns a runner for a small fleet, with a generated world and without any processes.
 func newRunnerWithWorld(t *testing.T, events ...scenario.Event) *runner {
 	t.Helper()
 	s, err := scenario.Load("../../../deploy/scale/small.toml")
@@ -33,17 +33,17 @@
 	)
 	want := map[int]int{0: 60, 1: 2, 2: 7, 3: len(r.agentsOutsideControlRegion()), 4: 60, 5: 60, 6: 1, 7: len(r.world.Services[r.world.Deepest].Servers)}
 	if got := r.countAffected(r.world.Steps(r.startedAt)); !maps.Equal(got, want) || len(r.agentsOutsideControlRegion()) == 0 || len(r.agentsOutsideControlRegion()) == 60 {
-		t.Errorf("affected by event: %v, want %v", got, want)
+		t.Errorf("got affected by event %v, want %v", got, want)
 	}
 }
 
-// TestSchedule holds what is counted behind an event to its time, and to the run's.
+// TestSchedule checks that the counters are recorded at the right time after an event and not after the end of the run.
 func TestSchedule(t *testing.T) {
 	r := newRunnerWithWorld(t, scenario.Event{Kind: "control-loss", AtS: 1, ForS: 2}, scenario.Event{Kind: "control-loss", AtS: 12, ForS: 1})
 	all := r.schedule(&taskQueues{}, r.world.Steps(r.startedAt))
 	var at []time.Duration
-	for _, m := range all {
-		at = append(at, m.at/time.Second)
+	for _, action := range all {
+		at = append(at, action.at/time.Second)
 	}
 	want := []time.Duration{1, 3, 9, 12, 13, 15}
 	if len(at) != len(want) {
@@ -56,37 +56,37 @@
 	}
 }
 
-// TestRecordReachability checks from when agents can be notified of what was made while their machines were away, through a loss of control
-// that is over before they are back.
+// TestRecordReachability checks from when agents can be notified of changes made while their machine is down, if
+// control is also down for a time that ends before the machine recovers.
 func TestRecordReachability(t *testing.T) {
 	r := newRunnerWithWorld(t)
-	down, up, away := true, false, r.simulatedPositions[0]
-	server := r.world.Agents[away].Server
+	down, up, affected := true, false, r.simulatedPositions[0]
+	server := r.world.Agents[affected].Server
 	other := r.simulatedPositions[1]
 	now := func() int64 { return time.Now().UnixNano() }
 
 	r.recordReachability(world.Step{Event: -1, Down: []int{server}, Silent: true})
-	made := now()
+	changedAt := now()
 	r.recordReachability(world.Step{Event: -1, ControlDown: &down})
-	lost := now()
+	duringLoss := now()
 	r.recordReachability(world.Step{Event: -1, ControlDown: &up})
-	back := now()
-	if got := r.reachability.reachableFrom(away, made); got != never {
-		t.Errorf("an agent whose machine is away can be notified from %d", got)
+	restoredAt := now()
+	if got := r.reachability.reachableFrom(affected, changedAt); got != never {
+		t.Errorf("agent on a failed machine: got reachable from %d, want never", got)
 	}
-	if got := r.reachability.reachableFrom(other, made); got != made {
-		t.Error("another agent cannot be notified at once")
+	if got := r.reachability.reachableFrom(other, changedAt); got != changedAt {
+		t.Errorf("another agent: got reachable from %d, want %d", got, changedAt)
 	}
-	if got := r.reachability.reachableFrom(other, lost); got <= lost || got > back {
-		t.Error("another agent cannot be notified when control is back")
+	if got := r.reachability.reachableFrom(other, duringLoss); got <= duringLoss || got > restoredAt {
+		t.Errorf("another agent during control loss: got reachable from %d, want after %d, at most %d", got, duringLoss, restoredAt)
 	}
 	r.recordReachability(world.Step{Event: -1, Up: []int{server}})
-	if got := r.reachability.reachableFrom(away, made); got < back || got > now() {
-		t.Errorf("an agent whose machine is back can be notified from %d, made at %d", got, made)
+	if got := r.reachability.reachableFrom(affected, changedAt); got < restoredAt || got > now() {
+		t.Errorf("agent on a recovered machine: got reachable from %d, want at least %d", got, restoredAt)
 	}
 	r.recordReachability(world.Step{Event: -1, ControlDown: &down})
-	r.recordReachability(world.Step{Event: -1, Up: []int{server}}) // a planned start, of a machine that was not away
-	if got := r.reachability.reachableFrom(away, now()); got != never {
-		t.Error("a planned start brings control back")
+	r.recordReachability(world.Step{Event: -1, Up: []int{server}}) // a planned start of a server whose machine did not fail
+	if got := r.reachability.reachableFrom(affected, now()); got != never {
+		t.Errorf("control loss after a planned start: got reachable from %d, want never", got)
 	}
 }
--- a/internal/scale/run/taskqueue.go
+++ b/internal/scale/run/taskqueue.go
@@ -8,14 +8,14 @@
 	"time"
 )
 
-// taskTimeout bounds one thing that a step asks of a part.
+// taskTimeout bounds one task of a step.
 const taskTimeout = 20 * time.Second
 
-// restartTimeout bounds a restart of real agents: the end of the old processes and the start of the new ones.
+// restartTimeout bounds a restart of real agents, which ends the old processes and starts the new ones.
 const restartTimeout = 60 * time.Second
 
-// taskQueue does what the steps ask of one part on a goroutine of its own: in order, each task within a time limit, and
-// without holding up the other parts. mu guards the errors and timings.
+// taskQueue runs the steps' tasks for one group of processes on a separate goroutine: in order, each task within a time
+// limit, and without delaying the other queues. mu guards the errors and timings.
 type taskQueue struct {
 	name  string
 	limit time.Duration
@@ -27,19 +27,20 @@
 	timings []taskTiming
 }
 
-// errUnfinished is what a queue returns that had not done all tasks in time.
-var errUnfinished = errors.New("things were not done when the run ended")
+// errUnfinished is returned when a queue has not finished all tasks in time.
+var errUnfinished = errors.New("tasks were unfinished when the run ended")
 
-// task is one thing to do, and when it was added.
+// task is a function to run and the time at which it was added.
 type task struct {
 	addedAt time.Time
 	do      func(context.Context) error
 }
 
-// taskTiming is how long a task waited for those before it, and how long it took.
+// taskTiming is how long a task waited for earlier tasks and how long it ran.
 type taskTiming struct{ waited, took time.Duration }
 
-// newTaskQueue starts a queue for at most so many tasks. Its goroutine ends when the queue is closed or ctx is done.
+// newTaskQueue starts a queue for at most capacity tasks in total, each limited to the given time. Its goroutine ends
+// when the queue is closed or ctx is done.
 func newTaskQueue(ctx context.Context, name string, capacity int, limit time.Duration) *taskQueue {
 	q := &taskQueue{name: name, limit: limit, tasks: make(chan task, capacity), done: make(chan struct{})}
 	go func() {
@@ -67,10 +68,11 @@
 	}
 }
 
-// add appends a task. It never blocks: the capacity is for all tasks.
+// add appends a task. It never blocks, because the capacity suffices for all tasks of the run.
 func (q *taskQueue) add(do func(context.Context) error) { q.tasks <- task{time.Now(), do} }
 
-// close lets the queue do what it has until ctx is done, and returns the first error. Tasks that are left are an error.
+// close waits until the queue has finished its tasks or ctx is done, and returns the first error. It returns
+// errUnfinished if tasks remain.
 func (q *taskQueue) close(ctx context.Context) error {
 	close(q.tasks)
 	select {
--- a/internal/scale/run/taskqueue_test.go
+++ b/internal/scale/run/taskqueue_test.go
@@ -31,13 +31,13 @@
 		q.add(do(4, 0))
 		err := q.close(t.Context())
 		if !errors.Is(err, context.DeadlineExceeded) || !strings.HasPrefix(err.Error(), "control: ") {
-			t.Errorf("error %v, want the third task's deadline", err)
+			t.Errorf("got error %v, want the third task's deadline", err)
 		}
 		if len(order) != 3 || order[0] != 1 || order[1] != 2 || order[2] != 4 {
-			t.Errorf("order %v", order)
+			t.Errorf("got order %v, want [1 2 4]", order)
 		}
 		if w := queueTimings(q); w[1].waited != 2*time.Second || w[3].waited != 6*time.Second || w[2].took != 3*time.Second {
-			t.Errorf("waits %v", w)
+			t.Errorf("got timings %v, want waits of 2 s and 6 s for tasks 2 and 4 and 3 s taken by task 3", w)
 		}
 	})
 }
@@ -51,15 +51,15 @@
 		q.add(func(context.Context) error { <-end; return nil })
 		q.add(func(context.Context) error { return nil })
 		synctest.Wait()
-		if err := q.close(ctx); !errors.Is(err, errUnfinished) || !strings.HasPrefix(err.Error(), "hollow: 2 things") {
-			t.Errorf("error %v", err)
+		if err := q.close(ctx); !errors.Is(err, errUnfinished) || !strings.HasPrefix(err.Error(), "hollow: 2 tasks") {
+			t.Errorf("got error %v, want errUnfinished with 2 tasks", err)
 		}
 		close(end)
 		synctest.Wait()
 	})
 }
 
-// queueTimings are the timings of a queue so far.
+// queueTimings returns the timings of the tasks that a queue has run.
 func queueTimings(q *taskQueue) []taskTiming {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/internal/scale/run/text.go
+++ b/internal/scale/run/text.go
@@ -10,8 +10,9 @@
 	"example.org/ryeloft/internal/scale/textwriter"
 )
 
-// Violations names what keeps a run from being ok: budgets that are exceeded or were not measured, ratios off their
-// factor, late notifications by control's own clock, real agents that were not up after a restart, an incomplete run.
+// Violations returns the names of everything that keeps a run from being OK: budgets that are exceeded or were not
+// measured, ratios outside their factor, late notifications by control's own clock, real agents that were not up after
+// a restart, an incomplete run.
 func Violations(r *result.Run) []string {
 	var names []string
 	for _, b := range r.Budgets {
@@ -36,8 +37,8 @@
 	return names
 }
 
-// WriteText writes a run for a person: sizes, tables, a line for each budget as `name measured budget ok|OVER`, and a
-// last line that says whether all held.
+// WriteText writes a run as text: sizes, tables, a line for each budget as `name measured budget ok|OVER`, and a last
+// line with the verdict.
 func WriteText(w io.Writer, r *result.Run) error {
 	out := textwriter.New(w)
 	s := r.Sizes
@@ -83,7 +84,7 @@
 	})
 }
 
-// quantiles formats a distribution as median/99th/largest.
+// quantiles formats a distribution as p50/p99/max.
 func quantiles(d result.Distribution) string {
 	if d.N == 0 {
 		return "-"
@@ -168,7 +169,7 @@
 	}
 }
 
-// writeVerdict writes the last line.
+// writeVerdict writes the last line, which reports whether the run is OK.
 func writeVerdict(out *textwriter.Writer, r *result.Run) {
 	names := Violations(r)
 	if len(names) == 0 {
--- a/internal/scale/run/verdict_test.go
+++ b/internal/scale/run/verdict_test.go
@@ -11,10 +11,10 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// limits are budgets that fine, the run below, keeps.
+// limits are budgets that passingRun meets.
 var limits = scenario.Budgets{AddedP99MS: 0.58, AgentCPU: 1.6, AgentMemMB: 32, AgentKBps: 23, InForceS: 6, ControlBusy: 5, Attempts: 2}
 
-// passingRun is a run whose every figure is within its budget and whose simulated measurements are those of the real ones.
+// passingRun returns a run that meets all budgets and whose simulated agents measure the same as the real ones.
 func passingRun() *result.Run {
 	d := func(v float64) result.Distribution {
 		return result.Distribution{N: 10, Mean: v, P50: v, P99: v, Max: v}
@@ -34,7 +34,7 @@
 	}
 }
 
-// evaluate fills in what Run does at a run's end.
+// evaluate fills in budgets and ratios, as Run does at the end of a run.
 func evaluate(r *result.Run, b scenario.Budgets) *result.Run {
 	r.Budgets, r.Ratios = checkBudgets(b, r), compareRatios(r)
 	return r
@@ -55,15 +55,15 @@
 		{"cpu, not measured", func(r *result.Run) { r.Simulated.CPUPercent, r.Real.CPUPercent = 0, 0 }, []string{"agent_cpu", "ratio:cpu"}},
 		{"real memory", func(r *result.Run) { r.Real.RSSBytes.Max = 33 * bytesPerMB }, []string{"agent_memory"}},
 		{"simulated memory", func(r *result.Run) { r.Simulated.HeapBytes = 33 * bytesPerMB }, []string{"agent_memory"}},
-		{"bytes of one agent's worst 6 s", func(r *result.Run) { r.Real.Worst6s.Max = 23_001 }, []string{"agent_bytes"}},
+		{"bytes in one agent's worst 6 s", func(r *result.Run) { r.Real.Worst6s.Max = 23_001 }, []string{"agent_bytes"}},
 		{"last agent's list", func(r *result.Run) { r.Simulated.ListInForce.Max = 6001 }, []string{"in_force_list"}},
 		{"last agent's configuration", func(r *result.Run) { r.Real.ConfigInForce.Max = 6001 }, []string{"in_force_config"}},
-		{"a change that never came", func(r *result.Run) { r.Simulated.Undelivered = 1 }, []string{"in_force_list", "in_force_config"}},
-		{"lists of one sort not measured", func(r *result.Run) { r.Real.ListInForce = result.Distribution{} }, []string{"in_force_list"}},
-		{"stated work of two machines", func(r *result.Run) { r.Control[0].Worst6s, r.Control[1].Worst6s = 3, 2.5 }, []string{"control_machines"}},
-		{"real work of one", func(r *result.Run) { r.Control[0].CPUPercent = 510 }, []string{"control_machines"}},
-		{"attempts at the deepest", func(r *result.Run) { r.Depths[1].Amplification = 2.1 }, []string{"attempts_per_call"}},
-		{"attempts above it", func(r *result.Run) { r.Depths[0].Amplification = 2.1 }, nil},
+		{"undelivered change", func(r *result.Run) { r.Simulated.Undelivered = 1 }, []string{"in_force_list", "in_force_config"}},
+		{"lists of one agent type not measured", func(r *result.Run) { r.Real.ListInForce = result.Distribution{} }, []string{"in_force_list"}},
+		{"modelled load of two machines", func(r *result.Run) { r.Control[0].Worst6s, r.Control[1].Worst6s = 3, 2.5 }, []string{"control_machines"}},
+		{"CPU of one machine", func(r *result.Run) { r.Control[0].CPUPercent = 510 }, []string{"control_machines"}},
+		{"attempts at the deepest service", func(r *result.Run) { r.Depths[1].Amplification = 2.1 }, []string{"attempts_per_call"}},
+		{"attempts above the deepest service", func(r *result.Run) { r.Depths[0].Amplification = 2.1 }, nil},
 		{"simulated bytes too many", func(r *result.Run) { r.Simulated.BytesIn.Mean = 2000 }, []string{"ratio:bytes"}},
 		{"simulated bytes too few", func(r *result.Run) { r.Simulated.BytesIn.Mean = 400 }, []string{"ratio:bytes"}},
 		{"simulated lists late", func(r *result.Run) { r.Simulated.ListAcknowledged.Mean = 1300 }, []string{"ratio:list_in_force"}},
@@ -74,7 +74,7 @@
 		{"nothing was started", func(r *result.Run) { r.Simulated, r.Real = result.AgentControl{}, result.AgentControl{} },
 			[]string{"agent_cpu", "agent_memory", "agent_bytes", "in_force_list", "in_force_config"}},
 		{"not up", func(r *result.Run) { r.RestartsNotUp = 1 }, []string{"not_up"}},
-		{"cut short", func(r *result.Run) { r.Incomplete = "control died" }, []string{"incomplete"}},
+		{"incomplete", func(r *result.Run) { r.Incomplete = "control died" }, []string{"incomplete"}},
 		{"no real agents", func(r *result.Run) { r.Sizes.Real, r.Real, r.Added = 0, result.AgentControl{}, result.Added{} }, nil},
 		{"nothing changed or failed", func(r *result.Run) {
 			r.Sizes.ListChanges, r.Sizes.Configs, r.Sizes.Failures = 0, 0, 0
@@ -89,7 +89,7 @@
 			r := passingRun()
 			c.change(r)
 			if got := Violations(evaluate(r, limits)); !slices.Equal(got, c.want) {
-				t.Errorf("over: %q, want %q", got, c.want)
+				t.Errorf("got violations %q, want %q", got, c.want)
 			}
 		})
 	}
@@ -97,7 +97,7 @@
 
 func TestBudgetsWithoutLimitOmitted(t *testing.T) {
 	if got := checkBudgets(scenario.Budgets{AgentCPU: 1.6}, passingRun()); len(got) != 1 || got[0].Name != "agent_cpu" {
-		t.Errorf("with one limit: %+v", got)
+		t.Errorf("with one limit: got %+v, want agent_cpu only", got)
 	}
 }
 
@@ -119,11 +119,11 @@
 			}
 			text := strings.TrimSuffix(out.String(), "\n")
 			if last := text[strings.LastIndexByte(text, '\n')+1:]; last != c.last {
-				t.Errorf("last line %q, want %q", last, c.last)
+				t.Errorf("got last line %q, want %q", last, c.last)
 			}
 			for _, l := range budgetLines {
 				if !regexp.MustCompile(`(?m)^` + l.name + ` +[0-9.e+-]+ +[0-9.e+-]+ +(ok|OVER)$`).MatchString(text) {
-					t.Errorf("no line of budget %s in:\n%s", l.name, text)
+					t.Errorf("no line for budget %s in:\n%s", l.name, text)
 				}
 			}
 			for _, h := range ratioRules {
--- a/internal/scale/run/watchdog.go
+++ b/internal/scale/run/watchdog.go
@@ -9,16 +9,16 @@
 	"example.org/ryeloft/internal/scale/procstat"
 )
 
-// memoryCheckInterval is how often the memory of all processes is summed up.
+// memoryCheckInterval is how often the resident memory of all processes is checked.
 const memoryCheckInterval = 500 * time.Millisecond
 
-// ProcessDiedError is the end of a part in the middle of a run.
+// ProcessDiedError is the cause of a run in which the process with the given role died.
 type ProcessDiedError struct{ Role string }
 
 // Error implements error.
 func (e ProcessDiedError) Error() string { return fmt.Sprintf("the part %s died", e.Role) }
 
-// MemoryError is a run whose processes together hold more memory than they may.
+// MemoryError is the cause of a run whose processes together exceed the memory limit.
 type MemoryError struct{ HeldBytes, LimitBytes int64 }
 
 // Error implements error.
@@ -26,8 +26,8 @@
 	return fmt.Sprintf("all processes together hold %d MB, they may hold %d", e.HeldBytes>>20, e.LimitBytes>>20)
 }
 
-// watchProcesses makes the run fail when a part or a real agent dies, or when all processes together hold too much memory.
-// It ends with the run's context.
+// watchProcesses fails the run if control, the simulated agents or a real agent die, or if all processes together
+// exceed the memory limit. It returns when ctx is done.
 func (r *runner) watchProcesses(ctx context.Context) {
 	memoryCheck := time.NewTicker(memoryCheckInterval)
 	defer memoryCheck.Stop()
--- a/internal/scale/run/windows.go
+++ b/internal/scale/run/windows.go
@@ -6,14 +6,14 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// maxBytesPerSecond bounds the rates that are distinguished.
+// maxBytesPerSecond is the upper bound of the histograms of rates.
 const maxBytesPerSecond = 1e9
 
-// recoveredShare is the share of what was served before an event that counts as recovered.
+// recoveredShare is the fraction of the served share before an event that counts as recovered.
 const recoveredShare = 0.9
 
-// rates sums up what some agents sent and received: the mean of each over the run's seconds, and each one's worst window
-// of both together, in bytes a second.
+// rates summarizes the bytes that the given agents received and sent, in bytes per second: the distributions of each
+// agent's mean over the run, and of its worst window of both directions together.
 func rates(in, out [][]int64, agents []int, seconds int) (meanIn, meanOut, worst result.Distribution) {
 	if seconds <= 0 {
 		return
@@ -30,7 +30,7 @@
 	return histIn.Distribution(), histOut.Distribution(), histWorst.Distribution()
 }
 
-// addBins adds an agent's bins to those of both ways and returns their sum, without what is later than the run's seconds.
+// addBins adds an agent's bins to both and returns their sum. Bins after the last second of both are ignored.
 func addBins(both []float64, all [][]int64, agent int) float64 {
 	if agent >= len(all) {
 		return 0
@@ -43,11 +43,11 @@
 	return sum
 }
 
-// bytesBetween is all agents' bytes in the seconds [from, to).
-func bytesBetween(from, to int, ways ...[][]int64) int64 {
+// bytesBetween returns the bytes of all agents in the seconds [from, to), summed over the given directions.
+func bytesBetween(from, to int, directions ...[][]int64) int64 {
 	sum := int64(0)
-	for _, way := range ways {
-		for _, bins := range way {
+	for _, direction := range directions {
+		for _, bins := range direction {
 			first := min(max(from, 0), len(bins))
 			end := max(first, min(to, len(bins)))
 			for _, v := range bins[first:end] {
@@ -58,7 +58,8 @@
 	return sum
 }
 
-// servedPercent is the share of root calls that were served in the seconds [from, to); 0 where there were none.
+// servedPercent returns the percentage of root calls in the seconds [from, to) that were served, or 0 if there were
+// none.
 func servedPercent(windows []result.Window, from, to int) float64 {
 	var roots, served int64
 	for _, w := range windows {
@@ -73,7 +74,8 @@
 	return 100 * float64(served) / float64(roots)
 }
 
-// recoveredAfter is how many seconds after an end the served share first is recoveredShare of before; -1: not in the run.
+// recoveredAfter returns the seconds from end until the served percentage first reaches recoveredShare of before, or -1
+// if it does not within the run.
 func recoveredAfter(windows []result.Window, end int, before float64) float64 {
 	sorted := slices.SortedFunc(slices.Values(windows), func(a, b result.Window) int { return a.Second - b.Second })
 	for _, w := range sorted {
