--- a/internal/scale/realagent/addedlatency.go
+++ b/internal/scale/realagent/addedlatency.go
@@ -17,20 +17,21 @@
 )
 
 const (
-	// warmUpPairs are the first pairs of calls of each client and on each new connection, which are left out.
+	// warmUpPairs is how many pairs of calls each client excludes at its start and on each new connection.
 	warmUpPairs      = 20
-	callTimeout      = 3 * time.Second // more than the budget that a call states
+	callTimeout      = 3 * time.Second // more than callBudget
 	callBudget       = "2000m"
-	maxLatencyMillis = 10_000 // longer times count as this
+	maxLatencyMillis = 10_000 // the histograms' upper bound; longer times count as this
 )
 
-// MeasureAdded measures what an agent adds to a call: a client makes the same call through each busy agent and directly to
-// an echo server in turn, on connections that it keeps, with about gap between two calls (half of it to one and a half
-// times, drawn). calls are the measured pairs of all clients together. Pairs with a failed call or a retry are left out of
-// the times, as are the first warmUpPairs on each connection. Clients stop while their agent is restarted.
+// MeasureAdded measures the latency that an agent adds to a call. For each busy agent, a client makes the same call
+// through the agent and directly to an echo server in turn, on persistent connections, with a random pause of 0.5 to
+// 1.5 times gap before each call. calls is the number of measured pairs of all clients together, rounded up to a
+// multiple of the number of clients. The times exclude pairs with a failed call or a retry and the first warmUpPairs on
+// each connection. Clients pause while their agent restarts.
 func (f *Fleet) MeasureAdded(ctx context.Context, calls int, gap time.Duration) (result.Added, error) {
 	if len(f.options.Echo) == 0 {
-		return result.Added{}, errors.New("measuring the added latency: there is no echo server to call directly")
+		return result.Added{}, errors.New("measuring the added latency: no echo server for direct calls")
 	}
 	var clients []*client
 	for i, a := range f.agents {
@@ -48,28 +49,28 @@
 	return summarize(clients), errors.Join(errs...)
 }
 
-// The routes of a call.
+// Indexes of the routes of a call.
 const (
 	throughAgent = iota
 	direct
 )
 
-// client makes the calls to one agent. It belongs to one goroutine.
+// client makes the calls to one agent. It must be used by only one goroutine.
 type client struct {
 	agent  *agent
-	routes [2]*route // by throughAgent and direct
+	routes [2]*route // indexed by throughAgent and direct
 	random *rand.Rand
-	prefix string // of call ids
+	prefix string // of call IDs
 	calls  int
 	failed int
-	pairs  [2][]time.Duration // measured, by route
+	pairs  [2][]time.Duration // latencies of the measured pairs, by route
 }
 
-// route is one of the two ways of a call.
+// route is one of the two routes of a call and its connection.
 type route struct {
 	addr       string
 	conn       *httpConn
-	warmUpLeft int // pairs that are still to be left out
+	warmUpLeft int // remaining pairs to exclude
 }
 
 func newClient(a *agent, directAddr string, n int) *client {
@@ -84,12 +85,12 @@
 	}
 }
 
-// run makes so many measured pairs, in at most twice as many tries and the warm-up where calls fail.
+// run makes the given number of measured pairs. It fails after twice as many attempts, plus an allowance for warm-up.
 func (c *client) run(ctx context.Context, pairs int, gap time.Duration) error {
 	defer c.close()
-	for tries := 0; len(c.pairs[throughAgent]) < pairs; tries++ {
-		if tries == 2*pairs+2*warmUpPairs {
-			return c.agent.errorf("%d pairs of calls gave only %d to measure, %d calls failed", tries, len(c.pairs[throughAgent]), c.failed)
+	for attempts := 0; len(c.pairs[throughAgent]) < pairs; attempts++ {
+		if attempts == 2*pairs+2*warmUpPairs {
+			return c.agent.errorf("measured only %d of %d attempted pairs of calls, %d calls failed", len(c.pairs[throughAgent]), attempts, c.failed)
 		}
 		if err := c.callPair(ctx, gap); err != nil {
 			return err
@@ -98,7 +99,7 @@
 	return nil
 }
 
-// callPair makes one call through the agent and one directly.
+// callPair makes one call through the agent and one directly, and records their latencies if both count.
 func (c *client) callPair(ctx context.Context, gap time.Duration) error {
 	var took [2]time.Duration
 	measured := true
@@ -127,7 +128,8 @@
 	return nil
 }
 
-// call makes a call by one route and returns how long it took, and whether it was sent once, on an open connection.
+// call makes a call on one route. It returns the latency, and clean reports whether the call was sent only once and on
+// an open connection.
 func (c *client) call(ctx context.Context, routeIndex int) (took time.Duration, clean bool, err error) {
 	if routeIndex == throughAgent {
 		c.agent.processMu.RLock()
@@ -142,14 +144,15 @@
 	clean = route.conn != nil
 	for sent := 1; ; sent++ {
 		took, err = route.call(ctx, request, id)
-		// A kept connection that ends without any response has crossed its close: the call is retried once.
+		// If a persistent connection ends without any response, the server closed it while the request was sent: the
+		// call is retried once.
 		if !errors.Is(err, errNoResponse) || !clean || sent == 2 {
 			return took, clean && sent == 1, err
 		}
 	}
 }
 
-// call sends a request, on the open connection or a new one, and checks that the response is its own.
+// call sends a request on the open connection or a new one, and checks that the response has the call's ID.
 func (r *route) call(ctx context.Context, request []byte, id string) (time.Duration, error) {
 	if r.conn == nil {
 		d := net.Dialer{Timeout: callTimeout}
@@ -166,9 +169,9 @@
 	switch {
 	case err != nil:
 	case response.status != http.StatusOK:
-		err = fmt.Errorf("answered %d", response.status)
+		err = fmt.Errorf("got status %d", response.status)
 	case string(response.body) != id:
-		err = fmt.Errorf("answered with %q, which is another call's", response.body)
+		err = fmt.Errorf("got response %q of another call", response.body)
 	}
 	if err != nil || response.close {
 		r.close()
@@ -189,7 +192,7 @@
 	}
 }
 
-// summarize sums up what the clients measured.
+// summarize combines the measurements of the clients.
 func summarize(clients []*client) result.Added {
 	var sum result.Added
 	hists := [2]*result.Histogram{result.NewHistogram(maxLatencyMillis), result.NewHistogram(maxLatencyMillis)}
--- a/internal/scale/realagent/agent.go
+++ b/internal/scale/realagent/agent.go
@@ -13,13 +13,13 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// The agent's log messages about a reload, by which a configuration is known to be in force.
+// The agent's log messages about a reload, which show whether a configuration is in force.
 const (
 	reloadedMessage       = "configuration reloaded"
 	reloadRejectedMessage = "configuration reload rejected"
 )
 
-// agent is one real agent: its files, its log and the process that runs now.
+// agent is one real agent: its files, its log and its current process.
 type agent struct {
 	position  int // in the world
 	name      string
@@ -27,32 +27,32 @@
 	listen    string
 	discovery string
 	relays    []string
-	busy      bool // it gets calls
+	busy      bool // it receives calls
 
-	calls    atomic.Int64 // since Begin, as the restarts
-	restarts atomic.Int64
+	calls    atomic.Int64 // since Begin
+	restarts atomic.Int64 // since Begin
 
-	// processMu is held for writing while the process is replaced, and for reading while it must stay: clients stop with
-	// their agent, and a SIGHUP would end a process that has only just begun.
+	// processMu is locked for writing while the process is replaced, and for reading while it must not be: clients
+	// pause while their agent restarts, and a SIGHUP would end a process that has only just started.
 	processMu sync.RWMutex
 
-	mu              sync.Mutex // guards what follows
+	mu              sync.Mutex // guards the fields below
 	process         *process
 	revision        int
 	cachedEndpoints []byte
-	exitedCPU       time.Duration // processor time of processes that have ended
-	cpuAtStart      time.Duration // processor time when the measured part began
+	exitedCPU       time.Duration // CPU time of processes that have ended
+	cpuAtStart      time.Duration // CPU time at Begin
 	tail            logTail
-	reloadWaiter    chan reloadResult // holds one; nil: nobody waits
+	reloadWaiter    chan reloadResult // of capacity 1; nil if no caller waits
 }
 
-// reloadResult is what an agent logged of a new configuration.
+// reloadResult is the outcome of a reload, as the agent logged it.
 type reloadResult struct {
-	at  time.Time // when the line came
-	err error     // it was rejected
+	at  time.Time // when the log line was read
+	err error     // why the configuration was rejected, or nil
 }
 
-// configText is the agent's whole configuration as of now, with a fresh seed.
+// configText renders the agent's current configuration with a new random seed.
 func (a *agent) configText(render func(int, world.ConfigOptions) []byte) []byte {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -62,7 +62,7 @@
 	})
 }
 
-// writeConfig replaces the configuration file in one step, so that no reload reads half of it.
+// writeConfig replaces the configuration file atomically, so that no reload reads a partial file.
 func (a *agent) writeConfig(text []byte) error {
 	path := a.configPath()
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
@@ -76,27 +76,27 @@
 
 func (a *agent) configPath() string { return filepath.Join(a.dir, "config.json") }
 
-// agentName reads the agent's name out of its configuration.
+// agentName returns the agent's name from its configuration.
 func agentName(text []byte) (string, error) {
 	var head struct{ Name string }
 	if err := json.Unmarshal(text, &head); err != nil {
-		return "", fmt.Errorf("reading the name in a configuration: %w", err)
+		return "", fmt.Errorf("reading the name from a configuration: %w", err)
 	}
 	return head.Name, nil
 }
 
-// errorf makes an error that names the agent and carries its last log lines.
+// errorf returns an error with the agent's name and its last log lines.
 func (a *agent) errorf(format string, args ...any) error {
 	err := fmt.Errorf("agent %s "+format, append([]any{a.name}, args...)...)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if last := a.tail.text(); last != "" {
-		return fmt.Errorf("%w; its last lines:\n%s", err, last)
+		return fmt.Errorf("%w; last lines of its log:\n%s", err, last)
 	}
 	return fmt.Errorf("%w; it has logged nothing", err)
 }
 
-// onLogLine takes in a line of the agent's log, and hands what it says of a reload to who waits for that.
+// onLogLine adds a line to the agent's log tail and sends the result of a reload to the caller that waits for it.
 func (a *agent) onLogLine(at time.Time, line string) {
 	fields := logFields(line)
 	a.mu.Lock()
@@ -118,7 +118,7 @@
 	a.reloadWaiter = nil
 }
 
-// expectReload returns a channel to which the next result of a reload is sent.
+// expectReload returns a channel that receives the result of the next reload.
 func (a *agent) expectReload() <-chan reloadResult {
 	results := make(chan reloadResult, 1)
 	a.mu.Lock()
--- a/internal/scale/realagent/build.go
+++ b/internal/scale/realagent/build.go
@@ -8,11 +8,11 @@
 	"path/filepath"
 )
 
-// buildFlags are those of deploy/balancer.toml: what is measured is built as what is deployed.
+// buildFlags are those of deploy/balancer.toml, so that the measured agent is built like the deployed one.
 var buildFlags = []string{"-buildvcs=false", "-trimpath", "-ldflags=-linkmode=external"}
 
-// Build builds the agent out of the repository at root into the folder dir and returns the program's path. Its errors
-// carry what the compiler said.
+// Build builds the agent from the repository at root into the directory dir and returns the path of the binary. Its
+// errors include the compiler's output.
 func Build(ctx context.Context, root, dir string) (bin string, err error) {
 	dir, err = filepath.Abs(dir)
 	if err != nil {
--- a/internal/scale/realagent/build_test.go
+++ b/internal/scale/realagent/build_test.go
@@ -9,7 +9,8 @@
 	"testing"
 )
 
-// The program is built as it is deployed, and what the compiler says comes with the error.
+// TestBuild checks that the agent is built like the deployed one, and that a build error includes the compiler's
+// output.
 func TestBuild(t *testing.T) {
 	text, err := os.ReadFile("../../../deploy/balancer.toml")
 	if want := "CGO_ENABLED=1 go build " + strings.Join(buildFlags, " ") + " -o "; err != nil || !strings.Contains(string(text), want) {
@@ -26,9 +27,9 @@
 	}
 	_, err = Build(t.Context(), dir, dir)
 	if err == nil || !strings.Contains(err.Error(), "building the agent") || !strings.Contains(err.Error(), "undefined: missing") {
-		t.Errorf("error %v", err)
+		t.Errorf("got error %v, want one with the compiler's output", err)
 	}
 	if _, err := os.Stat(filepath.Join(dir, "agent")); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a program is left: %v", err)
+		t.Errorf("binary after a failed build: got %v, want %v", err, fs.ErrNotExist)
 	}
 }
--- a/internal/scale/realagent/configure.go
+++ b/internal/scale/realagent/configure.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// reloadTimeout is how long an agent may take to log what it made of a new configuration.
+// reloadTimeout bounds the time in which an agent logs the result of a reload.
 const reloadTimeout = 15 * time.Second
 
-// ConfigChange is one change of configuration.
+// ConfigChange records the rollout of one configuration.
 type ConfigChange struct {
 	Revision int
-	At       int64   // Unix ns: when the source began to hand it out
-	InForce  []int64 // Unix ns by agent, in the order of Options.Agents; 0: not
+	At       int64   // when the rollout began, Unix ns
+	InForce  []int64 // Unix ns by agent, in the order of Options.Agents; 0: not in force
 }
 
-// Configure hands a revision of the configuration to all agents, one each perAgent, as the source does that spends so long
-// on each: it replaces the file and sends SIGHUP. It waits until each agent has logged what it made of it; one that rejects
-// it, logs nothing in time or dies is an error with its name. An agent that is being restarted gets it afterwards. Calls
-// of Configure come in turn.
+// Configure distributes a revision of the configuration to all agents, one every perAgent, like a source that spends
+// this time on each agent: it replaces the file and sends SIGHUP. It waits until each agent has logged the result of
+// the reload. Its error names the agents that reject the configuration, do not log a result in time, or die. An agent
+// that is being restarted gets the configuration afterwards. Concurrent calls run one after another.
 func (f *Fleet) Configure(ctx context.Context, revision int, perAgent time.Duration) error {
 	f.configureMu.Lock()
 	defer f.configureMu.Unlock()
@@ -48,13 +48,13 @@
 	return errors.Join(errs...)
 }
 
-// configure hands a revision to one agent and returns when it logged that it is in force.
+// configure gives a revision to one agent and returns the time at which the agent logged that it is in force.
 func (f *Fleet) configure(ctx context.Context, a *agent, revision int) (time.Time, error) {
 	a.processMu.RLock()
 	defer a.processMu.RUnlock()
 	p := a.currentProcess()
 	if p == nil {
-		return time.Time{}, a.errorf("does not run: configuration %d is not handed out", revision)
+		return time.Time{}, a.errorf("does not run: cannot apply configuration %d", revision)
 	}
 	a.mu.Lock()
 	old := a.revision
@@ -70,14 +70,14 @@
 	at, err := awaitReload(ctx, p, results)
 	if err != nil {
 		a.mu.Lock()
-		a.revision = old // the agent keeps it
+		a.revision = old // the agent keeps the old configuration
 		a.mu.Unlock()
 		return time.Time{}, a.errorf("configuration %d: %w", revision, err)
 	}
 	return at, nil
 }
 
-// awaitReload waits for the result of a reload.
+// awaitReload waits for the result of a reload and returns the time at which the agent logged it.
 func awaitReload(ctx context.Context, p *process, results <-chan reloadResult) (time.Time, error) {
 	timeout := time.NewTimer(reloadTimeout)
 	defer timeout.Stop()
@@ -85,15 +85,15 @@
 	case r := <-results:
 		return r.at, r.err
 	case <-p.done:
-		return time.Time{}, fmt.Errorf("it died: %w", exitError(p.err))
+		return time.Time{}, fmt.Errorf("agent died: %w", exitError(p.err))
 	case <-timeout.C:
-		return time.Time{}, fmt.Errorf("no word on it within %v", reloadTimeout)
+		return time.Time{}, fmt.Errorf("no reload result logged within %v", reloadTimeout)
 	case <-ctx.Done():
 		return time.Time{}, ctx.Err()
 	}
 }
 
-// recordChange adds a change of configuration to the measurements.
+// recordChange adds a configuration change to the measurements.
 func (f *Fleet) recordChange(c ConfigChange) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -105,7 +105,7 @@
 	}
 }
 
-// pause waits for a time, or for the end of the context, which is an error.
+// pause waits for d. It returns the context's error if ctx ends first.
 func pause(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/scale/realagent/echo.go
+++ b/internal/scale/realagent/echo.go
@@ -18,32 +18,32 @@
 	loadPath     = "/metrics/load"
 )
 
-// EchoServers are counter servers on loopback sockets that do no work: they respond at once, with the request's id as the
-// body, so that callers can tell that a response is their own. Their load reports hold all fields that settings can name.
-// Goroutines serve the connections; Close waits for them.
+// EchoServers are counter servers on loopback sockets that do no work. They respond immediately with the request's ID
+// as the body, so that callers can recognize the response to their request. Their load reports contain all fields that
+// settings can name. Goroutines serve the connections; Close waits for them.
 type EchoServers struct {
 	servers []*echoServer
 	conns   sync.WaitGroup
 }
 
-// echoServer is one of EchoServers. mu guards its connections.
+// echoServer is one of EchoServers. mu guards closed and conns.
 type echoServer struct {
 	listener    net.Listener
 	inProgress  atomic.Int64 // requests
-	recentNanos atomic.Int64 // how long the last request took
+	recentNanos atomic.Int64 // duration of the last request
 
 	mu     sync.Mutex
 	closed bool
 	conns  map[net.Conn]struct{}
 }
 
-// StartEchoServers starts so many servers.
+// StartEchoServers starts n servers.
 func StartEchoServers(n int) (*EchoServers, error) {
 	e := &EchoServers{}
 	for range n {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
-			return nil, errors.Join(fmt.Errorf("echo servers: %w", err), e.Close())
+			return nil, errors.Join(fmt.Errorf("starting echo servers: %w", err), e.Close())
 		}
 		s := &echoServer{listener: l, conns: map[net.Conn]struct{}{}}
 		e.servers = append(e.servers, s)
@@ -52,7 +52,7 @@
 	return e, nil
 }
 
-// Addrs are where the servers listen, host and port.
+// Addrs returns the servers' addresses, host and port.
 func (e *EchoServers) Addrs() []string {
 	addrs := make([]string, len(e.servers))
 	for i, s := range e.servers {
@@ -61,7 +61,7 @@
 	return addrs
 }
 
-// Close ends the servers and their connections, and waits for that.
+// Close closes the servers and their connections and waits for their goroutines.
 func (e *EchoServers) Close() error {
 	var errs []error
 	for _, s := range e.servers {
@@ -75,7 +75,7 @@
 	for {
 		c, err := s.listener.Accept()
 		if err != nil {
-			return // it was closed
+			return // the listener was closed
 		}
 		if s.track(c) {
 			e.conns.Go(func() {
@@ -114,8 +114,8 @@
 	return s.listener.Close()
 }
 
-// serve answers a connection's requests in turn until either side ends it. It does without net/http's server, whose spread
-// in both sides of the comparison would hide the agent's.
+// serve responds to a connection's requests in turn until either side closes it. It does not use net/http's server,
+// whose variance on both routes of the comparison would hide that of the agent.
 func (s *echoServer) serve(c net.Conn) {
 	br := bufio.NewReader(c)
 	var text []byte
@@ -139,7 +139,7 @@
 	}
 }
 
-// appendResponse appends the whole response to a request.
+// appendResponse appends the complete response to a request.
 func (s *echoServer) appendResponse(to []byte, r *http.Request) []byte {
 	status, body := http.StatusOK, r.Header.Get(callIDHeader)
 	report := fmt.Sprintf("outstanding=%d,backlog=0,recent_ms=%.3f", s.inProgress.Load(), float64(s.recentNanos.Load())/1e6)
--- a/internal/scale/realagent/httpconn.go
+++ b/internal/scale/realagent/httpconn.go
@@ -10,13 +10,13 @@
 	"time"
 )
 
-// maxResponseBytes bounds a response; those that are expected here are short.
+// maxResponseBytes bounds a response. Expected responses are short.
 const maxResponseBytes = 16 << 10
 
-var errNoResponse = errors.New("the connection ended without a response")
+var errNoResponse = errors.New("connection closed without a response")
 
-// httpConn is a connection for requests in turn. It does less around a request than net/http's client, so that what it
-// measures is the other side's time. It belongs to one goroutine.
+// httpConn is a connection for sequential requests. It has less overhead per request than net/http's client, so that
+// the measured time is that of the server. It must be used by only one goroutine.
 type httpConn struct {
 	net.Conn
 	buf []byte
@@ -25,16 +25,17 @@
 // response is valid until the next request.
 type response struct {
 	status     int
-	close      bool // no request may follow on the connection
+	close      bool // no further request is possible on the connection
 	body       []byte
-	receivedAt time.Time // when its last byte had been read
+	receivedAt time.Time // when its last byte was read
 }
 
 func newHTTPConn(c net.Conn) *httpConn {
 	return &httpConn{Conn: c, buf: make([]byte, maxResponseBytes)}
 }
 
-// roundTrip writes a request and reads its response. The error is errNoResponse if the connection ended before any byte.
+// roundTrip writes a request and reads its response. It returns errNoResponse if the connection ended before the first
+// byte of the response.
 func (t *httpConn) roundTrip(request []byte) (response, error) {
 	if _, err := t.Write(request); err != nil {
 		return response{}, noResponse(err)
@@ -55,12 +56,13 @@
 			return r, err
 		}
 		if n == len(t.buf) {
-			return response{}, fmt.Errorf("a response of over %d bytes", n)
+			return response{}, fmt.Errorf("response exceeds %d bytes", n)
 		}
 	}
 }
 
-// noResponse is the error of a connection that ended before a response; one that timed out has not ended.
+// noResponse wraps the error of a connection that ended before a response in errNoResponse. It returns a timeout
+// unchanged, because the connection has not ended then.
 func noResponse(err error) error {
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
@@ -68,8 +70,8 @@
 	return fmt.Errorf("%w: %w", errNoResponse, err)
 }
 
-// parseResponse reads a response with a Content-Length, as far as it has come; agents and echo servers use no other framing
-// for short bodies.
+// parseResponse parses a response with a Content-Length, and reports whether it is complete. Agents and echo servers
+// use no other framing for short bodies.
 func parseResponse(text []byte) (r response, complete bool, err error) {
 	head, body, ok := bytes.Cut(text, []byte("\r\n\r\n"))
 	if !ok {
@@ -81,7 +83,7 @@
 		r.status, err = strconv.Atoi(string(code[:3]))
 	}
 	if r.status == 0 || err != nil {
-		return r, false, fmt.Errorf("a response that begins with %q", status)
+		return r, false, fmt.Errorf("invalid status line %q in response", status)
 	}
 	for field := range bytes.SplitSeq(fields, []byte("\r\n")) {
 		name, value, _ := bytes.Cut(field, []byte(":"))
@@ -89,17 +91,17 @@
 		switch {
 		case bytes.EqualFold(name, []byte("Content-Length")):
 			if length, err = strconv.Atoi(string(value)); err != nil || length < 0 {
-				return r, false, fmt.Errorf("a response with a length of %q", value)
+				return r, false, fmt.Errorf("invalid Content-Length %q in response", value)
 			}
 		case bytes.EqualFold(name, []byte("Connection")):
 			r.close = bytes.EqualFold(value, []byte("close"))
 		}
 	}
 	if length < 0 {
-		return r, false, fmt.Errorf("a response without a length, %q", status)
+		return r, false, fmt.Errorf("response without a Content-Length, status line %q", status)
 	}
 	if len(body) > length {
-		return r, false, fmt.Errorf("%d bytes behind a response", len(body)-length)
+		return r, false, fmt.Errorf("%d extra bytes after response", len(body)-length)
 	}
 	r.body = body
 	return r, len(body) == length, nil
--- a/internal/scale/realagent/httpconn_test.go
+++ b/internal/scale/realagent/httpconn_test.go
@@ -32,18 +32,18 @@
 	} {
 		r, err := conn.roundTrip([]byte(q.request))
 		if err != nil || r.status != q.status || string(r.body) != q.body || r.close {
-			t.Errorf("%q: %d %q, closes %v, error %v", q.request, r.status, r.body, r.close, err)
+			t.Errorf("%q: got %d %q, close %v, error %v; want %d %q", q.request, r.status, r.body, r.close, err, q.status, q.body)
 		}
 	}
 	r, err := conn.roundTrip([]byte("GET /metrics/load HTTP/1.1\r\nHost: x\r\n\r\n"))
 	if err != nil || !strings.HasPrefix(string(r.body), "outstanding=1,backlog=0,recent_ms=") {
-		t.Errorf("load %q, error %v", r.body, err)
+		t.Errorf("got load report %q, error %v", r.body, err)
 	}
 	if err := e.Close(); err != nil {
 		t.Error(err)
 	}
 	if _, err := conn.roundTrip([]byte("GET /alive HTTP/1.1\r\nHost: x\r\n\r\n")); !errors.Is(err, errNoResponse) {
-		t.Errorf("after its end: %v", err)
+		t.Errorf("after Close: got error %v, want %v", err, errNoResponse)
 	}
 }
 
@@ -67,10 +67,10 @@
 	} {
 		r, complete, err := parseResponse([]byte(text))
 		if (err != nil) != want.bad {
-			t.Errorf("%q: error %v", text, err)
+			t.Errorf("%q: got error %v, want error: %v", text, err, want.bad)
 		}
 		if err == nil && (complete != want.complete || r.status != want.status || string(r.body) != want.body || r.close != want.close) {
-			t.Errorf("%q: %+v, complete %v", text, r, complete)
+			t.Errorf("%q: got %+v, complete %v; want %+v", text, r, complete, want)
 		}
 	}
 }
--- a/internal/scale/realagent/logtail.go
+++ b/internal/scale/realagent/logtail.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	tailLines    = 12       // kept of each agent's log
-	maxLineBytes = 64 << 10 // kept of a line
+	tailLines    = 12       // kept per agent
+	maxLineBytes = 64 << 10 // longer lines are truncated
 )
 
 // logTail keeps the last lines of a log.
 type logTail struct {
 	lines [tailLines]string
-	n     int // lines so far
+	n     int // lines added
 }
 
 func (t *logTail) add(line string) {
@@ -32,8 +32,8 @@
 	return strings.TrimSuffix(b.String(), "\n")
 }
 
-// lineWriter hands on what is written to it line by line, with the time at which it came. An unfinished line waits for
-// the next write.
+// lineWriter calls onLine for each line written to it, with the time of the write that completed the line. It buffers
+// an unfinished line until the next write.
 type lineWriter struct {
 	onLine     func(at time.Time, line string)
 	unfinished []byte
@@ -54,8 +54,8 @@
 	return len(p), nil
 }
 
-// logFields reads a line of slog's text form: key=value, values quoted where they need it. A line of another form, such as
-// a panic's, has no fields.
+// logFields parses a line in slog's text format: key=value pairs, with values quoted if necessary. A line in another
+// format, such as one of a panic, has no fields.
 func logFields(line string) map[string]string {
 	fields := map[string]string{}
 	for line != "" {
@@ -70,7 +70,7 @@
 	return fields
 }
 
-// cutValue cuts the value off the beginning of what follows a key.
+// cutValue splits the text after a key's equals sign into the value, unquoted if necessary, and the rest.
 func cutValue(text string) (value, rest string) {
 	quoted, err := strconv.QuotedPrefix(text)
 	if err != nil {
--- a/internal/scale/realagent/process.go
+++ b/internal/scale/realagent/process.go
@@ -15,34 +15,35 @@
 )
 
 const (
-	upTimeout      = 20 * time.Second // less than the 30 s after which the platform's clients come
+	upTimeout      = 20 * time.Second // less than the 30 s after which the platform's clients start
 	upPollInterval = 20 * time.Millisecond
-	stopTimeout    = 8 * time.Second // more than the platform's longest deadline of 3 s, as the cores are shared
-	// stderrGrace bounds the wait for standard error behind the end of a process: nobody else holds it.
+	stopTimeout    = 8 * time.Second // more than the platform's longest deadline of 3 s, because the processes share the cores
+	// stderrGrace bounds the wait for the end of standard error after a process has ended. It is short because no other
+	// process has it open.
 	stderrGrace = time.Second
 )
 
-// process is one incarnation of an agent. A goroutine waits for it.
+// process is one incarnation of an agent. A goroutine waits for its exit.
 type process struct {
 	cmd           *exec.Cmd
 	startedAt     time.Time
-	done          chan struct{} // closed when it has ended, its log is read and err is set
+	done          chan struct{} // closed when the process has ended, its log is read and err is set
 	err           error
 	stopRequested atomic.Bool
 }
 
-// startProcess starts a process on the configuration that is in place. It is killed when the context ends, and with the
-// process that started it, however that comes. onExit is called before its done is closed.
+// startProcess starts a process with the current configuration file. The process is killed when ctx ends or this
+// process ends for any reason. onExit is called before done is closed.
 func (a *agent) startProcess(ctx context.Context, program string, onExit func(*process)) (*process, error) {
 	cmd := exec.CommandContext(ctx, program)
-	cmd.Env = []string{ // no more than the platform gives
+	cmd.Env = []string{ // only what the platform sets
 		"GW_CONFIG=" + a.configPath(), "GW_NAME=" + a.name, "GW_LISTEN=" + a.listen, "GW_DISCOVERY=" + a.discovery,
 		"TMPDIR=" + filepath.Join(a.dir, "tmp"),
 	}
 	cmd.Dir = a.dir
 	cmd.Stderr = &lineWriter{onLine: a.onLogLine}
 	cmd.WaitDelay = stderrGrace
-	// A process group of its own, as a terminal's interrupt is the parent's to pass on.
+	// The process gets a separate process group, so that an interrupt from the terminal reaches only the parent.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL, Setpgid: true}
 	p := &process{cmd: cmd, startedAt: time.Now(), done: make(chan struct{})}
 	if err := cmd.Start(); err != nil {
@@ -63,14 +64,14 @@
 	return p, nil
 }
 
-// currentProcess is the present process, or nil.
+// currentProcess returns the running process, or nil.
 func (a *agent) currentProcess() *process {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.process
 }
 
-// awaitUp waits until the agent takes clients, for a bounded time, and returns how long that took from the process's start.
+// awaitUp waits until the agent accepts clients, for at most upTimeout, and returns the time since the process started.
 func (a *agent) awaitUp(ctx context.Context, p *process) (time.Duration, error) {
 	ctx, cancel := context.WithTimeout(ctx, upTimeout)
 	defer cancel()
@@ -94,7 +95,8 @@
 
 const upStatus = "200"
 
-// queryUp asks an agent whether it takes clients and returns its status, or why there is none.
+// queryUp sends a request for /up and returns the status that shows whether the agent accepts clients, or the error
+// text.
 func queryUp(ctx context.Context, addr string) string {
 	var d net.Dialer
 	c, err := d.DialContext(ctx, "tcp", addr)
@@ -113,24 +115,24 @@
 	return fmt.Sprintf("%d %s", response.status, bytes.TrimSpace(response.body))
 }
 
-// stop asks a process to end, and kills it if it does not in time.
+// stop sends SIGTERM to a process, and kills it if it does not end within stopTimeout.
 func (a *agent) stop(p *process) error {
 	p.stopRequested.Store(true)
-	_ = p.cmd.Process.Signal(syscall.SIGTERM) // it fails only for a process that has ended
+	_ = p.cmd.Process.Signal(syscall.SIGTERM) // fails only if the process has ended
 	select {
 	case <-p.done:
 	case <-time.After(stopTimeout):
-		_ = p.cmd.Process.Kill() // likewise
+		_ = p.cmd.Process.Kill() // fails only if the process has ended
 		<-p.done
 		return a.errorf("did not end within %v of SIGTERM", stopTimeout)
 	}
 	if p.err != nil {
-		return a.errorf("ended badly after SIGTERM: %w", p.err)
+		return a.errorf("failed after SIGTERM: %w", p.err)
 	}
 	return nil
 }
 
-// errExitStatusZero is the end of a process without an error, where it should not have ended.
+// errExitStatusZero is reported when a process that should still run has exited without an error.
 var errExitStatusZero = errors.New("exit status 0")
 
 func exitError(err error) error {
--- a/internal/scale/realagent/realagent.go
+++ b/internal/scale/realagent/realagent.go
@@ -1,9 +1,10 @@
-// Package realagent runs real agents as processes beside the simulated ones of a scale run: some dozens, each with its own
-// files and loopback address, with which the simulated ones are compared. It measures what they cost for control and what
-// they add to a call.
+// Package realagent runs real agents as processes beside the simulated agents of a scale run, for comparison with them:
+// some dozens, each with its own files and loopback address. It measures the cost of control for these agents and the
+// latency that they add to a call.
 //
-// A Fleet owns the agents; its mutex guards the measurements, each agent's mutexes its process and configuration. A
-// goroutine waits for each process. The package changes nothing in an agent but by its configuration file and signals.
+// A Fleet owns the agents. Its mutex guards the measurements, and each agent's mutexes guard its process and
+// configuration. A goroutine waits for each process. The package controls an agent only by its configuration file and
+// by signals.
 package realagent
 
 import (
@@ -27,37 +28,37 @@
 const (
 	maxAgents        = 200
 	startConcurrency = 16
-	maxInForceMillis = 120_000 // longer times count as this
+	maxInForceMillis = 120_000 // the histograms' upper bound; longer times count as this
 )
 
-// Options say which agents are real and where they find the others.
+// Options configures a Fleet: which agents are real, and the addresses that they use.
 type Options struct {
-	// Config is the configuration of an agent of the world, such as (*world.World).Config.
+	// Config renders the configuration of an agent of the world, such as (*world.World).Config.
 	Config func(agent int, o world.ConfigOptions) []byte
 	Agents []int // positions in the world
-	// Busy of the agents, the first ones, get the calls of MeasureAdded; 0: half of them, rounded up. The others are idle:
-	// what they cost is control's alone.
+	// Busy is how many agents, from the first one on, receive the calls of MeasureAdded; 0: half of them, rounded up.
+	// The others are idle, so that their cost is that of control alone.
 	Busy            int
 	Echo            []string   // addresses of the echo servers, for direct calls
-	Program         string     // the agent's program
-	Dir             string     // a temporary directory is made in it; empty: the system's
-	Discovery       []string   // address by position in the world
+	Program         string     // path of the agent binary
+	Dir             string     // parent of the fleet's temporary directory; empty: the system's default
+	Discovery       []string   // addresses by position in the world
 	Relays          [][]string // addresses by position in the world; nil: none
-	CachedEndpoints []byte     // the list that the agents start with, in discovery's form; nil: none
+	CachedEndpoints []byte     // the list with which the agents start, in discovery's format; nil: none
 	Log             *slog.Logger
 }
 
-// validate reports options that cannot be used.
+// validate returns an error if the options are invalid.
 func (o *Options) validate() error {
 	if n := len(o.Agents); n == 0 || n > maxAgents {
-		return fmt.Errorf("%d real agents: there may be 1 to %d", n, maxAgents)
+		return fmt.Errorf("%d real agents: must be from 1 to %d", n, maxAgents)
 	}
 	if o.Busy < 0 || o.Busy > len(o.Agents) {
-		return fmt.Errorf("%d busy ones of %d real agents", o.Busy, len(o.Agents))
+		return fmt.Errorf("%d busy agents of %d real agents", o.Busy, len(o.Agents))
 	}
 	for i, a := range o.Agents {
 		if a < 0 || a >= len(o.Discovery) || o.Relays != nil && a >= len(o.Relays) {
-			return fmt.Errorf("real agent %d has no address of discovery or relays", a)
+			return fmt.Errorf("real agent %d has no address for discovery or relays", a)
 		}
 		if slices.Contains(o.Agents[:i], a) {
 			return fmt.Errorf("real agent %d is given twice", a)
@@ -66,7 +67,7 @@
 	return nil
 }
 
-// Fleet is the real agents of a run.
+// Fleet runs the real agents of a scale run.
 type Fleet struct {
 	options   Options
 	dir       string
@@ -75,20 +76,20 @@
 	cancel    context.CancelFunc
 	closeOnce func() error
 
-	configureMu sync.Mutex // changes of configuration come in turn
+	configureMu sync.Mutex // serializes configuration changes
 
-	mu            sync.Mutex
+	mu            sync.Mutex // guards the fields below
 	closing       bool
 	err           error
 	failed        chan struct{}
-	startedAt     time.Time // the measured part, as what follows
+	startedAt     time.Time // when the measurement began, from which the fields below count
 	configInForce *result.Histogram
 	changes       []ConfigChange
 	startupTimes  *result.Histogram
 }
 
-// Start starts the agents and waits until all are up. An agent that does not come up is an error with its name and its last
-// log lines, and then none is left. All processes end with the context, and with this process, however that comes.
+// Start starts the agents and waits until all are up. If an agent does not come up, Start ends all of them and returns
+// an error with its name and last log lines. All processes end when ctx is done or this process ends for any reason.
 func Start(ctx context.Context, o Options) (*Fleet, error) {
 	if err := o.validate(); err != nil {
 		return nil, err
@@ -101,7 +102,7 @@
 	}
 	dir, err := os.MkdirTemp(o.Dir, "realagent-")
 	if err != nil {
-		return nil, fmt.Errorf("making the real agents' directory: %w", err)
+		return nil, fmt.Errorf("creating the real agents' directory: %w", err)
 	}
 	f := &Fleet{options: o, dir: dir, failed: make(chan struct{})}
 	f.ctx, f.cancel = context.WithCancel(ctx)
@@ -113,7 +114,7 @@
 	return f, nil
 }
 
-// start prepares all agents and brings them up, some at a time.
+// start prepares all agents and starts them, startConcurrency at a time.
 func (f *Fleet) start(ctx context.Context) error {
 	for i, position := range f.options.Agents {
 		a, err := f.prepare(i, position)
@@ -131,7 +132,7 @@
 	})
 }
 
-// prepare makes an agent's directory, finds its address and writes its configuration.
+// prepare creates an agent's directory, finds its address and writes its configuration.
 func (f *Fleet) prepare(i, position int) (*agent, error) {
 	a := &agent{
 		position: position, busy: i < f.options.Busy, cachedEndpoints: f.options.CachedEndpoints, discovery: f.options.Discovery[position],
@@ -156,7 +157,8 @@
 	return a, a.writeConfig(text)
 }
 
-// freeAddr is an address of an agent's own with a port that was free just now, as its configuration has to name one.
+// freeAddr returns an agent's separate loopback address with a port that is currently free, because the configuration
+// must name a port.
 func freeAddr(position int) (string, error) {
 	l, err := net.Listen("tcp", fmt.Sprintf("127.48.%d.%d:0", position/250, position%250+1))
 	if err != nil {
@@ -175,7 +177,7 @@
 	return a.awaitUp(ctx, p)
 }
 
-// onExit handles the end of a process. One whose end nobody requested makes the run fail.
+// onExit handles the exit of a process. An exit that was not requested is recorded as the fleet's error.
 func (f *Fleet) onExit(a *agent, p *process) {
 	if p.stopRequested.Load() || f.ctx.Err() != nil {
 		return
@@ -191,18 +193,19 @@
 	f.options.Log.Error("real agent died", "agent", a.name, "error", err)
 }
 
-// Err is the first end of a process that nobody requested, with the agent's name and its last lines, or nil.
+// Err returns the error of the first process that exited without a request, with the agent's name and last log lines,
+// or nil.
 func (f *Fleet) Err() error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.err
 }
 
-// Failed is closed when Err is set.
+// Failed returns a channel that is closed when Err is set.
 func (f *Fleet) Failed() <-chan struct{} { return f.failed }
 
-// Close asks all agents to end, kills those that do not, and removes their files. Its errors name the agents that did not
-// end well; it can be called again and says the same.
+// Close stops all agents, kills those that do not end in time, and removes their files. Its errors name the agents that
+// did not end cleanly. Further calls return the same error.
 func (f *Fleet) Close() error { return f.closeOnce() }
 
 func (f *Fleet) close() error {
--- a/internal/scale/realagent/realagent_test.go
+++ b/internal/scale/realagent/realagent_test.go
@@ -18,10 +18,10 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// testTimeout bounds what a test waits for; nothing passes by it.
+// testTimeout bounds every wait in a test. Reaching it always fails the test.
 const testTimeout = 20 * time.Second
 
-// built is the agent's program, built once for all tests.
+// built is the agent binary, built once for all tests.
 var built struct {
 	once     sync.Once
 	bin, dir string
@@ -49,7 +49,7 @@
 	return built.bin
 }
 
-// startDiscovery is one with a list of these servers that never changes.
+// startDiscovery starts a discovery service whose list of the given servers never changes, and returns its address.
 func startDiscovery(t *testing.T, servers []string) string {
 	list := string(listOf(servers))
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -71,7 +71,8 @@
 	return fmt.Appendf(nil, `{"revision":1,"complete":true,"members":[%s]}`, strings.Join(members, ","))
 }
 
-// testConfig is a configuration with one class; the revision is in its aim, and attempts from revision 100 on are bad.
+// testConfig renders a configuration with one class. Its aim contains the revision, and from revision 100 on its
+// maximum number of attempts is invalid.
 func testConfig(agent int, o world.ConfigOptions) []byte {
 	attempts, known := 2, ""
 	if o.Revision >= 100 {
@@ -90,8 +91,8 @@
 		agent, o.Listen, o.Discovery, o.Seed, known, 100+o.Revision, attempts)
 }
 
-// testOptions are those of two agents, the first one busy, before two echo servers. The tests run at once, so each has
-// agents of its own: this position and the next but one.
+// testOptions returns the options of two agents, of which the first is busy, with two echo servers. The tests run in
+// parallel, so each uses separate agents: those at positions first and first+2.
 func testOptions(t *testing.T, first int) Options {
 	t.Helper()
 	echo, err := StartEchoServers(2)
@@ -120,7 +121,7 @@
 	return f
 }
 
-// pids are the processes' numbers, of which there is one for each agent.
+// pids returns the process IDs of the agents and fails the test if an agent does not run.
 func pids(t *testing.T, f *Fleet) (pids []int) {
 	t.Helper()
 	for _, a := range f.Stats().Each {
@@ -132,12 +133,12 @@
 	return pids
 }
 
-// checkProcessesGone checks that no process of these numbers is left, not even one that nobody has waited for.
+// checkProcessesGone checks that none of the processes exists, not even as a zombie.
 func checkProcessesGone(t *testing.T, pids []int) {
 	t.Helper()
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
-			t.Errorf("process %d is left: %v", pid, err)
+			t.Errorf("process %d still exists: got %v, want %v", pid, err, syscall.ESRCH)
 		}
 	}
 }
@@ -145,16 +146,17 @@
 func checkErrorContains(t *testing.T, err error, parts ...string) {
 	t.Helper()
 	if err == nil {
-		t.Fatal("no error")
+		t.Fatalf("got no error, want one with %q", parts)
 	}
 	for _, part := range parts {
 		if !strings.Contains(err.Error(), part) {
-			t.Errorf("the error lacks %q: %v", part, err)
+			t.Errorf("got error %v, want %q in it", err, part)
 		}
 	}
 }
 
-// A fleet from start to close: up, calls, a configuration in force, a restart, measurements of all that, and no process behind it.
+// TestFleet runs a fleet from start to close, with calls, a configuration change, a restart and their measurements. No
+// process or file may remain afterwards.
 func TestFleet(t *testing.T) {
 	t.Parallel()
 	o := testOptions(t, 20)
@@ -162,37 +164,37 @@
 	f.Begin()
 	added, err := f.MeasureAdded(t.Context(), 100, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 100 || added.Through.N != 100 || added.Direct.N != 100 {
-		t.Errorf("added %+v, error %v", added, err)
+		t.Errorf("got added %+v, error %v", added, err)
 	}
 	if added.Direct.P50 <= 0 || added.Through.P50 <= added.Direct.P50 || added.MedianMS <= 0 {
-		t.Errorf("an agent adds nothing: %+v", added)
+		t.Errorf("got added %+v, want a positive added latency", added)
 	}
 	const push = 20 * time.Millisecond
 	if err := f.Configure(t.Context(), 1, push); err != nil {
 		t.Error(err)
 	}
 	before := pids(t, f)
-	if err := f.Restart(t.Context(), []int{19, 21, 22}, listOf(o.Echo)); err != nil { // 19 and 21 are others' agents
+	if err := f.Restart(t.Context(), []int{19, 21, 22}, listOf(o.Echo)); err != nil { // 19 and 21 are not in the fleet
 		t.Error(err)
 	}
 	s := f.Stats()
 	if s.Each[0].PID != before[0] || s.Each[1].PID == before[1] || s.Each[0].Restarts != 0 || s.Each[1].Restarts != 1 || s.StartupMS.N != 1 {
-		t.Errorf("not agent 22 alone was restarted: %+v, before %v", s, before)
+		t.Errorf("got %+v, earlier process IDs %v; want only agent 22 restarted", s, before)
 	}
 	checkProcessesGone(t, before[1:])
 	if d := s.ConfigInForce.Distribution(); d.N != 2 || d.Max < 20 || len(s.Configs) != 1 || s.Configs[0].Revision != 1 {
-		t.Errorf("in force after %+v ms: %+v", d, s.Configs)
+		t.Errorf("got in force after %+v ms, configurations %+v; want revision 1 at 2 agents", d, s.Configs)
 	}
 	for i, at := range s.Configs[0].InForce {
 		if took := time.Duration(at - s.Configs[0].At); took < time.Duration(i)*push || took > testTimeout {
-			t.Errorf("agent %d has it in force %v after the beginning", i, took)
+			t.Errorf("agent %d: got configuration in force after %v, want %v to %v", i, took, time.Duration(i)*push, testTimeout)
 		}
 	}
 	if s.IdleAgents != 1 || s.CPUPercent <= 0 || s.CallCPUMS == 0 || s.Each[0].Calls != 100+warmUpPairs || s.Each[1].Calls != 0 {
-		t.Errorf("figures %+v", s)
+		t.Errorf("got measurements %+v, want 1 idle agent, CPU usage, and %d calls by the busy agent only", s, 100+warmUpPairs)
 	}
 	if s.RSSBytes.N != 2 || s.RSSBytes.P50 < 1<<20 || s.PeakBytes.Max < s.RSSBytes.P50 {
-		t.Errorf("memory %+v, peak %+v", s.RSSBytes, s.PeakBytes)
+		t.Errorf("got memory %+v, peak %+v", s.RSSBytes, s.PeakBytes)
 	}
 	if err := f.Err(); err != nil {
 		t.Error(err)
@@ -203,11 +205,12 @@
 	}
 	checkProcessesGone(t, left)
 	if files, err := os.ReadDir(o.Dir); err != nil || len(files) != 0 {
-		t.Errorf("files are left: %v, %v", files, err)
+		t.Errorf("got files %v, error %v; want no files", files, err)
 	}
 }
 
-// A drawn world's agents come up on its configurations, reach its echo servers and take its next revision.
+// TestAgentsOfDrawnWorld checks that the agents of a generated world start with its configurations, reach its echo
+// servers and apply its next revision.
 func TestAgentsOfDrawnWorld(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Load("../../../deploy/scale/tiny.toml")
@@ -230,7 +233,7 @@
 	f := startFleet(t, t.Context(), o)
 	added, err := f.MeasureAdded(t.Context(), 10, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 10 {
-		t.Errorf("added %+v, error %v", added, err)
+		t.Errorf("got added %+v, error %v", added, err)
 	}
 	if err := f.Configure(t.Context(), 1, 0); err != nil {
 		t.Error(err)
@@ -240,7 +243,8 @@
 	}
 }
 
-// An agent that dies in the run is an error with its name, and the others end well after it.
+// TestAgentDeathIsReported checks that the death of an agent is reported with its name and that the others still end
+// cleanly.
 func TestAgentDeathIsReported(t *testing.T) {
 	t.Parallel()
 	f := startFleet(t, t.Context(), testOptions(t, 30))
@@ -251,7 +255,7 @@
 	select {
 	case <-f.Failed():
 	case <-time.After(testTimeout):
-		t.Fatal("nobody hears of it")
+		t.Fatalf("the death was not reported within %v", testTimeout)
 	}
 	checkErrorContains(t, f.Err(), "agent r32", "killed", "last lines")
 	checkErrorContains(t, f.Configure(t.Context(), 1, 0), "agent r32", "does not run")
@@ -262,17 +266,18 @@
 	checkProcessesGone(t, left)
 }
 
-// What an agent says of a configuration that it cannot use is in the error, at its start and in the run.
+// TestBadConfigurationIsReported checks that errors include the agent's reason for rejecting a configuration, both at
+// its start and at a reload.
 func TestBadConfigurationIsReported(t *testing.T) {
 	t.Parallel()
 	o := testOptions(t, 40)
 	f := startFleet(t, t.Context(), o)
 	checkErrorContains(t, f.Configure(t.Context(), 100, 0), "agent r40", "agent r42", reloadRejectedMessage, "MaxAttempts")
 	if s := f.Stats(); s.ConfigInForce.Distribution().N != 0 || f.Err() != nil {
-		t.Errorf("in force all the same: %+v, error %v", s.ConfigInForce.Distribution(), f.Err())
+		t.Errorf("got in force %+v, error %v; want none in force and no error", s.ConfigInForce.Distribution(), f.Err())
 	}
 	if err := f.Configure(t.Context(), 2, 0); err != nil {
-		t.Errorf("the next one: %v", err)
+		t.Errorf("next configuration: got error %v, want none", err)
 	}
 	if err := f.Close(); err != nil {
 		t.Error(err)
@@ -284,11 +289,11 @@
 	_, err := Start(t.Context(), o)
 	checkErrorContains(t, err, "agent r40", "ended before it was up", "MaxAttempts")
 	if files, err := os.ReadDir(o.Dir); err != nil || len(files) != 0 {
-		t.Errorf("files are left: %v, %v", files, err)
+		t.Errorf("got files %v, error %v; want no files", files, err)
 	}
 }
 
-// All processes end with the context, which is no agent's fault.
+// TestContextEndsAllProcesses checks that all processes end with the context and that this is not reported as an error.
 func TestContextEndsAllProcesses(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -297,28 +302,28 @@
 	left := pids(t, f)
 	cancel()
 	if err := f.Close(); err != nil || f.Err() != nil {
-		t.Errorf("closing: %v, in the run: %v", err, f.Err())
+		t.Errorf("got close error %v, run error %v; want none", err, f.Err())
 	}
 	checkProcessesGone(t, left)
 }
 
 func TestOptionsValidate(t *testing.T) {
-	good := Options{Agents: []int{0, 2}, Discovery: make([]string, 3)}
-	for what, c := range map[string]struct {
+	valid := Options{Agents: []int{0, 2}, Discovery: make([]string, 3)}
+	for name, c := range map[string]struct {
 		change func(*Options)
 		want   string
 	}{
-		"good":       {func(*Options) {}, ""},
-		"none":       {func(o *Options) { o.Agents = nil }, "0 real agents"},
+		"valid":      {func(*Options) {}, ""},
+		"no agents":  {func(o *Options) { o.Agents = nil }, "0 real agents"},
 		"too many":   {func(o *Options) { o.Agents = make([]int, maxAgents+1) }, "201 real agents"},
-		"twice":      {func(o *Options) { o.Agents = []int{1, 1} }, "twice"},
+		"duplicate":  {func(o *Options) { o.Agents = []int{1, 1} }, "twice"},
 		"no address": {func(o *Options) { o.Agents = []int{3} }, "no address"},
 		"no relays":  {func(o *Options) { o.Relays = make([][]string, 1) }, "no address"},
-		"below 0":    {func(o *Options) { o.Agents = []int{-1} }, "no address"},
-		"busy":       {func(o *Options) { o.Busy = 3 }, "3 busy"},
+		"negative":   {func(o *Options) { o.Agents = []int{-1} }, "no address"},
+		"too busy":   {func(o *Options) { o.Busy = 3 }, "3 busy"},
 	} {
-		t.Run(what, func(t *testing.T) {
-			o := good
+		t.Run(name, func(t *testing.T) {
+			o := valid
 			c.change(&o)
 			err := o.validate()
 			if c.want == "" && err == nil {
@@ -336,14 +341,14 @@
 		l.Write([]byte(part))
 	}
 	if strings.Join(got, "|") != "one|two||three" {
-		t.Errorf("lines %q", got)
+		t.Errorf("got lines %q", got)
 	}
 	var kept logTail
 	for i := range tailLines + 3 {
 		kept.add(fmt.Sprint(i))
 	}
 	if text := kept.text(); !strings.HasPrefix(text, "  3\n") || !strings.HasSuffix(text, "  14") {
-		t.Errorf("kept %q", text)
+		t.Errorf("got log tail %q, want lines 3 to 14", text)
 	}
 	for line, want := range map[string]map[string]string{
 		`time=x level=INFO msg="configuration reloaded" agent=r1 classes="[a b]"`: {"level": "INFO", "msg": "configuration reloaded", "classes": "[a b]"},
@@ -355,7 +360,7 @@
 		fields := logFields(line)
 		for key, value := range want {
 			if fields[key] != value {
-				t.Errorf("%s: %s is %q, want %q", line, key, fields[key], value)
+				t.Errorf("%s: got %s %q, want %q", line, key, fields[key], value)
 			}
 		}
 	}
--- a/internal/scale/realagent/restart.go
+++ b/internal/scale/realagent/restart.go
@@ -8,18 +8,18 @@
 	"example.org/ryeloft/internal/scale/parallel"
 )
 
-// Restart restarts those of the world's agents that are of this fleet, all at once, as the platform does at a planned
-// restart: SIGTERM, and then another process under the same name and address, with a cached list (in discovery's form;
-// nil: none) and the newest configuration. Calls to an agent wait meanwhile. It returns when all are up, or with the names
-// of those that are not.
+// Restart restarts concurrently those of the given agents of the world that belong to this fleet, as the platform does
+// in a planned restart: it sends SIGTERM and then starts another process with the same name and address, a cached list
+// (in discovery's format; nil: none) and the newest configuration. Calls to an agent wait until its restart ends.
+// Restart returns when all agents are up, or an error with the names of those that are not.
 func (f *Fleet) Restart(ctx context.Context, agents []int, cached []byte) error {
-	var own []*agent
+	var selected []*agent
 	for _, a := range f.agents {
 		if slices.Contains(agents, a.position) {
-			own = append(own, a)
+			selected = append(selected, a)
 		}
 	}
-	return parallel.ForEach(own, maxAgents, func(a *agent) error {
+	return parallel.ForEach(selected, maxAgents, func(a *agent) error {
 		took, err := f.restart(ctx, a, cached)
 		if err != nil {
 			return err
@@ -32,13 +32,13 @@
 	})
 }
 
-// restart replaces one agent's process and returns how long the new one took to be up.
+// restart replaces one agent's process and returns the startup time of the new one.
 func (f *Fleet) restart(ctx context.Context, a *agent, cached []byte) (time.Duration, error) {
 	a.processMu.Lock()
 	defer a.processMu.Unlock()
 	p := a.currentProcess()
 	if p == nil {
-		return 0, a.errorf("does not run: it is not restarted")
+		return 0, a.errorf("does not run: cannot restart it")
 	}
 	if err := a.stop(p); err != nil {
 		return 0, err
--- a/internal/scale/realagent/stats.go
+++ b/internal/scale/realagent/stats.go
@@ -10,39 +10,39 @@
 
 const bytesPerMB = 1 << 20
 
-// maxMegabytes bounds the memory that histograms distinguish.
+// maxMegabytes is the upper bound of the memory histograms.
 const maxMegabytes = 64 << 10
 
-// Stats are the measurements of the real agents since Begin.
+// Stats holds the measurements of the real agents since Begin.
 type Stats struct {
 	Agents     int
-	IdleAgents int     // agents without calls, of which CPUPercent is
-	CPUPercent float64 // of one core, an idle agent: mean
-	// CallCPUMS is what one call costs a busy agent in processor time, ms: all that it used, less what an idle one did.
-	// It is 0 without calls, and too large by control's part where no agent is idle.
+	IdleAgents int     // agents without calls
+	CPUPercent float64 // of one core, mean over the idle agents
+	// CallCPUMS is the CPU time per call of a busy agent, in ms: the CPU time of the busy agents beyond that of idle
+	// ones, divided by their calls. It is 0 without calls. If no agent is idle, it also includes the cost of control.
 	CallCPUMS     float64
-	RSSBytes      result.Distribution // now
-	PeakBytes     result.Distribution // the largest each present process has had
-	ConfigInForce *result.Histogram   // ms, from the beginning of the change: all agents and changes
+	RSSBytes      result.Distribution // current
+	PeakBytes     result.Distribution // peak of each current process
+	ConfigInForce *result.Histogram   // ms since the start of the change, over all agents and changes
 	Configs       []ConfigChange
-	StartupMS     result.Distribution // of restarted agents, from their process's beginning until they take clients
+	StartupMS     result.Distribution // of restarted agents, from the start of the process until it accepts clients
 	Each          []AgentStats
 }
 
-// AgentStats are the measurements of one agent; memory is 0 where none runs.
+// AgentStats holds the measurements of one agent. Memory is 0 if its process does not run.
 type AgentStats struct {
 	Position   int // in the world
 	Name       string
 	PID        int // 0: it does not run
 	Busy       bool
-	CPUPercent float64 // of one core, restarts included
+	CPUPercent float64 // of one core, including all processes of the agent
 	RSSBytes   float64
 	PeakBytes  float64
-	Calls      int64 // that were made through it
+	Calls      int64 // made through the agent
 	Restarts   int64
 }
 
-// Begin begins the measured part: all measurements start from here.
+// Begin resets all measurements and starts the measurement.
 func (f *Fleet) Begin() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// Stats returns the measurements.
+// Stats returns the measurements since Begin.
 func (f *Fleet) Stats() Stats {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -76,7 +76,7 @@
 	return s
 }
 
-// summarize computes the fleet's measurements from the agents'.
+// summarize computes the fleet's measurements from those of the agents.
 func (s *Stats) summarize(wall time.Duration) {
 	rss := result.NewHistogram(maxMegabytes)
 	peak := result.NewHistogram(maxMegabytes)
@@ -106,7 +106,7 @@
 	}
 }
 
-// inBytes turns a distribution of megabytes into one of bytes.
+// inBytes converts a distribution from megabytes to bytes.
 func inBytes(d result.Distribution) result.Distribution {
 	for _, v := range []*float64{&d.Mean, &d.P50, &d.P99, &d.Max} {
 		*v *= bytesPerMB
@@ -114,7 +114,7 @@
 	return d
 }
 
-// stats are one agent's measurements.
+// stats returns the agent's measurements over the time wall.
 func (a *agent) stats(wall time.Duration) AgentStats {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -127,7 +127,7 @@
 	return s
 }
 
-// cpuTime is the processor time that all processes of an agent have used so far. mu is held.
+// cpuTime returns the CPU time that all processes of the agent have used. Callers must hold mu.
 func (a *agent) cpuTime() time.Duration {
 	if a.process == nil {
 		return a.exitedCPU
