--- a/internal/scale/realagent/addedlatency.go
+++ b/internal/scale/realagent/addedlatency.go
@@ -90,7 +90,7 @@
 	defer c.close()
 	for attempts := 0; len(c.pairs[throughAgent]) < pairs; attempts++ {
 		if attempts == 2*pairs+2*warmUpPairs {
-			return c.agent.errorf("measured only %d of %d attempted pairs of calls, %d calls failed", len(c.pairs[throughAgent]), attempts, c.failed)
+			return c.agent.errorf("has only %d measured pairs of calls after %d attempts, %d calls failed", len(c.pairs[throughAgent]), attempts, c.failed)
 		}
 		if err := c.callPair(ctx, gap); err != nil {
 			return err
--- a/internal/scale/realagent/configure.go
+++ b/internal/scale/realagent/configure.go
@@ -65,14 +65,14 @@
 	}
 	results := a.expectReload()
 	if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-		return time.Time{}, a.errorf("configuration %d: %w", revision, err)
+		return time.Time{}, a.errorf("could not apply configuration %d: %w", revision, err)
 	}
 	at, err := awaitReload(ctx, p, results)
 	if err != nil {
 		a.mu.Lock()
 		a.revision = old // the agent keeps the old configuration
 		a.mu.Unlock()
-		return time.Time{}, a.errorf("configuration %d: %w", revision, err)
+		return time.Time{}, a.errorf("could not apply configuration %d: %w", revision, err)
 	}
 	return at, nil
 }
@@ -85,7 +85,7 @@
 	case r := <-results:
 		return r.at, r.err
 	case <-p.done:
-		return time.Time{}, fmt.Errorf("agent died: %w", exitError(p.err))
+		return time.Time{}, fmt.Errorf("process died: %w", exitError(p.err))
 	case <-timeout.C:
 		return time.Time{}, fmt.Errorf("no reload result logged within %v", reloadTimeout)
 	case <-ctx.Done():
--- a/internal/scale/realagent/httpconn_test.go
+++ b/internal/scale/realagent/httpconn_test.go
@@ -37,7 +37,7 @@
 	}
 	r, err := conn.roundTrip([]byte("GET /metrics/load HTTP/1.1\r\nHost: x\r\n\r\n"))
 	if err != nil || !strings.HasPrefix(string(r.body), "outstanding=1,backlog=0,recent_ms=") {
-		t.Errorf("got load report %q, error %v", r.body, err)
+		t.Errorf("got load report %q, error %v; want 1 outstanding request and no backlog", r.body, err)
 	}
 	if err := e.Close(); err != nil {
 		t.Error(err)
--- a/internal/scale/realagent/process.go
+++ b/internal/scale/realagent/process.go
@@ -127,7 +127,7 @@
 		return a.errorf("did not end within %v of SIGTERM", stopTimeout)
 	}
 	if p.err != nil {
-		return a.errorf("failed after SIGTERM: %w", p.err)
+		return a.errorf("exited with an error after SIGTERM: %w", p.err)
 	}
 	return nil
 }
--- a/internal/scale/realagent/realagent_test.go
+++ b/internal/scale/realagent/realagent_test.go
@@ -164,7 +164,7 @@
 	f.Begin()
 	added, err := f.MeasureAdded(t.Context(), 100, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 100 || added.Through.N != 100 || added.Direct.N != 100 {
-		t.Errorf("got added %+v, error %v", added, err)
+		t.Errorf("got added %+v, error %v; want 100 calls each way without failures", added, err)
 	}
 	if added.Direct.P50 <= 0 || added.Through.P50 <= added.Direct.P50 || added.MedianMS <= 0 {
 		t.Errorf("got added %+v, want a positive added latency", added)
@@ -194,7 +194,7 @@
 		t.Errorf("got measurements %+v, want 1 idle agent, CPU usage, and %d calls by the busy agent only", s, 100+warmUpPairs)
 	}
 	if s.RSSBytes.N != 2 || s.RSSBytes.P50 < 1<<20 || s.PeakBytes.Max < s.RSSBytes.P50 {
-		t.Errorf("got memory %+v, peak %+v", s.RSSBytes, s.PeakBytes)
+		t.Errorf("got memory %+v, peak %+v; want at least 1 MB of each of 2 agents and a higher peak", s.RSSBytes, s.PeakBytes)
 	}
 	if err := f.Err(); err != nil {
 		t.Error(err)
@@ -209,9 +209,9 @@
 	}
 }
 
-// TestAgentsOfDrawnWorld checks that the agents of a generated world start with its configurations, reach its echo
+// TestAgentsOfGeneratedWorld checks that the agents of a generated world start with its configurations, reach its echo
 // servers and apply its next revision.
-func TestAgentsOfDrawnWorld(t *testing.T) {
+func TestAgentsOfGeneratedWorld(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Load("../../../deploy/scale/tiny.toml")
 	if err != nil {
@@ -233,7 +233,7 @@
 	f := startFleet(t, t.Context(), o)
 	added, err := f.MeasureAdded(t.Context(), 10, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 10 {
-		t.Errorf("got added %+v, error %v", added, err)
+		t.Errorf("got added %+v, error %v; want 10 calls each way without failures", added, err)
 	}
 	if err := f.Configure(t.Context(), 1, 0); err != nil {
 		t.Error(err)
@@ -341,7 +341,7 @@
 		l.Write([]byte(part))
 	}
 	if strings.Join(got, "|") != "one|two||three" {
-		t.Errorf("got lines %q", got)
+		t.Errorf("got lines %q, want one, two, an empty line and three", got)
 	}
 	var kept logTail
 	for i := range tailLines + 3 {
--- a/internal/scale/run/check_test.go
+++ b/internal/scale/run/check_test.go
@@ -30,7 +30,7 @@
 func TestErrorTexts(t *testing.T) {
 	for want, err := range map[string]error{
 		"the part control died": ProcessDiedError{"control"},
-		"all processes together hold 11264 MB, they may hold 10240": MemoryError{HeldBytes: 11 << 30, LimitBytes: maxMemoryBytes},
+		"all processes together hold 11264 MB, they may hold 10240": MemoryError{ResidentBytes: 11 << 30, LimitBytes: maxMemoryBytes},
 	} {
 		if err.Error() != want {
 			t.Errorf("got %q, want %q", err, want)
--- a/internal/scale/run/run.go
+++ b/internal/scale/run/run.go
@@ -79,9 +79,9 @@
 	return nil
 }
 
-// Run executes a scenario. If the run is interrupted, a process dies or memory runs out, Run returns the partial
-// result, marked Incomplete, and the cause. The result is nil only if nothing was started. All processes have ended
-// when Run returns.
+// Run executes a scenario. If the run is interrupted, a process dies or the memory limit is exceeded, Run returns the
+// partial result, marked Incomplete, and the cause. The result is nil only if nothing was started. All processes have
+// ended when Run returns.
 func Run(ctx context.Context, s *scenario.Scenario, o Options) (*result.Run, error) {
 	if err := Check(s); err != nil {
 		return nil, err
--- a/internal/scale/run/runner.go
+++ b/internal/scale/run/runner.go
@@ -42,7 +42,7 @@
 	realAgents         *realagent.Fleet
 	discoveryAddrs     []string // of control, by agent, followed by those for the relays
 	relays             []*relayProcess
-	realPositions      []int // of the agents in the world
+	realPositions      []int // positions in world.Agents
 	simulatedPositions []int
 	relayDir           string // stores the relays' lists; empty: there are no relays
 
@@ -82,8 +82,8 @@
 	startedAt time.Time
 }
 
-// drawWorld generates the scenario's world and its first list from the seed.
-func (r *runner) drawWorld() error {
+// generateWorld generates the scenario's world and its first list from the seed.
+func (r *runner) generateWorld() error {
 	w, err := world.Generate(r.scenario)
 	if err != nil {
 		return err
@@ -147,8 +147,8 @@
 	return agents
 }
 
-// simulatedBeside returns the simulated agents on the same machines as the given servers.
-func (r *runner) simulatedBeside(servers []int) (agents []int) {
+// simulatedAgentsOf returns the simulated agents on the same machines as the given servers.
+func (r *runner) simulatedAgentsOf(servers []int) (agents []int) {
 	for _, a := range r.simulatedPositions {
 		if slices.Contains(servers, r.world.Agents[a].Server) {
 			agents = append(agents, a)
--- a/internal/scale/run/schedule.go
+++ b/internal/scale/run/schedule.go
@@ -15,8 +15,8 @@
 // secondsAfterEvent is how long after an event bytes, lists and rejections are still attributed to it.
 const secondsAfterEvent = 6
 
-// taskQueues holds the tasks of the steps, one queue per group of processes. No step waits for an earlier one to
-// finish.
+// taskQueues holds the tasks of the steps, one queue per process or group of processes and one for the configuration
+// source. A step is added when it is due, even if earlier ones are unfinished.
 type taskQueues struct{ control, simulated, real, source *taskQueue }
 
 // newTaskQueues starts the queues. Their names appear in errors.
--- a/internal/scale/run/start.go
+++ b/internal/scale/run/start.go
@@ -25,7 +25,7 @@
 		}
 		r.echo = echo
 	}
-	if err := r.drawWorld(); err != nil {
+	if err := r.generateWorld(); err != nil {
 		return err
 	}
 	if err := r.startControl(ctx); err != nil {
--- a/internal/scale/run/steps.go
+++ b/internal/scale/run/steps.go
@@ -48,7 +48,7 @@
 		r.setReachable(!*step.ControlDown, r.allAgents(), now)
 	}
 	if step.Silent {
-		r.setReachable(false, r.simulatedBeside(step.Down), now)
+		r.setReachable(false, r.simulatedAgentsOf(step.Down), now)
 		r.unreachableServers = append(r.unreachableServers, step.Down...)
 	}
 	var recovered []int
@@ -58,7 +58,7 @@
 		}
 	}
 	r.unreachableServers = slices.DeleteFunc(r.unreachableServers, func(i int) bool { return slices.Contains(recovered, i) })
-	r.setReachable(true, r.simulatedBeside(recovered), now)
+	r.setReachable(true, r.simulatedAgentsOf(recovered), now)
 }
 
 // setReachable begins or ends an outage of the given agents. Callers must hold mu.
--- a/internal/scale/run/steps_test.go
+++ b/internal/scale/run/steps_test.go
@@ -18,7 +18,7 @@
 	}
 	s.Events, s.Control.PerMinute, s.Control.ChangesDay = events, 0, 0
 	r := &runner{scenario: s, result: nil}
-	if err := r.drawWorld(); err != nil {
+	if err := r.generateWorld(); err != nil {
 		t.Fatal(err)
 	}
 	r.startedAt = time.Now()
--- a/internal/scale/run/watchdog.go
+++ b/internal/scale/run/watchdog.go
@@ -19,11 +19,11 @@
 func (e ProcessDiedError) Error() string { return fmt.Sprintf("the part %s died", e.Role) }
 
 // MemoryError is the cause of a run whose processes together exceed the memory limit.
-type MemoryError struct{ HeldBytes, LimitBytes int64 }
+type MemoryError struct{ ResidentBytes, LimitBytes int64 }
 
 // Error implements error.
 func (e MemoryError) Error() string {
-	return fmt.Sprintf("all processes together hold %d MB, they may hold %d", e.HeldBytes>>20, e.LimitBytes>>20)
+	return fmt.Sprintf("all processes together hold %d MB, they may hold %d", e.ResidentBytes>>20, e.LimitBytes>>20)
 }
 
 // watchProcesses fails the run if control, the simulated agents or a real agent die, or if all processes together
@@ -50,7 +50,7 @@
 			return
 		case <-memoryCheck.C:
 			if resident := procstat.TreeResidentBytes(os.Getpid()); resident > maxMemoryBytes {
-				r.fail(MemoryError{HeldBytes: resident, LimitBytes: maxMemoryBytes})
+				r.fail(MemoryError{ResidentBytes: resident, LimitBytes: maxMemoryBytes})
 				return
 			}
 		}
