--- a/internal/scale/realagent/build.go
+++ b/internal/scale/realagent/build.go
@@ -8,11 +8,11 @@
 	"path/filepath"
 )
 
-// buildFlags are those of deploy/balancer.toml: what is measured is built as what is deployed.
+// buildFlags are those of deploy/balancer.toml, so that the measured agent is built like the deployed one.
 var buildFlags = []string{"-buildvcs=false", "-trimpath", "-ldflags=-linkmode=external"}
 
-// Build builds the agent out of the repository at root into the folder dir and returns the program's path. Its errors
-// carry what the compiler said.
+// Build builds the agent from the repository at root into the directory dir and returns the path of the binary. Its
+// errors include the compiler's output.
 func Build(ctx context.Context, root, dir string) (bin string, err error) {
 	dir, err = filepath.Abs(dir)
 	if err != nil {
@@ -23,8 +23,8 @@
 	cmd := exec.CommandContext(ctx, "go", append(args, "-o", bin, "./cmd/agent")...)
 	cmd.Dir = root
 	cmd.Env = append(os.Environ(), "CGO_ENABLED=1")
-	if said, err := cmd.CombinedOutput(); err != nil {
-		return "", fmt.Errorf("building the agent: %w\n%s", err, said)
+	if output, err := cmd.CombinedOutput(); err != nil {
+		return "", fmt.Errorf("building the agent: %w\n%s", err, output)
 	}
 	return bin, nil
 }
--- a/internal/scale/realagent/realagent_test.go
+++ b/internal/scale/realagent/realagent_test.go
@@ -18,10 +18,10 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// wait bounds what a test waits for; nothing passes by it.
-const wait = 20 * time.Second
+// testTimeout bounds every wait in a test. Reaching it always fails the test.
+const testTimeout = 20 * time.Second
 
-// built is the agent's program, built once for all tests.
+// built is the agent binary, built once for all tests.
 var built struct {
 	once     sync.Once
 	bin, dir string
@@ -36,7 +36,7 @@
 	os.Exit(code)
 }
 
-func binary(t *testing.T) string {
+func agentProgram(t *testing.T) string {
 	t.Helper()
 	built.once.Do(func() {
 		if built.dir, built.err = os.MkdirTemp("", "realagent-test-"); built.err == nil {
@@ -49,8 +49,8 @@
 	return built.bin
 }
 
-// discovery is one with a list of these servers that never changes.
-func discovery(t *testing.T, servers []string) string {
+// startDiscovery starts a discovery service whose list of the given servers never changes, and returns its address.
+func startDiscovery(t *testing.T, servers []string) string {
 	list := string(listOf(servers))
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Get("after") != "" {
@@ -71,8 +71,9 @@
 	return fmt.Appendf(nil, `{"revision":1,"complete":true,"members":[%s]}`, strings.Join(members, ","))
 }
 
-// config is a configuration with one class; the revision is in its aim, and attempts from revision 100 on are bad.
-func config(agent int, o world.ConfigOptions) []byte {
+// testConfig renders a configuration with one class. Its aim contains the revision, and from revision 100 on its
+// maximum number of attempts is invalid.
+func testConfig(agent int, o world.ConfigOptions) []byte {
 	attempts, known := 2, ""
 	if o.Revision >= 100 {
 		attempts = 0
@@ -90,11 +91,11 @@
 		agent, o.Listen, o.Discovery, o.Seed, known, 100+o.Revision, attempts)
 }
 
-// options are those of two agents, the first one busy, before two echo servers. The tests run at once, so each has
-// agents of its own: this position and the next but one.
-func options(t *testing.T, first int) Options {
+// testOptions returns the options of two agents, of which the first is busy, with two echo servers. The tests run in
+// parallel, so each uses separate agents: those at positions first and first+2.
+func testOptions(t *testing.T, first int) Options {
 	t.Helper()
-	echo, err := Echo(2)
+	echo, err := StartEchoServers(2)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -103,14 +104,14 @@
 			t.Error(err)
 		}
 	})
-	addr := discovery(t, echo.Addrs())
+	addr := startDiscovery(t, echo.Addrs())
 	return Options{
-		Config: config, Agents: []int{first, first + 2}, Echo: echo.Addrs(), Program: binary(t), Dir: t.TempDir(),
+		Config: testConfig, Agents: []int{first, first + 2}, Echo: echo.Addrs(), Program: agentProgram(t), Dir: t.TempDir(),
 		Discovery: slices.Repeat([]string{addr}, first+3),
 	}
 }
 
-func fleet(t *testing.T, ctx context.Context, o Options) *Fleet {
+func startFleet(t *testing.T, ctx context.Context, o Options) *Fleet {
 	t.Helper()
 	f, err := Start(ctx, o)
 	if err != nil {
@@ -120,7 +121,7 @@
 	return f
 }
 
-// pids are the processes' numbers, of which there is one for each agent.
+// pids returns the process IDs of the agents and fails the test if an agent does not run.
 func pids(t *testing.T, f *Fleet) (pids []int) {
 	t.Helper()
 	for _, a := range f.Stats().Each {
@@ -132,67 +133,68 @@
 	return pids
 }
 
-// gone checks that no process of these numbers is left, not even one that nobody has waited for.
-func gone(t *testing.T, pids []int) {
+// checkProcessesGone checks that none of the processes exists, not even as a zombie.
+func checkProcessesGone(t *testing.T, pids []int) {
 	t.Helper()
 	for _, pid := range pids {
 		if err := syscall.Kill(pid, 0); !errors.Is(err, syscall.ESRCH) {
-			t.Errorf("process %d is left: %v", pid, err)
+			t.Errorf("process %d still exists: got %v, want %v", pid, err, syscall.ESRCH)
 		}
 	}
 }
 
-func mentions(t *testing.T, err error, parts ...string) {
+func checkErrorContains(t *testing.T, err error, parts ...string) {
 	t.Helper()
 	if err == nil {
-		t.Fatal("no error")
+		t.Fatalf("got no error, want one with %q", parts)
 	}
 	for _, part := range parts {
 		if !strings.Contains(err.Error(), part) {
-			t.Errorf("the error lacks %q: %v", part, err)
+			t.Errorf("got error %v, want %q in it", err, part)
 		}
 	}
 }
 
-// A fleet from start to close: up, calls, a configuration in force, a restart, measurements of all that, and no process behind it.
+// TestFleet runs a fleet from start to close, with calls, a configuration change, a restart and their measurements. No
+// process or file may remain afterwards.
 func TestFleet(t *testing.T) {
 	t.Parallel()
-	o := options(t, 20)
-	f := fleet(t, t.Context(), o)
+	o := testOptions(t, 20)
+	f := startFleet(t, t.Context(), o)
 	f.Begin()
 	added, err := f.MeasureAdded(t.Context(), 100, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 100 || added.Through.N != 100 || added.Direct.N != 100 {
-		t.Errorf("added %+v, error %v", added, err)
+		t.Errorf("got added %+v, error %v; want 100 calls each way without failures", added, err)
 	}
 	if added.Direct.P50 <= 0 || added.Through.P50 <= added.Direct.P50 || added.MedianMS <= 0 {
-		t.Errorf("an agent adds nothing: %+v", added)
+		t.Errorf("got added %+v, want a positive added latency", added)
 	}
 	const push = 20 * time.Millisecond
 	if err := f.Configure(t.Context(), 1, push); err != nil {
 		t.Error(err)
 	}
 	before := pids(t, f)
-	if err := f.Restart(t.Context(), []int{19, 21, 22}, listOf(o.Echo)); err != nil { // 19 and 21 are others' agents
+	if err := f.Restart(t.Context(), []int{19, 21, 22}, listOf(o.Echo)); err != nil { // 19 and 21 are not in the fleet
 		t.Error(err)
 	}
 	s := f.Stats()
 	if s.Each[0].PID != before[0] || s.Each[1].PID == before[1] || s.Each[0].Restarts != 0 || s.Each[1].Restarts != 1 || s.StartupMS.N != 1 {
-		t.Errorf("not agent 22 alone was restarted: %+v, before %v", s, before)
+		t.Errorf("got %+v, earlier process IDs %v; want only agent 22 restarted", s, before)
 	}
-	gone(t, before[1:])
+	checkProcessesGone(t, before[1:])
 	if d := s.ConfigInForce.Distribution(); d.N != 2 || d.Max < 20 || len(s.Configs) != 1 || s.Configs[0].Revision != 1 {
-		t.Errorf("in force after %+v ms: %+v", d, s.Configs)
+		t.Errorf("got in force after %+v ms, configurations %+v; want revision 1 at 2 agents", d, s.Configs)
 	}
 	for i, at := range s.Configs[0].InForce {
-		if took := time.Duration(at - s.Configs[0].At); took < time.Duration(i)*push || took > wait {
-			t.Errorf("agent %d has it in force %v after the beginning", i, took)
+		if took := time.Duration(at - s.Configs[0].At); took < time.Duration(i)*push || took > testTimeout {
+			t.Errorf("agent %d: got configuration in force after %v, want %v to %v", i, took, time.Duration(i)*push, testTimeout)
 		}
 	}
 	if s.IdleAgents != 1 || s.CPUPercent <= 0 || s.CallCPUMS == 0 || s.Each[0].Calls != 100+warmUpPairs || s.Each[1].Calls != 0 {
-		t.Errorf("figures %+v", s)
+		t.Errorf("got measurements %+v, want 1 idle agent, CPU usage, and %d calls by the busy agent only", s, 100+warmUpPairs)
 	}
 	if s.RSSBytes.N != 2 || s.RSSBytes.P50 < 1<<20 || s.PeakBytes.Max < s.RSSBytes.P50 {
-		t.Errorf("memory %+v, peak %+v", s.RSSBytes, s.PeakBytes)
+		t.Errorf("got memory %+v, peak %+v; want at least 1 MB of each of 2 agents and a higher peak", s.RSSBytes, s.PeakBytes)
 	}
 	if err := f.Err(); err != nil {
 		t.Error(err)
@@ -201,14 +203,15 @@
 	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
-	gone(t, left)
+	checkProcessesGone(t, left)
 	if files, err := os.ReadDir(o.Dir); err != nil || len(files) != 0 {
-		t.Errorf("files are left: %v, %v", files, err)
+		t.Errorf("got files %v, error %v; want no files", files, err)
 	}
 }
 
-// A drawn world's agents come up on its configurations, reach its echo servers and take its next revision.
-func TestWorldsAgents(t *testing.T) {
+// TestAgentsOfGeneratedWorld checks that the agents of a generated world start with its configurations, reach its echo
+// servers and apply its next revision.
+func TestAgentsOfGeneratedWorld(t *testing.T) {
 	t.Parallel()
 	s, err := scenario.Load("../../../deploy/scale/tiny.toml")
 	if err != nil {
@@ -218,19 +221,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	o := options(t, 60)
+	o := testOptions(t, 60)
 	w.AddEcho(o.Echo)
 	o.Config, o.Agents, o.Discovery = w.Config, nil, nil
-	addr := discovery(t, o.Echo)
+	addr := startDiscovery(t, o.Echo)
 	for i, a := range w.Agents {
 		if o.Discovery = append(o.Discovery, addr); a.Real {
 			o.Agents = append(o.Agents, i)
 		}
 	}
-	f := fleet(t, t.Context(), o)
+	f := startFleet(t, t.Context(), o)
 	added, err := f.MeasureAdded(t.Context(), 10, 500*time.Microsecond)
 	if err != nil || added.Failed != 0 || added.CallsEach != 10 {
-		t.Errorf("added %+v, error %v", added, err)
+		t.Errorf("got added %+v, error %v; want 10 calls each way without failures", added, err)
 	}
 	if err := f.Configure(t.Context(), 1, 0); err != nil {
 		t.Error(err)
@@ -240,110 +243,112 @@
 	}
 }
 
-// An agent that dies in the run is an error with its name, and the others end well after it.
-func TestDeathIsReported(t *testing.T) {
+// TestAgentDeathIsReported checks that the death of an agent is reported with its name and that the others still end
+// cleanly.
+func TestAgentDeathIsReported(t *testing.T) {
 	t.Parallel()
-	f := fleet(t, t.Context(), options(t, 30))
+	f := startFleet(t, t.Context(), testOptions(t, 30))
 	left := pids(t, f)
 	if err := syscall.Kill(left[1], syscall.SIGKILL); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-f.Failed():
-	case <-time.After(wait):
-		t.Fatal("nobody hears of it")
+	case <-time.After(testTimeout):
+		t.Fatalf("the death was not reported within %v", testTimeout)
 	}
-	mentions(t, f.Err(), "agent r32", "killed", "last lines")
-	mentions(t, f.Configure(t.Context(), 1, 0), "agent r32", "does not run")
-	mentions(t, f.Restart(t.Context(), []int{32}, nil), "agent r32", "does not run")
+	checkErrorContains(t, f.Err(), "agent r32", "killed", "last lines")
+	checkErrorContains(t, f.Configure(t.Context(), 1, 0), "agent r32", "does not run")
+	checkErrorContains(t, f.Restart(t.Context(), []int{32}, nil), "agent r32", "does not run")
 	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
-	gone(t, left)
+	checkProcessesGone(t, left)
 }
 
-// What an agent says of a configuration that it cannot use is in the error, at its start and in the run.
+// TestBadConfigurationIsReported checks that errors include the agent's reason for rejecting a configuration, both at
+// its start and at a reload.
 func TestBadConfigurationIsReported(t *testing.T) {
 	t.Parallel()
-	o := options(t, 40)
-	f := fleet(t, t.Context(), o)
-	mentions(t, f.Configure(t.Context(), 100, 0), "agent r40", "agent r42", reloadRejectedMessage, "MaxAttempts")
+	o := testOptions(t, 40)
+	f := startFleet(t, t.Context(), o)
+	checkErrorContains(t, f.Configure(t.Context(), 100, 0), "agent r40", "agent r42", reloadRejectedMessage, "MaxAttempts")
 	if s := f.Stats(); s.ConfigInForce.Distribution().N != 0 || f.Err() != nil {
-		t.Errorf("in force all the same: %+v, error %v", s.ConfigInForce.Distribution(), f.Err())
+		t.Errorf("got in force %+v, error %v; want none in force and no error", s.ConfigInForce.Distribution(), f.Err())
 	}
 	if err := f.Configure(t.Context(), 2, 0); err != nil {
-		t.Errorf("the next one: %v", err)
+		t.Errorf("next configuration: got error %v, want none", err)
 	}
 	if err := f.Close(); err != nil {
 		t.Error(err)
 	}
 	o.Config = func(agent int, c world.ConfigOptions) []byte {
 		c.Revision = 100
-		return config(agent, c)
+		return testConfig(agent, c)
 	}
 	_, err := Start(t.Context(), o)
-	mentions(t, err, "agent r40", "ended before it was up", "MaxAttempts")
+	checkErrorContains(t, err, "agent r40", "ended before it was up", "MaxAttempts")
 	if files, err := os.ReadDir(o.Dir); err != nil || len(files) != 0 {
-		t.Errorf("files are left: %v, %v", files, err)
+		t.Errorf("got files %v, error %v; want no files", files, err)
 	}
 }
 
-// All processes end with the context, which is no agent's fault.
-func TestContextEndsAll(t *testing.T) {
+// TestContextEndsAllProcesses checks that all processes end with the context and that this is not reported as an error.
+func TestContextEndsAllProcesses(t *testing.T) {
 	t.Parallel()
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	f := fleet(t, ctx, options(t, 50))
+	f := startFleet(t, ctx, testOptions(t, 50))
 	left := pids(t, f)
 	cancel()
 	if err := f.Close(); err != nil || f.Err() != nil {
-		t.Errorf("closing: %v, in the run: %v", err, f.Err())
+		t.Errorf("got close error %v, run error %v; want none", err, f.Err())
 	}
-	gone(t, left)
+	checkProcessesGone(t, left)
 }
 
-func TestOptions(t *testing.T) {
-	good := Options{Agents: []int{0, 2}, Discovery: make([]string, 3)}
-	for what, c := range map[string]struct {
+func TestOptionsValidate(t *testing.T) {
+	valid := Options{Agents: []int{0, 2}, Discovery: make([]string, 3)}
+	for name, c := range map[string]struct {
 		change func(*Options)
 		want   string
 	}{
-		"good":       {func(*Options) {}, ""},
-		"none":       {func(o *Options) { o.Agents = nil }, "0 real agents"},
+		"valid":      {func(*Options) {}, ""},
+		"no agents":  {func(o *Options) { o.Agents = nil }, "0 real agents"},
 		"too many":   {func(o *Options) { o.Agents = make([]int, maxAgents+1) }, "201 real agents"},
-		"twice":      {func(o *Options) { o.Agents = []int{1, 1} }, "twice"},
+		"duplicate":  {func(o *Options) { o.Agents = []int{1, 1} }, "twice"},
 		"no address": {func(o *Options) { o.Agents = []int{3} }, "no address"},
 		"no relays":  {func(o *Options) { o.Relays = make([][]string, 1) }, "no address"},
-		"below 0":    {func(o *Options) { o.Agents = []int{-1} }, "no address"},
-		"busy":       {func(o *Options) { o.Busy = 3 }, "3 busy"},
+		"negative":   {func(o *Options) { o.Agents = []int{-1} }, "no address"},
+		"too busy":   {func(o *Options) { o.Busy = 3 }, "3 busy"},
 	} {
-		t.Run(what, func(t *testing.T) {
-			o := good
+		t.Run(name, func(t *testing.T) {
+			o := valid
 			c.change(&o)
 			err := o.validate()
 			if c.want == "" && err == nil {
 				return
 			}
-			mentions(t, err, c.want)
+			checkErrorContains(t, err, c.want)
 		})
 	}
 }
 
 func TestLogLines(t *testing.T) {
 	var got []string
-	l := &lineWriter{each: func(_ time.Time, line string) { got = append(got, line) }}
+	l := &lineWriter{onLine: func(_ time.Time, line string) { got = append(got, line) }}
 	for _, part := range []string{"one\ntw", "o\n", "\nthree", "\n", "half"} {
 		l.Write([]byte(part))
 	}
 	if strings.Join(got, "|") != "one|two||three" {
-		t.Errorf("lines %q", got)
+		t.Errorf("got lines %q, want one, two, an empty line and three", got)
 	}
 	var kept logTail
 	for i := range tailLines + 3 {
 		kept.add(fmt.Sprint(i))
 	}
 	if text := kept.text(); !strings.HasPrefix(text, "  3\n") || !strings.HasSuffix(text, "  14") {
-		t.Errorf("kept %q", text)
+		t.Errorf("got log tail %q, want lines 3 to 14", text)
 	}
 	for line, want := range map[string]map[string]string{
 		`time=x level=INFO msg="configuration reloaded" agent=r1 classes="[a b]"`: {"level": "INFO", "msg": "configuration reloaded", "classes": "[a b]"},
@@ -355,7 +360,7 @@
 		fields := logFields(line)
 		for key, value := range want {
 			if fields[key] != value {
-				t.Errorf("%s: %s is %q, want %q", line, key, fields[key], value)
+				t.Errorf("%s: got %s %q, want %q", line, key, fields[key], value)
 			}
 		}
 	}
--- a/internal/scale/run/output_test.go
+++ b/internal/scale/run/output_test.go
@@ -11,8 +11,8 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// everything is a run that has all tables and all words of the text, and every key of the JSON.
-func everything() *result.Run {
+// fullRun returns a run whose text has every table and whose JSON has every key.
+func fullRun() *result.Run {
 	r := passingRun()
 	r.Simulated.CPUPercent = 2.5
 	r.LateNotifications, r.RestartsNotUp, r.ModelKeptTime, r.WallSeconds = 3, 1, false, 20.5
@@ -26,15 +26,15 @@
 	return evaluate(r, limits)
 }
 
-// Text and JSON of results are read by people and programs of other days: no word and no key of them changes.
-func TestPrintedStays(t *testing.T) {
-	over, held := everything(), evaluate(passingRun(), limits)
+// TestOutputUnchanged guards the text and the JSON keys of results, which later versions and other programs read.
+func TestOutputUnchanged(t *testing.T) {
+	over, passing := fullRun(), evaluate(passingRun(), limits)
 	for _, c := range []struct {
 		file  string
 		write func(*bytes.Buffer) error
 	}{
 		{"over.txt", func(b *bytes.Buffer) error { return WriteText(b, over) }},
-		{"ok.txt", func(b *bytes.Buffer) error { return WriteText(b, held) }},
+		{"ok.txt", func(b *bytes.Buffer) error { return WriteText(b, passing) }},
 		{"over.json", func(b *bytes.Buffer) error {
 			text, err := json.MarshalIndent(over, "", "  ")
 			b.Write(append(text, '\n'))
@@ -52,30 +52,31 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got.Bytes(), want) {
-				t.Errorf("printed:\n%s\nwant:\n%s", &got, want)
+				t.Errorf("got:\n%s\nwant:\n%s", &got, want)
 			}
 		})
 	}
 }
 
-// The names of budgets and ratios stand in last lines, in JSON and in the figures file.
-func TestNamesStay(t *testing.T) {
+// TestBudgetAndRatioNamesUnchanged guards the names that appear in the last lines of runs, in JSON and in the figures
+// file.
+func TestBudgetAndRatioNamesUnchanged(t *testing.T) {
 	var names []string
 	for _, b := range checkBudgets(limits, passingRun()) {
 		names = append(names, b.Name)
 	}
 	want := []string{"added_p99", "agent_cpu", "agent_memory", "agent_bytes", "in_force_list", "in_force_config", "control_machines", "attempts_per_call"}
 	if !slices.Equal(names, want) {
-		t.Errorf("budgets %q, want %q", names, want)
+		t.Errorf("got budgets %q, want %q", names, want)
 	}
 	if got := checkBudgets(scenario.Budgets{}, passingRun()); got != nil {
-		t.Errorf("without limits: %+v", got)
+		t.Errorf("without limits: got budgets %+v, want none", got)
 	}
 	names = nil
 	for _, x := range compareRatios(passingRun()) {
 		names = append(names, x.Name)
 	}
 	if want := []string{"bytes", "list_in_force", "config_in_force", "cpu"}; !slices.Equal(names, want) {
-		t.Errorf("ratios %q, want %q", names, want)
+		t.Errorf("got ratios %q, want %q", names, want)
 	}
 }
--- a/internal/scale/run/schedule.go
+++ b/internal/scale/run/schedule.go
@@ -12,27 +12,28 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// secondsAfterEvent is how long behind an event bytes, lists and rejections still count as its own.
+// secondsAfterEvent is how long after an event bytes, lists and rejections are still attributed to it.
 const secondsAfterEvent = 6
 
-// partQueues are what the steps ask of the parts. A step is never waited for when the next is due.
-type partQueues struct{ control, simulated, real, source *taskQueue }
+// taskQueues holds the tasks of the steps, one queue per process or group of processes and one for the configuration
+// source. A step is added when it is due, even if earlier ones are unfinished.
+type taskQueues struct{ control, simulated, real, source *taskQueue }
 
-// newPartQueues starts a queue for each part. Names are printed in errors.
-func newPartQueues(ctx context.Context, steps int, length time.Duration) *partQueues {
+// newTaskQueues starts the queues. Their names appear in errors.
+func newTaskQueues(ctx context.Context, steps int, length time.Duration) *taskQueues {
 	const tasksPerStep = 4
 	capacity := steps*tasksPerStep + 1
-	return &partQueues{
+	return &taskQueues{
 		control:   newTaskQueue(ctx, role.Control, capacity, taskTimeout),
 		simulated: newTaskQueue(ctx, role.SimulatedAgents, capacity, taskTimeout),
 		real:      newTaskQueue(ctx, "real agents", capacity, restartTimeout),
-		// A rollout takes as long as it takes; what is left at the end counts as undelivered.
+		// A rollout may take as long as the run; what remains at the end counts as undelivered.
 		source: newTaskQueue(ctx, "source", capacity, length),
 	}
 }
 
-// playSteps plays the world's steps at their times until the measured part is over.
-func (r *runner) playSteps(ctx context.Context) error {
+// runSteps applies the world's steps at their times and waits until the measurement ends.
+func (r *runner) runSteps(ctx context.Context) error {
 	steps := r.world.Steps(r.startedAt)
 	length := seconds(r.scenario.Seconds)
 	end := r.startedAt.Add(length)
@@ -41,7 +42,7 @@
 	r.options.Progress(fmt.Sprintf("plays %d steps in %g s", len(steps), r.scenario.Seconds))
 	queueCtx, stop := context.WithCancel(ctx)
 	defer stop()
-	queues := newPartQueues(queueCtx, len(steps), length)
+	queues := newTaskQueues(queueCtx, len(steps), length)
 	for _, action := range r.schedule(queues, steps) {
 		due := r.startedAt.Add(action.at)
 		if due.After(end) {
@@ -57,7 +58,7 @@
 	return errors.Join(err, r.drainQueues(ctx, queues))
 }
 
-// countSteps counts, in the result, what is played.
+// countSteps counts the changes and failures of the steps in the result's sizes.
 func (r *runner) countSteps(steps []world.Step) {
 	sizes := &r.result.Sizes
 	for _, step := range steps {
@@ -73,14 +74,15 @@
 	}
 }
 
-// timedAction is something to do at a time of the measured part.
+// timedAction is an action and its time since the start of the measurement.
 type timedAction struct {
 	at time.Duration
 	do func(due time.Time)
 }
 
-// schedule lists the steps and, a while behind the last one of each event or at the run's end, the snapshots of counters.
-func (r *runner) schedule(queues *partQueues, steps []world.Step) (all []timedAction) {
+// schedule returns the actions of the run by time: all steps, and a snapshot of the counters secondsAfterEvent after
+// the last step of each event, or at the end of the run if that is earlier.
+func (r *runner) schedule(queues *taskQueues, steps []world.Step) (all []timedAction) {
 	for _, step := range steps {
 		all = append(all, timedAction{step.At, func(due time.Time) { r.applyStep(queues, step, due) }})
 		if !step.Ends || step.Event < 0 {
@@ -95,7 +97,7 @@
 	return all
 }
 
-// waitUntil waits until a time or the end of the context.
+// waitUntil waits until t, or returns the context's cause if ctx ends first.
 func waitUntil(ctx context.Context, t time.Time) error {
 	timer := time.NewTimer(time.Until(t))
 	defer timer.Stop()
@@ -107,9 +109,9 @@
 	}
 }
 
-// drainQueues waits a little for what was begun. A rollout that is still on is no failure: its agents count as not having
-// the revision.
-func (r *runner) drainQueues(ctx context.Context, queues *partQueues) error {
+// drainQueues waits up to taskTimeout for the remaining tasks. A rollout that is still in progress is not an error: its
+// remaining agents count as not having the revision.
+func (r *runner) drainQueues(ctx context.Context, queues *taskQueues) error {
 	ctx, stop := context.WithTimeout(ctx, taskTimeout)
 	defer stop()
 	err := errors.Join(queues.control.close(ctx), queues.simulated.close(ctx), queues.real.close(ctx))
@@ -123,7 +125,7 @@
 	return errors.Join(err, sourceErr)
 }
 
-// countAffected counts, by event, what it affects: servers where their processes end, agents otherwise.
+// countAffected returns how many servers each event affects, or agents if it affects no servers.
 func (r *runner) countAffected(steps []world.Step) map[int]int {
 	servers := map[int]map[int]bool{}
 	agents := map[int]map[int]bool{}
