--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -77,7 +77,7 @@
 
 // reload loads the configuration anew at each SIGHUP, until the context ends.
 func reload(
-	ctx context.Context, path string, present *relay.Config, hangups <-chan os.Signal, r *relay.Relay, log *slog.Logger,
+	ctx context.Context, path string, current *relay.Config, hangups <-chan os.Signal, r *relay.Relay, log *slog.Logger,
 ) {
 	for {
 		select {
@@ -85,24 +85,24 @@
 		case <-ctx.Done():
 			return
 		}
-		next, err := loadReload(path, present)
+		next, err := loadReload(path, current)
 		if err != nil {
 			log.Error("configuration reload rejected", "error", err)
 			continue
 		}
 		r.Migrate(ctx, next.Discovery, next.Limits.FullListsPerSecond)
-		present = next
+		current = next
 		log.Info("configuration reloaded", "discovery", next.Discovery, "lists_per_second", next.Limits.FullListsPerSecond)
 	}
 }
 
 // loadReload loads a configuration that can take the place of the present one.
-func loadReload(path string, present *relay.Config) (*relay.Config, error) {
+func loadReload(path string, current *relay.Config) (*relay.Config, error) {
 	next, err := relay.LoadConfig(path)
 	if err != nil {
 		return nil, err
 	}
-	return next, next.CheckReload(present)
+	return next, next.CheckReload(current)
 }
 
 // serveMetrics serves the metrics at an address, if there is one, until the returned function is called.
--- a/cmd/relay/main_test.go
+++ b/cmd/relay/main_test.go
@@ -23,14 +23,14 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// asRelay has this binary be the program itself.
-const asRelay = "RELAY_TEST_PROGRAM"
+// programEnv has this binary be the program itself.
+const programEnv = "RELAY_TEST_PROGRAM"
 
 // wait bounds what a test waits for; nothing passes by it.
-const wait = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
-	if os.Getenv(asRelay) != "" {
+	if os.Getenv(programEnv) != "" {
 		main()
 		return
 	}
@@ -106,7 +106,7 @@
 // start runs the program and returns when it listens.
 func (p *program) start(t *testing.T) {
 	p.Cmd = exec.Command(os.Args[0])
-	p.Env = append(os.Environ(), asRelay+"=1", "RELAY_CONFIG="+p.config)
+	p.Env = append(os.Environ(), programEnv+"=1", "RELAY_CONFIG="+p.config)
 	p.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	stderr, err := p.StderrPipe()
 	if err != nil {
@@ -130,7 +130,7 @@
 			c.Close()
 			return
 		}
-		if time.Since(began) > wait {
+		if time.Since(began) > testTimeout {
 			t.Fatal("the relay does not listen")
 		}
 	}
@@ -139,7 +139,7 @@
 // awaitLog waits for a line of the log.
 func (p *program) awaitLog(t *testing.T, what string) {
 	t.Helper()
-	for late := time.After(wait); ; {
+	for late := time.After(testTimeout); ; {
 		select {
 		case line := <-p.log:
 			if strings.Contains(line, what) {
@@ -156,7 +156,7 @@
 	select {
 	case err := <-p.ended:
 		return err
-	case <-time.After(wait):
+	case <-time.After(testTimeout):
 		t.Fatal("the relay does not end")
 		return nil
 	}
@@ -215,7 +215,7 @@
 // awaitAll waits until all agents have received a revision and returns when the last one did.
 func (a *agents) awaitAll(t *testing.T, revision uint64) (last time.Time) {
 	t.Helper()
-	for late := time.After(wait); ; {
+	for late := time.After(testTimeout); ; {
 		missing := 0
 		a.mu.Lock()
 		for _, h := range a.received {
@@ -249,7 +249,7 @@
 		if _, err := os.Stat(filepath.Join(relays[0].state, "list")); err == nil {
 			break
 		}
-		if time.Since(began) > wait {
+		if time.Since(began) > testTimeout {
 			t.Fatal("no list is stored")
 		}
 	}
@@ -287,7 +287,7 @@
 func (p *program) awaitRevision(t *testing.T, revision int) {
 	t.Helper()
 	want := fmt.Sprintf("relay_revision %d\n", revision)
-	for begun := time.Now(); time.Since(begun) < wait; time.Sleep(time.Millisecond) {
+	for begun := time.Now(); time.Since(begun) < testTimeout; time.Sleep(time.Millisecond) {
 		if _, text := get(p.metrics, "/"); strings.Contains(text, want) {
 			return
 		}
@@ -333,13 +333,13 @@
 	}
 	select {
 	case <-answered:
-	case <-time.After(wait):
+	case <-time.After(testTimeout):
 		t.Error("a watch outlives the relay")
 	}
 }
 
 // What keeps the program from starting is named.
-func TestDoesNotStart(t *testing.T) {
+func TestStartErrors(t *testing.T) {
 	s := newService(t, 7)
 	p := startProgram(t, s.addr)
 	second := &program{addr: p.addr, metrics: freeAddr(t), config: filepath.Join(t.TempDir(), "relay.json"), state: t.TempDir()}
@@ -350,7 +350,7 @@
 		"RELAY_CONFIG is not set": "", "no such file": "/none/relay.json", "listening: ": second.config, "figures: ": third.config,
 	} {
 		cmd := exec.Command(os.Args[0])
-		cmd.Env = append(os.Environ(), asRelay+"=1", "RELAY_CONFIG="+config)
+		cmd.Env = append(os.Environ(), programEnv+"=1", "RELAY_CONFIG="+config)
 		if text, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(text), what) {
 			t.Errorf("%s: error %v, it says %s", what, err, text)
 		}
--- a/internal/lists/caller.go
+++ b/internal/lists/caller.go
@@ -17,9 +17,9 @@
 	server *Server
 	agent  int
 
-	mu         sync.Mutex
-	inFlight   int
-	answeredAt time.Time // when its last watch was answered; zero if it has none
+	mu          sync.Mutex
+	inFlight    int
+	respondedAt time.Time // when its last watch was answered; zero if it has none
 }
 
 // begin admits a call, and says whether it continues a watch.
@@ -34,7 +34,7 @@
 		return false, false
 	}
 	c.inFlight++
-	continues = q.hasSince && !c.answeredAt.IsZero() && now.Sub(c.answeredAt) <= WatchContinuation
+	continues = q.hasSince && !c.respondedAt.IsZero() && now.Sub(c.respondedAt) <= WatchContinuation
 	return continues, true
 }
 
@@ -43,9 +43,9 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.inFlight--
-	c.answeredAt = time.Time{}
+	c.respondedAt = time.Time{}
 	if record.HasSince && record.Status == http.StatusOK {
-		c.answeredAt = record.WrittenAt
+		c.respondedAt = record.WrittenAt
 	}
 }
 
@@ -80,7 +80,7 @@
 	if c.server.OnAcknowledge != nil && q.hasSince && q.since <= c.server.Store.Revision() {
 		c.server.OnAcknowledge(c.agent, q.since, now)
 	}
-	answer, err := c.answer(r.Context(), q, now, continues, record)
+	response, err := c.awaitResponse(r.Context(), q, now, continues, record)
 	if err != nil {
 		writeError(w, http.StatusServiceUnavailable, err)
 		if r.Context().Err() == nil {
@@ -88,47 +88,47 @@
 		}
 		return
 	}
-	record.Revision = answer.Revision
-	record.Complete = answer.Complete
-	record.Entries = answer.Entries
-	if writeAnswer(w, answer.Body) == nil {
+	record.Revision = response.Revision
+	record.Complete = response.Complete
+	record.Entries = response.Entries
+	if writeResponse(w, response.Body) == nil {
 		record.Status = http.StatusOK
 		record.WrittenAt = time.Now()
 	}
 }
 
 // answer finds the answer to a call and has it admitted; a watch without changes waits for one first.
-func (c *caller) answer(ctx context.Context, q query, now time.Time, continues bool, record *CallRecord) (Answer, error) {
-	answer, changed := c.lookUp(q)
-	if answer.Body == nil {
-		return answer, errNoListYet
+func (c *caller) awaitResponse(ctx context.Context, q query, now time.Time, continues bool, record *CallRecord) (Response, error) {
+	response, changed := c.lookUp(q)
+	if response.Body == nil {
+		return response, errNoListYet
 	}
-	waits := q.waits(answer, now)
-	work := Work{Agent: c.agent, Continues: continues, Complete: answer.Complete}
+	waits := q.waits(response, now)
+	work := Work{Agent: c.agent, Continues: continues, Complete: response.Complete}
 	if !waits {
-		work.Entries = answer.Entries
+		work.Entries = response.Entries
 	}
 	if err := c.admit(ctx, work, record); err != nil || !waits {
-		return answer, err
+		return response, err
 	}
 	record.HeldAt = time.Now()
 	timeout := time.NewTimer(time.Until(now.Add(q.wait)))
 	defer timeout.Stop()
-	for q.waits(answer, now) {
+	for q.waits(response, now) {
 		select {
 		case <-changed:
 		case <-timeout.C:
 		case <-ctx.Done():
-			return answer, ctx.Err()
+			return response, ctx.Err()
 		}
-		answer, changed = c.lookUp(q)
+		response, changed = c.lookUp(q)
 	}
-	work = Work{Agent: c.agent, Continues: true, Complete: answer.Complete, Entries: answer.Entries}
-	return answer, c.admit(ctx, work, record)
+	work = Work{Agent: c.agent, Continues: true, Complete: response.Complete, Entries: response.Entries}
+	return response, c.admit(ctx, work, record)
 }
 
 // lookUp is the present answer and what is closed when there will be another.
-func (c *caller) lookUp(q query) (Answer, <-chan struct{}) {
+func (c *caller) lookUp(q query) (Response, <-chan struct{}) {
 	changed := c.server.Store.Changed()
 	return c.server.Store.Since(q.since, q.hasSince), changed
 }
@@ -157,8 +157,8 @@
 	http.Error(w, err.Error(), status)
 }
 
-// writeAnswer sends an answer and returns when the system has taken all of it. A caller that does not read loses its connection.
-func writeAnswer(w http.ResponseWriter, text []byte) error {
+// writeResponse sends an answer and returns when the system has taken all of it. A caller that does not read loses its connection.
+func writeResponse(w http.ResponseWriter, text []byte) error {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(text)))
--- a/internal/lists/listener_test.go
+++ b/internal/lists/listener_test.go
@@ -46,12 +46,12 @@
 	return resp, text
 }
 
-const plain = "GET " + Path + " HTTP/1.1\r\nHost: x\r\n\r\n"
+const plainRequest = "GET " + Path + " HTTP/1.1\r\nHost: x\r\n\r\n"
 
 // A list as long as an agent accepts comes complete.
 func TestLargestList(t *testing.T) {
 	s := &Server{Store: NewStore(8)}
-	s.Store.Reset(1, ready(30000))
+	s.Store.Reset(1, readyMembers(30000))
 	want := s.Store.Since(0, false)
 	if n := len(want.Body); n > 4<<20 || n < 4<<20-128<<10 {
 		t.Fatalf("the list has %d bytes", n)
@@ -62,16 +62,16 @@
 	}
 	defer c.Close()
 	for range 2 { // on the same connection
-		if resp, text := call(t, c, plain); resp.StatusCode != 200 || string(text) != string(want.Body) {
+		if resp, text := call(t, c, plainRequest); resp.StatusCode != 200 || string(text) != string(want.Body) {
 			t.Errorf("%s, %d bytes of %d", resp.Status, len(text), len(want.Body))
 		}
 	}
 }
 
 // Connections beyond the limit are closed; one that ends makes room.
-func TestFewConnections(t *testing.T) {
+func TestMaxConns(t *testing.T) {
 	s := &Server{Store: NewStore(8), MaxConns: 2}
-	s.Store.Reset(1, ready(1))
+	s.Store.Reset(1, readyMembers(1))
 	addr := serve(t, s)
 	var open []net.Conn
 	for range 2 {
@@ -80,7 +80,7 @@
 			t.Fatal(err)
 		}
 		defer c.Close()
-		call(t, c, plain)
+		call(t, c, plainRequest)
 		open = append(open, c)
 	}
 	more, err := net.Dial("tcp", addr)
@@ -92,7 +92,7 @@
 		t.Errorf("the third connection gets %d bytes", n)
 	}
 	// The server closes this one itself, once it has answered.
-	call(t, open[0], strings.Replace(plain, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
+	call(t, open[0], strings.Replace(plainRequest, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
 	if _, err := open[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("the first connection ends with %v", err)
 	}
@@ -101,7 +101,7 @@
 		t.Fatal(err)
 	}
 	defer next.Close()
-	if resp, _ := call(t, next, plain); resp.StatusCode != 200 {
+	if resp, _ := call(t, next, plainRequest); resp.StatusCode != 200 {
 		t.Errorf("the connection in its place: %s", resp.Status)
 	}
 }
@@ -109,7 +109,7 @@
 // A body that is announced and never sent does not hold the connection.
 func TestBodyNeverSent(t *testing.T) {
 	s := &Server{Store: NewStore(8)}
-	s.Store.Reset(1, ready(1))
+	s.Store.Reset(1, readyMembers(1))
 	c, err := net.Dial("tcp", serve(t, s))
 	if err != nil {
 		t.Fatal(err)
@@ -123,13 +123,13 @@
 
 func TestLongHeader(t *testing.T) {
 	s := &Server{Store: NewStore(8)}
-	s.Store.Reset(1, ready(1))
+	s.Store.Reset(1, readyMembers(1))
 	c, err := net.Dial("tcp", serve(t, s))
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer c.Close()
-	long := strings.Replace(plain, "Host: x", "Host: x\r\nX: "+strings.Repeat("x", 2*maxHeaderBytes), 1)
+	long := strings.Replace(plainRequest, "Host: x", "Host: x\r\nX: "+strings.Repeat("x", 2*maxHeaderBytes), 1)
 	if _, err := io.WriteString(c, long); err != nil {
 		t.Fatal(err)
 	}
@@ -140,12 +140,12 @@
 }
 
 // pipes is a listener whose connections are pipes, which keep the time of a bubble.
-type pipes struct {
+type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
 }
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -153,8 +153,8 @@
 		return nil, net.ErrClosed
 	}
 }
-func (p pipes) Close() error   { close(p.done); return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { close(p.done); return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // A caller that does not send its headers, does not read its answer or makes no calls loses its connection.
 func TestSlowCallers(t *testing.T) {
@@ -164,15 +164,15 @@
 		want       time.Duration
 	}{
 		{"no headers", "", true, headerTimeout},
-		{"half the headers", plain[:20], true, headerTimeout},
-		{"the answer is not read", plain, false, writeTimeout},
-		{"no further call", plain, true, idleTimeout},
+		{"half the headers", plainRequest[:20], true, headerTimeout},
+		{"the answer is not read", plainRequest, false, writeTimeout},
+		{"no further call", plainRequest, true, idleTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &Server{Store: NewStore(8), Log: slog.New(slog.DiscardHandler)}
-				s.Store.Reset(1, ready(100))
-				p := pipes{make(chan net.Conn), make(chan struct{})}
+				s.Store.Reset(1, readyMembers(100))
+				p := pipeListener{make(chan net.Conn), make(chan struct{})}
 				h := s.HTTP()
 				go h.Serve(s.Listener(p, 0))
 				near, far := net.Pipe()
@@ -197,12 +197,12 @@
 }
 
 // One server tells its listeners' agents apart.
-func TestListenersOfOneServer(t *testing.T) {
+func TestListenersIdentifyAgents(t *testing.T) {
 	acknowledged := make(chan string, 1)
 	s := &Server{Store: NewStore(8), Log: slog.New(slog.DiscardHandler), OnAcknowledge: func(agent int, revision uint64, _ time.Time) {
 		acknowledged <- fmt.Sprint(agent, " ", revision)
 	}}
-	s.Store.Reset(5, ready(1))
+	s.Store.Reset(5, readyMembers(1))
 	h := s.HTTP()
 	defer h.Close()
 	for _, agent := range []int{0, 7, 829} {
@@ -215,7 +215,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		call(t, c, strings.Replace(plain, Path, Path+"?after=5", 1))
+		call(t, c, strings.Replace(plainRequest, Path, Path+"?after=5", 1))
 		c.Close()
 		if got := <-acknowledged; got != fmt.Sprint(agent, " 5") {
 			t.Errorf("agent %d acknowledges as %s", agent, got)
--- a/internal/lists/query.go
+++ b/internal/lists/query.go
@@ -26,7 +26,7 @@
 }
 
 // waits says whether an answer brings no changes and the call's time is not over.
-func (q *query) waits(a Answer, arrived time.Time) bool {
+func (q *query) waits(a Response, arrived time.Time) bool {
 	return q.hasSince && !a.Complete && a.Revision == q.since && time.Since(arrived) < q.wait
 }
 
--- a/internal/lists/server_test.go
+++ b/internal/lists/server_test.go
@@ -25,7 +25,7 @@
 
 func TestRequests(t *testing.T) {
 	s := &Server{Store: NewStore(8)}
-	s.Store.Reset(41, ready(2))
+	s.Store.Reset(41, readyMembers(2))
 	for _, c := range []struct {
 		method, target, body string
 		status               int
@@ -108,14 +108,14 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := &Server{Store: NewStore(8)}
 				for _, step := range c.before {
-					step.play(t, s.Store)
+					step.apply(t, s.Store)
 				}
 				began := time.Now()
-				answers := make(chan *httptest.ResponseRecorder)
-				go func() { answers <- get(s.Handler(0), c.query) }()
+				responses := make(chan *httptest.ResponseRecorder)
+				go func() { responses <- get(s.Handler(0), c.query) }()
 				var w *httptest.ResponseRecorder
 				select {
-				case w = <-answers:
+				case w = <-responses:
 				case <-func() <-chan time.Time {
 					if c.changes == nil {
 						return nil
@@ -123,12 +123,12 @@
 					return time.After(c.at)
 				}():
 					for _, step := range c.changes {
-						step.play(t, s.Store)
+						step.apply(t, s.Store)
 					}
-					w = <-answers
+					w = <-responses
 				}
 				took, l := time.Since(began), parse(t, w.Body.Bytes())
-				got := fmt.Sprintf("%d %v %s", *l.Revision, l.Complete, words(l.Members))
+				got := fmt.Sprintf("%d %v %s", *l.Revision, l.Complete, formatMembers(l.Members))
 				if took != c.took || w.Code != 200 || got != c.want {
 					t.Errorf("%d after %v: %s, want %s after %v", w.Code, took, got, c.want, c.took)
 				}
@@ -150,24 +150,24 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := &Server{Store: NewStore(8)}
-				step{true, 10, "a:Ready b:Ready"}.play(t, s.Store)
-				answers := make(chan *httptest.ResponseRecorder)
+				step{true, 10, "a:Ready b:Ready"}.apply(t, s.Store)
+				responses := make(chan *httptest.ResponseRecorder)
 				watch := func(after uint64) {
-					go func() { answers <- get(s.Handler(0), fmt.Sprintf("?after=%d&wait_ms=20000", after)) }()
+					go func() { responses <- get(s.Handler(0), fmt.Sprintf("?after=%d&wait_ms=20000", after)) }()
 				}
 				watch(10)
 				synctest.Wait()
 				began := time.Now()
-				step{false, 11, "b:Terminating"}.play(t, s.Store)
+				step{false, 11, "b:Terminating"}.apply(t, s.Store)
 				if c.between {
 					synctest.Wait() // the watch has taken its answer
 				}
-				step{false, 12, "b:Gone c:Ready"}.play(t, s.Store)
+				step{false, 12, "b:Gone c:Ready"}.apply(t, s.Store)
 				var got []string
 				for revision := uint64(10); revision < 12; {
-					w := <-answers
+					w := <-responses
 					l := parse(t, w.Body.Bytes())
-					got = append(got, fmt.Sprintf("%d %v %s", *l.Revision, l.Complete, words(l.Members)))
+					got = append(got, fmt.Sprintf("%d %v %s", *l.Revision, l.Complete, formatMembers(l.Members)))
 					if w.Code != 200 || time.Since(began) != 0 || *l.Revision <= revision {
 						t.Fatalf("%d after %v: %q", w.Code, time.Since(began), got)
 					}
@@ -177,7 +177,7 @@
 				if !slices.Contains(c.want, strings.Join(got, "|")) {
 					t.Errorf("%q, want one of %q", got, c.want)
 				}
-				if w := <-answers; w.Code != 200 || time.Since(began) != 20*time.Second {
+				if w := <-responses; w.Code != 200 || time.Since(began) != 20*time.Second {
 					t.Errorf("without a change: %d after %v", w.Code, time.Since(began))
 				}
 			})
@@ -186,11 +186,11 @@
 }
 
 // A watch whose caller goes away ends, and another may be made.
-func TestCallerGoes(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan CallRecord, 1)
 		s := &Server{Store: NewStore(8), MaxCallsPerAgent: 1, OnCallDone: func(c CallRecord) { ended <- c }}
-		s.Store.Reset(1, ready(1))
+		s.Store.Reset(1, readyMembers(1))
 		ctx, leave := context.WithCancel(t.Context())
 		r := httptest.NewRequest(http.MethodGet, Path+"?after=1&wait_ms=20000", nil).WithContext(ctx)
 		go s.Handler(0).ServeHTTP(httptest.NewRecorder(), r)
@@ -247,7 +247,7 @@
 }
 
 // The work of a call is its beginning, unless it continues a watch, and the members of its answer.
-func TestWhatACallPays(t *testing.T) {
+func TestWorkPerCall(t *testing.T) {
 	const agent = 3
 	begins := func(complete bool, members int) Work { return Work{Agent: agent, Complete: complete, Entries: members} }
 	continues := func(complete bool, members int) Work {
@@ -278,7 +278,7 @@
 				l := &recordingLimiter{delay: 5 * time.Millisecond}
 				var last CallRecord
 				s := &Server{Store: NewStore(8), Limiter: l, OnCallDone: func(c CallRecord) { last = c }}
-				step{true, 10, "a:Ready b:Ready"}.play(t, s.Store)
+				step{true, 10, "a:Ready b:Ready"}.apply(t, s.Store)
 				if c.first != "" {
 					get(s.Handler(agent), c.first)
 					time.Sleep(c.pause) // of the bubble's clock
@@ -289,7 +289,7 @@
 				go func() { ended <- get(s.Handler(agent), c.query) }()
 				if c.change != "" {
 					time.Sleep(100 * time.Millisecond)
-					step{false, 11, c.change}.play(t, s.Store)
+					step{false, 11, c.change}.apply(t, s.Store)
 				}
 				if w := <-ended; w.Code != 200 {
 					t.Errorf("answered %d", w.Code)
@@ -307,7 +307,7 @@
 }
 
 // A call that the limiter rejects gets a 503, and what comes next is a new call.
-func TestRefused(t *testing.T) {
+func TestLimiterRejects(t *testing.T) {
 	for _, c := range []struct {
 		err   error
 		after string
@@ -319,7 +319,7 @@
 	} {
 		l := &recordingLimiter{}
 		s := &Server{Store: NewStore(8), Limiter: l}
-		s.Store.Reset(1, ready(1))
+		s.Store.Reset(1, readyMembers(1))
 		get(s.Handler(0), "?after=1")
 		l.err = c.err
 		if w := get(s.Handler(0), ""); w.Code != 503 || w.Header().Get("Retry-After") != c.after {
@@ -335,12 +335,12 @@
 }
 
 // A call acknowledges the revision that its agent holds, unless the store cannot know that.
-func TestHeard(t *testing.T) {
+func TestAcknowledge(t *testing.T) {
 	var acknowledged []string
 	s := &Server{Store: NewStore(8), OnAcknowledge: func(agent int, revision uint64, _ time.Time) {
 		acknowledged = append(acknowledged, fmt.Sprint(agent, ":", revision))
 	}}
-	s.Store.Reset(10, ready(1))
+	s.Store.Reset(10, readyMembers(1))
 	for agent, query := range []string{"", "?after=10", "?after=11", "?after=4", "?after=x"} {
 		get(s.Handler(agent), query)
 	}
@@ -353,7 +353,7 @@
 func TestFollowers(t *testing.T) {
 	const followers, last = 64, 300
 	s := &Server{Store: NewStore(16), MaxCallsPerAgent: 1}
-	s.Store.Reset(0, ready(20))
+	s.Store.Reset(0, readyMembers(20))
 	var all sync.WaitGroup
 	ends := make([]map[string]discovery.Member, followers)
 	for i := range followers {
--- a/internal/lists/store.go
+++ b/internal/lists/store.go
@@ -25,8 +25,8 @@
 	errOutOfOrder = errors.New("revision does not follow")
 )
 
-// Answer is the text of one answer and what it holds.
-type Answer struct {
+// Response is the text of one answer and what it holds.
+type Response struct {
 	Body     []byte // JSON, shared by all who get it: never to be written to. Nil while the store has no list
 	Revision uint64
 	Complete bool // the full list, not changes
@@ -52,10 +52,10 @@
 	log           []change           // oldest first
 	logFloor      uint64             // the log holds all changes after this revision
 	loggedMembers int
-	changed       chan struct{}               // closed when the list changes
-	complete      Answer                      // the full list at this revision; no text: not encoded yet
-	changes       [cachedChanges]cachedAnswer // up to this revision
-	nextChanges   int                         // of changes, the one to give up for another
+	changed       chan struct{}                 // closed when the list changes
+	complete      Response                      // the full list at this revision; no text: not encoded yet
+	changes       [cachedChanges]cachedResponse // up to this revision
+	nextChanges   int                           // of changes, the one to give up for another
 }
 
 // change is what one revision changed.
@@ -64,10 +64,10 @@
 	members  []discovery.Member
 }
 
-// cachedAnswer is the answer to those who hold a revision. No text: none.
-type cachedAnswer struct {
-	since  uint64
-	answer Answer
+// cachedResponse is the answer to those who hold a revision. No text: none.
+type cachedResponse struct {
+	since    uint64
+	response Response
 }
 
 // NewStore returns a store without a list, whose log will hold the changes of so many revisions: fewer where they are large, for
@@ -155,8 +155,8 @@
 // setRevision makes this the newest revision: what was encoded led to another one, and those who wait are woken.
 func (s *Store) setRevision(revision uint64) {
 	s.revision = revision
-	s.complete = Answer{}
-	s.changes = [cachedChanges]cachedAnswer{}
+	s.complete = Response{}
+	s.changes = [cachedChanges]cachedResponse{}
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
@@ -186,31 +186,31 @@
 
 // Since is the answer to one who holds a revision, or none if !known: the changes since then, each member once and as it is now,
 // or the full list where the revision is not known, is ahead of the store or lies before the log.
-func (s *Store) Since(revision uint64, known bool) Answer {
+func (s *Store) Since(revision uint64, known bool) Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !s.hasList {
-		return Answer{}
+		return Response{}
 	}
 	if !known || revision > s.revision || revision < s.logFloor {
 		if s.complete.Body == nil {
-			s.complete = encodeAnswer(s.revision, true, s.members)
+			s.complete = encodeResponse(s.revision, true, s.members)
 		}
 		return s.complete
 	}
 	for i := range s.changes {
-		if cached := &s.changes[i]; cached.answer.Body != nil && cached.since == revision {
-			return cached.answer
+		if cached := &s.changes[i]; cached.response.Body != nil && cached.since == revision {
+			return cached.response
 		}
 	}
-	answer := encodeAnswer(s.revision, false, s.mergeChanges(revision))
-	s.changes[s.nextChanges] = cachedAnswer{since: revision, answer: answer}
+	response := encodeResponse(s.revision, false, s.mergeChanges(revision))
+	s.changes[s.nextChanges] = cachedResponse{since: revision, response: response}
 	s.nextChanges = (s.nextChanges + 1) % cachedChanges
-	return answer
+	return response
 }
 
-func encodeAnswer(revision uint64, complete bool, members []discovery.Member) Answer {
-	return Answer{Body: Encode(revision, complete, members), Revision: revision, Complete: complete, Entries: len(members)}
+func encodeResponse(revision uint64, complete bool, members []discovery.Member) Response {
+	return Response{Body: Encode(revision, complete, members), Revision: revision, Complete: complete, Entries: len(members)}
 }
 
 // mergeChanges are the members that changed after a revision in the log, each as its last change left it, in the order of those.
--- a/internal/lists/store_test.go
+++ b/internal/lists/store_test.go
@@ -20,7 +20,7 @@
 }
 
 // ready are n members with IDs from s-0 on.
-func ready(n int) []discovery.Member {
+func readyMembers(n int) []discovery.Member {
 	members := make([]discovery.Member, n)
 	for i := range members {
 		members[i] = member(fmt.Sprintf("s-%d", i), "Ready")
@@ -39,7 +39,7 @@
 }
 
 // words writes members as "a:Ready b:Gone".
-func words(members []discovery.Member) string {
+func formatMembers(members []discovery.Member) string {
 	var all []string
 	for _, m := range members {
 		all = append(all, m.ID+":"+m.State)
@@ -95,7 +95,7 @@
 	return members
 }
 
-func (s step) play(t *testing.T, store *Store) {
+func (s step) apply(t *testing.T, store *Store) {
 	t.Helper()
 	if s.reset {
 		store.Reset(s.revision, s.members())
@@ -145,11 +145,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := NewStore(c.log)
 			for _, step := range c.steps {
-				step.play(t, s)
+				step.apply(t, s)
 			}
 			a := s.Since(c.since, c.known)
 			l := parse(t, a.Body)
-			if got := words(l.Members); got != c.want || l.Complete != c.complete || *l.Revision != c.revision {
+			if got := formatMembers(l.Members); got != c.want || l.Complete != c.complete || *l.Revision != c.revision {
 				t.Errorf("%s, want revision %d, complete %v: %s", a.Body, c.revision, c.complete, c.want)
 			}
 			if a.Revision != *l.Revision || a.Complete != l.Complete || a.Entries != len(l.Members) {
@@ -163,7 +163,7 @@
 }
 
 // A change that cannot follow is rejected and leaves the store as it was.
-func TestApplyRefuses(t *testing.T) {
+func TestApplyRejects(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		steps []step
@@ -178,7 +178,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			s := NewStore(8)
 			for _, step := range c.steps {
-				step.play(t, s)
+				step.apply(t, s)
 			}
 			before, changed := s.Since(0, false), s.Changed()
 			if err := s.Apply(c.bad.revision, c.bad.members()); !errors.Is(err, c.want) {
@@ -197,12 +197,12 @@
 }
 
 // The log is bounded in members as well as in revisions.
-func TestLogBoundedInLines(t *testing.T) {
+func TestLogBoundedInMembers(t *testing.T) {
 	const log, members = 4, 100
 	s := NewStore(log)
-	s.Reset(0, ready(members))
+	s.Reset(0, readyMembers(members))
 	for r := range uint64(log) { // each changes nearly all: two of them are more than the list
-		if err := s.Apply(r+1, ready(members-1)); err != nil {
+		if err := s.Apply(r+1, readyMembers(members-1)); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -212,18 +212,18 @@
 }
 
 // What was handed out stays as it was.
-func TestMembersAreLeftAlone(t *testing.T) {
+func TestMembersNotModified(t *testing.T) {
 	s := NewStore(8)
-	s.Reset(1, ready(3))
+	s.Reset(1, readyMembers(3))
 	first, text := s.Members(), s.Since(0, false).Body
 	want, wantText := slices.Clone(first), string(text)
 	for r, entries := range []string{"s-1:Terminating", "s-0:Gone", "s-9:Ready"} {
-		step{false, uint64(r + 2), entries}.play(t, s)
+		step{false, uint64(r + 2), entries}.apply(t, s)
 	}
 	if !slices.Equal(first, want) || string(text) != wantText {
 		t.Errorf("%v and %s, before the changes %v and %s", first, text, want, wantText)
 	}
-	if got := words(s.Members()); got != "s-2:Ready s-1:Terminating s-9:Ready" {
+	if got := formatMembers(s.Members()); got != "s-2:Ready s-1:Terminating s-9:Ready" {
 		t.Errorf("now %s", got)
 	}
 }
@@ -241,7 +241,7 @@
 func TestEncodedOnce(t *testing.T) {
 	const members, followers, changes = 1024, 1000, 20
 	s := NewStore(64)
-	s.Reset(1, ready(members))
+	s.Reset(1, readyMembers(members))
 	full := uint64(len(s.Since(0, false).Body))
 
 	texts := make(map[*byte]bool)
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -131,18 +131,18 @@
 
 // CheckReload returns an error unless a running relay can take this configuration in place of the present one: only discovery's
 // address and the rate of full lists can change.
-func (c *Config) CheckReload(present *Config) error {
+func (c *Config) CheckReload(current *Config) error {
 	const needsRestart = ": needs a new process"
 	switch {
-	case c.Name != present.Name:
+	case c.Name != current.Name:
 		return &ConfigError{Field: "name", Reason: needsRestart}
-	case c.Listen != present.Listen:
+	case c.Listen != current.Listen:
 		return &ConfigError{Field: "listen", Reason: needsRestart}
-	case c.MetricsAddr != present.MetricsAddr:
+	case c.MetricsAddr != current.MetricsAddr:
 		return &ConfigError{Field: "figures", Reason: needsRestart}
-	case c.State != present.State:
+	case c.State != current.State:
 		return &ConfigError{Field: "state", Reason: needsRestart}
-	case c.Limits.MaxCallers != present.Limits.MaxCallers || c.Limits.MemoryMB != present.Limits.MemoryMB:
+	case c.Limits.MaxCallers != current.Limits.MaxCallers || c.Limits.MemoryMB != current.Limits.MemoryMB:
 		return &ConfigError{Field: "limits", Reason: ": callers and memory_mb need a new process"}
 	}
 	return nil
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -56,8 +56,8 @@
 }
 
 // A running relay can reload another service's address and another rate, and names what it cannot.
-func TestFollows(t *testing.T) {
-	present, err := ParseConfig([]byte(configText))
+func TestCheckReload(t *testing.T) {
+	current, err := ParseConfig([]byte(configText))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,7 +75,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		err = next.CheckReload(present)
+		err = next.CheckReload(current)
 		if (err == nil) != (c.field == "") || err != nil && !strings.HasPrefix(err.Error(), c.field+":") {
 			t.Errorf("%s for %s: error %v", c.new, c.old, err)
 		}
--- a/internal/relay/disk_test.go
+++ b/internal/relay/disk_test.go
@@ -19,7 +19,7 @@
 
 // A list on disk is read as it was written or not at all: cut anywhere, with any byte changed, with more behind it, or
 // replaced by something else, it is damaged, and a relay starts without it.
-func TestDamagedListIsPassedOver(t *testing.T) {
+func TestDamagedListRejected(t *testing.T) {
 	f := listFile{dir: t.TempDir()}
 	path := filepath.Join(f.dir, listFileName)
 	if _, err := f.load(); !errors.Is(err, fs.ErrNotExist) {
@@ -81,7 +81,7 @@
 }
 
 // A crash while a list is stored leaves the old one, whatever of the new one is there already.
-func TestHalfStoredListIsPassedOver(t *testing.T) {
+func TestInterruptedSaveKeepsOldList(t *testing.T) {
 	f := listFile{dir: t.TempDir()}
 	if err := f.save(lists.Encode(1, true, []discovery.Member{member("x", "Ready", 0)})); err != nil {
 		t.Fatal(err)
@@ -104,7 +104,7 @@
 }
 
 // What a directory cannot hold is an error, not an end.
-func TestListThatCannotBeStored(t *testing.T) {
+func TestStorageErrors(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, listFileName), 0o700); err != nil {
 		t.Fatal(err)
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -222,16 +222,16 @@
 		}{
 			"one relay is killed":   {func(f *fleet) { f.kill(0) }, busyCall},
 			"three are killed":      {func(f *fleet) { f.kill(0, 1, 2) }, busyCall},
-			"one falls silent":      {func(f *fleet) { f.silence(0) }, busyCall},
-			"three fall silent":     {func(f *fleet) { f.silence(0, 1, 2) }, busyCall},
+			"one falls silent":      {func(f *fleet) { f.stopResponding(0) }, busyCall},
+			"three fall silent":     {func(f *fleet) { f.stopResponding(0, 1, 2) }, busyCall},
 			"one loses the service": {func(f *fleet) { f.net.kill(f.addrs[0]) }, busyCall},
 			"one ends":              {func(f *fleet) { f.relays[0].stop() }, busyCall},
 			"a short outage":        {func(f *fleet) { f.outage(time.Second) }, busyCall},
 			"an outage":             {func(f *fleet) { f.outage(8 * time.Second) }, busyCall},
 			"a long outage":         {func(f *fleet) { f.outage(20 * time.Second) }, busyCall},
 			"all relays are killed": {func(f *fleet) { f.kill(0, 1, 2, 3, 4) }, callCost},
-			"all fall silent":       {func(f *fleet) { f.silence(0, 1, 2, 3, 4) }, callCost},
-			"all lose the service":  {func(f *fleet) { f.cutOff() }, callCost},
+			"all fall silent":       {func(f *fleet) { f.stopResponding(0, 1, 2, 3, 4) }, callCost},
+			"all lose the service":  {func(f *fleet) { f.isolateRelays() }, callCost},
 		} {
 			t.Run(fmt.Sprintf("%s/%d agents", name, agents), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
@@ -254,14 +254,14 @@
 	}
 }
 
-func (f *fleet) silence(relays ...int) {
+func (f *fleet) stopResponding(relays ...int) {
 	for _, i := range relays {
-		f.net.silence(f.relays[i].addr)
+		f.net.stopResponding(f.relays[i].addr)
 	}
 }
 
 // cutOff has the service be there for agents and no relay.
-func (f *fleet) cutOff() {
+func (f *fleet) isolateRelays() {
 	for i := range f.relays {
 		f.net.kill(f.addrs[i])
 	}
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -86,14 +86,14 @@
 		reject(w, notSynced)
 		return
 	}
-	r.answer(w, req.WithContext(ctx), next)
+	r.respond(w, req.WithContext(ctx), next)
 }
 
 // callContext is the context of a call, which ends when this relay may no longer answer.
 func (r *Relay) callContext(call context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(call)
 	r.mu.Lock()
-	live := r.live
+	live := r.callsCtx
 	fresh := r.isFreshLocked(time.Now())
 	r.mu.Unlock()
 	if !fresh || live.Err() != nil {
@@ -114,18 +114,18 @@
 //
 // A caller that is ahead of this relay has got more elsewhere, or upstream counts anew. Which of the two it is shows in an answer
 // from upstream to a call that began after the caller's; until then the relay does not answer.
-func (r *Relay) answer(w http.ResponseWriter, req *http.Request, next http.Handler) {
+func (r *Relay) respond(w http.ResponseWriter, req *http.Request, next http.Handler) {
 	q, err := parseQuery(req.URL.RawQuery)
 	if err != nil { // the server of lists says what is wrong
 		next.ServeHTTP(w, req)
 		return
 	}
-	held, err := r.awaitSync(req.Context(), max(q.wait, aheadHold), r.answersLocked(q, time.Now()))
+	held, err := r.awaitSync(req.Context(), max(q.wait, aheadWait), r.canRespond(q, time.Now()))
 	switch {
 	case err == nil && held == 0:
 		next.ServeHTTP(w, req)
 	case err == nil:
-		next.ServeHTTP(w, q.shorten(req, held))
+		next.ServeHTTP(w, q.withReducedWait(req, held))
 	case errors.Is(err, errNotSynced) && q.hasRevision:
 		writeList(w, lists.Encode(q.revision, false, nil)) // the caller goes on with the list that it holds
 	default:
@@ -133,8 +133,8 @@
 	}
 }
 
-// answersLocked returns the condition on which a call that came at a time can be answered. Its caller holds the mutex.
-func (r *Relay) answersLocked(q query, arrived time.Time) func() bool {
+// canRespond returns the condition on which a call that came at a time can be answered. Its caller holds the mutex.
+func (r *Relay) canRespond(q query, arrived time.Time) func() bool {
 	return func() bool {
 		revision := r.store.Revision()
 		switch {
@@ -181,7 +181,7 @@
 }
 
 // shorten is a call with less of its wait: together with how long it was held it is not to last longer than its caller wants.
-func (q query) shorten(req *http.Request, held time.Duration) *http.Request {
+func (q query) withReducedWait(req *http.Request, held time.Duration) *http.Request {
 	values := req.URL.Query()
 	if values.Has("wait_ms") {
 		values.Set("wait_ms", strconv.FormatInt(max(0, q.wait-held).Milliseconds(), 10))
--- a/internal/relay/limiter.go
+++ b/internal/relay/limiter.go
@@ -13,7 +13,7 @@
 
 const (
 	// maxQueueDelay is how long a caller may wait for its full list in one call: less than its call may take, by what it may
-	// have waited for an answer from upstream (aheadHold) and what writing and reading the list may need.
+	// have waited for an answer from upstream (aheadWait) and what writing and reading the list may need.
 	maxQueueDelay = discovery.RelayFullListTimeout * 5 / 8
 	// reservationGrace is how long after its time a reserved slot is still kept for its caller.
 	reservationGrace = balancer.NotifyBoundAfterFailure / 24
--- a/internal/relay/limiter_test.go
+++ b/internal/relay/limiter_test.go
@@ -36,7 +36,7 @@
 
 // All callers that come at once have their full list after as long as the stated rate needs for them, no sooner, and each
 // is rejected once at most; changes wait for nobody.
-func TestWholeListsAreHandedOutAtTheStatedRate(t *testing.T) {
+func TestFullListRate(t *testing.T) {
 	for _, c := range []struct {
 		callers int
 		rate    float64
@@ -81,7 +81,7 @@
 }
 
 // A caller that could not be admitted within the bound gets no Retry-After, and no slot is reserved for it.
-func TestNobodyWaitsBeyondTheBound(t *testing.T) {
+func TestNoSlotBeyondNotifyBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFullListLimiter(1, 1000)
 		ctx, stop := context.WithCancel(t.Context())
@@ -110,7 +110,7 @@
 }
 
 // A slot whose caller goes away is another caller's.
-func TestTurnsAreNotLost(t *testing.T) {
+func TestAbandonedSlotsAreReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFullListLimiter(10, 1000)
 		began := time.Now()
@@ -137,7 +137,7 @@
 }
 
 // Another rate holds for the slots that are given from then on.
-func TestRateChanges(t *testing.T) {
+func TestSetRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFullListLimiter(1, 1000)
 		l.setRate(100)
--- a/internal/relay/network_test.go
+++ b/internal/relay/network_test.go
@@ -25,12 +25,12 @@
 
 // pipeListener is one address: who listens there, and the connections to it.
 type pipeListener struct {
-	net      *network
-	addr     string
-	incoming chan net.Conn
-	closed   chan struct{}
-	silent   chan struct{} // closed when the address stops responding
-	conns    []net.Conn
+	net          *network
+	addr         string
+	incoming     chan net.Conn
+	closed       chan struct{}
+	unresponsive chan struct{} // closed when the address stops responding
+	conns        []net.Conn
 }
 
 func newNetwork() *network { return &network{listeners: map[string]*pipeListener{}} }
@@ -40,7 +40,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := &pipeListener{
-		net: n, addr: addr, incoming: make(chan net.Conn), closed: make(chan struct{}), silent: make(chan struct{}),
+		net: n, addr: addr, incoming: make(chan net.Conn), closed: make(chan struct{}), unresponsive: make(chan struct{}),
 	}
 	n.listeners[addr] = l
 	return l
@@ -55,8 +55,8 @@
 		return nil, errRefused
 	}
 	client, other := net.Pipe()
-	server := &serverConn{Conn: other, silent: l.silent, closed: make(chan struct{})}
-	if server.isSilent() {
+	server := &serverConn{Conn: other, unresponsive: l.unresponsive, closed: make(chan struct{})}
+	if server.isUnresponsive() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -99,22 +99,22 @@
 }
 
 // silence has an address stop responding: open connections stay open, new ones never come up.
-func (n *network) silence(addr string) {
+func (n *network) stopResponding(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	close(n.listeners[addr].silent)
+	close(n.listeners[addr].unresponsive)
 }
 
 // serverConn is the listener's side of a connection.
 type serverConn struct {
 	net.Conn
-	silent, closed chan struct{}
-	once           sync.Once
+	unresponsive, closed chan struct{}
+	once                 sync.Once
 }
 
-func (c *serverConn) isSilent() bool {
+func (c *serverConn) isUnresponsive() bool {
 	select {
-	case <-c.silent:
+	case <-c.unresponsive:
 		return true
 	default:
 		return false
@@ -123,7 +123,7 @@
 
 func (c *serverConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if c.isSilent() {
+	if c.isUnresponsive() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
@@ -131,7 +131,7 @@
 }
 
 func (c *serverConn) Write(b []byte) (int, error) {
-	if c.isSilent() {
+	if c.isUnresponsive() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
@@ -241,7 +241,7 @@
 }
 
 // reply is what a call came to.
-type reply struct {
+type callResult struct {
 	status     int // 0: none
 	list       discovery.EndpointList
 	took       time.Duration
@@ -249,20 +249,20 @@
 }
 
 // call makes one call on a connection of its own.
-func call(t *testing.T, n *network, addr, query string) reply {
+func call(t *testing.T, n *network, addr, query string) callResult {
 	t.Helper()
 	tr := &http.Transport{DialContext: n.dial, DisableKeepAlives: true}
 	began := time.Now()
 	resp, err := (&http.Client{Transport: tr}).Get("http://" + addr + lists.Path + query)
 	if err != nil {
-		return reply{took: time.Since(began)}
+		return callResult{took: time.Since(began)}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return reply{took: time.Since(began)}
+		return callResult{took: time.Since(began)}
 	}
-	got := reply{status: resp.StatusCode, took: time.Since(began), retryAfter: resp.Header.Get("Retry-After")}
+	got := callResult{status: resp.StatusCode, took: time.Since(began), retryAfter: resp.Header.Get("Retry-After")}
 	if got.status == http.StatusOK {
 		if got.list, err = discovery.Parse(text); err != nil {
 			t.Errorf("%s%s: %v", addr, query, err)
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -22,11 +22,11 @@
 
 const (
 	// upstreamWatchWait is how long a watch of upstream waits. A caller that is ahead of this relay waits for an answer to a
-	// watch that began after it came, so for two watches at the most, and that has to fit into aheadHold.
+	// watch that began after it came, so for two watches at the most, and that has to fit into aheadWait.
 	upstreamWatchWait = balancer.NotifyBoundAfterFailure / 30
-	// aheadHold is how long a call that names no wait may be held all the same for an answer from upstream; its caller gives it
+	// aheadWait is how long a call that names no wait may be held all the same for an answer from upstream; its caller gives it
 	// RelayTimeout.
-	aheadHold = discovery.RelayTimeout / 2
+	aheadWait = discovery.RelayTimeout / 2
 	// maxUpstreamBackoff bounds the pause between two calls to upstream that fail: the first one that can be answered has to
 	// come well within staleAfter.
 	maxUpstreamBackoff = balancer.NotifyBoundAfterFailure / 20
@@ -75,8 +75,8 @@
 	startedAt    time.Time
 	syncedAt     time.Time          // begin of the last call to upstream that was answered; zero: none yet
 	synced       chan struct{}      // closed at the next such answer
-	live         context.Context    // of the calls in flight; ends when the relay becomes stale or ends
-	endLive      context.CancelFunc // ends it
+	callsCtx     context.Context    // of the calls in flight; ends when the relay becomes stale or ends
+	cancelCalls  context.CancelFunc // ends it
 	staleTimer   *time.Timer        // runs becomeStale
 
 	savedBody []byte // the store's encoding of the list that is on the disk; of Run's goroutine
@@ -101,7 +101,7 @@
 		// callers and needs a balancer.
 		settings: settings.Settings{Balancer: balancer.Settings{Agents: 1}, DrainGrace: maxUpstreamBackoff},
 	}
-	r.live, r.endLive = context.WithCancel(context.Background())
+	r.callsCtx, r.cancelCalls = context.WithCancel(context.Background())
 	r.staleTimer = time.AfterFunc(staleAfter, r.becomeStale)
 	r.server = &lists.Server{
 		Store:            r.store,
@@ -117,7 +117,7 @@
 		Settings:  func() *settings.Settings { return &r.settings },
 		Notify:    r.onWatchEvent,
 		OnPoll:    func(discovery.PollResult) {},
-		OnAnswer:  r.onAnswer,
+		OnAnswer:  r.onResponse,
 		WatchWait: upstreamWatchWait,
 		Dial:      o.Dial,
 		Log:       o.Log,
@@ -142,7 +142,7 @@
 	r.staleTimer.Stop()
 	r.mu.Lock()
 	r.ended = true
-	r.endLive()
+	r.cancelCalls()
 	r.mu.Unlock()
 	<-followed
 	r.storeList()
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -19,7 +19,7 @@
 )
 
 // ids are the members of a list by name and state, in order.
-func ids(l discovery.EndpointList) string {
+func formatMembers(l discovery.EndpointList) string {
 	var all []string
 	for _, m := range l.Members {
 		all = append(all, m.ID+m.State[:1])
@@ -29,43 +29,43 @@
 }
 
 // is checks a reply: its revision, whether it is the full list, and who is in it.
-func (got reply) is(t *testing.T, what string, revision uint64, complete bool, members string) {
+func (got callResult) check(t *testing.T, what string, revision uint64, complete bool, members string) {
 	t.Helper()
-	if got.status != http.StatusOK || *got.list.Revision != revision || got.list.Complete != complete || ids(got.list) != members {
-		t.Errorf("%s: %+v (%s), want revision %d, complete %v, %q", what, got, ids(got.list), revision, complete, members)
+	if got.status != http.StatusOK || *got.list.Revision != revision || got.list.Complete != complete || formatMembers(got.list) != members {
+		t.Errorf("%s: %+v (%s), want revision %d, complete %v, %q", what, got, formatMembers(got.list), revision, complete, members)
 	}
 }
 
 // A relay answers as its upstream does, and what changes there reaches its watches at once.
-func TestHandsOn(t *testing.T) {
+func TestServesUpstreamList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		a := newUpstream(t, n, 7, member("x", "Ready", 0), member("y", "Ready", 0))
 		r := startRelay(t, n, "relay:1", t.TempDir())
-		call(t, n, r.addr, "").is(t, "the full list", 7, true, "xR yR")
-		watched := make(chan reply)
+		call(t, n, r.addr, "").check(t, "the full list", 7, true, "xR yR")
+		watched := make(chan callResult)
 		go func() { watched <- call(t, n, r.addr, "?after=7&wait_ms=20000") }()
 		time.Sleep(3 * time.Second)
 		changed := time.Now()
 		a.apply(9, member("x", "Terminating", 0))
 		got := <-watched
-		got.is(t, "a watch", 9, false, "xT")
+		got.check(t, "a watch", 9, false, "xT")
 		if late := time.Since(changed); late > time.Millisecond {
 			t.Errorf("the change comes %v later", late)
 		}
 		a.apply(10, member("y", "Gone", 0))
 		time.Sleep(time.Millisecond)
-		call(t, n, r.addr, "?after=7&wait_ms=0").is(t, "who is behind", 10, false, "xT yG")
-		call(t, n, r.addr, "").is(t, "the full list", 10, true, "xT")
+		call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "who is behind", 10, false, "xT yG")
+		call(t, n, r.addr, "").check(t, "the full list", 10, true, "xT")
 		got = call(t, n, r.addr, "?after=10&wait_ms=1500")
-		got.is(t, "nothing new", 10, false, "")
+		got.check(t, "nothing new", 10, false, "")
 		if got.took != 1500*time.Millisecond {
 			t.Errorf("nothing new is answered after %v", got.took)
 		}
 		a.apply(11) // a revision of no changes
 		time.Sleep(upstreamWatchWait)
 		synctest.Wait() // the watch of upstream ends in this moment
-		call(t, n, r.addr, "?after=10&wait_ms=0").is(t, "no changes", 11, false, "")
+		call(t, n, r.addr, "?after=10&wait_ms=0").check(t, "no changes", 11, false, "")
 		for _, query := range []string{"?after=x", "?after=1&wait_ms=-1", "?after=1&later=1", "?after=%zz"} {
 			if got := call(t, n, r.addr, query); got.status != http.StatusBadRequest {
 				t.Errorf("%s: %d", query, got.status)
@@ -104,22 +104,22 @@
 					t.Errorf("the full list without an answer from upstream: %+v", got)
 				}
 				got := call(t, n, r.addr, "?after=8&wait_ms=500")
-				got.is(t, "who holds it", 8, false, "")
+				got.check(t, "who holds it", 8, false, "")
 				if got.took != 500*time.Millisecond {
 					t.Errorf("who holds it is answered after %v", got.took)
 				}
 				if got := call(t, n, r.addr, "?after=7&wait_ms=0"); got.status == http.StatusOK && len(got.list.Members) > 0 {
-					t.Errorf("who is behind gets %s", ids(got.list))
+					t.Errorf("who is behind gets %s", formatMembers(got.list))
 				}
 				a.apply(9, member("x", "Gone", 0))
 				a.up()
 				time.Sleep(time.Second)
-				call(t, n, r.addr, "?after=9&wait_ms=0").is(t, "then who is ahead", 9, false, "")
-				call(t, n, r.addr, "").is(t, "then the full list", 9, true, "yR zR")
+				call(t, n, r.addr, "?after=9&wait_ms=0").check(t, "then who is ahead", 9, false, "")
+				call(t, n, r.addr, "").check(t, "then the full list", 9, true, "yR zR")
 				if name == "stored" {
-					call(t, n, r.addr, "?after=8&wait_ms=0").is(t, "then who held it", 9, false, "xG")
+					call(t, n, r.addr, "?after=8&wait_ms=0").check(t, "then who held it", 9, false, "xG")
 				} else {
-					call(t, n, r.addr, "?after=8&wait_ms=0").is(t, "then who held it", 9, true, "yR zR")
+					call(t, n, r.addr, "?after=8&wait_ms=0").check(t, "then who held it", 9, true, "yR zR")
 				}
 			})
 		})
@@ -127,7 +127,7 @@
 }
 
 // Upstream has lost its log and sends the full list: callers that follow this relay get the changes all the same.
-func TestWholeListBecomesChanges(t *testing.T) {
+func TestFullListBecomesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		a := newUpstream(t, n, 7, member("x", "Ready", 0), member("y", "Ready", 0), member("z", "Ready", 0))
@@ -135,14 +135,14 @@
 		time.Sleep(time.Second)
 		a.Reset(20, []discovery.Member{member("y", "Terminating", 0), member("z", "Ready", 0), member("v", "Ready", 0)})
 		time.Sleep(upstreamWatchWait)
-		call(t, n, r.addr, "?after=7&wait_ms=0").is(t, "who follows", 20, false, "vR xG yT")
-		call(t, n, r.addr, "?after=3&wait_ms=0").is(t, "who does not", 20, true, "vR yT zR")
+		call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "who follows", 20, false, "vR xG yT")
+		call(t, n, r.addr, "?after=3&wait_ms=0").check(t, "who does not", 20, true, "vR yT zR")
 	})
 }
 
 // Nobody gets an older list after a newer one. A caller that is ahead waits for an answer from upstream to a later call; if
 // that is no newer, the service counts anew, and the full list follows; without one, the caller goes on by its list.
-func TestNothingOlderAfterNewer(t *testing.T) {
+func TestNoOlderListAfterNewer(t *testing.T) {
 	for name, c := range map[string]struct {
 		then     func(*upstream) // 100 ms after the call has come
 		query    string
@@ -166,11 +166,11 @@
 		},
 		"counts anew, no wait": {
 			then:  func(a *upstream) {},
-			query: "?after=12&wait_ms=0", took: [2]time.Duration{upstreamWatchWait, aheadHold}, revision: 7, complete: true, members: "xR yR",
+			query: "?after=12&wait_ms=0", took: [2]time.Duration{upstreamWatchWait, aheadWait}, revision: 7, complete: true, members: "xR yR",
 		},
 		"lost, no wait": {
 			then:  func(a *upstream) { a.down() },
-			query: "?after=12&wait_ms=0", took: [2]time.Duration{aheadHold, aheadHold}, revision: 12,
+			query: "?after=12&wait_ms=0", took: [2]time.Duration{aheadWait, aheadWait}, revision: 12,
 		},
 		"lost": {
 			then:  func(a *upstream) { a.down() },
@@ -200,7 +200,7 @@
 						t.Errorf("%+v, want status %d", got, c.status)
 					}
 				} else {
-					got.is(t, name, c.revision, c.complete, c.members)
+					got.check(t, name, c.revision, c.complete, c.members)
 				}
 				if got.took < c.took[0] || got.took > c.took[1] {
 					t.Errorf("took %v, want %v to %v", got.took, c.took[0], c.took[1])
@@ -213,7 +213,7 @@
 
 // A relay that has had no answer from upstream for staleAfter rejects calls, those that wait too, so that its callers fail over; once
 // it has one it answers again. A call that was answered before counts from when it was made.
-func TestStaleRelayRefuses(t *testing.T) {
+func TestStaleRelayRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		a := newUpstream(t, n, 7, member("x", "Ready", 0))
@@ -222,7 +222,7 @@
 		lost := time.Now()
 		a.down()
 		time.Sleep(time.Second)
-		call(t, n, r.addr, "?after=7&wait_ms=100").is(t, "soon after", 7, false, "")
+		call(t, n, r.addr, "?after=7&wait_ms=100").check(t, "soon after", 7, false, "")
 		if got := call(t, n, r.addr, "?after=7&wait_ms=20000"); got.status != http.StatusServiceUnavailable || got.retryAfter != "" {
 			t.Errorf("a watch: %+v", got)
 		}
@@ -242,12 +242,12 @@
 		a.apply(8, member("x", "Terminating", 0))
 		a.up()
 		time.Sleep(2 * maxUpstreamBackoff)
-		call(t, n, r.addr, "?after=7&wait_ms=1000").is(t, "again", 8, false, "xT")
+		call(t, n, r.addr, "?after=7&wait_ms=1000").check(t, "again", 8, false, "xT")
 	})
 }
 
 // After a migration the revisions are another service's: the full list of the new one replaces all, lower or higher.
-func TestMoves(t *testing.T) {
+func TestMigrate(t *testing.T) {
 	for _, revision := range []uint64{3, 7, 100} {
 		synctest.Test(t, func(t *testing.T) {
 			n := newNetwork()
@@ -259,19 +259,19 @@
 			time.Sleep(time.Second)
 			r.Migrate(t.Context(), "upstream:1", 60)
 			time.Sleep(time.Second)
-			call(t, n, r.addr, "?after=7&wait_ms=0").is(t, "no migration", 7, false, "")
+			call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "no migration", 7, false, "")
 			r.Migrate(t.Context(), "other:1", 60)
 			time.Sleep(time.Second)
-			call(t, n, r.addr, "").is(t, "a migration", revision, true, "yR")
+			call(t, n, r.addr, "").check(t, "a migration", revision, true, "yR")
 			if revision != 7 { // which the protocol cannot tell from the other seventh
-				call(t, n, r.addr, "?after=7&wait_ms=0").is(t, "who held the old list", revision, true, "yR")
+				call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "who held the old list", revision, true, "yR")
 			}
 		})
 	}
 }
 
 // At its end a relay rejects calls that wait at once, accepts no more connections and stores what it has.
-func TestEndsAtOnce(t *testing.T) {
+func TestShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, state := newNetwork(), t.TempDir()
 		a := newUpstream(t, n, 7, member("x", "Ready", 0))
@@ -303,7 +303,7 @@
 }
 
 // The list goes to the disk when it has changed, and no more often than stated.
-func TestStoresNoMoreOftenThanStated(t *testing.T) {
+func TestSaveInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, state := newNetwork(), t.TempDir()
 		a := newUpstream(t, n, 1, member("x", "Ready", 0))
@@ -327,7 +327,7 @@
 }
 
 // More callers than stated are rejected at once.
-func TestCallersAreBounded(t *testing.T) {
+func TestMaxCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
 		newUpstream(t, n, 7, member("x", "Ready", 0))
@@ -336,14 +336,14 @@
 		time.Sleep(time.Second)
 		var waiting sync.WaitGroup
 		for range 3 {
-			waiting.Go(func() { call(t, n, r.addr, "?after=7&wait_ms=1000").is(t, "a watch", 7, false, "") })
+			waiting.Go(func() { call(t, n, r.addr, "?after=7&wait_ms=1000").check(t, "a watch", 7, false, "") })
 		}
 		time.Sleep(100 * time.Millisecond)
 		if got := call(t, n, r.addr, "?after=7&wait_ms=1000"); got.status != http.StatusServiceUnavailable || got.took > 0 {
 			t.Errorf("a fourth: %+v", got)
 		}
 		waiting.Wait()
-		call(t, n, r.addr, "").is(t, "then", 7, true, "xR")
+		call(t, n, r.addr, "").check(t, "then", 7, true, "xR")
 	})
 }
 
@@ -399,9 +399,9 @@
 // stale has missed can still be had elsewhere.
 func TestBounds(t *testing.T) {
 	for what, ok := range map[string]bool{
-		"two watches of upstream fit into the time for who is ahead": 2*upstreamWatchWait < aheadHold,
-		"that fits into a call":                                          aheadHold < discovery.RelayTimeout,
-		"an answer and a slot fit into a call for the full list":         aheadHold+maxQueueDelay < discovery.RelayFullListTimeout,
+		"two watches of upstream fit into the time for who is ahead": 2*upstreamWatchWait < aheadWait,
+		"that fits into a call":                                          aheadWait < discovery.RelayTimeout,
+		"an answer and a slot fit into a call for the full list":         aheadWait+maxQueueDelay < discovery.RelayFullListTimeout,
 		"several watches and their pauses fit into the time to be stale": 3*(upstreamWatchWait+maxUpstreamBackoff) < staleAfter,
 		"a stale relay leaves time for others":                           staleAfter <= balancer.NotifyBoundAfterFailure/3,
 	} {
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -86,8 +86,8 @@
 	return changed
 }
 
-// onAnswer notes that a call to upstream was answered and its result is in the store.
-func (r *Relay) onAnswer(began time.Time, revision uint64) {
+// onResponse notes that a call to upstream was answered and its result is in the store.
+func (r *Relay) onResponse(began time.Time, revision uint64) {
 	if revision > r.store.Revision() { // of no changes, which are not notified
 		r.apply(revision, nil)
 	}
@@ -101,8 +101,8 @@
 		return
 	}
 	r.staleTimer.Reset(remaining)
-	if r.live.Err() != nil && !r.ended {
-		r.live, r.endLive = context.WithCancel(context.Background())
+	if r.callsCtx.Err() != nil && !r.ended {
+		r.callsCtx, r.cancelCalls = context.WithCancel(context.Background())
 		r.log.Info("relay synced, answering calls")
 	}
 }
@@ -114,7 +114,7 @@
 	if r.isFreshLocked(time.Now()) {
 		return
 	}
-	r.endLive()
+	r.cancelCalls()
 	r.log.Warn("relay stale, rejecting calls", "synced_at", r.syncedAtLocked())
 }
 
@@ -131,11 +131,11 @@
 
 // awaitSync returns when a condition holds that is evaluated, with the mutex held, now and after each answer from upstream, and how
 // long that took: 0 if it held at once.
-func (r *Relay) awaitSync(ctx context.Context, longest time.Duration, holds func() bool) (time.Duration, error) {
+func (r *Relay) awaitSync(ctx context.Context, longest time.Duration, condition func() bool) (time.Duration, error) {
 	began := time.Now()
 	timer := time.NewTimer(longest)
 	defer timer.Stop()
-	ok, synced := r.checkSync(holds)
+	ok, synced := r.checkSync(condition)
 	if ok {
 		return 0, nil
 	}
@@ -147,15 +147,15 @@
 		case <-ctx.Done():
 			return time.Since(began), ctx.Err()
 		}
-		if ok, synced = r.checkSync(holds); ok {
+		if ok, synced = r.checkSync(condition); ok {
 			return time.Since(began), nil
 		}
 	}
 }
 
 // checkSync evaluates a condition and returns what is closed when it may have changed.
-func (r *Relay) checkSync(holds func() bool) (ok bool, synced <-chan struct{}) {
+func (r *Relay) checkSync(condition func() bool) (ok bool, synced <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return holds(), r.synced
+	return condition(), r.synced
 }
