--- a/internal/lists/caller.go
+++ b/internal/lists/caller.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// errNoListYet answers for a store without a list: an empty list would say that all endpoints are removed.
+// errNoListYet is the response while the store has no list: an empty list would mean that all endpoints are removed.
 var errNoListYet = errors.New("no list yet")
 
-// caller is one agent's side of the server.
+// caller holds the server's state for one agent.
 type caller struct {
 	server *Server
 	agent  int
 
 	mu          sync.Mutex
 	inFlight    int
-	respondedAt time.Time // when its last watch was answered; zero if it has none
+	respondedAt time.Time // when the last call's response was written; zero if that was not a watch or failed
 }
 
-// begin admits a call, and says whether it continues a watch.
+// begin counts a call as in flight, unless there are too many, and reports whether it continues a watch.
 func (c *caller) begin(q query, now time.Time) (continues, ok bool) {
 	limit := c.server.MaxCallsPerAgent
 	if limit == 0 {
@@ -38,7 +38,7 @@
 	return continues, true
 }
 
-// end notes how a call ended. Only an answered watch can be continued.
+// end records how a call ended. Only a watch whose response was written can be continued.
 func (c *caller) end(record *CallRecord) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// ServeHTTP answers a call and reports how it ended.
+// ServeHTTP serves a call and reports how it ended to OnCallDone.
 func (c *caller) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	record := CallRecord{Agent: c.agent}
 	defer func() {
@@ -97,7 +97,8 @@
 	}
 }
 
-// answer finds the answer to a call and has it admitted; a watch without changes waits for one first.
+// awaitResponse returns the response to a call once the limiter has admitted it. A watch without changes first waits
+// for one.
 func (c *caller) awaitResponse(ctx context.Context, q query, now time.Time, continues bool, record *CallRecord) (Response, error) {
 	response, changed := c.lookUp(q)
 	if response.Body == nil {
@@ -127,13 +128,13 @@
 	return response, c.admit(ctx, work, record)
 }
 
-// lookUp is the present answer and what is closed when there will be another.
+// lookUp returns the current response and a channel that is closed when the list changes.
 func (c *caller) lookUp(q query) (Response, <-chan struct{}) {
 	changed := c.server.Store.Changed()
 	return c.server.Store.Since(q.since, q.hasSince), changed
 }
 
-// admit has the limiter admit work, if there is any.
+// admit passes work, if there is any, to the limiter and waits until it is admitted.
 func (c *caller) admit(ctx context.Context, w Work, record *CallRecord) error {
 	if c.server.Limiter == nil || w.Continues && w.Entries == 0 {
 		return nil
@@ -143,7 +144,7 @@
 	return err
 }
 
-// writeError answers a call without a list.
+// writeError writes an error response.
 func writeError(w http.ResponseWriter, status int, err error) {
 	var rejected RejectedError
 	switch {
@@ -151,20 +152,21 @@
 		w.Header().Set("Allow", http.MethodGet)
 	case errors.As(err, &rejected) && rejected.RetryAfter > 0:
 		w.Header().Set("Retry-After", strconv.FormatFloat(rejected.RetryAfter.Seconds(), 'f', -1, 64))
-	case status == http.StatusBadRequest: // the rest of it, if there is any, is not worth reading
+	case status == http.StatusBadRequest: // an unread body is discarded with the connection
 		w.Header().Set("Connection", "close")
 	}
 	http.Error(w, err.Error(), status)
 }
 
-// writeResponse sends an answer and returns when the system has taken all of it. A caller that does not read loses its connection.
+// writeResponse writes a response and returns when the kernel has accepted all of it. The connection of a caller that
+// does not read is closed after writeTimeout.
 func writeResponse(w http.ResponseWriter, text []byte) error {
 	header := w.Header()
 	header.Set("Content-Type", "application/json")
 	header.Set("Content-Length", strconv.Itoa(len(text)))
 	controller := http.NewResponseController(w)
-	if controller.SetWriteDeadline(time.Now().Add(writeTimeout)) == nil { // a test's recorder has no deadlines
-		defer func() { _ = controller.SetWriteDeadline(time.Time{}) }() // a connection that has closed needs none
+	if controller.SetWriteDeadline(time.Now().Add(writeTimeout)) == nil { // a recorder in tests has no deadlines
+		defer func() { _ = controller.SetWriteDeadline(time.Time{}) }() // fails only on a closed connection
 	}
 	if _, err := w.Write(text); err != nil {
 		return err
--- a/internal/lists/encode.go
+++ b/internal/lists/encode.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// memberBytes and envelopeBytes are about what a member and the rest of a list take as text.
+	// memberBytes and envelopeBytes are the approximate encoded sizes of a member and of the rest of a list.
 	memberBytes   = 160
 	envelopeBytes = 64
 )
 
-// Encode writes a list, or changes of one, as discovery answers it. Numbers that JSON cannot hold become 0, which stands for
-// unknown.
+// Encode returns a list, or changes to one, in the JSON format of a discovery response. Numbers that JSON cannot
+// represent become 0, which means unknown.
 func Encode(revision uint64, complete bool, members []discovery.Member) []byte {
 	b := make([]byte, 0, envelopeBytes+memberBytes*len(members))
 	b = append(b, `{"revision":`...)
@@ -51,7 +51,8 @@
 	return strconv.AppendFloat(b, v, 'f', -1, 64)
 }
 
-// appendString quotes a string. Names and addresses are plain; any other is left to the library.
+// appendString appends a quoted string. Printable ASCII without quotes or backslashes, as in names and addresses, takes
+// the fast path; encoding/json encodes any other string.
 func appendString(b []byte, s string) []byte {
 	for i := range len(s) {
 		if c := s[i]; c < ' ' || c > '~' || c == '"' || c == '\\' {
--- a/internal/lists/listener.go
+++ b/internal/lists/listener.go
@@ -6,8 +6,8 @@
 	"sync/atomic"
 )
 
-// Listener returns a listener whose connections are known as one agent's, and are bounded in number. One http.Server serves the
-// listeners of all agents, since one for each of many hundreds would cost as much memory each.
+// Listener returns a listener that attributes its connections to one agent and limits their number. One http.Server
+// serves the listeners of all agents: a server per agent would cost too much memory with many hundreds of agents.
 func (s *Server) Listener(l net.Listener, agent int) net.Listener {
 	limit := s.MaxConns
 	if limit == 0 {
@@ -23,7 +23,7 @@
 	open  atomic.Int64
 }
 
-// Accept closes connections beyond the limit at once.
+// Accept closes connections beyond the limit immediately.
 func (l *listener) Accept() (net.Conn, error) {
 	for {
 		c, err := l.Listener.Accept()
@@ -38,7 +38,7 @@
 	}
 }
 
-// conn is a connection that counts as open until its first Close.
+// conn is a connection that counts as open until Close is first called.
 type conn struct {
 	net.Conn
 	listener  *listener
--- a/internal/lists/query.go
+++ b/internal/lists/query.go
@@ -9,28 +9,28 @@
 	"time"
 )
 
-// maxWait is the longest wait of a watch; longer ones are cut to it.
+// maxWait is the longest wait of a watch. A longer requested wait is reduced to it.
 const maxWait = time.Minute
 
-// The protocol's parameters.
+// Query parameters of the protocol.
 const (
 	sinceParam = "after"
 	waitParam  = "wait_ms"
 )
 
-// query is what a call asks for.
+// query holds the parsed parameters of a call.
 type query struct {
 	since    uint64
-	hasSince bool // a revision was given
+	hasSince bool // whether the call names a revision
 	wait     time.Duration
 }
 
-// waits says whether an answer brings no changes and the call's time is not over.
-func (q *query) waits(a Response, arrived time.Time) bool {
-	return q.hasSince && !a.Complete && a.Revision == q.since && time.Since(arrived) < q.wait
+// waits reports whether the response has no changes and the call's wait has not expired.
+func (q *query) waits(r Response, arrived time.Time) bool {
+	return q.hasSince && !r.Complete && r.Revision == q.since && time.Since(arrived) < q.wait
 }
 
-// parseRequest parses a call; an error comes with the status of its answer.
+// parseRequest parses a call. On an error it also returns the status of the response.
 func parseRequest(r *http.Request) (query, int, error) {
 	switch {
 	case r.URL.Path != Path:
@@ -53,8 +53,8 @@
 	return q, 0, nil
 }
 
-// set sets a parameter. An unknown one is an error, since a watch with its wait misspelt would be a call that never waits, made again
-// and again.
+// set sets a parameter. An unknown parameter is an error: with a misspelt wait, a watch would never wait and its caller
+// would repeat it in a tight loop.
 func (q *query) set(name string, values []string) error {
 	if name != sinceParam && name != waitParam {
 		return fmt.Errorf("%.40q: no such parameter", name)
--- a/internal/lists/server.go
+++ b/internal/lists/server.go
@@ -9,81 +9,87 @@
 	"time"
 )
 
-// Path is where the list is.
+// Path is the URL path of the list.
 const Path = "/discovery/hosts"
 
 const (
-	// WatchContinuation is how long after its last answer a watch continues with its next call; a later one starts a new watch.
+	// WatchContinuation is the longest time from a watch's last response to the next call that continues it. A later
+	// call starts a new watch.
 	WatchContinuation = 200 * time.Millisecond
 
-	maxHeaderBytes = 4 << 10          // the library allows as much again
+	maxHeaderBytes = 4 << 10          // net/http allows as much again
 	headerTimeout  = 5 * time.Second  // for a caller to send its headers
-	writeTimeout   = 10 * time.Second // for a caller to take its answer in
+	writeTimeout   = 10 * time.Second // for a caller to read its response
 	idleTimeout    = 90 * time.Second // for a connection without a call
 
-	defaultMaxCalls = 4 // in flight, an agent
-	defaultMaxConns = 8 // open, a Listener
+	defaultMaxCalls = 4 // in flight, per agent
+	defaultMaxConns = 8 // open, per Listener
 )
 
-// Limiter holds calls back as long as their work takes, and rejects some. It is safe for concurrent use.
+// Limiter delays calls by the time that their work takes, and rejects some. It is safe for concurrent use.
 type Limiter interface {
-	// Admit returns when the work is done, and how much of that time was planned: the work and the wait for its turn,
-	// whatever the clock made of it. A call that it fails gets a 503, with Retry-After if the error is a RejectedError that
-	// names one. It may stop waiting when the context ends.
+	// Admit returns when the work is done. It also returns the planned delay: the time in the queue and of the work
+	// itself, whatever the actual timing. A call for which it returns an error gets a 503, with Retry-After if the
+	// error is a RejectedError that states one. It may return early when the context ends.
 	Admit(ctx context.Context, w Work) (time.Duration, error)
 }
 
-// Work is what a call asks of the server in one piece: its beginning, unless it continues a watch, and an answer.
+// Work is the work that a call causes between two waits: starting the call, unless it continues a watch, and sending a
+// response.
 type Work struct {
 	Agent     int
-	Continues bool // the call began before, or continues a watch; only the members are work
-	Complete  bool // the answer is a full list
-	Entries   int  // members of the answer; 0 if there is none yet
+	Continues bool // the call has started already or continues a watch: only the members are work
+	Complete  bool // the response is a full list
+	Entries   int  // members of the response; 0 if there is none yet
 }
 
-// RejectedError is the error of a call that is to be retried.
+// RejectedError is returned for a call that its caller should retry.
 type RejectedError struct {
 	RetryAfter time.Duration // 0: not stated
 	Cause      string
 }
 
-// Error is also the text of the answer, so its wording is part of the protocol.
+// Error returns the text that is also the body of the response, so its wording is part of the protocol.
 func (r RejectedError) Error() string { return "refused: " + r.Cause }
 
-// CallRecord is one call as it ended.
+// CallRecord describes a call that has ended.
 type CallRecord struct {
 	Agent         int
-	Status        int // 0: the caller had gone, or did not take the answer
+	Status        int // 0: the caller disconnected or did not read the response
 	SinceRevision uint64
-	HasSince      bool // a revision was given
+	HasSince      bool // whether the call named a revision
 	Revision      uint64
 	Complete      bool
 	Entries       int
-	HeldAt        time.Time     // when it began to wait for a change; zero if it did not
-	QueueDelay    time.Duration // what the limiter planned for the answer
-	WrittenAt     time.Time     // when the answer had been written
+	HeldAt        time.Time     // when it began to wait for a change; zero if it did not wait
+	QueueDelay    time.Duration // delay of the response as planned by the limiter
+	WrittenAt     time.Time     // when the response was fully written
 }
 
-// Server answers calls from a store. Its exported fields are set before the first call and not changed; a mutex guards its
-// callers, each of which guards its own state.
+// Server serves calls from a store. Its exported fields are set before the first call and not changed afterwards. A
+// mutex guards the map of callers; each caller guards its own state.
 //
-// An answer is fixed before it enters the limiter, so that what is written is what was admitted; what changes meanwhile is
-// in the answer to the watch's next call.
+// A response is fixed before it enters the limiter, so that what is written is what was admitted. Changes during the
+// delay are in the response to the watch's next call.
 type Server struct {
-	Store            *Store
-	Limiter          Limiter                                        // nil: calls cost nothing
-	OnAcknowledge    func(agent int, revision uint64, at time.Time) // if not nil: an agent's call says that it holds this revision
-	OnCallDone       func(CallRecord)                               // if not nil: a call has ended
-	MaxCallsPerAgent int                                            // in flight, an agent; 0: defaultMaxCalls. More get 503
-	MaxConns         int                                            // open, a Listener; 0: defaultMaxConns. More are closed
-	Log              *slog.Logger                                   // of the library's complaints; nil: its own
+	Store   *Store
+	Limiter Limiter // nil: calls are admitted without delay
+	// OnAcknowledge, if not nil, is called when an agent's call shows that it holds a revision.
+	OnAcknowledge func(agent int, revision uint64, at time.Time)
+	// OnCallDone, if not nil, is called when a call has ended.
+	OnCallDone func(CallRecord)
+	// MaxCallsPerAgent limits the calls in flight per agent; 0 means defaultMaxCalls. Calls beyond it get a 503.
+	MaxCallsPerAgent int
+	// MaxConns limits the open connections per Listener; 0 means defaultMaxConns. Connections beyond it are closed.
+	MaxConns int
+	Log      *slog.Logger // for errors of net/http; nil: its default logger
 
 	mu      sync.Mutex
 	callers map[int]*caller
 }
 
-// HTTP returns a server, bounded in what it reads and how long it waits, for any number of listeners, each of which must
-// come from Listener.
+// HTTP returns a server, with limits on header size and on waiting times, for any number of listeners, each of which
+// must come from Listener.
 func (s *Server) HTTP() *http.Server {
 	server := &http.Server{
 		Handler:           http.HandlerFunc(serveCaller),
@@ -98,7 +104,7 @@
 	return server
 }
 
-// callerKey is where the context of a connection holds its caller.
+// callerKey is the context key of a connection's caller.
 type callerKey struct{}
 
 func (s *Server) withCaller(ctx context.Context, c net.Conn) context.Context {
@@ -117,7 +123,8 @@
 	c.ServeHTTP(w, r)
 }
 
-// Handler answers one agent, or all who share a listener: then MaxCallsPerAgent has to be enough for them.
+// Handler returns a handler for the calls of one agent, or of all agents that share a listener. MaxCallsPerAgent must
+// then be enough for all of them.
 func (s *Server) Handler(agent int) http.Handler { return s.caller(agent) }
 
 func (s *Server) caller(agent int) *caller {
--- a/internal/lists/store.go
+++ b/internal/lists/store.go
@@ -1,6 +1,6 @@
-// Package lists serves the endpoint list as discovery does: the full list, or the changes since a revision, to watches that wait
-// for them. A Store holds one list and hands the same bytes to all who ask the same; a Server answers calls from it. The package
-// neither decides what is in the list nor, but for what its Limiter says, when a call is answered.
+// Package lists serves the endpoint list as discovery does: the full list, or the changes since a revision, to watches
+// that wait for them. A Store holds one list and returns the same bytes for the same query; a Server serves calls from
+// it. The package does not decide what is in the list, nor when a call gets its response: that is up to the Limiter.
 package lists
 
 import (
@@ -13,71 +13,72 @@
 )
 
 const (
-	// cachedChanges is how many encoded ranges of changes are kept. Callers that follow the list all ask for the newest change;
-	// a few lag behind by one or two.
+	// cachedChanges is the number of encoded ranges of changes in the cache. Nearly all callers that watch the list
+	// request the newest change; a few are one or two revisions behind.
 	cachedChanges = 8
-	// membersPerRevision is how many changed members the log holds for each of its revisions, on average.
+	// membersPerRevision is the average number of changed members per revision that the log has room for.
 	membersPerRevision = 16
 )
 
 var (
 	errNoList     = errors.New("no list to change")
-	errOutOfOrder = errors.New("revision does not follow")
+	errOutOfOrder = errors.New("revision out of order")
 )
 
-// Response is the text of one answer and what it holds.
+// Response is an encoded response and a description of its content.
 type Response struct {
-	Body     []byte // JSON, shared by all who get it: never to be written to. Nil while the store has no list
+	Body     []byte // JSON, shared by all callers: must not be modified. Nil while the store has no list
 	Revision uint64
-	Complete bool // the full list, not changes
-	Entries  int  // members
+	Complete bool // whether it is the full list, not changes
+	Entries  int  // number of members
 }
 
-// Store is the newest full list and the changes that led to it, as far back as its log goes. It is safe for concurrent use. A
-// revision names one state of the list: a source that counts anew must not reach revisions that are still held by someone as
-// another state, for nothing in the protocol tells the two apart.
+// Store holds the newest full list and a bounded log of the changes that led to it. It is safe for concurrent use. A
+// revision identifies one state of the list: a source that restarts its revision numbers must not reach a revision that
+// a caller still holds for another state, because the protocol cannot distinguish the two.
 //
-// Each text is encoded once, with the mutex held, into memory of its own, and nothing writes to it afterwards, so any number of
-// callers may send it at once, also when the list has changed since. A change touches the members that it changes and no others; the
-// list is neither copied nor encoded unless somebody asks for all of it, and then once for each revision.
+// Each response is encoded once, with the mutex held, into newly allocated memory that is not modified afterwards. Any
+// number of callers may therefore send it concurrently, even after the list has changed. Applying a change costs time
+// only for the changed members: the list is copied or encoded only when a caller requests the full list, at most once
+// per revision.
 type Store struct {
-	maxLogged int // revisions in the log
+	maxLogged int // maximum number of revisions in the log
 
 	mu            sync.Mutex
 	hasList       bool
 	revision      uint64
-	members       []discovery.Member // in no particular order, the same for the same history
-	index         map[string]int     // positions in members by ID
-	shared        bool               // members has been handed out: it is copied before the next change
+	members       []discovery.Member // in no particular order, but the same order for the same history
+	index         map[string]int     // positions in members, by ID
+	shared        bool               // members was returned to a caller: it is copied before the next change
 	log           []change           // oldest first
-	logFloor      uint64             // the log holds all changes after this revision
+	logFloor      uint64             // the log has all changes after this revision
 	loggedMembers int
 	changed       chan struct{}                 // closed when the list changes
-	complete      Response                      // the full list at this revision; no text: not encoded yet
-	changes       [cachedChanges]cachedResponse // up to this revision
-	nextChanges   int                           // of changes, the one to give up for another
+	complete      Response                      // the full list at this revision; no Body: not encoded yet
+	changes       [cachedChanges]cachedResponse // encoded ranges of changes up to this revision
+	nextChanges   int                           // index in changes of the next entry to replace
 }
 
-// change is what one revision changed.
+// change is the set of members that a revision changed.
 type change struct {
 	revision uint64
 	members  []discovery.Member
 }
 
-// cachedResponse is the answer to those who hold a revision. No text: none.
+// cachedResponse is the response to callers at revision since. It is empty if the response has no Body.
 type cachedResponse struct {
 	since    uint64
 	response Response
 }
 
-// NewStore returns a store without a list, whose log will hold the changes of so many revisions: fewer where they are large, for
-// changes longer than the full list help nobody.
+// NewStore returns a store without a list. Its log keeps the changes of up to maxLogged revisions, or fewer if they are
+// large: changes longer than the full list have no use.
 func NewStore(maxLogged int) *Store {
 	return &Store{maxLogged: max(maxLogged, 0), changed: make(chan struct{})}
 }
 
-// Reset replaces the list, by one of any revision; removed members are left out. The log is dropped, as it does not lead to this
-// list: who holds another revision gets the full list. The store keeps no part of the slice.
+// Reset replaces the list with one of any revision and skips removed members. It drops the log, which does not lead to
+// the new list: callers at another revision get the full list. The store does not retain the slice.
 func (s *Store) Reset(revision uint64, members []discovery.Member) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,9 +95,9 @@
 	s.setRevision(revision)
 }
 
-// Apply changes the list by what a revision changed, removed members among it. It fails, and changes nothing, if there is no list
-// yet or the revision is not above the one held; the revision held, with no changes, is no error. The store keeps no part of the
-// slice.
+// Apply applies the changes of a revision, including removed members, to the list. It returns an error and changes
+// nothing if there is no list yet or the revision is not above the current one. The current revision without changes is
+// not an error. The store does not retain the slice.
 func (s *Store) Apply(revision uint64, changed []discovery.Member) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -122,7 +123,7 @@
 	return nil
 }
 
-// put sets one member, or removes it.
+// put adds, replaces or removes a member.
 func (s *Store) put(m discovery.Member) {
 	i, known := s.index[m.ID]
 	switch {
@@ -141,7 +142,7 @@
 	}
 }
 
-// trimLog drops the log's oldest revisions until it is within its bounds.
+// trimLog drops the oldest revisions until the log is within its limits.
 func (s *Store) trimLog() {
 	maxMembers := max(s.maxLogged*membersPerRevision, len(s.members))
 	for len(s.log) > s.maxLogged || s.loggedMembers > maxMembers {
@@ -152,7 +153,8 @@
 	}
 }
 
-// setRevision makes this the newest revision: what was encoded led to another one, and those who wait are woken.
+// setRevision sets the newest revision, drops the cached responses, which end at an older one, and wakes waiting
+// callers.
 func (s *Store) setRevision(revision uint64) {
 	s.revision = revision
 	s.complete = Response{}
@@ -161,15 +163,15 @@
 	s.changed = make(chan struct{})
 }
 
-// Revision is the newest one, 0 if there is no list.
+// Revision returns the newest revision, or 0 if there is no list.
 func (s *Store) Revision() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.revision
 }
 
-// Members is the full list. The slice is shared by all who ask and must not be written to; the store itself copies it
-// before it changes a member of it.
+// Members returns the full list. The slice is shared by all callers and must not be modified; the store copies it
+// before the next change.
 func (s *Store) Members() []discovery.Member {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -177,15 +179,17 @@
 	return slices.Clip(s.members)
 }
 
-// Changed is closed at the next change of the list. It is called before Since, lest a change in between be missed.
+// Changed returns a channel that is closed at the next change of the list. Call it before Since, so that a change
+// between the two calls is not missed.
 func (s *Store) Changed() <-chan struct{} {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.changed
 }
 
-// Since is the answer to one who holds a revision, or none if !known: the changes since then, each member once and as it is now,
-// or the full list where the revision is not known, is ahead of the store or lies before the log.
+// Since returns the response to a caller at the given revision, or to one without a list if !known. The response has
+// the changes since that revision, each member once and in its newest state. It is the full list if the caller has no
+// list or if the revision is ahead of the store or older than the log.
 func (s *Store) Since(revision uint64, known bool) Response {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,7 +217,8 @@
 	return Response{Body: Encode(revision, complete, members), Revision: revision, Complete: complete, Entries: len(members)}
 }
 
-// mergeChanges are the members that changed after a revision in the log, each as its last change left it, in the order of those.
+// mergeChanges returns the members that changed after a revision in the log, each in its newest state, in the order of
+// their last changes.
 func (s *Store) mergeChanges(since uint64) []discovery.Member {
 	first, _ := slices.BinarySearchFunc(s.log, since, func(c change, since uint64) int {
 		if c.revision <= since {
