--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -1,5 +1,5 @@
-// Command relay runs a relay of the endpoint list: it loads the configuration that RELAY_CONFIG names, listens, reloads at SIGHUP and
-// ends at SIGTERM or SIGINT, with status 1 if it could not start or serve.
+// Command relay runs a relay of the endpoint list. It loads the configuration file named by RELAY_CONFIG, reloads it at
+// SIGHUP and exits at SIGTERM or SIGINT. The exit status is 1 if it cannot start or serve.
 package main
 
 import (
@@ -18,16 +18,16 @@
 	"example.org/ryeloft/internal/relay"
 )
 
-// metricsTimeout is how long a reader of the metrics may take.
+// metricsTimeout limits each read, write and idle period of a connection to the metrics server.
 const metricsTimeout = 2 * time.Second
 
-func main() { daemon.Main("relay ends", run) }
+func main() { daemon.Main("relay failed", run) }
 
-// run serves until the context ends. A reload is applied as a whole or not at all.
+// run serves until the context ends. An invalid configuration at a reload is rejected as a whole.
 func run(ctx context.Context, hangups <-chan os.Signal, log *slog.Logger) error {
 	path := os.Getenv("RELAY_CONFIG")
 	if path == "" {
-		return errors.New("RELAY_CONFIG is not set: it names the configuration file")
+		return errors.New("RELAY_CONFIG is not set; it must name the configuration file")
 	}
 	cfg, err := relay.LoadConfig(path)
 	if err != nil {
@@ -59,11 +59,11 @@
 	if err := serve(ctx, l, r, func(ctx context.Context) { reload(ctx, path, cfg, hangups, r, log) }); err != nil {
 		return fmt.Errorf("serving: %w", err)
 	}
-	log.Info("relay ends", "revision", r.Metrics().Revision)
+	log.Info("relay stopped", "revision", r.Metrics().Revision)
 	return nil
 }
 
-// serve runs the relay with its reloads and answers at a listener, until the context ends or the listener breaks.
+// serve runs the relay, its reloads and its HTTP server on a listener, until the context ends or the listener fails.
 func serve(ctx context.Context, l net.Listener, r *relay.Relay, reloads func(context.Context)) error {
 	ctx, stop := context.WithCancel(ctx)
 	var running sync.WaitGroup
@@ -75,7 +75,7 @@
 	return err
 }
 
-// reload loads the configuration anew at each SIGHUP, until the context ends.
+// reload reloads the configuration at each SIGHUP, until the context ends.
 func reload(
 	ctx context.Context, path string, current *relay.Config, hangups <-chan os.Signal, r *relay.Relay, log *slog.Logger,
 ) {
@@ -96,7 +96,7 @@
 	}
 }
 
-// loadReload loads a configuration that can take the place of the present one.
+// loadReload loads a configuration and checks that it can replace the current one in a running process.
 func loadReload(path string, current *relay.Config) (*relay.Config, error) {
 	next, err := relay.LoadConfig(path)
 	if err != nil {
@@ -105,7 +105,8 @@
 	return next, next.CheckReload(current)
 }
 
-// serveMetrics serves the metrics at an address, if there is one, until the returned function is called.
+// serveMetrics serves the metrics at an address until the returned function is called. It does nothing if the address
+// is empty.
 func serveMetrics(addr string, r *relay.Relay, log *slog.Logger) (stop func(), err error) {
 	if addr == "" {
 		return func() {}, nil
@@ -128,7 +129,7 @@
 		}
 	})
 	return func() {
-		_ = server.Close() // the program ends, and its readers see that
+		_ = server.Close() // the process is exiting
 		serving.Wait()
 	}, nil
 }
--- a/internal/relay/config.go
+++ b/internal/relay/config.go
@@ -17,35 +17,35 @@
 	minMemoryMB           = 16
 )
 
-// Config is what a relay is started with; its json tags map the keys of the file.
+// Config is the configuration of a relay. The json tags are the keys in the file.
 type Config struct {
 	Name        string `json:"name"`
 	Listen      string `json:"listen"`    // IP address and port
-	Discovery   string `json:"discovery"` // likewise, of the upstream service
-	MetricsAddr string `json:"figures"`   // likewise; empty: none
-	State       string `json:"state"`     // a directory of its own
+	Discovery   string `json:"discovery"` // IP address and port of the upstream service
+	MetricsAddr string `json:"figures"`   // IP address and port; empty: no metrics are served
+	State       string `json:"state"`     // state directory, not shared with other relays
 	Limits      Limits `json:"limits"`
 }
 
-// Limits bound what a relay does.
+// Limits are the resource limits of a relay.
 type Limits struct {
-	FullListsPerSecond float64 `json:"lists_per_second"` // whole lists that it hands out
-	MaxCallers         int     `json:"callers"`          // calls at a time
+	FullListsPerSecond float64 `json:"lists_per_second"` // rate limit for full lists
+	MaxCallers         int     `json:"callers"`          // maximum number of calls in flight
 	MemoryMB           int     `json:"memory_mb"`
 }
 
-// ConfigError is a field of a configuration that cannot be used.
+// ConfigError is returned for a configuration field with an invalid value.
 type ConfigError struct {
-	Field  string // as the file spells it
-	Reason string // begins with what separates it from the field
-	Err    error  // nil if the reason says all
+	Field  string // key in the file, with dots between nested keys
+	Reason string // begins with the separator from the field
+	Err    error  // underlying error, or nil
 }
 
 func (e *ConfigError) Error() string { return e.Field + e.Reason }
 
 func (e *ConfigError) Unwrap() error { return e.Err }
 
-// LoadConfig reads and checks a configuration file. Its errors name the field that cannot be used.
+// LoadConfig reads and validates a configuration file. Its errors name the invalid field.
 func LoadConfig(path string) (*Config, error) {
 	text, err := readConfig(path)
 	if err != nil {
@@ -58,17 +58,17 @@
 	return cfg, nil
 }
 
-// readConfig reads as much of a file as ParseConfig needs to see that it is too long.
+// readConfig reads a file, but no more of it than ParseConfig needs to detect that it is too long.
 func readConfig(path string) ([]byte, error) {
 	f, err := os.Open(path)
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = f.Close() }() // nothing was written that could be lost
+	defer func() { _ = f.Close() }() // the file is only read, so no data can be lost
 	return io.ReadAll(io.LimitReader(f, maxConfigBytes+1))
 }
 
-// ParseConfig accepts a configuration as a whole or not at all; an unknown key may be one misspelt.
+// ParseConfig parses and validates a configuration. It rejects unknown keys, which may be misspelt ones.
 func ParseConfig(text []byte) (*Config, error) {
 	if len(text) > maxConfigBytes {
 		return nil, fmt.Errorf("over %d bytes", maxConfigBytes)
@@ -80,7 +80,7 @@
 		return nil, err
 	}
 	if _, err := decoder.Token(); !errors.Is(err, io.EOF) {
-		return nil, errors.New("more than one value")
+		return nil, errors.New("more than one JSON value")
 	}
 	return &cfg, cfg.validate()
 }
@@ -115,7 +115,7 @@
 
 func (l *Limits) validate() error {
 	switch {
-	case !(l.FullListsPerSecond > 0 && l.FullListsPerSecond <= maxFullListsPerSecond): // NaN neither
+	case !(l.FullListsPerSecond > 0 && l.FullListsPerSecond <= maxFullListsPerSecond): // rejects NaN too
 		return outOfRange("limits.lists_per_second", l.FullListsPerSecond)
 	case l.MaxCallers < 1 || l.MaxCallers > maxCallers:
 		return outOfRange("limits.callers", l.MaxCallers)
@@ -129,10 +129,10 @@
 	return &ConfigError{Field: field, Reason: fmt.Sprintf(" cannot be %v", value)}
 }
 
-// CheckReload returns an error unless a running relay can take this configuration in place of the present one: only discovery's
-// address and the rate of full lists can change.
+// CheckReload returns an error unless a running relay can switch to this configuration from the current one. Only the
+// address of discovery and the rate of full lists can change.
 func (c *Config) CheckReload(current *Config) error {
-	const needsRestart = ": needs a new process"
+	const needsRestart = ": cannot change without a restart"
 	switch {
 	case c.Name != current.Name:
 		return &ConfigError{Field: "name", Reason: needsRestart}
@@ -143,7 +143,7 @@
 	case c.State != current.State:
 		return &ConfigError{Field: "state", Reason: needsRestart}
 	case c.Limits.MaxCallers != current.Limits.MaxCallers || c.Limits.MemoryMB != current.Limits.MemoryMB:
-		return &ConfigError{Field: "limits", Reason: ": callers and memory_mb need a new process"}
+		return &ConfigError{Field: "limits", Reason: ": callers and memory_mb cannot change without a restart"}
 	}
 	return nil
 }
--- a/internal/relay/disk.go
+++ b/internal/relay/disk.go
@@ -17,23 +17,23 @@
 
 const (
 	listFileName = "list"     // in the state directory
-	tempFileName = "list.new" // renamed to listFileName once it is on the disk
+	tempFileName = "list.new" // renamed to listFileName once it is synced to disk
 
-	// A stored list is the magic, the text's length in 8 bytes, big-endian, its SHA-256, and the text: a full list as
-	// discovery answers it.
+	// The file of a stored list consists of the magic, the length of the text as a big-endian 64-bit integer, the
+	// SHA-256 of the text, and the text: a full list in the JSON format of a discovery response.
 	magic        = "relayls1"
 	headerBytes  = len(magic) + 8 + sha256.Size
-	maxTextBytes = 4 << 20 // as much as a client of discovery reads
+	maxTextBytes = 4 << 20 // also the limit of the discovery client
 )
 
-// errCorrupt is a stored list that is not as it was written.
-var errCorrupt = errors.New("the stored list is damaged")
+// errCorrupt is returned for a stored list whose content differs from what was written.
+var errCorrupt = errors.New("stored list corrupt")
 
-// listFile is where a relay keeps its last list. One goroutine at a time uses it.
+// listFile stores a relay's last list in a directory. Only one goroutine may use it at a time.
 type listFile struct{ dir string }
 
-// load reads the list that was saved last. Without one the error wraps fs.ErrNotExist; for anything that is not a full list as it
-// was written it wraps errCorrupt.
+// load reads the list that was saved last. If there is none, the error wraps fs.ErrNotExist. If the file is not a full
+// list exactly as written by save, the error wraps errCorrupt.
 func (f listFile) load() (discovery.EndpointList, error) {
 	path := filepath.Join(f.dir, listFileName)
 	info, err := os.Stat(path)
@@ -41,7 +41,7 @@
 	case err != nil:
 		return discovery.EndpointList{}, fmt.Errorf("reading the stored list: %w", err)
 	case !info.Mode().IsRegular() || info.Size() > int64(headerBytes+maxTextBytes):
-		return discovery.EndpointList{}, fmt.Errorf("%w: %s is no file of up to %d bytes", errCorrupt, path, headerBytes+maxTextBytes)
+		return discovery.EndpointList{}, fmt.Errorf("%w: %s is not a regular file of at most %d bytes", errCorrupt, path, headerBytes+maxTextBytes)
 	}
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -50,8 +50,8 @@
 	return decodeFile(data)
 }
 
-// save makes the text of a full list the one that load finds, also after a crash at any moment: the old one stays until
-// the new one is on the disk.
+// save stores the text of a full list. It is crash-safe: load returns the previous list until the new one is completely
+// on disk.
 func (f listFile) save(text []byte) error {
 	next := filepath.Join(f.dir, tempFileName)
 	if err := writeSynced(next, encodeFile(text)); err != nil {
@@ -66,7 +66,7 @@
 	return nil
 }
 
-// encodeFile puts the header before a text.
+// encodeFile returns the file content for a text: the header, then the text.
 func encodeFile(text []byte) []byte {
 	sum := sha256.Sum256(text)
 	data := make([]byte, 0, headerBytes+len(text))
@@ -76,29 +76,29 @@
 	return append(data, text...)
 }
 
-// decodeFile checks the header and parses the text.
+// decodeFile verifies the header and parses the text.
 func decodeFile(data []byte) (discovery.EndpointList, error) {
 	if len(data) < headerBytes || !bytes.HasPrefix(data, []byte(magic)) {
-		return discovery.EndpointList{}, fmt.Errorf("%w: no header", errCorrupt)
+		return discovery.EndpointList{}, fmt.Errorf("%w: no valid header", errCorrupt)
 	}
 	text := data[headerBytes:]
 	if n := binary.BigEndian.Uint64(data[len(magic):]); n != uint64(len(text)) {
-		return discovery.EndpointList{}, fmt.Errorf("%w: %d bytes of %d", errCorrupt, len(text), n)
+		return discovery.EndpointList{}, fmt.Errorf("%w: got %d bytes of text, want %d", errCorrupt, len(text), n)
 	}
 	if sum := sha256.Sum256(text); !bytes.Equal(sum[:], data[headerBytes-sha256.Size:headerBytes]) {
-		return discovery.EndpointList{}, fmt.Errorf("%w: its checksum does not fit", errCorrupt)
+		return discovery.EndpointList{}, fmt.Errorf("%w: checksum mismatch", errCorrupt)
 	}
 	list, err := discovery.Parse(text)
 	switch {
 	case err != nil:
 		return discovery.EndpointList{}, fmt.Errorf("%w: %w", errCorrupt, err)
 	case !list.Complete:
-		return discovery.EndpointList{}, fmt.Errorf("%w: not a whole list", errCorrupt)
+		return discovery.EndpointList{}, fmt.Errorf("%w: not a full list", errCorrupt)
 	}
 	return list, nil
 }
 
-// writeSynced writes a file anew and returns when it is on the disk.
+// writeSynced creates or replaces a file and syncs it to disk.
 func writeSynced(path string, data []byte) (err error) {
 	f, err := os.OpenFile(path, os.O_WRONLY|os.O_CREATE|os.O_TRUNC, 0o600)
 	if err != nil {
@@ -111,7 +111,7 @@
 	return f.Sync()
 }
 
-// syncDir returns when a directory's names are on the disk.
+// syncDir syncs the entries of a directory to disk.
 func syncDir(dir string) (err error) {
 	f, err := os.Open(dir)
 	if err != nil {
@@ -121,7 +121,7 @@
 	return f.Sync()
 }
 
-// loadStored is the list that a relay starts with: the stored one, or none if that cannot be used.
+// loadStored returns the stored list, or an empty value if there is none or it is unusable.
 func (r *Relay) loadStored() discovery.EndpointList {
 	list, err := r.file.load()
 	switch {
@@ -134,7 +134,7 @@
 	return discovery.EndpointList{}
 }
 
-// storeChanges stores the list when it has changed, no more often than saveInterval, until the context ends.
+// storeChanges stores the list after each change, at most once per saveInterval, until the context ends.
 func (r *Relay) storeChanges(ctx context.Context) {
 	for {
 		changed := r.store.Changed()
@@ -152,14 +152,14 @@
 	}
 }
 
-// storeList stores the list unless it is on the disk already. One that cannot be stored is tried again with the next change. Only
-// Run's goroutine calls it.
+// storeList stores the list unless it is already on disk. After an error, the list is not stored again before the next
+// change or the end of Run. Only Run's goroutine calls it.
 func (r *Relay) storeList() {
 	list := r.store.Since(0, false)
 	if list.Body == nil {
 		return
 	}
-	// The store encodes a revision once, so the same bytes are the same list.
+	// The store encodes each full list only once, so the same backing array means the same list.
 	if r.savedBody != nil && &r.savedBody[0] == &list.Body[0] {
 		return
 	}
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -14,37 +14,38 @@
 )
 
 const (
-	// shutdownGrace is how long calls have to be rejected in at the end, before their connections are cut.
+	// shutdownGrace is how long a graceful shutdown waits for calls to be rejected before it closes their connections.
 	shutdownGrace = time.Second
-	// maxWaitMillis is the longest wait of a watch; longer ones are cut to it.
+	// maxWaitMillis is the longest wait of a watch. A longer requested wait is reduced to it.
 	maxWaitMillis = 60_000
 )
 
-// The texts of rejections, which are part of the answers.
+// Reasons for rejections. They are sent in response bodies, so they are part of the protocol.
 const (
 	tooManyCallers = "too many callers"
 	notSynced      = "no news from above"
 )
 
-// errNotSynced is the end of a wait for an answer from upstream.
-var errNotSynced = errors.New("no answer from upstream in time")
+// errNotSynced is returned when upstream does not respond before the timeout.
+var errNotSynced = errors.New("no response from upstream before the timeout")
 
-// HTTP returns a server for listeners that come from Listener.
+// HTTP returns a server for listeners that were returned by Listener.
 func (r *Relay) HTTP() *http.Server {
 	server := r.server.HTTP()
 	server.Handler = r.countCalls(server.Handler)
 	return server
 }
 
-// Listener has a listener's callers known as one agent's; those behind one that many share are agent 0.
+// Listener returns a listener that attributes its connections to one agent. Use agent 0 for a listener that many agents
+// share.
 func (r *Relay) Listener(l net.Listener, agent int) net.Listener { return r.server.Listener(l, agent) }
 
-// Serve answers at a listener until the context ends or the listener breaks. The caller runs Run beside it and ends both together,
-// so that calls that wait are then rejected at once.
+// Serve serves calls on a listener until the context ends or the listener fails. The caller runs Run concurrently and
+// ends both at the same time, so that waiting calls are rejected immediately.
 func (r *Relay) Serve(ctx context.Context, l net.Listener) error {
 	server := r.HTTP()
 	failed := make(chan error, 1)
-	go func() { failed <- server.Serve(r.Listener(l, 0)) }() // ends with Shutdown
+	go func() { failed <- server.Serve(r.Listener(l, 0)) }() // returns at Shutdown
 	select {
 	case err := <-failed:
 		return err
@@ -53,15 +54,16 @@
 	shutdownCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), shutdownGrace)
 	defer cancel()
 	if server.Shutdown(shutdownCtx) != nil {
-		_ = server.Close() // calls have had their time; nobody is left to tell
+		_ = server.Close() // the remaining calls have exceeded shutdownGrace
 	}
 	return nil
 }
 
-// Handler answers one agent, or all who share a listener, without HTTP or Listener.
+// Handler returns a handler for the calls of one agent, or of all agents that share a listener. It is an alternative to
+// HTTP and Listener.
 func (r *Relay) Handler(agent int) http.Handler { return r.countCalls(r.server.Handler(agent)) }
 
-// countCalls counts calls and what becomes of them on their way to the server of lists.
+// countCalls wraps a handler in call admission and counts calls, rejections and response bytes.
 func (r *Relay) countCalls(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		counted := &countingWriter{ResponseWriter: w, bodyBytes: &r.counters.bodyBytes}
@@ -73,7 +75,7 @@
 	})
 }
 
-// admit answers a call if that is not one too many and the relay is not stale.
+// admit serves a call, or rejects it if there are too many in flight or the relay is stale.
 func (r *Relay) admit(w http.ResponseWriter, req *http.Request, next http.Handler) {
 	defer r.counters.open.Add(-1)
 	if r.counters.open.Add(1) > int64(r.options.MaxCallers) {
@@ -89,34 +91,36 @@
 	r.respond(w, req.WithContext(ctx), next)
 }
 
-// callContext is the context of a call, which ends when this relay may no longer answer.
+// callContext derives the context of a call, which is canceled when this relay may no longer serve calls.
 func (r *Relay) callContext(call context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(call)
 	r.mu.Lock()
-	live := r.callsCtx
+	callsCtx := r.callsCtx
 	fresh := r.isFreshLocked(time.Now())
 	r.mu.Unlock()
-	if !fresh || live.Err() != nil {
+	if !fresh || callsCtx.Err() != nil {
 		cancel()
 	}
-	stop := context.AfterFunc(live, cancel)
+	stop := context.AfterFunc(callsCtx, cancel)
 	return ctx, func() {
 		stop()
 		cancel()
 	}
 }
 
-// answer answers a call once the caller's revision and the relay's are known to be of the same service and in order.
+// respond serves a call once it is known that the caller's revision and the relay's are from the same service and in
+// order.
 //
-// A caller that holds the very list of this relay goes on with it, also if that was loaded from the disk. A full list from the
-// disk, or changes that lead to it, could name endpoints that have been removed since; a restarted relay answers other callers only
-// once upstream has answered.
+// A caller at the relay's own revision is served, even if the list was loaded from disk. Other callers of a restarted
+// relay wait for a response from upstream: a full list from disk, or changes that lead to it, could contain endpoints
+// that have since been removed.
 //
-// A caller that is ahead of this relay has got more elsewhere, or upstream counts anew. Which of the two it is shows in an answer
-// from upstream to a call that began after the caller's; until then the relay does not answer.
+// If a caller is ahead of this relay, either it got a newer revision elsewhere, or upstream has restarted its revision
+// numbers. Only the response to an upstream call that began after the caller's distinguishes the two, so the relay
+// waits for it.
 func (r *Relay) respond(w http.ResponseWriter, req *http.Request, next http.Handler) {
 	q, err := parseQuery(req.URL.RawQuery)
-	if err != nil { // the server of lists says what is wrong
+	if err != nil { // the lists server reports the error to the caller
 		next.ServeHTTP(w, req)
 		return
 	}
@@ -127,13 +131,14 @@
 	case err == nil:
 		next.ServeHTTP(w, q.withReducedWait(req, held))
 	case errors.Is(err, errNotSynced) && q.hasRevision:
-		writeList(w, lists.Encode(q.revision, false, nil)) // the caller goes on with the list that it holds
+		writeList(w, lists.Encode(q.revision, false, nil)) // the caller continues with its list
 	default:
 		reject(w, notSynced)
 	}
 }
 
-// canRespond returns the condition on which a call that came at a time can be answered. Its caller holds the mutex.
+// canRespond returns the condition on which a call that arrived at the given time can be served. The condition must be
+// evaluated with the mutex held.
 func (r *Relay) canRespond(q query, arrived time.Time) func() bool {
 	return func() bool {
 		revision := r.store.Revision()
@@ -147,14 +152,15 @@
 	}
 }
 
-// query is what this relay has to know of a call that the server of lists parses completely.
+// query holds the parameters of a call that the relay itself needs. The lists server parses and validates the whole
+// call.
 type query struct {
-	revision    uint64 // that the caller holds
+	revision    uint64 // the caller's
 	hasRevision bool
 	wait        time.Duration
 }
 
-// parseQuery parses what it knows of a query.
+// parseQuery parses the parameters that the relay needs and ignores all others.
 func parseQuery(raw string) (query, error) {
 	values, err := url.ParseQuery(raw)
 	if err != nil {
@@ -172,7 +178,7 @@
 	return q, nil
 }
 
-// parseNumber is 0 for a parameter that is not there.
+// parseNumber returns the value of a parameter, or 0 if it is missing.
 func parseNumber(values url.Values, name string) (uint64, error) {
 	if !values.Has(name) {
 		return 0, nil
@@ -180,7 +186,8 @@
 	return strconv.ParseUint(values.Get(name), 10, 64)
 }
 
-// shorten is a call with less of its wait: together with how long it was held it is not to last longer than its caller wants.
+// withReducedWait returns the call with its wait reduced by the time that it was held, so that it takes no longer in
+// total than its caller requested.
 func (q query) withReducedWait(req *http.Request, held time.Duration) *http.Request {
 	values := req.URL.Query()
 	if values.Has("wait_ms") {
@@ -194,24 +201,26 @@
 func writeList(w http.ResponseWriter, text []byte) {
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(text)))
-	_, _ = w.Write(text) // a caller that has gone calls again
+	_, _ = w.Write(text) // a caller whose connection failed retries
 }
 
-// reject sends a caller to the next relay.
-func reject(w http.ResponseWriter, why string) { http.Error(w, why, http.StatusServiceUnavailable) }
+// reject responds with a 503, upon which the caller tries the next relay.
+func reject(w http.ResponseWriter, reason string) {
+	http.Error(w, reason, http.StatusServiceUnavailable)
+}
 
-// countFullList counts the full lists among the calls that the server of lists has ended.
+// countFullList counts a call if its response was a full list.
 func (r *Relay) countFullList(c lists.CallRecord) {
 	if c.Status == http.StatusOK && c.Complete {
 		r.counters.fullLists.Add(1)
 	}
 }
 
-// countingWriter counts the bytes of answers' bodies and notes the status.
+// countingWriter counts the bytes of response bodies and records the status.
 type countingWriter struct {
 	http.ResponseWriter
 	bodyBytes *atomic.Int64
-	status    int // 0: not written, which means 200
+	status    int // 0: WriteHeader was not called, which means 200
 }
 
 func (w *countingWriter) WriteHeader(status int) {
@@ -225,5 +234,5 @@
 	return n, err
 }
 
-// Unwrap lets http.ResponseController find the connection.
+// Unwrap gives http.ResponseController access to the connection.
 func (w *countingWriter) Unwrap() http.ResponseWriter { return w.ResponseWriter }
--- a/internal/relay/limiter.go
+++ b/internal/relay/limiter.go
@@ -12,27 +12,27 @@
 )
 
 const (
-	// maxQueueDelay is how long a caller may wait for its full list in one call: less than its call may take, by what it may
-	// have waited for an answer from upstream (aheadWait) and what writing and reading the list may need.
+	// maxQueueDelay is the longest delay of a full list within one call. It is shorter than the timeout of the call, to
+	// leave time for a wait for upstream (aheadWait) and for writing and reading the list.
 	maxQueueDelay = discovery.RelayFullListTimeout * 5 / 8
-	// reservationGrace is how long after its time a reserved slot is still kept for its caller.
+	// reservationGrace is how long a reserved slot stays available after its time.
 	reservationGrace = balancer.NotifyBoundAfterFailure / 24
 )
 
-// fullListLimiter hands full lists out at a stated rate; changes pass at once, since they are small and have to be in time.
+// fullListLimiter limits the rate of full lists. Changes are admitted immediately, because they are small and urgent.
 //
-// A caller that cannot have a slot within maxQueueDelay is rejected with Retry-After, and that slot is reserved. Reservations bear
-// no name: any caller takes the first one that is due within maxQueueDelay, so that a slot whose caller went elsewhere is not
-// lost, and a caller that finds its slot taken gets one that comes no later than those behind it.
+// A caller that cannot get a slot within maxQueueDelay is rejected with Retry-After, and its slot is reserved.
+// Reservations are anonymous: each caller takes the first reserved slot that is due within maxQueueDelay. So a slot is
+// not lost if its caller goes elsewhere, and a caller whose slot was taken still gets one ahead of later callers.
 //
-// A mutex guards its state; Admit may be called by any goroutine.
+// A mutex guards the state; any goroutine may call Admit.
 type fullListLimiter struct {
 	mu              sync.Mutex
 	interval        time.Duration // between two full lists
-	nextSlot        time.Time     // the first that nobody has
-	reserved        []time.Time   // slots that rejected callers got as Retry-After, sorted
+	nextSlot        time.Time     // the first slot that is neither taken nor reserved
+	reserved        []time.Time   // slots that were announced to rejected callers as Retry-After, sorted
 	maxReservations int
-	waiting         int // callers in Admit that wait for their slot
+	waiting         int // callers in Admit that have a slot and wait for it
 }
 
 func newFullListLimiter(perSecond float64, maxReservations int) *fullListLimiter {
@@ -41,7 +41,7 @@
 	return l
 }
 
-// setRate changes how many full lists a second are handed out; slots that were given stay.
+// setRate sets the number of full lists per second. Slots that are already taken or reserved keep their times.
 func (l *fullListLimiter) setRate(perSecond float64) {
 	l.mu.Lock()
 	l.interval = time.Duration(float64(time.Second) / perSecond)
@@ -71,7 +71,7 @@
 	}
 }
 
-// takeSlot gives a caller a slot that it can wait for, or rejects it.
+// takeSlot returns a slot within maxQueueDelay, or a RejectedError.
 func (l *fullListLimiter) takeSlot(now time.Time) (time.Time, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -97,7 +97,8 @@
 	return time.Time{}, lists.RejectedError{RetryAfter: delay, Cause: "other callers' whole lists come first"}
 }
 
-// takeReserved takes the first reserved slot if that is due within maxQueueDelay.
+// takeReserved takes the first reserved slot if it is due within maxQueueDelay. It drops slots past their
+// reservationGrace.
 func (l *fullListLimiter) takeReserved(now time.Time) (time.Time, bool) {
 	for len(l.reserved) > 0 && now.Sub(l.reserved[0]) > reservationGrace {
 		l.reserved = l.reserved[1:]
@@ -110,7 +111,7 @@
 	return slot, true
 }
 
-// returnSlot lets another caller have a slot whose caller does not wait for it.
+// returnSlot makes a slot available again when its caller stops waiting for it.
 func (l *fullListLimiter) returnSlot(slot time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,7 +125,7 @@
 	l.mu.Unlock()
 }
 
-// queued is how many callers wait for their slot.
+// queued returns the number of callers that wait for their slot.
 func (l *fullListLimiter) queued() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/relay/metrics.go
+++ b/internal/relay/metrics.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// counters are what a relay counts since its start.
+// counters are a relay's counters since its start, and open, the number of calls in flight.
 type counters struct{ calls, fullLists, rejected, bodyBytes, open atomic.Int64 }
 
-// Metrics are what a relay counted since its start, and its present state.
+// Metrics are a relay's counters since its start and its current state.
 type Metrics struct {
-	Calls     int64         // that came
-	FullLists int64         // full lists handed out
-	Rejected  int64         // calls that got a 503
-	Bytes     int64         // of answers' bodies
-	Open      int64         // calls that are in flight now
-	Waiting   int           // of them, those that wait for their turn to get the full list
-	Staleness time.Duration // since the list was known to be the newest
+	Calls     int64         // calls received
+	FullLists int64         // full lists sent
+	Rejected  int64         // calls rejected with a 503
+	Bytes     int64         // bytes of response bodies
+	Open      int64         // calls in flight
+	Waiting   int           // calls in flight that wait for a slot for the full list
+	Staleness time.Duration // time since the list was last known to be the newest
 	Revision  uint64        // 0: no list
 }
 
-// Metrics may be called by any goroutine.
+// Metrics returns the current metrics. Any goroutine may call it.
 func (r *Relay) Metrics() Metrics {
 	r.mu.Lock()
 	syncedAt := r.syncedAtLocked()
@@ -39,7 +39,7 @@
 	}
 }
 
-// ServeMetrics answers GET / with the metrics, one to a line.
+// ServeMetrics responds to GET / with the metrics, one per line.
 func (r *Relay) ServeMetrics(w http.ResponseWriter, req *http.Request) {
 	if req.Method != http.MethodGet || req.URL.Path != "/" {
 		http.NotFound(w, req)
@@ -48,12 +48,12 @@
 	w.Header().Set("Content-Type", "text/plain; charset=utf-8")
 	for _, line := range r.Metrics().lines() {
 		if _, err := fmt.Fprintln(w, line.name, line.value); err != nil {
-			return // the reader has gone
+			return // the reader has disconnected
 		}
 	}
 }
 
-// metricLine is a metric under the name that monitoring knows it by.
+// metricLine is a metric's exported name and value.
 type metricLine struct {
 	name  string
 	value any
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -1,9 +1,11 @@
-// Package relay hands the endpoint list on: a Relay follows discovery as one caller and answers many callers as discovery would. It
-// keeps its last list on its own disk, so that a restart needs nobody. It decides nothing about endpoints.
+// Package relay distributes the endpoint list: a Relay watches discovery as a single caller and serves many callers as
+// discovery would. It stores its last list on disk, so that a restart does not depend on other services. It makes no
+// decisions about endpoints.
 //
-// The list is in a lists.Store, which guards itself, as the limiter and the counters do. Relay.mu guards what the relay knows of
-// its upstream: whether it has a list, when that was synced, and whether calls may be answered. Run owns the goroutine of
-// the client of discovery, which alone updates the store, and stores the list.
+// The list is in a lists.Store, which does its own locking, as the limiter and the counters do. Relay.mu guards the
+// state of the upstream connection: whether the relay has a list, when that was last synced, and whether calls may be
+// served. Run starts the goroutine of the discovery client, the only one that updates the store, and itself stores the
+// list on disk.
 package relay
 
 import (
@@ -21,40 +23,43 @@
 )
 
 const (
-	// upstreamWatchWait is how long a watch of upstream waits. A caller that is ahead of this relay waits for an answer to a
-	// watch that began after it came, so for two watches at the most, and that has to fit into aheadWait.
+	// upstreamWatchWait is the wait of a watch at upstream. A caller that is ahead of this relay waits for the response
+	// to a watch that began after the call arrived. That takes two watches at most, which must fit into aheadWait.
 	upstreamWatchWait = balancer.NotifyBoundAfterFailure / 30
-	// aheadWait is how long a call that names no wait may be held all the same for an answer from upstream; its caller gives it
-	// RelayTimeout.
+	// aheadWait is how long a call may be delayed until upstream responds, even if its own wait is shorter or missing.
+	// The caller's timeout is RelayTimeout.
 	aheadWait = discovery.RelayTimeout / 2
-	// maxUpstreamBackoff bounds the pause between two calls to upstream that fail: the first one that can be answered has to
-	// come well within staleAfter.
+	// maxUpstreamBackoff limits the backoff after failed calls to upstream: once upstream is back, the next call must
+	// follow well within staleAfter.
 	maxUpstreamBackoff = balancer.NotifyBoundAfterFailure / 20
-	// staleAfter is for how long a relay answers without an answer from upstream. An agent takes a watch that goes on for
-	// "nothing has changed", while a change counts as notified at the bound after discovery had it and could be reached. A stale
-	// relay therefore rejects calls, and its agents go to other relays and at last to discovery itself.
+	// staleAfter is how long a relay serves calls without a response from upstream. To an agent, a pending watch means
+	// that nothing has changed, yet a change counts as notified a fixed time after discovery had it and was reachable.
+	// A stale relay therefore rejects calls, so that its agents fail over to other relays and finally to discovery
+	// itself.
 	staleAfter = discovery.RelayMaxStaleness
 
-	// maxLoggedRevisions is how many revisions back a caller may be and still get changes.
+	// maxLoggedRevisions is how many revisions behind a caller may be and still get changes instead of the full list.
 	maxLoggedRevisions = 512
-	// saveInterval is the least time between two writes of the list to the disk.
+	// saveInterval is the minimum time between two writes of the list to disk.
 	saveInterval = 5 * time.Second
 )
 
-// Options are what a relay is made of. Those up to Log have to be given.
+// Options configure a relay. The fields up to Log are required.
 type Options struct {
 	Name               string
 	Discovery          string  // IP address and port of the upstream service
-	State              string  // a directory of its own, made if it is missing
-	FullListsPerSecond float64 // full lists that it hands out
-	MaxCallers         int     // calls that it has in flight at a time
+	State              string  // state directory, not shared with other relays; created if missing
+	FullListsPerSecond float64 // rate limit for full lists
+	MaxCallers         int     // maximum number of calls in flight
 	Log                *slog.Logger
-	OnAcknowledge      func(agent int, revision uint64, at time.Time)   // if not nil: an agent's call says that it holds this revision
-	OnUpdate           func(revision uint64, members int, at time.Time) // if not nil: an update is about to be handed on
-	Dial               discovery.Dial                                   // nil: as the client of discovery does
+	// OnAcknowledge, if not nil, is called when an agent's call shows that it holds a revision.
+	OnAcknowledge func(agent int, revision uint64, at time.Time)
+	// OnUpdate, if not nil, is called just before an update becomes available to callers.
+	OnUpdate func(revision uint64, members int, at time.Time)
+	Dial     discovery.Dial // nil: the default of the discovery client
 }
 
-// Relay follows the list of its upstream and hands it on.
+// Relay watches the list of its upstream and serves it to callers.
 type Relay struct {
 	options    Options
 	log        *slog.Logger
@@ -70,22 +75,22 @@
 	mu           sync.Mutex
 	upstreamAddr string
 	hasList      bool
-	migrated     bool // the next full list is of another service, which counts revisions of its own
-	ended        bool // Run has
+	migrated     bool // the next full list is from another service, whose revisions are unrelated
+	ended        bool // Run is ending or has ended
 	startedAt    time.Time
-	syncedAt     time.Time          // begin of the last call to upstream that was answered; zero: none yet
-	synced       chan struct{}      // closed at the next such answer
-	callsCtx     context.Context    // of the calls in flight; ends when the relay becomes stale or ends
-	cancelCalls  context.CancelFunc // ends it
+	syncedAt     time.Time          // start of the last successful call to upstream; zero: none yet
+	synced       chan struct{}      // closed at the next successful call to upstream
+	callsCtx     context.Context    // cancels the calls in flight when the relay becomes stale or ends
+	cancelCalls  context.CancelFunc // cancels callsCtx
 	staleTimer   *time.Timer        // runs becomeStale
 
-	savedBody []byte // the store's encoding of the list that is on the disk; of Run's goroutine
+	savedBody []byte // the store's encoding of the list on disk; used only by Run's goroutine
 }
 
-// New makes a relay and loads the list that it had.
+// New returns a relay that starts with the list stored on disk, if there is a valid one.
 func New(o Options) (*Relay, error) {
 	if err := os.MkdirAll(o.State, 0o700); err != nil {
-		return nil, fmt.Errorf("the state directory: %w", err)
+		return nil, fmt.Errorf("creating the state directory: %w", err)
 	}
 	r := &Relay{
 		options:      o,
@@ -97,8 +102,8 @@
 		upstreamAddr: o.Discovery,
 		startedAt:    time.Now(),
 		synced:       make(chan struct{}),
-		// In push mode the client retries by itself and soon, which a handful of relays may do. Poll mode is for hundreds of
-		// callers and needs a balancer.
+		// In push mode the client retries soon and on its own schedule, which is acceptable for a handful of relays.
+		// Poll mode is for hundreds of callers and needs a balancer.
 		settings: settings.Settings{Balancer: balancer.Settings{Agents: 1}, DrainGrace: maxUpstreamBackoff},
 	}
 	r.callsCtx, r.cancelCalls = context.WithCancel(context.Background())
@@ -130,8 +135,8 @@
 	return r, nil
 }
 
-// Run follows the list of upstream and stores it, until the context ends. Then calls that wait are rejected, so that their callers
-// fail over at once, and the last list is stored.
+// Run watches the list of upstream and stores it on disk until the context ends. It then rejects waiting calls, so that
+// their callers fail over immediately, and stores the last list.
 func (r *Relay) Run(ctx context.Context) {
 	followed := make(chan struct{})
 	go func() {
@@ -148,8 +153,8 @@
 	r.storeList()
 }
 
-// Migrate has the relay follow the service at an address, unless it does already, and hand out so many full lists a second. It is
-// called while Run runs.
+// Migrate switches the relay to the upstream at the given address, unless it already uses that, and sets the rate of
+// full lists. It must be called while Run is running: it returns once Run's client has the address or the context ends.
 func (r *Relay) Migrate(ctx context.Context, upstreamAddr string, fullListsPerSecond float64) {
 	r.limiter.setRate(fullListsPerSecond)
 	r.mu.Lock()
--- a/internal/relay/sync.go
+++ b/internal/relay/sync.go
@@ -9,7 +9,7 @@
 	"example.org/ryeloft/internal/lists"
 )
 
-// onWatchEvent updates the store by what upstream reports.
+// onWatchEvent applies an update from upstream to the store.
 func (r *Relay) onWatchEvent(event discovery.WatchEvent) {
 	switch event.Update {
 	case balancer.EndpointsReplaced:
@@ -19,8 +19,8 @@
 	}
 }
 
-// replace updates the store by a full list. One that follows the list held becomes the changes between the two, so that hundreds of
-// callers that can go on with those need not get the full list anew.
+// replace applies a full list to the store. If its revision follows the current one, replace applies the differences as
+// changes, so that hundreds of callers do not need the full list again.
 func (r *Relay) replace(revision uint64, members []discovery.Member) {
 	r.mu.Lock()
 	reset := r.migrated || !r.hasList || revision <= r.store.Revision()
@@ -35,33 +35,33 @@
 	r.apply(revision, difference(r.store.Members(), members))
 }
 
-// apply updates the store by changes.
+// apply applies changes to the store.
 func (r *Relay) apply(revision uint64, changed []discovery.Member) {
 	if revision == r.store.Revision() && len(changed) == 0 {
-		return // the first answer of a watch, which brought nothing
+		return // the first response to a watch, without changes
 	}
 	r.reportUpdate(revision, len(changed))
 	err := r.store.Apply(revision, changed)
 	if err == nil {
 		return
 	}
-	// Upstream changes what it has reported already. Callers that hold that revision could not get it as changes, so all get the
-	// full list anew.
+	// Upstream changed a revision that it had reported before. Callers at that revision cannot get the difference as
+	// changes, so all callers get the full list again.
 	r.log.Error("upstream changes out of order", "error", err)
 	merged := lists.NewStore(0)
 	merged.Reset(0, r.store.Members())
-	_ = merged.Apply(1, changed) // it holds a list, and 1 follows 0
+	_ = merged.Apply(1, changed) // cannot fail: the store has a list, and revision 1 follows 0
 	r.store.Reset(revision, merged.Members())
 }
 
-// reportUpdate reports an update that is about to be handed on.
+// reportUpdate calls OnUpdate for an update that is about to become available to callers.
 func (r *Relay) reportUpdate(revision uint64, members int) {
 	if r.options.OnUpdate != nil {
 		r.options.OnUpdate(revision, members, time.Now())
 	}
 }
 
-// difference are the changes by which one list becomes another.
+// difference returns the changes that turn one list into another.
 func difference(from, to []discovery.Member) []discovery.Member {
 	before := make(map[string]discovery.Member, len(from))
 	for _, m := range from {
@@ -86,9 +86,10 @@
 	return changed
 }
 
-// onResponse notes that a call to upstream was answered and its result is in the store.
+// onResponse records a successful call to upstream that started at began. The result is already in the store, unless
+// the revision has no changes.
 func (r *Relay) onResponse(began time.Time, revision uint64) {
-	if revision > r.store.Revision() { // of no changes, which are not notified
+	if revision > r.store.Revision() { // a revision without changes causes no watch event
 		r.apply(revision, nil)
 	}
 	r.mu.Lock()
@@ -107,7 +108,7 @@
 	}
 }
 
-// becomeStale ends the calls in flight, unless upstream has answered meanwhile.
+// becomeStale cancels the calls in flight, unless a response from upstream arrived in the meantime.
 func (r *Relay) becomeStale() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -118,7 +119,8 @@
 	r.log.Warn("relay stale, rejecting calls", "synced_at", r.syncedAtLocked())
 }
 
-// syncedAtLocked is when the list was known to be the newest, or when the relay started. The caller holds the mutex.
+// syncedAtLocked returns when the list was last known to be the newest, or when the relay started. The caller holds the
+// mutex.
 func (r *Relay) syncedAtLocked() time.Time {
 	if r.syncedAt.IsZero() {
 		return r.startedAt
@@ -126,14 +128,15 @@
 	return r.syncedAt
 }
 
-// isFreshLocked says whether the relay may answer. The caller holds the mutex.
+// isFreshLocked reports whether the relay may serve calls. The caller holds the mutex.
 func (r *Relay) isFreshLocked(now time.Time) bool { return now.Sub(r.syncedAtLocked()) < staleAfter }
 
-// awaitSync returns when a condition holds that is evaluated, with the mutex held, now and after each answer from upstream, and how
-// long that took: 0 if it held at once.
-func (r *Relay) awaitSync(ctx context.Context, longest time.Duration, condition func() bool) (time.Duration, error) {
+// awaitSync waits until the condition is true and returns how long that took, or 0 if it was true immediately. It
+// evaluates the condition, with the mutex held, now and after each response from upstream. It returns errNotSynced
+// after the timeout, and the context's error if that ends first.
+func (r *Relay) awaitSync(ctx context.Context, timeout time.Duration, condition func() bool) (time.Duration, error) {
 	began := time.Now()
-	timer := time.NewTimer(longest)
+	timer := time.NewTimer(timeout)
 	defer timer.Stop()
 	ok, synced := r.checkSync(condition)
 	if ok {
@@ -153,7 +156,8 @@
 	}
 }
 
-// checkSync evaluates a condition and returns what is closed when it may have changed.
+// checkSync evaluates a condition with the mutex held. It also returns a channel that is closed when the result may
+// have changed.
 func (r *Relay) checkSync(condition func() bool) (ok bool, synced <-chan struct{}) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
