--- a/cmd/relay/main_test.go
+++ b/cmd/relay/main_test.go
@@ -23,10 +23,10 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// programEnv has this binary be the program itself.
+// programEnv is the environment variable that makes the test binary run the relay program.
 const programEnv = "RELAY_TEST_PROGRAM"
 
-// wait bounds what a test waits for; nothing passes by it.
+// testTimeout limits each wait of a test. A wait that reaches it fails the test.
 const testTimeout = 20 * time.Second
 
 func TestMain(m *testing.M) {
@@ -37,7 +37,7 @@
 	os.Exit(m.Run())
 }
 
-// service is discovery, at an address that stays its own while it is down.
+// service is discovery. It keeps its address while it is down.
 type service struct {
 	*lists.Store
 	addr string
@@ -62,7 +62,7 @@
 	go s.http.Serve(server.Listener(l, 0))
 }
 
-// freeAddr is an address that nobody listens at.
+// freeAddr returns an address that is not in use.
 func freeAddr(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,7 +76,7 @@
 	return discovery.Member{ID: id, Address: "127.0.0.1:9", State: state, Weight: 1}
 }
 
-// program is the relay as a process.
+// program is a relay in its own process.
 type program struct {
 	*exec.Cmd
 	addr, metrics, config, state string
@@ -103,7 +103,7 @@
 	}
 }
 
-// start runs the program and returns when it listens.
+// start starts the program and returns once it listens.
 func (p *program) start(t *testing.T) {
 	p.Cmd = exec.Command(os.Args[0])
 	p.Env = append(os.Environ(), programEnv+"=1", "RELAY_CONFIG="+p.config)
@@ -131,22 +131,22 @@
 			return
 		}
 		if time.Since(began) > testTimeout {
-			t.Fatal("the relay does not listen")
+			t.Fatalf("the relay does not listen after %v", testTimeout)
 		}
 	}
 }
 
-// awaitLog waits for a line of the log.
-func (p *program) awaitLog(t *testing.T, what string) {
+// awaitLog waits for a log line that contains the text.
+func (p *program) awaitLog(t *testing.T, text string) {
 	t.Helper()
 	for late := time.After(testTimeout); ; {
 		select {
 		case line := <-p.log:
-			if strings.Contains(line, what) {
+			if strings.Contains(line, text) {
 				return
 			}
 		case <-late:
-			t.Fatalf("the log does not say %q", what)
+			t.Fatalf("no log line with %q", text)
 		}
 	}
 }
@@ -157,12 +157,12 @@
 	case err := <-p.ended:
 		return err
 	case <-time.After(testTimeout):
-		t.Fatal("the relay does not end")
+		t.Fatalf("the relay has not exited after %v", testTimeout)
 		return nil
 	}
 }
 
-// get makes a call: its status, 0 for none, and body.
+// get makes a call and returns the status and the body. The status is 0 if there is no response.
 func get(addr, path string) (int, string) {
 	resp, err := http.Get("http://" + addr + path)
 	if err != nil {
@@ -176,12 +176,12 @@
 	return resp.StatusCode, string(text)
 }
 
-// agents follow the list through relays.
+// agents watch the list through relays.
 type agents struct {
 	mu        sync.Mutex
 	received  []map[uint64]time.Time
 	fullLists []int
-	notified  chan struct{} // at each watch event
+	notified  chan struct{} // receives a value at each watch event
 }
 
 func startAgents(t *testing.T, n int, addr string, relays []string) *agents {
@@ -233,13 +233,14 @@
 		select {
 		case <-a.notified:
 		case <-late:
-			t.Fatalf("%d of %d agents do not receive revision %d", missing, len(a.received), revision)
+			t.Fatalf("%d of %d agents have not received revision %d", missing, len(a.received), revision)
 		}
 	}
 }
 
-// A relay that is killed under the watches of its agents costs them no change: they fail over to the other one and receive it
-// within what the platform allows, without another full list. Started again while discovery is down, it has its list.
+// When a relay is killed, its agents must not lose a change: they must fail over to the other relay and receive the
+// change within the notification bound, without another full list. The relay must have its list when restarted while
+// discovery is down.
 func TestKilledRelay(t *testing.T) {
 	s := newService(t, 7, member("x", "Ready"), member("y", "Ready"))
 	relays := []*program{startProgram(t, s.addr), startProgram(t, s.addr)}
@@ -250,7 +251,7 @@
 			break
 		}
 		if time.Since(began) > testTimeout {
-			t.Fatal("no list is stored")
+			t.Fatalf("no list is stored after %v", testTimeout)
 		}
 	}
 	relays[0].Process.Kill()
@@ -260,42 +261,43 @@
 		t.Fatal(err)
 	}
 	if took := a.awaitAll(t, 8).Sub(changed); took > balancer.NotifyBoundAfterFailure {
-		t.Errorf("the last agent receives it %v after the change", took)
+		t.Errorf("the last agent received the change after %v, want at most %v", took, balancer.NotifyBoundAfterFailure)
 	}
 	for i, n := range a.fullLists {
 		if n != 1 {
-			t.Errorf("agent %d gets %d full lists", i, n)
+			t.Errorf("agent %d: got %d full lists, want 1", i, n)
 		}
 	}
 	s.http.Close()
 	relays[0].start(t)
 	relays[0].awaitLog(t, "stored endpoint list loaded")
 	if status, text := get(relays[0].addr, "/discovery/hosts?after=7&wait_ms=0"); status != 200 || !strings.Contains(text, `"revision":7,"complete":false,"members":[]`) {
-		t.Errorf("who holds its list is answered %d %s", status, text)
+		t.Errorf("caller at the stored revision: got %d %s, want 200 without changes", status, text)
 	}
 	if status, text := get(relays[0].addr, "/discovery/hosts"); status != http.StatusServiceUnavailable {
-		t.Errorf("who holds none is answered %d %s", status, text)
+		t.Errorf("caller without a list: got %d %s, want 503", status, text)
 	}
 	s.up(t)
 	relays[0].awaitLog(t, `msg="endpoint list updated"`)
 	if status, text := get(relays[0].addr, "/discovery/hosts?after=7&wait_ms=1000"); status != 200 || !strings.Contains(text, `"revision":8,"complete":false`) {
-		t.Errorf("with discovery again: %d %s", status, text)
+		t.Errorf("after discovery is back: got %d %s, want 200 with the changes of revision 8", status, text)
 	}
 }
 
-// awaitRevision waits until the relay serves a revision.
+// awaitRevision waits until the relay serves the revision.
 func (p *program) awaitRevision(t *testing.T, revision int) {
 	t.Helper()
 	want := fmt.Sprintf("relay_revision %d\n", revision)
-	for begun := time.Now(); time.Since(begun) < testTimeout; time.Sleep(time.Millisecond) {
+	for began := time.Now(); time.Since(began) < testTimeout; time.Sleep(time.Millisecond) {
 		if _, text := get(p.metrics, "/"); strings.Contains(text, want) {
 			return
 		}
 	}
-	t.Fatalf("never serves revision %d", revision)
+	t.Fatalf("revision %d is not served after %v", revision, testTimeout)
 }
 
-// SIGHUP loads another address and rate, or nothing of a file that is not valid; SIGTERM rejects calls that wait at once.
+// SIGHUP must load a new address and rate, but nothing from an invalid file. SIGTERM must reject waiting calls
+// immediately.
 func TestSignals(t *testing.T) {
 	s, other := newService(t, 7, member("x", "Ready")), newService(t, 9, member("y", "Ready"))
 	p := startProgram(t, s.addr)
@@ -304,41 +306,41 @@
 	p.Process.Signal(syscall.SIGHUP)
 	p.awaitLog(t, "limits.lists_per_second")
 	if _, text := get(p.addr, "/discovery/hosts"); !strings.Contains(text, `"revision":7`) {
-		t.Errorf("after a broken file: %s", text)
+		t.Errorf("after an invalid file: got %s, want revision 7", text)
 	}
 	p.configure(t, other.addr, 500)
 	p.Process.Signal(syscall.SIGHUP)
 	p.awaitLog(t, `msg="endpoint list updated"`)
 	p.awaitRevision(t, 9) // the line is logged just before the list is served
 	if _, text := get(p.addr, "/discovery/hosts"); !strings.Contains(text, `"revision":9`) {
-		t.Errorf("after a migration: %s", text)
+		t.Errorf("after a migration: got %s, want revision 9", text)
 	}
 	if status, text := get(p.metrics, "/"); status != 200 || !strings.Contains(text, "relay_whole_lists_total 2\n") || !strings.Contains(text, "relay_revision 9\n") {
-		t.Errorf("the metrics: %d %s", status, text)
+		t.Errorf("metrics: got %d %s, want 200 with 2 full lists and revision 9", status, text)
 	}
-	answered := make(chan time.Duration)
+	ended := make(chan time.Duration)
 	began := time.Now()
 	go func() {
 		get(p.addr, "/discovery/hosts?after=9&wait_ms=60000")
-		answered <- time.Since(began)
+		ended <- time.Since(began)
 	}()
-	for { // until the watch waits
+	for { // until the watch is waiting
 		if _, text := get(p.metrics, "/"); strings.Contains(text, "relay_open_calls 1\n") {
 			break
 		}
 	}
 	p.Process.Signal(syscall.SIGTERM)
 	if err := p.wait(t); err != nil {
-		t.Errorf("ends with %v", err)
+		t.Errorf("exit: got %v, want status 0", err)
 	}
 	select {
-	case <-answered:
+	case <-ended:
 	case <-time.After(testTimeout):
-		t.Error("a watch outlives the relay")
+		t.Errorf("the watch has not ended %v after the relay", testTimeout)
 	}
 }
 
-// What keeps the program from starting is named.
+// If the program cannot start, it must exit with an error that names the cause.
 func TestStartErrors(t *testing.T) {
 	s := newService(t, 7)
 	p := startProgram(t, s.addr)
@@ -352,7 +354,7 @@
 		cmd := exec.Command(os.Args[0])
 		cmd.Env = append(os.Environ(), programEnv+"=1", "RELAY_CONFIG="+config)
 		if text, err := cmd.CombinedOutput(); err == nil || !strings.Contains(string(text), what) {
-			t.Errorf("%s: error %v, it says %s", what, err, text)
+			t.Errorf("%s: got error %v with output %s, want a failure that names it", what, err, text)
 		}
 	}
 }
--- a/internal/lists/listener_test.go
+++ b/internal/lists/listener_test.go
@@ -14,7 +14,7 @@
 	"time"
 )
 
-// serve starts a server for agent 0 at a socket of its own.
+// serve starts a server for agent 0 on a TCP port of its own.
 func serve(t *testing.T, s *Server) (addr string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -28,7 +28,7 @@
 	return l.Addr().String()
 }
 
-// call writes a request and reads the answer's head and body.
+// call writes a request and reads the response's header and body.
 func call(t *testing.T, c net.Conn, request string) (*http.Response, []byte) {
 	t.Helper()
 	if _, err := io.WriteString(c, request); err != nil {
@@ -48,13 +48,13 @@
 
 const plainRequest = "GET " + Path + " HTTP/1.1\r\nHost: x\r\n\r\n"
 
-// A list as long as an agent accepts comes complete.
+// A list of nearly the largest size that an agent accepts must arrive complete.
 func TestLargestList(t *testing.T) {
 	s := &Server{Store: NewStore(8)}
 	s.Store.Reset(1, readyMembers(30000))
 	want := s.Store.Since(0, false)
 	if n := len(want.Body); n > 4<<20 || n < 4<<20-128<<10 {
-		t.Fatalf("the list has %d bytes", n)
+		t.Fatalf("list size: got %d bytes, want at most 4 MiB and at least 128 KiB less", n)
 	}
 	c, err := net.Dial("tcp", serve(t, s))
 	if err != nil {
@@ -63,12 +63,12 @@
 	defer c.Close()
 	for range 2 { // on the same connection
 		if resp, text := call(t, c, plainRequest); resp.StatusCode != 200 || string(text) != string(want.Body) {
-			t.Errorf("%s, %d bytes of %d", resp.Status, len(text), len(want.Body))
+			t.Errorf("got %s with %d bytes, want 200 with the list of %d bytes", resp.Status, len(text), len(want.Body))
 		}
 	}
 }
 
-// Connections beyond the limit are closed; one that ends makes room.
+// Connections beyond MaxConns must be closed, and a connection that ends must free its place.
 func TestMaxConns(t *testing.T) {
 	s := &Server{Store: NewStore(8), MaxConns: 2}
 	s.Store.Reset(1, readyMembers(1))
@@ -89,12 +89,12 @@
 	}
 	defer more.Close()
 	if n, err := more.Read(make([]byte, 1)); err == nil {
-		t.Errorf("the third connection gets %d bytes", n)
+		t.Errorf("third connection: got %d bytes, want it closed", n)
 	}
-	// The server closes this one itself, once it has answered.
+	// The server closes this connection itself after the response.
 	call(t, open[0], strings.Replace(plainRequest, "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1))
 	if _, err := open[0].Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("the first connection ends with %v", err)
+		t.Errorf("first connection: got error %v, want EOF", err)
 	}
 	next, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -102,11 +102,11 @@
 	}
 	defer next.Close()
 	if resp, _ := call(t, next, plainRequest); resp.StatusCode != 200 {
-		t.Errorf("the connection in its place: %s", resp.Status)
+		t.Errorf("connection in the freed place: got %s, want 200", resp.Status)
 	}
 }
 
-// A body that is announced and never sent does not hold the connection.
+// A caller that announces a body and never sends it must not keep the connection open.
 func TestBodyNeverSent(t *testing.T) {
 	s := &Server{Store: NewStore(8)}
 	s.Store.Reset(1, readyMembers(1))
@@ -117,7 +117,7 @@
 	defer c.Close()
 	resp, text := call(t, c, "GET "+Path+" HTTP/1.1\r\nHost: x\r\nContent-Length: 100000\r\n\r\n")
 	if resp.StatusCode != 400 || !strings.Contains(string(text), "body") || !resp.Close {
-		t.Errorf("%s %s, closes %v", resp.Status, text, resp.Close)
+		t.Errorf("got %s %s, close %v, want 400 that names the body, close true", resp.Status, text, resp.Close)
 	}
 }
 
@@ -133,13 +133,13 @@
 	if _, err := io.WriteString(c, long); err != nil {
 		t.Fatal(err)
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // its body ends in a reset, with the rest of the headers unread
+	resp, err := http.ReadResponse(bufio.NewReader(c), nil) // the body ends with a reset: not all headers were read
 	if err != nil || resp.StatusCode != http.StatusRequestHeaderFieldsTooLarge {
-		t.Errorf("%+v, %v", resp, err)
+		t.Errorf("got %+v, error %v, want status 431", resp, err)
 	}
 }
 
-// pipes is a listener whose connections are pipes, which keep the time of a bubble.
+// pipeListener is a listener for net.Pipe connections, which use the fake clock of a synctest bubble.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -156,7 +156,8 @@
 func (p pipeListener) Close() error   { close(p.done); return nil }
 func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// A caller that does not send its headers, does not read its answer or makes no calls loses its connection.
+// A caller that does not send its headers, does not read its response or makes no further calls must not keep its
+// connection open beyond the timeout.
 func TestSlowCallers(t *testing.T) {
 	for _, c := range []struct {
 		name, send string
@@ -165,7 +166,7 @@
 	}{
 		{"no headers", "", true, headerTimeout},
 		{"half the headers", plainRequest[:20], true, headerTimeout},
-		{"the answer is not read", plainRequest, false, writeTimeout},
+		{"response not read", plainRequest, false, writeTimeout},
 		{"no further call", plainRequest, true, idleTimeout},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -182,12 +183,12 @@
 					t.Fatal(err)
 				}
 				if !c.read {
-					time.Sleep(c.want) // of the bubble's clock
-					synctest.Wait()    // until the deadline, which is due at the same time, has ended the write
+					time.Sleep(c.want) // on the fake clock
+					synctest.Wait()    // until the write deadline, which is due now, has ended the write
 				}
 				n, err := io.Copy(io.Discard, near)
 				if took := time.Since(began); took != c.want || err != nil {
-					t.Errorf("closed after %v and %d bytes, %v; want %v", took, n, err, c.want)
+					t.Errorf("got close after %v and %d bytes, error %v, want close after %v without error", took, n, err, c.want)
 				}
 				near.Close()
 				h.Close()
@@ -196,7 +197,7 @@
 	}
 }
 
-// One server tells its listeners' agents apart.
+// A server with several listeners must attribute each call to the agent of its listener.
 func TestListenersIdentifyAgents(t *testing.T) {
 	acknowledged := make(chan string, 1)
 	s := &Server{Store: NewStore(8), Log: slog.New(slog.DiscardHandler), OnAcknowledge: func(agent int, revision uint64, _ time.Time) {
@@ -218,7 +219,7 @@
 		call(t, c, strings.Replace(plainRequest, Path, Path+"?after=5", 1))
 		c.Close()
 		if got := <-acknowledged; got != fmt.Sprint(agent, " 5") {
-			t.Errorf("agent %d acknowledges as %s", agent, got)
+			t.Errorf("acknowledgement: got %q, want %q", got, fmt.Sprint(agent, " 5"))
 		}
 	}
 }
--- a/internal/lists/server_test.go
+++ b/internal/lists/server_test.go
@@ -16,7 +16,7 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// get makes one call of a handler and returns its answer.
+// get makes a call to a handler and returns the response.
 func get(h http.Handler, query string) *httptest.ResponseRecorder {
 	w := httptest.NewRecorder()
 	h.ServeHTTP(w, httptest.NewRequest(http.MethodGet, Path+query, nil))
@@ -29,7 +29,7 @@
 	for _, c := range []struct {
 		method, target, body string
 		status               int
-		names                string // in the answer
+		want                 string // contained in the response body
 	}{
 		{"GET", Path, "", 200, `"revision":41,"complete":true`},
 		{"GET", Path + "?after=41", "", 200, `"revision":41,"complete":false,"members":[]`},
@@ -58,27 +58,27 @@
 			w := httptest.NewRecorder()
 			r := httptest.NewRequest(c.method, c.target, strings.NewReader(c.body))
 			s.Handler(0).ServeHTTP(w, r)
-			if w.Code != c.status || !strings.Contains(w.Body.String(), c.names) {
-				t.Errorf("%d %s, want %d with %s", w.Code, w.Body, c.status, c.names)
+			if w.Code != c.status || !strings.Contains(w.Body.String(), c.want) {
+				t.Errorf("got %d %s, want %d with %s", w.Code, w.Body, c.status, c.want)
 			}
 			if allow := w.Header().Get("Allow"); (allow == "GET") != (c.status == 405) {
-				t.Errorf("Allow: %q", allow)
+				t.Errorf("Allow header of a %d: got %q", c.status, allow)
 			}
 		})
 	}
 }
 
-// Without a list there is no answer that an agent could take for one.
+// Without a list, the server must not send a response that an agent could apply as a list.
 func TestNoList(t *testing.T) {
 	s := &Server{Store: NewStore(8)}
 	for _, query := range []string{"", "?after=0", "?after=3&wait_ms=1000"} {
 		if w := get(s.Handler(0), query); w.Code != 503 {
-			t.Errorf("%q: %d %s", query, w.Code, w.Body)
+			t.Errorf("%q: got %d %s, want 503", query, w.Code, w.Body)
 		}
 	}
 }
 
-// A watch ends with the first change, or when its time is over, or at once if there is a change already.
+// A watch must end at the first change, when its wait expires, or immediately if there already is a change.
 func TestWatch(t *testing.T) {
 	list := step{true, 10, "a:Ready b:Ready"}
 	drain := step{false, 11, "b:Terminating"}
@@ -87,22 +87,22 @@
 		name    string
 		before  []step
 		query   string
-		at      time.Duration // when the first of these is played, and each next one right after
+		at      time.Duration // when the changes are applied, one right after the other
 		changes []step
 		took    time.Duration
 		want    string
 	}{
-		{"nothing", []step{list}, "?after=10&wait_ms=20000", 0, nil, 20 * time.Second, `10 false `},
+		{"no change", []step{list}, "?after=10&wait_ms=20000", 0, nil, 20 * time.Second, `10 false `},
 		{"no wait", []step{list}, "?after=10&wait_ms=0", time.Second, []step{drain}, 0, `10 false `},
-		{"over a minute", []step{list}, "?after=10&wait_ms=90000", 0, nil, time.Minute, `10 false `},
-		{"far over", []step{list}, "?after=10&wait_ms=18446744073709551615", 0, nil, time.Minute, `10 false `},
-		{"a change", []step{list}, "?after=10&wait_ms=20000", 5 * time.Second, []step{drain}, 5 * time.Second, `11 false b:Terminating`},
-		{"two at once, seen after both", []step{list, drain, leave}, "?after=10&wait_ms=20000", 0, nil, 0, `12 false b:Gone c:Ready`},
-		{"a change to nobody", []step{list}, "?after=10&wait_ms=20000", time.Second, []step{{false, 11, ""}}, time.Second, `11 false `},
+		{"wait over a minute", []step{list}, "?after=10&wait_ms=90000", 0, nil, time.Minute, `10 false `},
+		{"largest wait", []step{list}, "?after=10&wait_ms=18446744073709551615", 0, nil, time.Minute, `10 false `},
+		{"change", []step{list}, "?after=10&wait_ms=20000", 5 * time.Second, []step{drain}, 5 * time.Second, `11 false b:Terminating`},
+		{"two changes before the call", []step{list, drain, leave}, "?after=10&wait_ms=20000", 0, nil, 0, `12 false b:Gone c:Ready`},
+		{"revision without changes", []step{list}, "?after=10&wait_ms=20000", time.Second, []step{{false, 11, ""}}, time.Second, `11 false `},
 		{"behind", []step{list, drain}, "?after=10&wait_ms=20000", 0, nil, 0, `11 false b:Terminating`},
 		{"ahead", []step{list}, "?after=11&wait_ms=20000", 0, nil, 0, `10 true a:Ready b:Ready`},
-		{"unknown", []step{list}, "?after=3&wait_ms=20000", 0, nil, 0, `10 true a:Ready b:Ready`},
-		{"another list", []step{list}, "?after=10&wait_ms=20000", time.Second, []step{{true, 3, "d:Ready"}}, time.Second, `3 true d:Ready`},
+		{"before the log", []step{list}, "?after=3&wait_ms=20000", 0, nil, 0, `10 true a:Ready b:Ready`},
+		{"reset", []step{list}, "?after=10&wait_ms=20000", time.Second, []step{{true, 3, "d:Ready"}}, time.Second, `3 true d:Ready`},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -130,22 +130,23 @@
 				took, l := time.Since(began), parse(t, w.Body.Bytes())
 				got := fmt.Sprintf("%d %v %s", *l.Revision, l.Complete, formatMembers(l.Members))
 				if took != c.took || w.Code != 200 || got != c.want {
-					t.Errorf("%d after %v: %s, want %s after %v", w.Code, took, got, c.want, c.took)
+					t.Errorf("got %d %s after %v, want 200 %s after %v", w.Code, got, took, c.want, c.took)
 				}
 			})
 		})
 	}
 }
 
-// Of two changes at once a watch brings both, or the first alone if it is woken between them; then the next call brings the other.
+// After two changes in immediate succession, a watch must return both, or only the first if it wakes between them. In
+// that case the next call must return the second.
 func TestWatchOfTwoChanges(t *testing.T) {
 	const first, second, both = "11 false b:Terminating", "12 false b:Gone c:Ready", "12 false b:Gone c:Ready"
 	for name, c := range map[string]struct {
-		between bool // the watch is woken between the changes
+		between bool // the watch wakes between the changes
 		want    []string
 	}{
-		"woken between them": {true, []string{first + "|" + second}},
-		"woken at any time":  {false, []string{both, first + "|" + second}},
+		"wakes between them": {true, []string{first + "|" + second}},
+		"wakes at any time":  {false, []string{both, first + "|" + second}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -160,7 +161,7 @@
 				began := time.Now()
 				step{false, 11, "b:Terminating"}.apply(t, s.Store)
 				if c.between {
-					synctest.Wait() // the watch has taken its answer
+					synctest.Wait() // the watch has its response
 				}
 				step{false, 12, "b:Gone c:Ready"}.apply(t, s.Store)
 				var got []string
@@ -169,54 +170,54 @@
 					l := parse(t, w.Body.Bytes())
 					got = append(got, fmt.Sprintf("%d %v %s", *l.Revision, l.Complete, formatMembers(l.Members)))
 					if w.Code != 200 || time.Since(began) != 0 || *l.Revision <= revision {
-						t.Fatalf("%d after %v: %q", w.Code, time.Since(began), got)
+						t.Fatalf("got %d after %v: %q, want 200 immediately with a newer revision", w.Code, time.Since(began), got)
 					}
 					revision = *l.Revision
 					watch(revision)
 				}
 				if !slices.Contains(c.want, strings.Join(got, "|")) {
-					t.Errorf("%q, want one of %q", got, c.want)
+					t.Errorf("got %q, want one of %q", got, c.want)
 				}
 				if w := <-responses; w.Code != 200 || time.Since(began) != 20*time.Second {
-					t.Errorf("without a change: %d after %v", w.Code, time.Since(began))
+					t.Errorf("without a change: got %d after %v, want 200 after 20s", w.Code, time.Since(began))
 				}
 			})
 		})
 	}
 }
 
-// A watch whose caller goes away ends, and another may be made.
+// When a caller disconnects, its watch must end and no longer count as a call in flight.
 func TestCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ended := make(chan CallRecord, 1)
 		s := &Server{Store: NewStore(8), MaxCallsPerAgent: 1, OnCallDone: func(c CallRecord) { ended <- c }}
 		s.Store.Reset(1, readyMembers(1))
-		ctx, leave := context.WithCancel(t.Context())
+		ctx, disconnect := context.WithCancel(t.Context())
 		r := httptest.NewRequest(http.MethodGet, Path+"?after=1&wait_ms=20000", nil).WithContext(ctx)
 		go s.Handler(0).ServeHTTP(httptest.NewRecorder(), r)
 		synctest.Wait()
 		if w := get(s.Handler(0), ""); w.Code != 503 {
-			t.Errorf("a second call beside the one allowed: %d", w.Code)
+			t.Errorf("second concurrent call: got %d, want 503", w.Code)
 		}
 		if c := <-ended; c.Status != 503 {
-			t.Errorf("the second call ended as %+v", c)
+			t.Errorf("second concurrent call: got record %+v, want status 503", c)
 		}
 		if w := get(s.Handler(1), ""); w.Code != 200 {
-			t.Errorf("another agent meanwhile: %d", w.Code)
+			t.Errorf("another agent's call: got %d, want 200", w.Code)
 		}
 		<-ended
-		leave()
+		disconnect()
 		if c := <-ended; c.Status != 0 || c.HeldAt.IsZero() || !c.WrittenAt.IsZero() {
-			t.Errorf("the watch ended as %+v", c)
+			t.Errorf("watch: got record %+v, want status 0 after a wait, with nothing written", c)
 		}
 		synctest.Wait()
 		if w := get(s.Handler(0), ""); w.Code != 200 {
-			t.Errorf("the call after it: %d", w.Code)
+			t.Errorf("call after the disconnect: got %d, want 200", w.Code)
 		}
 	})
 }
 
-// recordingLimiter notes work, delays it for a while and may reject it.
+// recordingLimiter records work, delays it and, if err is set, rejects it.
 type recordingLimiter struct {
 	mu    sync.Mutex
 	works []Work
@@ -246,7 +247,8 @@
 	return works
 }
 
-// The work of a call is its beginning, unless it continues a watch, and the members of its answer.
+// The limiter must be given the work of a call: starting it, unless it continues a watch, and the members of its
+// response.
 func TestWorkPerCall(t *testing.T) {
 	const agent = 3
 	begins := func(complete bool, members int) Work { return Work{Agent: agent, Complete: complete, Entries: members} }
@@ -255,22 +257,22 @@
 	}
 	for _, c := range []struct {
 		name   string
-		first  string        // a call before, if any
-		pause  time.Duration // between the two
+		first  string        // query of a previous call, if any
+		pause  time.Duration // between the two calls
 		query  string
-		change string // while it waits, if any
+		change string // applied during the call, if any
 		want   []Work
 	}{
 		{"full list", "", 0, "", "", []Work{begins(true, 2)}},
 		{"new watch, no change", "", 0, "?after=10&wait_ms=1000", "", []Work{begins(false, 0)}},
-		{"new watch, a change", "", 0, "?after=10&wait_ms=1000", "b:Gone c:Ready", []Work{begins(false, 0), continues(false, 2)}},
+		{"new watch, change", "", 0, "?after=10&wait_ms=1000", "b:Gone c:Ready", []Work{begins(false, 0), continues(false, 2)}},
 		{"new watch, behind", "", 0, "?after=9&wait_ms=1000", "", []Work{begins(true, 2)}},
 		{"after a full list", "?", 0, "?after=10&wait_ms=1000", "", []Work{begins(false, 0)}},
 		{"continues", "?after=10", WatchContinuation, "?after=10&wait_ms=1000", "", nil},
 		{"continues to a change", "?after=10", WatchContinuation, "?after=10&wait_ms=1000", "b:Gone", []Work{continues(false, 1)}},
 		{"continues to a full list", "?after=10", WatchContinuation, "?after=9&wait_ms=1000", "", []Work{continues(true, 2)}},
-		{"too late", "?after=10", WatchContinuation + time.Millisecond, "?after=10&wait_ms=1000", "", []Work{begins(false, 0)}},
-		{"the full list is no watch that continues", "?after=10", 0, "", "", []Work{begins(true, 2)}},
+		{"after too long a pause", "?after=10", WatchContinuation + time.Millisecond, "?after=10&wait_ms=1000", "", []Work{begins(false, 0)}},
+		{"full list after a watch", "?after=10", 0, "", "", []Work{begins(true, 2)}},
 		{"after a bad call", "?after=10&wait=0", 0, "?after=10&wait_ms=1000", "", []Work{begins(false, 0)}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -281,7 +283,7 @@
 				step{true, 10, "a:Ready b:Ready"}.apply(t, s.Store)
 				if c.first != "" {
 					get(s.Handler(agent), c.first)
-					time.Sleep(c.pause) // of the bubble's clock
+					time.Sleep(c.pause) // on the fake clock
 					l.takeWorks()
 				}
 				began := time.Now()
@@ -292,21 +294,21 @@
 					step{false, 11, c.change}.apply(t, s.Store)
 				}
 				if w := <-ended; w.Code != 200 {
-					t.Errorf("answered %d", w.Code)
+					t.Errorf("got status %d, want 200", w.Code)
 				}
 				got := l.takeWorks()
 				if fmt.Sprint(got) != fmt.Sprint(c.want) {
-					t.Errorf("work %+v, want %+v", got, c.want)
+					t.Errorf("got work %+v, want %+v", got, c.want)
 				}
 				if c.change != "" && (time.Since(began) != 105*time.Millisecond || last.QueueDelay != l.delay || last.HeldAt.IsZero()) {
-					t.Errorf("answered after %v: %+v", time.Since(began), last)
+					t.Errorf("got a response after %v and record %+v, want it after 105ms with a wait and QueueDelay %v", time.Since(began), last, l.delay)
 				}
 			})
 		})
 	}
 }
 
-// A call that the limiter rejects gets a 503, and what comes next is a new call.
+// A call that the limiter rejects must get a 503, and a watch must not continue after it.
 func TestLimiterRejects(t *testing.T) {
 	for _, c := range []struct {
 		err   error
@@ -323,18 +325,18 @@
 		get(s.Handler(0), "?after=1")
 		l.err = c.err
 		if w := get(s.Handler(0), ""); w.Code != 503 || w.Header().Get("Retry-After") != c.after {
-			t.Errorf("%v: %d, Retry-After %q", c.err, w.Code, w.Header().Get("Retry-After"))
+			t.Errorf("%v: got %d, Retry-After %q, want 503, Retry-After %q", c.err, w.Code, w.Header().Get("Retry-After"), c.after)
 		}
 		l.err = nil
 		l.takeWorks()
 		get(s.Handler(0), "?after=1")
 		if got := l.takeWorks(); len(got) != 1 || got[0].Continues {
-			t.Errorf("%v: the next call is the work %+v", c.err, got)
+			t.Errorf("%v: next call: got work %+v, want one that does not continue a watch", c.err, got)
 		}
 	}
 }
 
-// A call acknowledges the revision that its agent holds, unless the store cannot know that.
+// A call must acknowledge the revision that its agent holds, unless it is ahead of the store or the call is invalid.
 func TestAcknowledge(t *testing.T) {
 	var acknowledged []string
 	s := &Server{Store: NewStore(8), OnAcknowledge: func(agent int, revision uint64, _ time.Time) {
@@ -345,17 +347,18 @@
 		get(s.Handler(agent), query)
 	}
 	if got := strings.Join(acknowledged, " "); got != "1:10 3:4" {
-		t.Errorf("acknowledged %s", got)
+		t.Errorf("acknowledged: got %q, want %q", got, "1:10 3:4")
 	}
 }
 
-// Many follow the list while it changes, some of them from behind the log, and all end up with the same.
+// Many agents watch the list while it changes, some from before the start of the log. All must end up with the same
+// list.
 func TestFollowers(t *testing.T) {
 	const followers, last = 64, 300
 	s := &Server{Store: NewStore(16), MaxCallsPerAgent: 1}
 	s.Store.Reset(0, readyMembers(20))
 	var all sync.WaitGroup
-	ends := make([]map[string]discovery.Member, followers)
+	final := make([]map[string]discovery.Member, followers)
 	for i := range followers {
 		all.Go(func() {
 			held := make(map[string]discovery.Member)
@@ -368,7 +371,7 @@
 				w := get(s.Handler(i), query)
 				l, err := discovery.Parse(w.Body.Bytes())
 				if err != nil || known && !l.Complete && *l.Revision <= after {
-					t.Errorf("after %d: %d %s: %v", after, w.Code, w.Body, err)
+					t.Errorf("after %d: got %d %s, error %v, want a full list or a newer revision", after, w.Code, w.Body, err)
 					return
 				}
 				if l.Complete {
@@ -384,7 +387,7 @@
 				after = *l.Revision
 				known = true
 			}
-			ends[i] = held
+			final[i] = held
 		})
 	}
 	for r := uint64(1); r <= last; r++ {
@@ -398,9 +401,9 @@
 	for _, m := range s.Store.Members() {
 		want[m.ID] = m
 	}
-	for i, held := range ends {
+	for i, held := range final {
 		if fmt.Sprint(held) != fmt.Sprint(want) {
-			t.Errorf("follower %d holds %v, want %v", i, held, want)
+			t.Errorf("follower %d: got %v, want %v", i, held, want)
 		}
 	}
 }
--- a/internal/relay/config_test.go
+++ b/internal/relay/config_test.go
@@ -10,12 +10,12 @@
 const configText = `{"name":"r1","listen":"127.0.0.1:9001","discovery":"127.0.0.1:1","figures":"127.0.0.1:9002","state":"/var/lib/relay",
  "limits":{"lists_per_second":60,"callers":1000,"memory_mb":64}}`
 
-// A configuration is accepted as a whole, or rejected with the field that cannot be used.
+// An invalid configuration must be rejected with an error that names the invalid field.
 func TestBadConfig(t *testing.T) {
 	c, err := ParseConfig([]byte(configText))
 	want := Config{"r1", "127.0.0.1:9001", "127.0.0.1:1", "127.0.0.1:9002", "/var/lib/relay", Limits{60, 1000, 64}}
 	if err != nil || *c != want {
-		t.Fatalf("%+v, error %v", c, err)
+		t.Fatalf("got %+v, error %v, want %+v", c, err, want)
 	}
 	for _, c := range []struct{ field, old, new string }{
 		{"name", `"r1"`, `""`},
@@ -43,19 +43,20 @@
 			t.Fatalf("%s: nothing replaced", c.field)
 		}
 		if _, err := ParseConfig([]byte(text)); err == nil || !strings.Contains(err.Error(), c.field) || strings.Contains(err.Error(), "\n") {
-			t.Errorf("%s: error %v", c.field, err)
+			t.Errorf("got error %v, want one line with %q", err, c.field)
 		}
 		path := filepath.Join(t.TempDir(), "relay.json")
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		if _, err := LoadConfig(path); err == nil || !strings.Contains(err.Error(), path) {
-			t.Errorf("%s: error %v", c.field, err)
+			t.Errorf("%s: got error %v, want one with the path %s", c.field, err, path)
 		}
 	}
 }
 
-// A running relay can reload another service's address and another rate, and names what it cannot.
+// A reload may change the address of discovery and the rate of full lists. Any other change must be rejected with an
+// error that names the field.
 func TestCheckReload(t *testing.T) {
 	current, err := ParseConfig([]byte(configText))
 	if err != nil {
@@ -77,7 +78,7 @@
 		}
 		err = next.CheckReload(current)
 		if (err == nil) != (c.field == "") || err != nil && !strings.HasPrefix(err.Error(), c.field+":") {
-			t.Errorf("%s for %s: error %v", c.new, c.old, err)
+			t.Errorf("%s instead of %s: got error %v, want one for field %q, or none if that is empty", c.new, c.old, err, c.field)
 		}
 	}
 }
--- a/internal/relay/disk_test.go
+++ b/internal/relay/disk_test.go
@@ -17,13 +17,13 @@
 	return discovery.Member{ID: id, Address: "10.0.0.1:80", Zone: "a", Kind: "m1", Cell: cell, State: state, Weight: 1}
 }
 
-// A list on disk is read as it was written or not at all: cut anywhere, with any byte changed, with more behind it, or
-// replaced by something else, it is damaged, and a relay starts without it.
+// A stored list that is truncated, has a changed byte or trailing data, or is something else must be rejected as
+// corrupt, so that a relay starts without it rather than with wrong endpoints.
 func TestDamagedListRejected(t *testing.T) {
 	f := listFile{dir: t.TempDir()}
 	path := filepath.Join(f.dir, listFileName)
 	if _, err := f.load(); !errors.Is(err, fs.ErrNotExist) {
-		t.Fatalf("none: error %v", err)
+		t.Fatalf("no file: got error %v, want fs.ErrNotExist", err)
 	}
 	members := []discovery.Member{member("x", "Ready", 3), member("y", "Terminating", 0)}
 	text := lists.Encode(41, true, members)
@@ -40,30 +40,30 @@
 			t.Fatal(err)
 		}
 		if l, err := f.load(); !errors.Is(err, errCorrupt) || l.Members != nil {
-			t.Fatalf("%s %d: %+v, error %v", what, n, l, err)
+			t.Fatalf("%s %d: got %+v, error %v, want no list and errCorrupt", what, n, l, err)
 		}
 	}
 	for n := range good {
-		damaged("cut to", n, good[:n])
+		damaged("truncated to", n, good[:n])
 		changed := bytes.Clone(good)
 		changed[n] ^= 1 << (n % 8)
-		damaged("changed at", n, changed)
+		damaged("changed byte", n, changed)
 	}
-	damaged("longer", 1, append(bytes.Clone(good), 0))
-	damaged("twice", 2, append(bytes.Clone(good), good...))
-	damaged("not a full list", 0, encodeFile(lists.Encode(41, false, members)))
-	damaged("no list", 0, encodeFile([]byte("[]")))
+	damaged("trailing bytes", 1, append(bytes.Clone(good), 0))
+	damaged("copies", 2, append(bytes.Clone(good), good...))
+	damaged("changes in place of a full list", 0, encodeFile(lists.Encode(41, false, members)))
+	damaged("other JSON in place of a list", 0, encodeFile([]byte("[]")))
 
 	if err := os.WriteFile(path, good, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	l, err := f.load()
 	if err != nil || *l.Revision != 41 || !l.Complete || !reflect.DeepEqual(l.Members, members) {
-		t.Errorf("%+v, error %v", l, err)
+		t.Errorf("intact file: got %+v, error %v, want revision 41, complete, with members %+v", l, err, members)
 	}
 }
 
-// A stored list is read by another release, so its bytes stay as they are.
+// Other releases read a stored list, so its format must not change by a byte.
 func TestStoredListBytes(t *testing.T) {
 	const want = "relayls1\x00\x00\x00\x00\x00\x00\x01\x19" +
 		"\xc9D\xd7(qsX@.\xa0\xc2\xdbS\xe5\xf7\x1f\x05~5\xdbP\x1c\x8di\xf7\xa0\x013\xb9\xbbP\xe4" +
@@ -76,11 +76,11 @@
 	}
 	got, err := os.ReadFile(filepath.Join(f.dir, "list"))
 	if err != nil || string(got) != want {
-		t.Errorf("%q, error %v, want %q", got, err, want)
+		t.Errorf("got %q, error %v, want %q", got, err, want)
 	}
 }
 
-// A crash while a list is stored leaves the old one, whatever of the new one is there already.
+// After a crash while a list is being stored, the old list must be loaded, however much of the new one is on disk.
 func TestInterruptedSaveKeepsOldList(t *testing.T) {
 	f := listFile{dir: t.TempDir()}
 	if err := f.save(lists.Encode(1, true, []discovery.Member{member("x", "Ready", 0)})); err != nil {
@@ -92,18 +92,18 @@
 			t.Fatal(err)
 		}
 		if l, err := f.load(); err != nil || *l.Revision != 1 {
-			t.Fatalf("%d bytes of the next one: %+v, error %v", n, l, err)
+			t.Fatalf("%d bytes of the new file: got %+v, error %v, want revision 1", n, l, err)
 		}
 	}
 	if err := f.save(lists.Encode(3, true, nil)); err != nil {
 		t.Fatal(err)
 	}
 	if l, err := f.load(); err != nil || *l.Revision != 3 {
-		t.Errorf("after it: %+v, error %v", l, err)
+		t.Errorf("after the next save: got %+v, error %v, want revision 3", l, err)
 	}
 }
 
-// What a directory cannot hold is an error, not an end.
+// A list that cannot be loaded or stored must be reported as an error.
 func TestStorageErrors(t *testing.T) {
 	dir := t.TempDir()
 	if err := os.Mkdir(filepath.Join(dir, listFileName), 0o700); err != nil {
@@ -111,12 +111,12 @@
 	}
 	f := listFile{dir: dir}
 	if _, err := f.load(); !errors.Is(err, errCorrupt) {
-		t.Errorf("a directory: error %v", err)
+		t.Errorf("a directory in place of the file: got error %v, want errCorrupt", err)
 	}
 	if err := f.save(lists.Encode(1, true, nil)); err == nil {
-		t.Error("a list replaces a directory")
+		t.Error("saving over a directory: got no error")
 	}
 	if err := (listFile{dir: filepath.Join(dir, "none")}).save(lists.Encode(1, true, nil)); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("no directory: error %v", err)
+		t.Errorf("missing directory: got error %v, want fs.ErrNotExist", err)
 	}
 }
--- a/internal/relay/fleet_test.go
+++ b/internal/relay/fleet_test.go
@@ -17,23 +17,26 @@
 )
 
 const (
-	// What the service takes for a call and for a member of a full list, as was seen: 68 ms for a list of 830.
+	// Work of the service per call and per member of a full list, as measured: 68 ms for a list of 830.
 	callCost   = 2 * time.Millisecond
 	memberCost = 80 * time.Microsecond
-	// busyCall is what it took for a call when hundreds came at once.
+	// busyCall is the measured work per call when hundreds arrive at the same time.
 	busyCall = 5900 * time.Microsecond
-	// maxServiceWait is how long a call may wait for its turn there; one that has waited longer is rejected, after its work.
+	// maxServiceWait is the longest time in the service's queue. A call that has waited longer is rejected, after its
+	// work is done.
 	maxServiceWait = time.Second
 
-	drainGrace = 300 * time.Millisecond // from when a change counts as notified to when nothing more may be sent
-	// raceFleet is the largest fleet that is played under the race detector, which cannot hold those of hundreds.
+	// drainGrace is the time from when a drain counts as notified until no more requests may be sent to the server.
+	drainGrace = 300 * time.Millisecond
+	// raceFleet is the size of the largest fleet with the race detector, which cannot handle fleets of hundreds.
 	raceFleet = 12
 )
 
-// queuedCalls is a limiter that works through calls one after the other on the test's clock. A watch that continues is free.
+// queuedCalls is a limiter that processes calls one after the other on the fake clock. Continuing a watch costs
+// nothing.
 type queuedCalls struct {
 	queue discoverytest.Queue
-	call  time.Duration // what a call costs
+	call  time.Duration // work per call
 }
 
 func (q *queuedCalls) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
@@ -49,7 +52,7 @@
 	delay := ends.Sub(now)
 	select {
 	case <-discoverytest.After(delay):
-	case <-ctx.Done(): // its work is done all the same
+	case <-ctx.Done(): // the service does the work anyway
 		return delay, ctx.Err()
 	}
 	if begins.Sub(now) > maxServiceWait {
@@ -58,7 +61,7 @@
 	return delay, nil
 }
 
-// service is the one that all share, at an address for each caller, by which it knows who calls.
+// service is the discovery service that all share. It has an address per caller, which identifies the caller.
 type service struct {
 	*lists.Store
 	net       *network
@@ -96,14 +99,15 @@
  "limits":{"maxAttempts":3,"connectTimeout":2000},
  "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"drainGrace":300,"mustAskIn":10000,"extraFloor":100,"extraWindow":1000}}`
 
-// fleet is agents, the relays between them and the service, if there are any, and the service.
+// fleet consists of agents, the service, and the relays between them, if there are any.
 type fleet struct {
 	*service
 	agents []*discoverytest.Agent
 	relays []*runningRelay
 }
 
-// startFleet starts all at once. Agents that know a list hold the service's.
+// startFleet starts the service, the relays and the agents at the same time. If known is true, the agents start with
+// the service's list.
 func startFleet(t *testing.T, agents, relays int, mode string, known bool, call time.Duration) *fleet {
 	n := newNetwork()
 	f := &fleet{service: &service{Store: lists.NewStore(100), net: n, calls: queuedCalls{call: call}}}
@@ -155,7 +159,8 @@
 	return f
 }
 
-// late counts the agents that have not received a revision by a time, and says how much later the last one has.
+// late returns the number of agents that did not receive a revision by the given time, and the delay of the last one,
+// or an hour if one has not received it at all.
 func (f *fleet) late(revision uint64, by time.Time) (late int, worst time.Duration) {
 	for _, a := range f.agents {
 		at, ok := a.RecordedAt(revision)
@@ -171,7 +176,7 @@
 	return late, worst
 }
 
-// sizes are the fleets that are played: the target's, and one that the race detector can hold.
+// sizes returns the fleet sizes to test: the target's, and one that the race detector can handle.
 func sizes() []int {
 	if testing.Short() {
 		return []int{raceFleet}
@@ -179,8 +184,9 @@
 	return []int{raceFleet, 830}
 }
 
-// All agents start without a list, as after a loss of all. Through five relays all have one within 6 s, in both modes; the service
-// alone, which takes 68 ms for each full list of 830, works for callers that have given up.
+// All agents start without a list, as after a total outage. With five relays, all must have one within 6 s, in both
+// modes. The service alone, which needs 68 ms per full list of 830, spends its time on calls that have already timed
+// out.
 func TestFleetStartsWithoutAList(t *testing.T) {
 	for _, agents := range sizes() {
 		for _, mode := range []string{"subscribe", "automatic"} {
@@ -190,17 +196,17 @@
 				}
 				t.Run(fmt.Sprintf("%s/%d agents/%d relays", mode, agents, relays), func(t *testing.T) {
 					synctest.Test(t, func(t *testing.T) {
-						begun := time.Now()
+						began := time.Now()
 						f := startFleet(t, agents, relays, mode, false, callCost)
 						time.Sleep(15 * time.Second)
-						late, worst := f.late(1, begun.Add(balancer.NotifyBoundAfterFailure))
+						late, worst := f.late(1, began.Add(balancer.NotifyBoundAfterFailure))
 						switch {
 						case relays > 0 && late > 0:
-							t.Errorf("%d of %d agents have no list after %v, the last one %v later", late, agents, balancer.NotifyBoundAfterFailure, worst)
+							t.Errorf("got %d of %d agents without a list after %v, the last one late by %v, want none", late, agents, balancer.NotifyBoundAfterFailure, worst)
 						case relays == 0 && late < agents/2:
-							t.Errorf("only %d of %d agents have no list after %v: the test does not show what relays are for", late, agents, balancer.NotifyBoundAfterFailure)
+							t.Errorf("got only %d of %d agents without a list after %v: the test does not overload the service", late, agents, balancer.NotifyBoundAfterFailure)
 						}
-						t.Logf("%d late, the last one by %v", late, worst)
+						t.Logf("%d agents late, the last one by %v", late, worst)
 						for _, r := range f.relays {
 							t.Logf("%+v", r.Metrics())
 						}
@@ -211,43 +217,43 @@
 	}
 }
 
-// Whatever happens to relays or the service, each agent receives a drain before it counts as notified: 6 s after the service
-// had it and could be reached, and drainGrace. With no relay left that is for the service alone to do: 830 calls of 2 ms
-// are 1.7 s of its work; at 5.9 ms they would be 4.9 s, which is more than there is time for.
+// After any failure of relays or the service, each agent must receive a drain in time: 6 s after the service had it and
+// was reachable, when it counts as notified, plus drainGrace. With no relay left, the service must notify all agents
+// itself: 830 calls of 2 ms take 1.7 s, while at 5.9 ms they would take 4.9 s, which is too long.
 func TestFleetHearsInTime(t *testing.T) {
 	for _, agents := range sizes() {
 		for name, c := range map[string]struct {
-			happens func(*fleet)
-			call    time.Duration // what a call costs the service
+			fail func(*fleet)
+			call time.Duration // work of the service per call
 		}{
-			"one relay is killed":   {func(f *fleet) { f.kill(0) }, busyCall},
-			"three are killed":      {func(f *fleet) { f.kill(0, 1, 2) }, busyCall},
-			"one falls silent":      {func(f *fleet) { f.stopResponding(0) }, busyCall},
-			"three fall silent":     {func(f *fleet) { f.stopResponding(0, 1, 2) }, busyCall},
-			"one loses the service": {func(f *fleet) { f.net.kill(f.addrs[0]) }, busyCall},
-			"one ends":              {func(f *fleet) { f.relays[0].stop() }, busyCall},
-			"a short outage":        {func(f *fleet) { f.outage(time.Second) }, busyCall},
-			"an outage":             {func(f *fleet) { f.outage(8 * time.Second) }, busyCall},
-			"a long outage":         {func(f *fleet) { f.outage(20 * time.Second) }, busyCall},
-			"all relays are killed": {func(f *fleet) { f.kill(0, 1, 2, 3, 4) }, callCost},
-			"all fall silent":       {func(f *fleet) { f.stopResponding(0, 1, 2, 3, 4) }, callCost},
-			"all lose the service":  {func(f *fleet) { f.isolateRelays() }, callCost},
+			"one relay is killed":         {func(f *fleet) { f.kill(0) }, busyCall},
+			"three relays are killed":     {func(f *fleet) { f.kill(0, 1, 2) }, busyCall},
+			"one stops responding":        {func(f *fleet) { f.stopResponding(0) }, busyCall},
+			"three stop responding":       {func(f *fleet) { f.stopResponding(0, 1, 2) }, busyCall},
+			"one loses the service":       {func(f *fleet) { f.net.kill(f.addrs[0]) }, busyCall},
+			"one shuts down":              {func(f *fleet) { f.relays[0].stop() }, busyCall},
+			"a short outage":              {func(f *fleet) { f.outage(time.Second) }, busyCall},
+			"an outage":                   {func(f *fleet) { f.outage(8 * time.Second) }, busyCall},
+			"a long outage":               {func(f *fleet) { f.outage(20 * time.Second) }, busyCall},
+			"all relays are killed":       {func(f *fleet) { f.kill(0, 1, 2, 3, 4) }, callCost},
+			"all relays stop responding":  {func(f *fleet) { f.stopResponding(0, 1, 2, 3, 4) }, callCost},
+			"all relays lose the service": {func(f *fleet) { f.isolateRelays() }, callCost},
 		} {
 			t.Run(fmt.Sprintf("%s/%d agents", name, agents), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					f := startFleet(t, agents, 5, "subscribe", true, c.call)
 					time.Sleep(10 * time.Second)
-					c.happens(f)
+					c.fail(f)
 					changed := time.Now()
 					if err := f.Apply(2, []discovery.Member{member("s1", "Terminating", 0)}); err != nil {
 						t.Fatal(err)
 					}
 					time.Sleep(30 * time.Second)
 					if late, worst := f.late(2, changed.Add(balancer.NotifyBoundAfterFailure+drainGrace)); late > 0 {
-						t.Errorf("%d of %d agents receive the change too late, up to %v", late, agents, worst)
+						t.Errorf("got %d of %d agents that received the change late, by up to %v, want none", late, agents, worst)
 					}
 					_, worst := f.late(2, changed)
-					t.Logf("the last one receives it %v after the change", worst)
+					t.Logf("the last agent received the change after %v", worst)
 				})
 			})
 		}
@@ -260,7 +266,7 @@
 	}
 }
 
-// cutOff has the service be there for agents and no relay.
+// isolateRelays makes the service reachable for agents but not for relays.
 func (f *fleet) isolateRelays() {
 	for i := range f.relays {
 		f.net.kill(f.addrs[i])
--- a/internal/relay/limiter_test.go
+++ b/internal/relay/limiter_test.go
@@ -12,7 +12,7 @@
 	"example.org/ryeloft/internal/lists"
 )
 
-// fullListCaller wants one full list and retries as Retry-After says.
+// fullListCaller requests a full list and retries after the Retry-After of each rejection.
 type fullListCaller struct {
 	at       time.Duration // when it was admitted
 	rejected int
@@ -30,17 +30,17 @@
 		if !errors.As(err, &rejected) || rejected.RetryAfter == 0 {
 			return
 		}
-		time.Sleep(rejected.RetryAfter + time.Millisecond) // the way there and back
+		time.Sleep(rejected.RetryAfter + time.Millisecond) // round trip
 	}
 }
 
-// All callers that come at once have their full list after as long as the stated rate needs for them, no sooner, and each
-// is rejected once at most; changes wait for nobody.
+// Callers that arrive at the same time must all get their full lists within the time that the configured rate allows,
+// at no more than that rate, and each with at most one rejection. Changes must not be delayed.
 func TestFullListRate(t *testing.T) {
 	for _, c := range []struct {
 		callers int
 		rate    float64
-		late    time.Duration // from one caller's coming to the next
+		gap     time.Duration // between the arrivals of two callers
 	}{
 		{1, 1, 0}, {60, 60, 0}, {166, 60, 0}, {300, 60, 0}, {300, 60, 5 * time.Millisecond}, {50, 10, 0},
 	} {
@@ -51,36 +51,38 @@
 			var done sync.WaitGroup
 			for i := range all {
 				done.Go(func() {
-					time.Sleep(time.Duration(i) * c.late)
+					time.Sleep(time.Duration(i) * c.gap)
 					all[i].call(t.Context(), l, began)
 				})
 			}
 			synctest.Wait()
 			if due, err := l.Admit(t.Context(), lists.Work{}); due != 0 || err != nil {
-				t.Errorf("changes take %v, error %v", due, err)
+				t.Errorf("changes: got delay %v, error %v, want none", due, err)
 			}
 			done.Wait()
-			need := time.Duration(float64(c.callers) / c.rate * float64(time.Second))
+			limit := time.Duration(float64(c.callers) / c.rate * float64(time.Second))
 			bySecond := map[time.Duration]int{}
 			for i, a := range all {
 				bySecond[a.at/time.Second]++
-				if a.rejected > 1 || a.at > need+reservationGrace {
-					t.Errorf("%d callers at %v a second: number %d is rejected %d times and admitted after %v", c.callers, c.rate, i, a.rejected, a.at)
+				if a.rejected > 1 || a.at > limit+reservationGrace {
+					t.Errorf("%d callers at %v per second, caller %d: got %d rejections and admission after %v, want at most 1 and %v",
+						c.callers, c.rate, i, a.rejected, a.at, limit+reservationGrace)
 				}
 			}
 			for second, n := range bySecond {
 				if float64(n) > c.rate+1 {
-					t.Errorf("%d slots in second %d at %v a second", n, second, c.rate)
+					t.Errorf("got %d slots in second %d, want at most %v", n, second, c.rate+1)
 				}
 			}
 			if l.queued() != 0 || len(l.reserved) > 0 {
-				t.Errorf("%d wait and %d slots are reserved in the end", l.queued(), len(l.reserved))
+				t.Errorf("at the end: got %d waiting callers and %d reserved slots, want none", l.queued(), len(l.reserved))
 			}
 		})
 	}
 }
 
-// A caller that could not be admitted within the bound gets no Retry-After, and no slot is reserved for it.
+// A caller that cannot be admitted within the notification bound must get no Retry-After, and no slot must be reserved
+// for it.
 func TestNoSlotBeyondNotifyBound(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFullListLimiter(1, 1000)
@@ -94,22 +96,22 @@
 		for range 5 {
 			var r lists.RejectedError
 			if _, err := l.Admit(ctx, lists.Work{Complete: true}); !errors.As(err, &r) {
-				t.Errorf("error %v", err)
+				t.Errorf("got error %v, want a RejectedError", err)
 			}
 			last = max(last, r.RetryAfter)
 		}
 		if last > balancer.NotifyBoundAfterFailure {
-			t.Errorf("a caller is to retry after %v", last)
+			t.Errorf("Retry-After: got %v, want at most %v", last, balancer.NotifyBoundAfterFailure)
 		}
 		if len(l.reserved) > 7 {
-			t.Errorf("%d slots are reserved", len(l.reserved))
+			t.Errorf("reserved slots: got %d, want at most 7", len(l.reserved))
 		}
 		stop()
 		waiting.Wait()
 	})
 }
 
-// A slot whose caller goes away is another caller's.
+// The slot of a caller that disconnects must be given to another caller.
 func TestAbandonedSlotsAreReused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFullListLimiter(10, 1000)
@@ -130,13 +132,13 @@
 		done.Wait()
 		for i, a := range all {
 			if a.rejected > 0 || a.at > time.Second {
-				t.Errorf("number %d is rejected %d times and admitted after %v", i, a.rejected, a.at)
+				t.Errorf("caller %d: got %d rejections and admission after %v, want none and at most 1s", i, a.rejected, a.at)
 			}
 		}
 	})
 }
 
-// Another rate holds for the slots that are given from then on.
+// A new rate must apply to all slots that are assigned after the change.
 func TestSetRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := newFullListLimiter(1, 1000)
@@ -148,7 +150,7 @@
 			}
 		}
 		if took := time.Since(began); took != 100*time.Millisecond {
-			t.Errorf("11 lists at 100 a second take %v", took)
+			t.Errorf("11 lists at 100 per second: got %v, want 100ms", took)
 		}
 	})
 }
--- a/internal/relay/metrics_test.go
+++ b/internal/relay/metrics_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// The text of the metrics is what monitoring reads, byte for byte.
+// Monitoring parses the text of the metrics, so it must not change by a byte.
 func TestMetricsText(t *testing.T) {
 	const want = `relay_calls_total 2
 relay_whole_lists_total 1
@@ -24,14 +24,14 @@
 		r := startRelay(t, n, "relay:1", t.TempDir())
 		call(t, n, r.addr, "")
 		call(t, n, r.addr, "?after=7&wait_ms=0")
-		time.Sleep(1100 * time.Millisecond) // half a watch after one has ended
-		answer := httptest.NewRecorder()
-		r.ServeMetrics(answer, httptest.NewRequest("GET", "/", nil))
-		if got := answer.Body.String(); got != want {
-			t.Errorf("%s\nwant %s", got, want)
+		time.Sleep(1100 * time.Millisecond) // about half a watch after the end of the last one
+		response := httptest.NewRecorder()
+		r.ServeMetrics(response, httptest.NewRequest("GET", "/", nil))
+		if got := response.Body.String(); got != want {
+			t.Errorf("got %s\nwant %s", got, want)
 		}
-		if got := answer.Header().Get("Content-Type"); got != "text/plain; charset=utf-8" {
-			t.Errorf("content type %s", got)
+		if got := response.Header().Get("Content-Type"); got != "text/plain; charset=utf-8" {
+			t.Errorf("got content type %s, want text/plain; charset=utf-8", got)
 		}
 	})
 }
--- a/internal/relay/network_test.go
+++ b/internal/relay/network_test.go
@@ -17,13 +17,13 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// network is a network within a test, on the test's clock.
+// network simulates a network in memory, on the fake clock of a synctest bubble.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
 }
 
-// pipeListener is one address: who listens there, and the connections to it.
+// pipeListener is the listener at an address, with the connections that it accepted.
 type pipeListener struct {
 	net          *network
 	addr         string
@@ -35,7 +35,7 @@
 
 func newNetwork() *network { return &network{listeners: map[string]*pipeListener{}} }
 
-// listen opens an address that is not open.
+// listen opens a listener at an address that has none.
 func (n *network) listen(addr string) *pipeListener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -46,7 +46,7 @@
 	return l
 }
 
-// dial is a discovery.Dial.
+// dial implements discovery.Dial.
 func (n *network) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[addr]
@@ -79,7 +79,7 @@
 
 var errRefused = errors.New("connection refused")
 
-// kill closes an address and breaks the connections to it.
+// kill closes the listener at an address and its connections.
 func (n *network) kill(addr string) {
 	n.mu.Lock()
 	l := n.listeners[addr]
@@ -87,7 +87,8 @@
 	l.cut()
 }
 
-// cut closes the listener and breaks its connections: the end of an http.Server leaves a connection open that it has just accepted.
+// cut closes the listener and its connections. Closing the http.Server is not enough: it leaves a just accepted
+// connection open.
 func (l *pipeListener) cut() {
 	l.Close()
 	l.net.mu.Lock()
@@ -98,14 +99,14 @@
 	}
 }
 
-// silence has an address stop responding: open connections stay open, new ones never come up.
+// stopResponding makes an address stop responding: existing connections stay open, and new ones are never established.
 func (n *network) stopResponding(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	close(n.listeners[addr].unresponsive)
 }
 
-// serverConn is the listener's side of a connection.
+// serverConn is the server side of a connection.
 type serverConn struct {
 	net.Conn
 	unresponsive, closed chan struct{}
@@ -164,7 +165,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// upstream is the service that a relay follows, at one address.
+// upstream is the service that a relay watches, at one address.
 type upstream struct {
 	*lists.Store
 	net      *network
@@ -173,7 +174,7 @@
 	http     *http.Server
 }
 
-// newUpstream starts a service with a list, until the test ends.
+// newUpstream starts a service with a list. It runs until the test ends.
 func newUpstream(t *testing.T, n *network, revision uint64, members ...discovery.Member) *upstream {
 	u := &upstream{Store: lists.NewStore(100), net: n, addr: "upstream:1"}
 	u.Reset(revision, members)
@@ -189,7 +190,7 @@
 	go u.http.Serve(s.Listener(u.listener, 0))
 }
 
-// down resets who is connected.
+// down stops the service and closes its connections.
 func (u *upstream) down() {
 	if u.http != nil {
 		u.http.Close()
@@ -198,14 +199,14 @@
 	}
 }
 
-// apply changes the list and panics if that does not follow.
+// apply changes the list and panics if the revision is out of order.
 func (u *upstream) apply(revision uint64, members ...discovery.Member) {
 	if err := u.Apply(revision, members); err != nil {
 		panic(err)
 	}
 }
 
-// runningRelay is a relay that runs at an address of its own until it is stopped or the test ends.
+// runningRelay is a relay that serves at its own address until it is stopped or the test ends.
 type runningRelay struct {
 	*Relay
 	addr string
@@ -240,15 +241,15 @@
 	return run
 }
 
-// reply is what a call came to.
+// callResult is the outcome of a call.
 type callResult struct {
-	status     int // 0: none
+	status     int // 0: no response
 	list       discovery.EndpointList
 	took       time.Duration
 	retryAfter string
 }
 
-// call makes one call on a connection of its own.
+// call makes a call on a new connection.
 func call(t *testing.T, n *network, addr, query string) callResult {
 	t.Helper()
 	tr := &http.Transport{DialContext: n.dial, DisableKeepAlives: true}
--- a/internal/relay/relay_test.go
+++ b/internal/relay/relay_test.go
@@ -18,7 +18,7 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// ids are the members of a list by name and state, in order.
+// formatMembers formats the members of a list, sorted by ID, each with the first letter of its state.
 func formatMembers(l discovery.EndpointList) string {
 	var all []string
 	for _, m := range l.Members {
@@ -28,15 +28,15 @@
 	return strings.Join(all, " ")
 }
 
-// is checks a reply: its revision, whether it is the full list, and who is in it.
+// check checks the revision, the completeness and the members of a response.
 func (got callResult) check(t *testing.T, what string, revision uint64, complete bool, members string) {
 	t.Helper()
 	if got.status != http.StatusOK || *got.list.Revision != revision || got.list.Complete != complete || formatMembers(got.list) != members {
-		t.Errorf("%s: %+v (%s), want revision %d, complete %v, %q", what, got, formatMembers(got.list), revision, complete, members)
+		t.Errorf("%s: got %+v (%s), want revision %d, complete %v, %q", what, got, formatMembers(got.list), revision, complete, members)
 	}
 }
 
-// A relay answers as its upstream does, and what changes there reaches its watches at once.
+// A relay must respond as its upstream does, and a change at upstream must reach the relay's watches immediately.
 func TestServesUpstreamList(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -49,37 +49,37 @@
 		changed := time.Now()
 		a.apply(9, member("x", "Terminating", 0))
 		got := <-watched
-		got.check(t, "a watch", 9, false, "xT")
-		if late := time.Since(changed); late > time.Millisecond {
-			t.Errorf("the change comes %v later", late)
+		got.check(t, "watch", 9, false, "xT")
+		if delay := time.Since(changed); delay > time.Millisecond {
+			t.Errorf("the change reached the watch after %v, want at most 1ms", delay)
 		}
 		a.apply(10, member("y", "Gone", 0))
 		time.Sleep(time.Millisecond)
-		call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "who is behind", 10, false, "xT yG")
+		call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "caller that is behind", 10, false, "xT yG")
 		call(t, n, r.addr, "").check(t, "the full list", 10, true, "xT")
 		got = call(t, n, r.addr, "?after=10&wait_ms=1500")
-		got.check(t, "nothing new", 10, false, "")
+		got.check(t, "watch without a change", 10, false, "")
 		if got.took != 1500*time.Millisecond {
-			t.Errorf("nothing new is answered after %v", got.took)
+			t.Errorf("watch without a change: got a response after %v, want 1.5s", got.took)
 		}
-		a.apply(11) // a revision of no changes
+		a.apply(11) // a revision without changes
 		time.Sleep(upstreamWatchWait)
-		synctest.Wait() // the watch of upstream ends in this moment
-		call(t, n, r.addr, "?after=10&wait_ms=0").check(t, "no changes", 11, false, "")
+		synctest.Wait() // the watch at upstream ends now
+		call(t, n, r.addr, "?after=10&wait_ms=0").check(t, "revision without changes", 11, false, "")
 		for _, query := range []string{"?after=x", "?after=1&wait_ms=-1", "?after=1&later=1", "?after=%zz"} {
 			if got := call(t, n, r.addr, query); got.status != http.StatusBadRequest {
-				t.Errorf("%s: %d", query, got.status)
+				t.Errorf("%s: got %d, want 400", query, got.status)
 			}
 		}
-		f := r.Metrics()
-		if f.Calls != 10 || f.FullLists != 2 || f.Rejected != 0 || f.Open != 0 || f.Waiting != 0 || f.Bytes < 500 || f.Staleness > upstreamWatchWait || f.Revision != 11 {
-			t.Errorf("%+v", f)
+		m := r.Metrics()
+		if m.Calls != 10 || m.FullLists != 2 || m.Rejected != 0 || m.Open != 0 || m.Waiting != 0 || m.Bytes < 500 || m.Staleness > upstreamWatchWait || m.Revision != 11 {
+			t.Errorf("got metrics %+v, want 10 calls, 2 full lists, at least 500 bytes, revision 11 and nothing rejected, open, waiting or stale", m)
 		}
 	})
 }
 
-// A restart needs nobody: a caller that holds the list that was stored goes on with it, and no other is answered before upstream has
-// answered.
+// After a restart without upstream, a caller at the revision of the stored list must be able to continue with it. All
+// other callers must wait until upstream responds: the stored list may contain endpoints that have since been removed.
 func TestRestartsFromDisk(t *testing.T) {
 	for name, damage := range map[string]func(path string){
 		"stored": func(string) {},
@@ -101,32 +101,33 @@
 				a.down()
 				r = startRelay(t, n, "relay:1", state)
 				if got := call(t, n, r.addr, ""); got.status != http.StatusServiceUnavailable || got.took > discovery.RelayFullListTimeout {
-					t.Errorf("the full list without an answer from upstream: %+v", got)
+					t.Errorf("full list without a response from upstream: got %+v, want 503 within %v", got, discovery.RelayFullListTimeout)
 				}
 				got := call(t, n, r.addr, "?after=8&wait_ms=500")
-				got.check(t, "who holds it", 8, false, "")
+				got.check(t, "caller at the stored revision", 8, false, "")
 				if got.took != 500*time.Millisecond {
-					t.Errorf("who holds it is answered after %v", got.took)
+					t.Errorf("caller at the stored revision: got a response after %v, want 500ms", got.took)
 				}
 				if got := call(t, n, r.addr, "?after=7&wait_ms=0"); got.status == http.StatusOK && len(got.list.Members) > 0 {
-					t.Errorf("who is behind gets %s", formatMembers(got.list))
+					t.Errorf("caller that is behind: got %s, want no members", formatMembers(got.list))
 				}
 				a.apply(9, member("x", "Gone", 0))
 				a.up()
 				time.Sleep(time.Second)
-				call(t, n, r.addr, "?after=9&wait_ms=0").check(t, "then who is ahead", 9, false, "")
-				call(t, n, r.addr, "").check(t, "then the full list", 9, true, "yR zR")
+				call(t, n, r.addr, "?after=9&wait_ms=0").check(t, "upstream back, caller that was ahead", 9, false, "")
+				call(t, n, r.addr, "").check(t, "upstream back, full list", 9, true, "yR zR")
 				if name == "stored" {
-					call(t, n, r.addr, "?after=8&wait_ms=0").check(t, "then who held it", 9, false, "xG")
+					call(t, n, r.addr, "?after=8&wait_ms=0").check(t, "upstream back, caller at the stored revision", 9, false, "xG")
 				} else {
-					call(t, n, r.addr, "?after=8&wait_ms=0").check(t, "then who held it", 9, true, "yR zR")
+					call(t, n, r.addr, "?after=8&wait_ms=0").check(t, "upstream back, caller at the stored revision", 9, true, "yR zR")
 				}
 			})
 		})
 	}
 }
 
-// Upstream has lost its log and sends the full list: callers that follow this relay get the changes all the same.
+// When upstream has lost its log and sends the full list, callers that watch this relay must still get only the
+// changes.
 func TestFullListBecomesChanges(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -135,16 +136,17 @@
 		time.Sleep(time.Second)
 		a.Reset(20, []discovery.Member{member("y", "Terminating", 0), member("z", "Ready", 0), member("v", "Ready", 0)})
 		time.Sleep(upstreamWatchWait)
-		call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "who follows", 20, false, "vR xG yT")
-		call(t, n, r.addr, "?after=3&wait_ms=0").check(t, "who does not", 20, true, "vR yT zR")
+		call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "caller in the relay's log", 20, false, "vR xG yT")
+		call(t, n, r.addr, "?after=3&wait_ms=0").check(t, "caller before the relay's log", 20, true, "vR yT zR")
 	})
 }
 
-// Nobody gets an older list after a newer one. A caller that is ahead waits for an answer from upstream to a later call; if
-// that is no newer, the service counts anew, and the full list follows; without one, the caller goes on by its list.
+// No caller may get an older list after a newer one. A caller that is ahead must wait for the response to a later
+// upstream call. If that has no newer revision, upstream has restarted its revision numbers, and the caller must get
+// the full list. Without a response, the caller must continue with its list.
 func TestNoOlderListAfterNewer(t *testing.T) {
 	for name, c := range map[string]struct {
-		then     func(*upstream) // 100 ms after the call has come
+		then     func(*upstream) // runs 100 ms after the call
 		query    string
 		took     [2]time.Duration
 		revision uint64
@@ -152,19 +154,19 @@
 		members  string
 		status   int
 	}{
-		"catches up to it": {
+		"catches up": {
 			then:  func(a *upstream) { a.apply(12, member("y", "Gone", 0)) },
 			query: "?after=12&wait_ms=2000", took: [2]time.Duration{2 * time.Second, 2 * time.Second}, revision: 12,
 		},
-		"catches up beyond it": {
+		"catches up and passes the caller": {
 			then:  func(a *upstream) { a.apply(12, member("y", "Gone", 0)); a.apply(13, member("x", "Terminating", 0)) },
 			query: "?after=12&wait_ms=2000", took: [2]time.Duration{100 * time.Millisecond, 101 * time.Millisecond}, revision: 13, members: "xT yG",
 		},
-		"counts anew": {
+		"revisions restarted": {
 			then:  func(a *upstream) {},
 			query: "?after=12&wait_ms=2000", took: [2]time.Duration{upstreamWatchWait, 2 * upstreamWatchWait}, revision: 7, complete: true, members: "xR yR",
 		},
-		"counts anew, no wait": {
+		"revisions restarted, no wait": {
 			then:  func(a *upstream) {},
 			query: "?after=12&wait_ms=0", took: [2]time.Duration{upstreamWatchWait, aheadWait}, revision: 7, complete: true, members: "xR yR",
 		},
@@ -176,7 +178,7 @@
 			then:  func(a *upstream) { a.down() },
 			query: "?after=12&wait_ms=1000", took: [2]time.Duration{time.Second, time.Second}, revision: 12,
 		},
-		"lost for long": {
+		"lost, long wait": {
 			then:  func(a *upstream) { a.down() },
 			query: "?after=12&wait_ms=20000", took: [2]time.Duration{staleAfter - 2*upstreamWatchWait, staleAfter}, status: 503,
 		},
@@ -188,7 +190,7 @@
 				r := startRelay(t, n, "relay:1", t.TempDir())
 				time.Sleep(time.Second + 50*time.Millisecond)
 				if strings.HasPrefix(name, "lost") {
-					a.down() // before it could answer
+					a.down() // before it can respond
 				}
 				go func() {
 					time.Sleep(100 * time.Millisecond)
@@ -197,13 +199,13 @@
 				got := call(t, n, r.addr, c.query)
 				if c.status != 0 {
 					if got.status != c.status {
-						t.Errorf("%+v, want status %d", got, c.status)
+						t.Errorf("got %+v, want status %d", got, c.status)
 					}
 				} else {
 					got.check(t, name, c.revision, c.complete, c.members)
 				}
 				if got.took < c.took[0] || got.took > c.took[1] {
-					t.Errorf("took %v, want %v to %v", got.took, c.took[0], c.took[1])
+					t.Errorf("got a response after %v, want %v to %v", got.took, c.took[0], c.took[1])
 				}
 				time.Sleep(100 * time.Millisecond)
 			})
@@ -211,8 +213,9 @@
 	}
 }
 
-// A relay that has had no answer from upstream for staleAfter rejects calls, those that wait too, so that its callers fail over; once
-// it has one it answers again. A call that was answered before counts from when it was made.
+// A relay without a response from upstream for staleAfter must reject all calls, including waiting ones, so that its
+// callers fail over. After the next response it must serve calls again. The time counts from the start of the last
+// successful upstream call.
 func TestStaleRelayRejects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -222,31 +225,32 @@
 		lost := time.Now()
 		a.down()
 		time.Sleep(time.Second)
-		call(t, n, r.addr, "?after=7&wait_ms=100").check(t, "soon after", 7, false, "")
+		call(t, n, r.addr, "?after=7&wait_ms=100").check(t, "soon after the loss", 7, false, "")
 		if got := call(t, n, r.addr, "?after=7&wait_ms=20000"); got.status != http.StatusServiceUnavailable || got.retryAfter != "" {
-			t.Errorf("a watch: %+v", got)
+			t.Errorf("watch: got %+v, want 503 without Retry-After", got)
 		}
 		if after := time.Since(lost); after > staleAfter || after < staleAfter-2*upstreamWatchWait {
-			t.Errorf("the watch is rejected %v after the loss", after)
+			t.Errorf("watch: got rejection %v after the loss, want %v to %v", after, staleAfter-2*upstreamWatchWait, staleAfter)
 		}
 		time.Sleep(upstreamWatchWait)
 		for _, query := range []string{"", "?after=7&wait_ms=1000", "?after=9&wait_ms=1000", "?after=3&wait_ms=0"} {
 			if got := call(t, n, r.addr, query); got.status != http.StatusServiceUnavailable || got.took > 0 || got.retryAfter != "" {
-				t.Errorf("%q: %+v", query, got)
+				t.Errorf("%q: got %+v, want an immediate 503 without Retry-After", query, got)
 			}
 		}
-		if f := r.Metrics(); f.Rejected != 5 || f.Staleness < staleAfter {
-			t.Errorf("%+v", f)
+		if m := r.Metrics(); m.Rejected != 5 || m.Staleness < staleAfter {
+			t.Errorf("got metrics %+v, want 5 rejected and a staleness of at least %v", m, staleAfter)
 		}
 		time.Sleep(time.Minute)
 		a.apply(8, member("x", "Terminating", 0))
 		a.up()
 		time.Sleep(2 * maxUpstreamBackoff)
-		call(t, n, r.addr, "?after=7&wait_ms=1000").check(t, "again", 8, false, "xT")
+		call(t, n, r.addr, "?after=7&wait_ms=1000").check(t, "after the outage", 8, false, "xT")
 	})
 }
 
-// After a migration the revisions are another service's: the full list of the new one replaces all, lower or higher.
+// After a migration, revisions belong to another service. Its full list must replace the old one, whether its revision
+// is lower, equal or higher.
 func TestMigrate(t *testing.T) {
 	for _, revision := range []uint64{3, 7, 100} {
 		synctest.Test(t, func(t *testing.T) {
@@ -259,18 +263,18 @@
 			time.Sleep(time.Second)
 			r.Migrate(t.Context(), "upstream:1", 60)
 			time.Sleep(time.Second)
-			call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "no migration", 7, false, "")
+			call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "same address", 7, false, "")
 			r.Migrate(t.Context(), "other:1", 60)
 			time.Sleep(time.Second)
-			call(t, n, r.addr, "").check(t, "a migration", revision, true, "yR")
-			if revision != 7 { // which the protocol cannot tell from the other seventh
-				call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "who held the old list", revision, true, "yR")
+			call(t, n, r.addr, "").check(t, "other address", revision, true, "yR")
+			if revision != 7 { // the protocol cannot distinguish the two revisions 7
+				call(t, n, r.addr, "?after=7&wait_ms=0").check(t, "caller with the old list", revision, true, "yR")
 			}
 		})
 	}
 }
 
-// At its end a relay rejects calls that wait at once, accepts no more connections and stores what it has.
+// At shutdown, a relay must reject waiting calls immediately, accept no more connections and store its list.
 func TestShutdown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, state := newNetwork(), t.TempDir()
@@ -281,7 +285,7 @@
 		for range 20 {
 			waiting.Go(func() {
 				if got := call(t, n, r.addr, "?after=8&wait_ms=20000"); got.status == http.StatusOK {
-					t.Errorf("a watch that waits: %+v", got)
+					t.Errorf("waiting watch: got %+v, want a rejection", got)
 				}
 			})
 		}
@@ -291,18 +295,18 @@
 		r.stop()
 		waiting.Wait()
 		if took := time.Since(began); took > shutdownGrace {
-			t.Errorf("the end takes %v", took)
+			t.Errorf("shutdown: got %v, want at most %v", took, shutdownGrace)
 		}
 		if got := call(t, n, r.addr, ""); got.status != 0 {
-			t.Errorf("after the end: %+v", got)
+			t.Errorf("call after the shutdown: got %+v, want no response", got)
 		}
 		if l, err := (listFile{dir: state}).load(); err != nil || *l.Revision != 8 {
-			t.Errorf("stored %+v, error %v", l, err)
+			t.Errorf("stored list: got %+v, error %v, want revision 8", l, err)
 		}
 	})
 }
 
-// The list goes to the disk when it has changed, and no more often than stated.
+// The list must be stored when it has changed, but at most once per saveInterval.
 func TestSaveInterval(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n, state := newNetwork(), t.TempDir()
@@ -317,16 +321,16 @@
 			}
 		}
 		if n := len(stored); n < 10 || n > 14 {
-			t.Errorf("%d lists are stored in a minute", n)
+			t.Errorf("lists stored in a minute: got %d, want 10 to 14", n)
 		}
 		time.Sleep(saveInterval)
 		if l, err := (listFile{dir: state}).load(); err != nil || *l.Revision != 600 {
-			t.Errorf("stored %+v, error %v", l, err)
+			t.Errorf("stored list: got %+v, error %v, want revision 600", l, err)
 		}
 	})
 }
 
-// More callers than stated are rejected at once.
+// Calls beyond MaxCallers must be rejected immediately.
 func TestMaxCallers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNetwork()
@@ -336,18 +340,18 @@
 		time.Sleep(time.Second)
 		var waiting sync.WaitGroup
 		for range 3 {
-			waiting.Go(func() { call(t, n, r.addr, "?after=7&wait_ms=1000").check(t, "a watch", 7, false, "") })
+			waiting.Go(func() { call(t, n, r.addr, "?after=7&wait_ms=1000").check(t, "watch", 7, false, "") })
 		}
 		time.Sleep(100 * time.Millisecond)
 		if got := call(t, n, r.addr, "?after=7&wait_ms=1000"); got.status != http.StatusServiceUnavailable || got.took > 0 {
-			t.Errorf("a fourth: %+v", got)
+			t.Errorf("fourth call: got %+v, want an immediate 503", got)
 		}
 		waiting.Wait()
-		call(t, n, r.addr, "").check(t, "then", 7, true, "xR")
+		call(t, n, r.addr, "").check(t, "call after the watches", 7, true, "xR")
 	})
 }
 
-// recorder notes where the text lies that it is given.
+// recorder is an http.ResponseWriter that records the addresses of the data written to it.
 type recorder struct {
 	header http.Header
 	at     []*byte
@@ -363,7 +367,7 @@
 	return len(text), nil
 }
 
-// A change is encoded once for all that wait for it, however many they are.
+// A change must be encoded once for all waiting callers, not once per caller.
 func TestCallersShareEncodings(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const callers = 830
@@ -389,24 +393,24 @@
 		waiting.Wait()
 		for i, c := range recorders {
 			if len(c.at) != 1 || c.at[0] != recorders[0].at[0] || c.n != recorders[0].n || c.n == 0 {
-				t.Fatalf("caller %d is written %d bytes in %d parts, not those of the first", i, c.n, len(c.at))
+				t.Fatalf("caller %d: got %d bytes in %d writes, want one write of the same memory as for caller 0", i, c.n, len(c.at))
 			}
 		}
 	})
 }
 
-// The bounds fit: who is ahead is answered within a call's time, who waits for its full list too, and what a relay that is
-// stale has missed can still be had elsewhere.
+// The constants must be consistent: a caller that is ahead or waits for its full list must get a response before its
+// timeout, and after a relay becomes stale there must be time to get the missed changes elsewhere.
 func TestBounds(t *testing.T) {
 	for what, ok := range map[string]bool{
-		"two watches of upstream fit into the time for who is ahead": 2*upstreamWatchWait < aheadWait,
-		"that fits into a call":                                          aheadWait < discovery.RelayTimeout,
-		"an answer and a slot fit into a call for the full list":         aheadWait+maxQueueDelay < discovery.RelayFullListTimeout,
-		"several watches and their pauses fit into the time to be stale": 3*(upstreamWatchWait+maxUpstreamBackoff) < staleAfter,
-		"a stale relay leaves time for others":                           staleAfter <= balancer.NotifyBoundAfterFailure/3,
+		"two upstream watches fit into aheadWait":                         2*upstreamWatchWait < aheadWait,
+		"aheadWait fits into the timeout of a call":                       aheadWait < discovery.RelayTimeout,
+		"aheadWait and maxQueueDelay fit into the timeout of a full list": aheadWait+maxQueueDelay < discovery.RelayFullListTimeout,
+		"three upstream watches with backoff fit into staleAfter":         3*(upstreamWatchWait+maxUpstreamBackoff) < staleAfter,
+		"staleAfter is at most a third of the notification bound":         staleAfter <= balancer.NotifyBoundAfterFailure/3,
 	} {
 		if !ok {
-			t.Errorf("not so: %s", what)
+			t.Errorf("not true: %s", what)
 		}
 	}
 }
