--- a/internal/lists/server_test.go
+++ b/internal/lists/server_test.go
@@ -336,7 +336,7 @@
 	}
 }
 
-// A call must acknowledge the revision that its agent holds, unless it is ahead of the store or the call is invalid.
+// A call must acknowledge its agent's revision, unless that is ahead of the store or the call is invalid.
 func TestAcknowledge(t *testing.T) {
 	var acknowledged []string
 	s := &Server{Store: NewStore(8), OnAcknowledge: func(agent int, revision uint64, _ time.Time) {
--- a/internal/lists/store_test.go
+++ b/internal/lists/store_test.go
@@ -224,7 +224,7 @@
 		t.Errorf("after changes: got %v and %s, want %v and %s", first, text, want, wantText)
 	}
 	if got := formatMembers(s.Members()); got != "s-2:Ready s-1:Terminating s-9:Ready" {
-		t.Errorf("members after the changes: got %s", got)
+		t.Errorf("members after the changes: got %s, want s-2:Ready s-1:Terminating s-9:Ready", got)
 	}
 }
 
--- a/internal/relay/network_test.go
+++ b/internal/relay/network_test.go
@@ -23,7 +23,7 @@
 	listeners map[string]*pipeListener
 }
 
-// pipeListener is the listener at an address, with the connections that it accepted.
+// pipeListener is the listener at an address, with the connections to it.
 type pipeListener struct {
 	net          *network
 	addr         string
