--- a/internal/relay/network_test.go
+++ b/internal/relay/network_test.go
@@ -17,36 +17,36 @@
 
 var quiet = slog.New(slog.DiscardHandler)
 
-// network is a network within a test, on the test's clock.
+// network simulates a network in memory, on the fake clock of a synctest bubble.
 type network struct {
 	mu        sync.Mutex
 	listeners map[string]*pipeListener
 }
 
-// pipeListener is one address: who listens there, and the connections to it.
+// pipeListener is the listener at an address, with the connections to it.
 type pipeListener struct {
-	net      *network
-	addr     string
-	incoming chan net.Conn
-	closed   chan struct{}
-	silent   chan struct{} // closed when the address stops responding
-	conns    []net.Conn
+	net          *network
+	addr         string
+	incoming     chan net.Conn
+	closed       chan struct{}
+	unresponsive chan struct{} // closed when the address stops responding
+	conns        []net.Conn
 }
 
 func newNetwork() *network { return &network{listeners: map[string]*pipeListener{}} }
 
-// listen opens an address that is not open.
+// listen opens a listener at an address that has none.
 func (n *network) listen(addr string) *pipeListener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	l := &pipeListener{
-		net: n, addr: addr, incoming: make(chan net.Conn), closed: make(chan struct{}), silent: make(chan struct{}),
+		net: n, addr: addr, incoming: make(chan net.Conn), closed: make(chan struct{}), unresponsive: make(chan struct{}),
 	}
 	n.listeners[addr] = l
 	return l
 }
 
-// dial is a discovery.Dial.
+// dial implements discovery.Dial.
 func (n *network) dial(ctx context.Context, _, addr string) (net.Conn, error) {
 	n.mu.Lock()
 	l := n.listeners[addr]
@@ -55,8 +55,8 @@
 		return nil, errRefused
 	}
 	client, other := net.Pipe()
-	server := &serverConn{Conn: other, silent: l.silent, closed: make(chan struct{})}
-	if server.isSilent() {
+	server := &serverConn{Conn: other, unresponsive: l.unresponsive, closed: make(chan struct{})}
+	if server.isUnresponsive() {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -79,7 +79,7 @@
 
 var errRefused = errors.New("connection refused")
 
-// kill closes an address and breaks the connections to it.
+// kill closes the listener at an address and its connections.
 func (n *network) kill(addr string) {
 	n.mu.Lock()
 	l := n.listeners[addr]
@@ -87,7 +87,8 @@
 	l.cut()
 }
 
-// cut closes the listener and breaks its connections: the end of an http.Server leaves a connection open that it has just accepted.
+// cut closes the listener and its connections. Closing the http.Server is not enough: it leaves a just accepted
+// connection open.
 func (l *pipeListener) cut() {
 	l.Close()
 	l.net.mu.Lock()
@@ -98,23 +99,23 @@
 	}
 }
 
-// silence has an address stop responding: open connections stay open, new ones never come up.
-func (n *network) silence(addr string) {
+// stopResponding makes an address stop responding: existing connections stay open, and new ones are never established.
+func (n *network) stopResponding(addr string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	close(n.listeners[addr].silent)
+	close(n.listeners[addr].unresponsive)
 }
 
-// serverConn is the listener's side of a connection.
+// serverConn is the server side of a connection.
 type serverConn struct {
 	net.Conn
-	silent, closed chan struct{}
-	once           sync.Once
+	unresponsive, closed chan struct{}
+	once                 sync.Once
 }
 
-func (c *serverConn) isSilent() bool {
+func (c *serverConn) isUnresponsive() bool {
 	select {
-	case <-c.silent:
+	case <-c.unresponsive:
 		return true
 	default:
 		return false
@@ -123,7 +124,7 @@
 
 func (c *serverConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if c.isSilent() {
+	if c.isUnresponsive() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
@@ -131,7 +132,7 @@
 }
 
 func (c *serverConn) Write(b []byte) (int, error) {
-	if c.isSilent() {
+	if c.isUnresponsive() {
 		<-c.closed
 		return 0, net.ErrClosed
 	}
@@ -164,7 +165,7 @@
 
 func (l *pipeListener) Addr() net.Addr { return &net.TCPAddr{IP: net.IPv4(127, 0, 0, 1)} }
 
-// upstream is the service that a relay follows, at one address.
+// upstream is the service that a relay watches, at one address.
 type upstream struct {
 	*lists.Store
 	net      *network
@@ -173,7 +174,7 @@
 	http     *http.Server
 }
 
-// newUpstream starts a service with a list, until the test ends.
+// newUpstream starts a service with a list. It runs until the test ends.
 func newUpstream(t *testing.T, n *network, revision uint64, members ...discovery.Member) *upstream {
 	u := &upstream{Store: lists.NewStore(100), net: n, addr: "upstream:1"}
 	u.Reset(revision, members)
@@ -189,7 +190,7 @@
 	go u.http.Serve(s.Listener(u.listener, 0))
 }
 
-// down resets who is connected.
+// down stops the service and closes its connections.
 func (u *upstream) down() {
 	if u.http != nil {
 		u.http.Close()
@@ -198,14 +199,14 @@
 	}
 }
 
-// apply changes the list and panics if that does not follow.
+// apply changes the list and panics if the revision is out of order.
 func (u *upstream) apply(revision uint64, members ...discovery.Member) {
 	if err := u.Apply(revision, members); err != nil {
 		panic(err)
 	}
 }
 
-// runningRelay is a relay that runs at an address of its own until it is stopped or the test ends.
+// runningRelay is a relay that serves at its own address until it is stopped or the test ends.
 type runningRelay struct {
 	*Relay
 	addr string
@@ -240,29 +241,29 @@
 	return run
 }
 
-// reply is what a call came to.
-type reply struct {
-	status     int // 0: none
+// callResult is the outcome of a call.
+type callResult struct {
+	status     int // 0: no response
 	list       discovery.EndpointList
 	took       time.Duration
 	retryAfter string
 }
 
-// call makes one call on a connection of its own.
-func call(t *testing.T, n *network, addr, query string) reply {
+// call makes a call on a new connection.
+func call(t *testing.T, n *network, addr, query string) callResult {
 	t.Helper()
 	tr := &http.Transport{DialContext: n.dial, DisableKeepAlives: true}
 	began := time.Now()
 	resp, err := (&http.Client{Transport: tr}).Get("http://" + addr + lists.Path + query)
 	if err != nil {
-		return reply{took: time.Since(began)}
+		return callResult{took: time.Since(began)}
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return reply{took: time.Since(began)}
+		return callResult{took: time.Since(began)}
 	}
-	got := reply{status: resp.StatusCode, took: time.Since(began), retryAfter: resp.Header.Get("Retry-After")}
+	got := callResult{status: resp.StatusCode, took: time.Since(began), retryAfter: resp.Header.Get("Retry-After")}
 	if got.status == http.StatusOK {
 		if got.list, err = discovery.Parse(text); err != nil {
 			t.Errorf("%s%s: %v", addr, query, err)
