--- a/cmd/scale/sweepcmd.go
+++ b/cmd/scale/sweepcmd.go
@@ -59,7 +59,7 @@
 	defer remove()
 	swept, err := sweep.Run(c.ctx, base, sweep.Options{
 		Only: cmd.Only, Sizes: sizes, Target: target, Limit: cmd.Limit, Check: validate, Progress: c.progress,
-		Play: func(ctx context.Context, s *scenario.Scenario) (*result.Run, error) {
+		RunScenario: func(ctx context.Context, s *scenario.Scenario) (*result.Run, error) {
 			return run.Run(ctx, s, run.Options{AgentProgram: program, Log: c.log, Progress: func(string) {}, Stderr: c.errOut})
 		},
 	})
--- a/internal/scale/sweep/dimensions.go
+++ b/internal/scale/sweep/dimensions.go
@@ -7,17 +7,17 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// Dimension is a size of a scenario that is varied alone.
+// Dimension is a size of a scenario that a sweep varies while the others keep their values.
 type Dimension struct {
 	Name              string
 	get               func(*scenario.Scenario) float64
 	set               func(*scenario.Scenario, float64)
 	defaultSizes      func(base *scenario.Scenario) []float64
-	doublesWithTarget bool // twice the target is twice this size
+	doublesWithTarget bool // twice the target has twice this size
 }
 
-// Dimensions are all that can be swept, in the order in which they are. Twice the target is twice as many servers, agents,
-// changes and services, as deep as the target.
+// Dimensions are all dimensions, in the order in which they are swept. Twice the target has twice as many servers, agents,
+// changes and services as the target, at the same depth.
 var Dimensions = []Dimension{
 	{
 		Name:              "servers",
@@ -59,7 +59,7 @@
 	},
 }
 
-// maxDepth is how deep a scenario's calls go at most.
+// maxDepth is the maximum depth of a scenario's calls.
 const maxDepth = 14
 
 const (
@@ -74,25 +74,26 @@
 	s.Control.ChangesDay = v * minutesPerDay
 }
 
-// doubledSizes are a half, one, two and four times the base's agents, for servers too. They are not below the base's
-// services, which the servers carry at each size.
+// doubledSizes returns half, one, two and four times the base's number of agents, the default sizes of both agents and
+// servers. The smallest size is at least the base's number of services, since every service needs a server.
 func doubledSizes(base *scenario.Scenario) []float64 {
 	n := base.Agents()
 	return sortedUnique([]float64{float64(max(n/2, base.Fleet.Services)), float64(n), float64(2 * n), float64(4 * n)})
 }
 
-// doubledChangeRates are none, the base's changes a minute and two and four times as many, but at least one in a run.
+// doubledChangeRates returns 0, the base's changes per minute, and one, two and four times that rate or, if it is higher, the
+// rate of one change per run.
 func doubledChangeRates(base *scenario.Scenario) []float64 {
 	rate := base.ChangesPerMinute()
 	n := max(rate, secondsPerMinute/base.Seconds)
 	return sortedUnique([]float64{0, rate, n, 2 * n, 4 * n})
 }
 
-// spacedSizes are the base's size and four whole numbers that divide the span from least to most in three.
-func spacedSizes(least, base, most int) []float64 {
+// spacedSizes returns the base's size and four integers that divide the range from smallest to largest into thirds.
+func spacedSizes(smallest, base, largest int) []float64 {
 	all := []float64{float64(base)}
 	for third := range 4 {
-		all = append(all, float64(least+(most-least)*third/3))
+		all = append(all, float64(smallest+(largest-smallest)*third/3))
 	}
 	return sortedUnique(all)
 }
@@ -103,12 +104,12 @@
 	return slices.Compact(s)
 }
 
-// dimensionIndex is the position of a dimension in Dimensions, or -1.
+// dimensionIndex returns the index of the named dimension in Dimensions, or -1.
 func dimensionIndex(name string) int {
 	return slices.IndexFunc(Dimensions, func(d Dimension) bool { return d.Name == name })
 }
 
-// checkDimension reports a name that no dimension has, as the value of a field.
+// checkDimension returns an error that begins with the field if no dimension has the name.
 func checkDimension(field, name string) error {
 	if dimensionIndex(name) < 0 {
 		return fmt.Errorf("%s: %q is not one of servers, agents, changes, services, depth", field, name)
@@ -116,7 +117,7 @@
 	return nil
 }
 
-// selectDimensions returns the dimensions of some names; all, where there are none.
+// selectDimensions returns the named dimensions, or all if names is empty.
 func selectDimensions(names []string) ([]Dimension, error) {
 	for _, name := range names {
 		if err := checkDimension("only", name); err != nil {
--- a/internal/scale/sweep/fit.go
+++ b/internal/scale/sweep/fit.go
@@ -7,19 +7,20 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Fit is how one metric grows with one size, in the metric's own unit.
+// Fit describes how one metric grows with one size, in the metric's unit.
 type Fit struct {
 	Intercept        float64 `json:"intercept"`
-	Slope            float64 `json:"slope"`     // for each step of the size, by linear regression
-	Residual         float64 `json:"residual"`  // root mean square of what the line leaves
-	Quadratic        float64 `json:"quadratic"` // of the parabola through the same points, by least squares
-	ChordDeviation   float64 `json:"bent"`      // how far that parabola leaves its chord within the sizes played
-	ParabolaResidual float64 `json:"bent_left"` // root mean square of what the parabola leaves
-	Exponent         float64 `json:"exponent"`  // of a power law, the slope of the logarithms; 0 where a value is not above 0
-	AtOne            float64 `json:"at_one"`    // value of that law at size 1; 0 where there is none
+	Slope            float64 `json:"slope"`     // per unit of the size, by linear regression
+	Residual         float64 `json:"residual"`  // root mean square of the line's residuals
+	Quadratic        float64 `json:"quadratic"` // quadratic coefficient of the smallest-squares parabola
+	ChordDeviation   float64 `json:"bent"`      // maximum deviation of the parabola from its chord over the measured sizes
+	ParabolaResidual float64 `json:"bent_left"` // root mean square of the parabola's residuals
+	Exponent         float64 `json:"exponent"`  // of a power law fitted to the logarithms; 0 if a size or value is not positive
+	AtOne            float64 `json:"at_one"`    // value of the power law at size 1; 0 if there is none
 }
 
-// fitGrowth fits the line, the parabola and the power law. It needs as many ys as xs, three at least, of two sizes at least.
+// fitGrowth fits the line, the parabola and the power law. xs and ys must have the same length of at smallest three, with at
+// smallest two different sizes.
 func fitGrowth(xs, ys []float64) Fit {
 	var f Fit
 	f.Intercept, f.Slope = stat.LinearRegression(xs, ys, nil, false)
@@ -34,8 +35,8 @@
 	return f
 }
 
-// predict is the line's value at a size. Metrics are not below 0: where a falling line is, as for a fixed cost that more
-// and more agents share, the power law's value is returned.
+// predict returns the line's value at a size. Metrics are never negative: if a falling line is not positive at the size, as
+// for a fixed cost shared by a growing number of agents, predict returns the power law's value instead.
 func (f Fit) predict(x float64) float64 {
 	y := f.Intercept + f.Slope*x
 	if y <= 0 && f.AtOne > 0 {
@@ -44,7 +45,7 @@
 	return y
 }
 
-// rootMeanSquare is that of what a curve leaves.
+// rootMeanSquare returns the root mean square of the residuals of a curve.
 func rootMeanSquare(xs, ys []float64, curve func(float64) float64) float64 {
 	sum := 0.0
 	for i, x := range xs {
@@ -54,8 +55,8 @@
 	return math.Sqrt(sum / float64(len(xs)))
 }
 
-// fitParabola fits a + b x + c x² by least squares; false where the sizes do not determine it. Sizes are divided by the
-// largest for the solution's sake, as their squares would drown the constant.
+// fitParabola fits a + b x + c x² by smallest squares. ok is false if the sizes do not determine a parabola. The sizes are
+// scaled by the largest one, because their squares would otherwise make the system ill-conditioned.
 func fitParabola(xs, ys []float64) (a, b, c float64, ok bool) {
 	if len(xs) < 3 {
 		return 0, 0, 0, false
@@ -78,7 +79,8 @@
 	return solved.AtVec(0), solved.AtVec(1) / scale, solved.AtVec(2) / scale / scale, true
 }
 
-// fitPowerLaw fits a line to the logarithms: the law's value at size 1 and its exponent, zeroes where a value is not above 0.
+// fitPowerLaw fits a line to the logarithms. It returns the power law's value at size 1 and its exponent, or zeros if a size
+// or value is not positive.
 func fitPowerLaw(xs, ys []float64) (atOne, exponent float64) {
 	var logXs, logYs []float64
 	for i := range xs {
@@ -92,27 +94,27 @@
 	return math.Exp(logAtOne), exponent
 }
 
-// rangeOf is the distance from the least to the largest.
+// rangeOf returns the difference between the largest and the smallest value.
 func rangeOf(xs []float64) float64 {
-	least := math.Inf(1)
+	smallest := math.Inf(1)
 	largest := math.Inf(-1)
 	for _, x := range xs {
-		least = min(least, x)
+		smallest = min(smallest, x)
 		largest = max(largest, x)
 	}
-	return largest - least
+	return largest - smallest
 }
 
-// minKinkShare is the share of a metric's largest value by which its curve must leave the chord to be a kink.
+// minKinkShare is the minimum deviation of a kinked curve from its chord, as a share of the metric's largest value.
 const minKinkShare = 0.1
 
-// isKinked reports whether the parabola clearly explains more than the line: it leaves the chord by more than minKinkShare
-// and by more than the noise, and leaves less than half of the line's residual.
+// isKinked reports whether the parabola fits clearly better than the line: it deviates from its chord by more than
+// minKinkShare and by more than noiseFactor times the noise, and its residual is less than half the line's.
 func (f Fit) isKinked(ys []float64, noise float64) bool {
 	largest := 0.0
 	for _, y := range ys {
 		largest = max(largest, math.Abs(y))
 	}
-	standsOut := f.ChordDeviation > minKinkShare*largest && f.ChordDeviation > noiseFactor*noise
-	return standsOut && f.ParabolaResidual < f.Residual/2
+	significant := f.ChordDeviation > minKinkShare*largest && f.ChordDeviation > noiseFactor*noise
+	return significant && f.ParabolaResidual < f.Residual/2
 }
--- a/internal/scale/sweep/growth.go
+++ b/internal/scale/sweep/growth.go
@@ -11,10 +11,10 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// noiseFactor is how many times the noise a growth or a kink has to exceed to count as one.
+// noiseFactor is the multiple of the noise that a growth or a kink must exceed to be significant.
 const noiseFactor = 3
 
-// Growth is one metric along one dimension.
+// Growth is the growth of one metric along one dimension.
 type Growth struct {
 	Dimension string    `json:"dimension"`
 	Metric    string    `json:"figure"`
@@ -22,22 +22,22 @@
 	Sizes     []float64 `json:"sizes"`
 	Values    []float64 `json:"values"`
 	Fit       Fit       `json:"fit"`
-	Noise     float64   `json:"noise"`  // standard deviation over the runs of the base itself
-	Flat      bool      `json:"level"`  // the growth does not stand out from the noise: every size is taken to have the mean
-	Target    float64   `json:"target"` // by the fit, the other sizes being the base's
-	Twice     float64   `json:"twice"`
+	Noise     float64   `json:"noise"`  // standard deviation over the runs of the base
+	Flat      bool      `json:"level"`  // the growth is within the noise, so the mean is predicted for every size
+	Target    float64   `json:"target"` // predicted value at the target's size, with the base's other sizes
+	Twice     float64   `json:"twice"`  // the same at twice the target
 	Kink      string    `json:"kink,omitempty"`
-	source    string    // runs that gave it, for people
+	source    string    // description of the runs, for Metric.Run
 }
 
-// series are the runs along one dimension: their sizes and, in the same order, the values of each metric.
+// series holds the runs along one dimension: their sizes and, in the same order, the values of each metric.
 type series struct {
 	sizes  []float64
 	values map[string][]float64
 	units  map[string]string
 }
 
-// seriesOf collects the runs along a dimension, the base's among them, by rising size.
+// seriesOf collects the runs along a dimension, including those of the base, sorted by size.
 func (w *Sweep) seriesOf(d Dimension, base *scenario.Scenario) series {
 	out := series{values: map[string][]float64{}, units: map[string]string{}}
 	runs := slices.Clone(w.Runs)
@@ -47,7 +47,7 @@
 			runs[i].Size = d.get(base)
 		}
 	}
-	slices.SortStableFunc(runs, func(a, b Played) int { return cmp.Compare(a.Size, b.Size) })
+	slices.SortStableFunc(runs, func(a, b SizeRun) int { return cmp.Compare(a.Size, b.Size) })
 	for _, run := range runs {
 		if run.Dimension != d.Name {
 			continue
@@ -61,20 +61,20 @@
 	return out
 }
 
-// fitAll fits every metric along every dimension that has sizes enough.
+// fitAll fits every metric along every dimension with at least minSizes sizes.
 func (w *Sweep) fitAll(dimensions []Dimension, base, target *scenario.Scenario) {
 	noise := w.baseNoise()
 	for _, d := range dimensions {
 		along := w.seriesOf(d, base)
 		distinct := sortedUnique(along.sizes)
 		if len(distinct) < minSizes {
-			w.Skipped = append(w.Skipped, fmt.Sprintf("%s: %d sizes were played, no fit", d.Name, len(distinct)))
+			w.Skipped = append(w.Skipped, fmt.Sprintf("%s: %d sizes were run, no fit", d.Name, len(distinct)))
 			continue
 		}
 		source := fmt.Sprintf("sweep of %s: %s at %s, %.0f s each, seed %d", base.Name, d.Name, formatSizes(distinct), base.Seconds, base.Seed)
 		for _, name := range sortedKeys(along.values) {
 			if len(along.values[name]) != len(along.sizes) {
-				continue // not every run measured it
+				continue // some runs did not measure it
 			}
 			g := Growth{
 				Dimension: d.Name, Metric: name, Unit: along.units[name], Sizes: along.sizes, Values: along.values[name],
@@ -87,7 +87,7 @@
 	}
 }
 
-// baseNoise is, by metric, the standard deviation over the runs of the base.
+// baseNoise returns the standard deviation of each metric over the runs of the base.
 func (w *Sweep) baseNoise() map[string]float64 {
 	values := map[string][]float64{}
 	for _, run := range w.Runs {
@@ -107,7 +107,7 @@
 	return noise
 }
 
-// fit fits the growth and says whether it is flat and whether it has a kink.
+// fit sets Fit, Flat and Kink.
 func (g *Growth) fit() {
 	g.Fit = fitGrowth(g.Sizes, g.Values)
 	g.Flat = math.Abs(g.Fit.Slope)*rangeOf(g.Sizes) < noiseFactor*max(g.Noise, g.Fit.Residual)
@@ -117,7 +117,7 @@
 	}
 }
 
-// extrapolate evaluates the fit at the target and at twice the target, if there is one.
+// extrapolate sets Target and Twice if there is a target.
 func (g *Growth) extrapolate(d Dimension, target *scenario.Scenario) {
 	if target == nil {
 		return
@@ -131,7 +131,7 @@
 	g.Twice = g.predict(twice)
 }
 
-// predict is what the metric is taken to be at a size.
+// predict returns the expected value of the metric at a size.
 func (g *Growth) predict(size float64) float64 {
 	if g.Flat {
 		return stat.Mean(g.Values, nil)
@@ -139,7 +139,7 @@
 	return g.Fit.predict(size)
 }
 
-// meansBySize are the values by size, the mean where one was played more than once.
+// meansBySize returns the mean value at each size.
 func (g *Growth) meansBySize() map[float64]float64 {
 	means := map[float64]float64{}
 	runs := map[float64]float64{}
--- a/internal/scale/sweep/joint.go
+++ b/internal/scale/sweep/joint.go
@@ -7,7 +7,7 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// The keys of joint metrics are jointPrefix, the metric's name and one of the suffixes.
+// The key of a joint metric consists of jointPrefix, the metric's name and one of the suffixes.
 const (
 	jointPrefix  = "joint."
 	suffixBase   = ".base"
@@ -15,19 +15,20 @@
 	suffixTwice  = ".twice"
 )
 
-// jointGrowth is one metric along all dimensions together.
+// jointGrowth accumulates the growth of one metric over all dimensions.
 type jointGrowth struct {
-	baseSum      float64 // over the dimensions, of the value at the base
+	baseSum      float64 // sum over the dimensions of the fitted value at the base
 	targetFactor float64
 	twiceFactor  float64
 	unit         string
 	dimensions   []string
-	noBaseValue  bool // its value at the base is not above 0 along some dimension
+	noBaseValue  bool // along some dimension the fitted value at the base is not positive
 }
 
-// joinDimensions takes all dimensions together: the base's value times, for each dimension, the fit's value at the target
-// over the one at the base. This takes dimensions to multiply, as agents and changes do in bytes; a metric to which they
-// add comes out too large. A metric that is not above 0 at the base is left out.
+// joinDimensions extrapolates the metrics along all dimensions at once. It multiplies the value at the base by the ratio of
+// the fits at target and base of each dimension. This assumes that the effects of the dimensions multiply, as those of
+// agents and changes on bytes do; it overestimates metrics where they add up. A metric that is not positive at the base is
+// omitted.
 func (w *Sweep) joinDimensions(base, target *scenario.Scenario) {
 	w.Joint = map[string]Metric{}
 	if target == nil {
@@ -54,7 +55,7 @@
 	}
 }
 
-// add adds the growth along one dimension.
+// add includes the growth along one dimension.
 func (j *jointGrowth) add(g *Growth, base *scenario.Scenario) {
 	d := Dimensions[dimensionIndex(g.Dimension)]
 	atBase := g.predict(d.get(base))
@@ -68,7 +69,7 @@
 	j.dimensions = append(j.dimensions, g.Dimension)
 }
 
-// jointMetricName is the metric's name in the key of its joint value at the base; false for other keys.
+// jointMetricName returns the name of the metric if key is that of a joint value at the base, and false for other keys.
 func jointMetricName(key string) (string, bool) {
 	name, isBase := strings.CutSuffix(key, suffixBase)
 	if !isBase {
--- a/internal/scale/sweep/metrics.go
+++ b/internal/scale/sweep/metrics.go
@@ -10,14 +10,14 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// Metric is one number of a metrics file (figures.json), with its unit and the runs that gave it.
+// Metric is one value in a metrics file (figures.json), with its unit and a description of the runs it comes from.
 type Metric struct {
 	Value float64 `json:"value"`
 	Unit  string  `json:"unit"`
 	Run   string  `json:"run"`
 }
 
-// ReadMetrics reads a metrics file: a flat map by keys such as `agents.control_bytes.slope`.
+// ReadMetrics reads a metrics file, a flat map with keys such as `agents.control_bytes.slope`.
 func ReadMetrics(file string) (map[string]Metric, error) {
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -30,7 +30,7 @@
 	return all, nil
 }
 
-// WriteMetrics writes a metrics file, its keys in order.
+// WriteMetrics writes a metrics file with sorted keys.
 func WriteMetrics(file string, all map[string]Metric) error {
 	text, err := json.MarshalIndent(all, "", "  ")
 	if err != nil {
@@ -39,7 +39,7 @@
 	return os.WriteFile(file, append(text, '\n'), 0o644)
 }
 
-// Metrics are the sweep's numbers by their stable keys: DIMENSION.METRIC.{slope,intercept,residual,quadratic,exponent,
+// Metrics returns the sweep's metrics by their stable keys: DIMENSION.METRIC.{slope,intercept,residual,quadratic,exponent,
 // target,twice,at_SIZE} and joint.METRIC.{base,target,twice}.
 func (w *Sweep) Metrics() map[string]Metric {
 	all := map[string]Metric{}
@@ -61,7 +61,7 @@
 	return all
 }
 
-// AddRun adds the metrics of one run under a name of its own, as `run.NAME.METRIC`, beside those of the sweeps.
+// AddRun adds the metrics and budgets of a single run to all, under keys run.NAME.METRIC and run.NAME.budget.BUDGET.
 func AddRun(all map[string]Metric, name string, r *result.Run) {
 	source := describeRun(r)
 	prefix := "run." + name + "."
@@ -73,7 +73,7 @@
 	}
 }
 
-// describeRun says which run gave a metric.
+// describeRun returns the text that identifies a run in Metric.Run.
 func describeRun(r *result.Run) string {
 	s := r.Sizes
 	return fmt.Sprintf("run %s: servers %d, services %d, agents %d (real %d), depth %d, changes/min %.4g, %.0f s, seed %d",
@@ -86,7 +86,7 @@
 	unit  string
 }
 
-// extractMetrics reads from a run every metric whose growth is of interest and that the run measured.
+// extractMetrics returns every metric of a run that can be fitted and that the run measured.
 func extractMetrics(r *result.Run) map[string]measurement {
 	all := map[string]measurement{}
 	addAgentMetrics(all, "agent", r.Simulated)
@@ -111,32 +111,33 @@
 	return all
 }
 
-// addAgentMetrics adds what control cost the agents of one sort.
-func addAgentMetrics(all map[string]measurement, sort string, a result.AgentControl) {
+// addAgentMetrics adds the cost of control traffic for the simulated or the real agents, with the given key prefix.
+func addAgentMetrics(all map[string]measurement, prefix string, a result.AgentControl) {
 	if a.Agents == 0 {
 		return
 	}
-	all[sort+"_bytes_in"] = measurement{a.BytesIn.Mean, "B/s"}
-	all[sort+"_bytes_out"] = measurement{a.BytesOut.Mean, "B/s"}
-	all[sort+"_worst6s"] = measurement{a.Worst6s.Max, "B/s"}
-	all[sort+"_cpu"] = measurement{a.CPUPercent, "% of a core"}
+	all[prefix+"_bytes_in"] = measurement{a.BytesIn.Mean, "B/s"}
+	all[prefix+"_bytes_out"] = measurement{a.BytesOut.Mean, "B/s"}
+	all[prefix+"_worst6s"] = measurement{a.Worst6s.Max, "B/s"}
+	all[prefix+"_cpu"] = measurement{a.CPUPercent, "% of a core"}
 	if a.HeapBytes > 0 {
-		all[sort+"_heap"] = measurement{a.HeapBytes, "B"}
+		all[prefix+"_heap"] = measurement{a.HeapBytes, "B"}
 	}
 	if a.RSSBytes.N > 0 {
-		all[sort+"_rss"] = measurement{a.RSSBytes.Max, "B"}
+		all[prefix+"_rss"] = measurement{a.RSSBytes.Max, "B"}
 	}
 	for key, d := range map[string]result.Distribution{"_list_in_force": a.ListInForce, "_config_in_force": a.ConfigInForce} {
 		if d.N == 0 {
 			continue
 		}
-		all[sort+key+"_p50"] = measurement{d.P50, "ms"}
-		all[sort+key+"_p99"] = measurement{d.P99, "ms"}
-		all[sort+key+"_max"] = measurement{d.Max, "ms"}
+		all[prefix+key+"_p50"] = measurement{d.P50, "ms"}
+		all[prefix+key+"_p99"] = measurement{d.P99, "ms"}
+		all[prefix+key+"_max"] = measurement{d.Max, "ms"}
 	}
 }
 
-// addControlMetrics sums up the control side by role: control, relay, source.
+// addControlMetrics adds the metrics of the control plane, summed per role: control, relay, source. Of the queueing times
+// it adds the maximum instead.
 func addControlMetrics(all map[string]measurement, r *result.Run) {
 	seconds := r.Sizes.Seconds
 	if seconds <= 0 {
--- a/internal/scale/sweep/output_test.go
+++ b/internal/scale/sweep/output_test.go
@@ -11,9 +11,10 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// Text, figures and runs of sweeps are read by people and programs of other days: no word and no key of them changes.
-func TestOutputStays(t *testing.T) {
-	w, err := Run(t.Context(), base(), Options{Only: []string{"agents", "depth"}, Target: target(), Play: strainedPlay})
+// TestOutputIsStable guards against changed words and keys in the text, metrics and runs of a sweep: people and programs
+// compare them with the output of other versions.
+func TestOutputIsStable(t *testing.T) {
+	w, err := Run(t.Context(), base(), Options{Only: []string{"agents", "depth"}, Target: target(), RunScenario: overloadedRun})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -39,15 +40,15 @@
 				t.Fatal(err)
 			}
 			if !bytes.Equal(got.Bytes(), want) {
-				t.Errorf("written:\n%s\nwant:\n%s", &got, want)
+				t.Errorf("got:\n%s\nwant:\n%s", &got, want)
 			}
 		})
 	}
 }
 
-// strainedPlay is a play whose figures grow, bend and show a control side past what it carries.
-func strainedPlay(ctx context.Context, s *scenario.Scenario) (*result.Run, error) {
-	r, err := played(ctx, s)
+// overloadedRun returns results with linear and kinked growth and the signs of an overloaded control plane.
+func overloadedRun(ctx context.Context, s *scenario.Scenario) (*result.Run, error) {
+	r, err := fakeRun(ctx, s)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/scale/sweep/plan.go
+++ b/internal/scale/sweep/plan.go
@@ -8,20 +8,20 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// baseRuns is how often the base itself is played: how its metrics differ then is the noise.
+// baseRuns is the number of runs of the base. The variation of their metrics is the noise.
 const baseRuns = 3
 
-// minSizes is how many sizes a fit needs: three determine a parabola, a fourth shows what it leaves.
+// minSizes is the number of sizes that a fit needs: three determine a parabola, a fourth shows its residual.
 const minSizes = 4
 
-// plannedRun is one size that is to be played; its dimension has no name for the base itself.
+// plannedRun is one size to run. For the base, the dimension is the zero value.
 type plannedRun struct {
 	dimension Dimension
 	size      float64
 	scenario  *scenario.Scenario
 }
 
-// planRuns lays out every run and checks it, so that a size that cannot be played is reported before the first run.
+// planRuns plans and checks all runs, so that invalid sizes are reported before the first run.
 func planRuns(base *scenario.Scenario, dimensions []Dimension, o Options) ([]plannedRun, error) {
 	for name := range o.Sizes {
 		if err := checkDimension("sizes", name); err != nil {
@@ -42,14 +42,14 @@
 	return all, nil
 }
 
-// planDimension lays out the runs along one dimension, but for the base.
+// planDimension plans the runs along one dimension, except those of the base.
 func planDimension(base *scenario.Scenario, d Dimension, o Options) (runs []plannedRun, err error) {
 	sizes := o.Sizes[d.Name]
 	if sizes == nil {
 		sizes = d.defaultSizes(base)
 	}
 	if n := len(sortedUnique(sizes)); n < minSizes {
-		return nil, fmt.Errorf("sizes: %s has %d different sizes, at least %d are wanted", d.Name, n, minSizes)
+		return nil, fmt.Errorf("sizes: %s has %d different sizes, at least %d are required", d.Name, n, minSizes)
 	}
 	if err := checkDistinguishable(base, d, sizes); err != nil {
 		return nil, err
@@ -69,7 +69,7 @@
 	return runs, nil
 }
 
-// checkDistinguishable reports rates of changes that make the same number of changes in a run.
+// checkDistinguishable returns an error if two rates of changes give the same number of changes in a run.
 func checkDistinguishable(base *scenario.Scenario, d Dimension, sizes []float64) error {
 	if d.Name != "changes" {
 		return nil
@@ -77,16 +77,16 @@
 	rateByCount := map[float64]float64{}
 	for _, rate := range sortedUnique(sizes) {
 		n := math.Round(rate * base.Seconds / secondsPerMinute)
-		if other, taken := rateByCount[n]; taken {
-			return fmt.Errorf("sizes: changes: %g and %g a minute are both %g changes in %g s", other, rate, n, base.Seconds)
+		if other, found := rateByCount[n]; found {
+			return fmt.Errorf("sizes: changes: %g and %g per minute both give %g changes in %g s", other, rate, n, base.Seconds)
 		}
 		rateByCount[n] = rate
 	}
 	return nil
 }
 
-// withSize is the base with one size changed; the dimension without a name changes none. The number of agents stays the
-// base's when servers vary, so that one size moves alone.
+// withSize returns a copy of the base with one size changed; the zero Dimension changes none. When the number of servers
+// varies, the number of agents remains that of the base, so that only one size changes.
 func withSize(base *scenario.Scenario, d Dimension, size float64) *scenario.Scenario {
 	s := *base
 	s.Events = slices.Clone(base.Events)
--- a/internal/scale/sweep/sweep.go
+++ b/internal/scale/sweep/sweep.go
@@ -1,6 +1,6 @@
-// Package sweep plays a scenario at several sizes, one run after another, and fits how each metric of a run grows with
-// each size: what the target needs and what twice the target needs follow from the fits. It plays nothing by itself, but
-// by Options.Play; a Sweep belongs to one goroutine.
+// Package sweep runs a scenario at several sizes, one run after another, and fits how each metric grows with each size.
+// From the fits it extrapolates the metrics to the target and to twice the target. It executes runs only through
+// Options.RunScenario. A Sweep is not safe for concurrent use.
 package sweep
 
 import (
@@ -12,36 +12,36 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// Options say what is swept and how a scenario is played.
+// Options configures Run.
 type Options struct {
-	Only     []string             // names of dimensions; none: all
-	Sizes    map[string][]float64 // by dimension, four at least; none: the dimension's own
-	Target   *scenario.Scenario   // what the fits are evaluated at
-	Limit    time.Duration        // of all runs together; 0: none. Sizes that are left then are Skipped
-	Play     func(context.Context, *scenario.Scenario) (*result.Run, error)
-	Check    func(*scenario.Scenario) error // of a size, before anything is played
-	Progress func(string)
+	Only        []string             // names of the dimensions to sweep; empty: all
+	Sizes       map[string][]float64 // sizes by dimension, at least minSizes each; a missing dimension has its default sizes
+	Target      *scenario.Scenario   // the scenario at which the fits are evaluated; nil: none
+	Limit       time.Duration        // time limit of all runs together; 0: none. The remaining sizes are reported as Skipped
+	RunScenario func(context.Context, *scenario.Scenario) (*result.Run, error)
+	Check       func(*scenario.Scenario) error // checks the scenario of each size before the first run; nil: no check
+	Progress    func(string)                   // is called with progress messages for the user; nil: none
 }
 
-// Sweep is what all runs gave.
+// Sweep holds the runs of a sweep and the fits computed from them.
 type Sweep struct {
-	Base    string
+	Base    string // name of the base scenario
 	Growth  []Growth
-	Kinks   []string // sizes past what the control side carries, and why
-	Skipped []string // what was not played, and why
+	Kinks   []string // sizes at which the control plane is overloaded, with the reason
+	Skipped []string // sizes without a result and dimensions without a fit, with the reason
 	Joint   map[string]Metric
-	Runs    []Played
+	Runs    []SizeRun
 }
 
-// Played is one run; its dimension is empty for the base itself.
-type Played struct {
+// SizeRun is one run. Dimension is empty for runs of the base.
+type SizeRun struct {
 	Dimension string      `json:"dimension"`
 	Size      float64     `json:"size"`
 	Run       *result.Run `json:"run"`
 }
 
-// Run plays all sizes. It returns an error for a size that cannot be played or an unknown dimension; a run that fails is
-// Skipped.
+// Run runs the base and all sizes and fits the metrics. It returns an error, before the first run, for an unknown dimension
+// or a size that Options.Check rejects. Failed runs are listed in Sweep.Skipped.
 func Run(ctx context.Context, base *scenario.Scenario, o Options) (*Sweep, error) {
 	dimensions, err := selectDimensions(o.Only)
 	if err != nil {
@@ -58,39 +58,39 @@
 		defer stop()
 	}
 	for _, p := range plan {
-		w.playOne(ctx, p, o)
+		w.runOne(ctx, p, o)
 	}
 	w.fitAll(dimensions, base, o.Target)
 	w.joinDimensions(base, o.Target)
 	return w, nil
 }
 
-// playOne plays one size and keeps its result, or why there is none.
-func (w *Sweep) playOne(ctx context.Context, p plannedRun, o Options) {
+// runOne runs one size and adds its result to Runs, or the reason why there is none to Skipped.
+func (w *Sweep) runOne(ctx context.Context, p plannedRun, o Options) {
 	name := p.scenario.Name
 	if p.dimension.Name != "" {
 		name = fmt.Sprintf("%s=%g", p.dimension.Name, p.size)
 	}
 	if ctx.Err() != nil {
-		w.Skipped = append(w.Skipped, name+": no time was left")
+		w.Skipped = append(w.Skipped, name+": the sweep ended before this run")
 		return
 	}
 	if o.Progress != nil {
-		o.Progress("plays " + name)
+		o.Progress("runs " + name)
 	}
-	r, err := o.Play(ctx, p.scenario)
+	r, err := o.RunScenario(ctx, p.scenario)
 	if err != nil {
 		w.Skipped = append(w.Skipped, fmt.Sprintf("%s: %v", name, err))
 		return
 	}
-	w.Runs = append(w.Runs, Played{p.dimension.Name, p.size, r})
+	w.Runs = append(w.Runs, SizeRun{p.dimension.Name, p.size, r})
 	w.Kinks = append(w.Kinks, overloadSigns(name, r)...)
 }
 
-// saturatedBusy is the busy share of a machine at which its queue cannot be expected to drain.
+// saturatedBusy is the busy share of a machine from which on its queue is not expected to drain.
 const saturatedBusy = 0.95
 
-// overloadSigns names what of a run says that a size is past what the control side carries.
+// overloadSigns returns the signs in a run's result that the size overloads the control plane.
 func overloadSigns(name string, r *result.Run) []string {
 	var all []string
 	for _, m := range r.Control {
--- a/internal/scale/sweep/text.go
+++ b/internal/scale/sweep/text.go
@@ -8,8 +8,8 @@
 	"example.org/ryeloft/internal/scale/textwriter"
 )
 
-// WriteText writes a sweep for a person: each metric's growth along each dimension, what the target needs, kinks, and what
-// was skipped.
+// WriteText writes a readable report: the growth of each metric along each dimension, the values extrapolated to the
+// target, the kinks, and what was skipped.
 func (w *Sweep) WriteText(to io.Writer) error {
 	out := textwriter.New(to)
 	out.Table(func(t *textwriter.Writer) {
@@ -66,7 +66,7 @@
 	}
 }
 
-// formatValues are the means by size, in the sizes' order.
+// formatValues returns the mean value at each size, ordered by size.
 func (g *Growth) formatValues() string {
 	var all []string
 	means := g.meansBySize()
@@ -76,7 +76,7 @@
 	return strings.Join(all, " ")
 }
 
-// formatSlope is the slope, or that the growth is flat.
+// formatSlope returns the slope, or "level" if the growth is flat.
 func (g *Growth) formatSlope() string {
 	if g.Flat {
 		return "level"
