--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -1,15 +1,16 @@
-// Package scale holds no code: its subpackages play a fleet of agents on one machine's loopback, as command scale runs it.
+// Package scale contains no code. Its subpackages implement the command scale, which runs a fleet of agents on the loopback
+// interface of one machine.
 //
-//	scenario    what is played: a TOML file of sizes, costs, budgets and events
-//	world       the fleet that a scenario draws from its seed, and the steps of its events
-//	run         one run: starts the parts, plays the steps, collects the results, checks the budgets
-//	role        the parts as processes of their own, and calls to them
-//	control     parts: the platform's discovery, and relays
-//	simagent    part: simulated agents, with modelled servers and applications
-//	realagent   real agents as processes, with which simulated ones are compared
-//	result      what a run measured
-//	sweep       runs at several sizes, and how each metric grows
+//	scenario    the input of a run: a TOML file of sizes, costs, budgets and events
+//	world       the fleet generated from the scenario's seed, and the steps of its events
+//	run         one run: starts the processes, applies the steps, collects the results, checks the budgets
+//	role        starts child processes and calls them
+//	control     child processes: the stand-in for the platform's discovery, and relays
+//	simagent    child process: simulated agents with modelled servers and applications
+//	realagent   real agents as processes, with which the simulated agents are compared
+//	result      the measurements of a run
+//	sweep       runs at several sizes and the growth of each metric
 //
-// The packages meter, parallel, procstat and textwriter are their tools. Imports go from run, sweep and the parts down to
-// world, scenario and result.
+// These packages share the helper packages meter, parallel, procstat and textwriter. Packages run, sweep and those of the
+// processes import world, scenario and result, not the other way round.
 package scale
--- a/internal/scale/scenario/adjust.go
+++ b/internal/scale/scenario/adjust.go
@@ -5,16 +5,16 @@
 	"slices"
 )
 
-// adjustment lowers values of a scenario that no override gives, so that they go with those that are given.
+// adjustment changes values of a scenario that are not overridden so that they are consistent with the overrides.
 type adjustment struct {
 	scenario  *Scenario
 	overrides Overrides
-	notes     []string // what was changed, for people
+	notes     []string // messages for the user, one per change
 }
 
-// AdjustTo makes values of the file go with overrides that are to follow: fewer servers carry fewer services, which are
-// less deep, and a shorter run has the events that end in it. It returns what it changed, for people. Overrides that do
-// not go together are left for Override to report.
+// AdjustTo makes the values of the file consistent with overrides that are applied afterwards: fewer servers mean fewer
+// services, fewer services mean less depth, and a shorter run keeps only the events that end before it does. It returns a
+// message for the user per change. It does not report conflicts among the overrides; Override does.
 func (s *Scenario) AdjustTo(o Overrides) (notes []string) {
 	a := &adjustment{scenario: s, overrides: o}
 	servers := valueOr(o.Servers, s.Fleet.Servers)
@@ -35,22 +35,23 @@
 	a.notes = append(a.notes, fmt.Sprintf(format, args...))
 }
 
-// lower lowers a value that no override gives to the largest one that goes with the others.
+// lower reduces a value to the largest one that is consistent with the others, unless it is overridden.
 func (a *adjustment) lower(field string, value, override *int, largest int) {
 	if override == nil && largest >= 1 && *value > largest {
-		a.note("%s: %d instead of the file's %d, to go with the flags", field, largest, *value)
+		a.note("%s: %d instead of the file's %d, to be consistent with the flags", field, largest, *value)
 		*value = largest
 	}
 }
 
-// adjustServices makes the services enough for a depth that is given, and services and depth few enough for the servers.
+// adjustServices raises the number of services for an overridden depth, and lowers services and depth to what the number of
+// servers allows.
 func (a *adjustment) adjustServices(servers int) {
 	fleet := &a.scenario.Fleet
 	o := a.overrides
 	services := valueOr(o.Services, fleet.Services)
 	if o.Depth != nil && o.Services == nil {
 		if needed := *o.Depth + 1; services < needed && needed <= servers {
-			a.note("fleet.services: %d instead of the file's %d, to go with the flags", needed, services)
+			a.note("fleet.services: %d instead of the file's %d, to be consistent with the flags", needed, services)
 			fleet.Services = needed
 		}
 	}
@@ -59,24 +60,24 @@
 	a.lower("fleet.depth", &fleet.Depth, o.Depth, services-1)
 }
 
-// dropAfter drops the events, and the failure of a relay, that a shorter run does not have.
+// dropAfter removes the events that end after the given time and a relay failure that begins after it.
 func (a *adjustment) dropAfter(seconds float64) {
 	s := a.scenario
 	s.Events = slices.DeleteFunc(s.Events, func(e Event) bool {
 		if s.EventEnd(e) <= seconds {
 			return false
 		}
-		a.note("events: %s at %g s is left out, the run is over before it", e.Kind, e.AtS)
+		a.note("events: %s at %g s is omitted, the run ends before the event does", e.Kind, e.AtS)
 		return true
 	})
 	if s.Relays.KillAt > seconds {
-		a.note("relays: the one killed at %g s is left alone, the run is over before it", s.Relays.KillAt)
+		a.note("relays: no relay is killed at %g s, the run ends earlier", s.Relays.KillAt)
 		s.Relays.KillAt = 0
 		s.Relays.RestartAfter = 0
 	}
 }
 
-// adjustEvents lowers the counts of events to what the fleet has.
+// adjustEvents lowers the counts of events to the size of the fleet.
 func (a *adjustment) adjustEvents(servers, agents int) {
 	for i := range a.scenario.Events {
 		e := &a.scenario.Events[i]
@@ -90,7 +91,7 @@
 	}
 }
 
-// valueOr is an override's value, or the file's where there is none.
+// valueOr returns the override, or the file's value if there is none.
 func valueOr(override *int, file int) int {
 	if override != nil {
 		return *override
--- a/internal/scale/scenario/load.go
+++ b/internal/scale/scenario/load.go
@@ -10,7 +10,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// defaults are the values of keys that a file leaves out. A file has to give its name, its sizes, its calls and its length.
+// defaults returns the values of optional keys. The name, the sizes, the call rate and the length have no defaults.
 func defaults() Scenario {
 	return Scenario{
 		Seed: 1,
@@ -31,14 +31,14 @@
 	}
 }
 
-// defaultClasses are those of a file that has none.
+// defaultClasses are the classes of a file without any.
 var defaultClasses = []Class{
 	{Name: "read", Share: 0.6, Idempotency: Idempotent, LatencyObjectiveMS: 400, DeadlineMS: 2000, PriorityWeight: 1},
 	{Name: "keyed", Share: 0.3, Idempotency: IdempotentWithKey, LatencyObjectiveMS: 400, DeadlineMS: 2000, DedupWindowMS: 30000, PriorityWeight: 2},
 	{Name: "once", Share: 0.1, Idempotency: NonIdempotent, LatencyObjectiveMS: 400, DeadlineMS: 2000, PriorityWeight: 3},
 }
 
-// Load reads and checks a file. Its errors name the file, and the field that cannot be used.
+// Load reads and validates a file. Its errors name the file and the invalid field.
 func Load(path string) (*Scenario, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -51,7 +51,8 @@
 	return s, nil
 }
 
-// Parse reads and checks the text of a file. An unknown key is an error, as a misspelt one would leave a default in force.
+// Parse parses and validates the text of a file. Unknown keys are errors, because a misspelt key would otherwise silently
+// leave the default in place.
 func Parse(text []byte) (*Scenario, error) {
 	s := defaults()
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&s); err != nil {
@@ -63,7 +64,7 @@
 	return &s, s.Validate()
 }
 
-// explainDecodeError adds the keys and lines that the decoder's errors leave out of their texts.
+// explainDecodeError adds the keys and lines that are missing in the texts of the decoder's errors.
 func explainDecodeError(err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
@@ -82,7 +83,7 @@
 	return err
 }
 
-// Agents is how many agents the fleet has: as many as servers where the file leaves that open.
+// Agents returns the number of agents in the fleet. If the file does not set it, it is the number of servers.
 func (s *Scenario) Agents() int {
 	if s.Fleet.Agents == 0 {
 		return s.Fleet.Servers
@@ -90,7 +91,7 @@
 	return s.Fleet.Agents
 }
 
-// ChangesPerMinute is how often the configuration changes by itself, as played.
+// ChangesPerMinute returns the rate of configuration changes in the run, in addition to those of events.
 func (s *Scenario) ChangesPerMinute() float64 {
 	if s.Control.PerMinute > 0 {
 		return s.Control.PerMinute
--- a/internal/scale/scenario/overrides.go
+++ b/internal/scale/scenario/overrides.go
@@ -1,16 +1,16 @@
 package scenario
 
-// Overrides replace values of a file. Nil leaves a value as it is; a pointer to 0 is a 0.
+// Overrides replace values of a file. A nil field keeps the file's value; a pointer to 0 sets 0.
 type Overrides struct {
 	Agents, Real, Servers, Services, Depth *int
-	Relays                                 *int // 0: none, whatever else the file says of them
+	Relays                                 *int // 0: no relays, and the other keys of relays are reset
 	Seed                                   *uint64
-	ChangesPerMinute                       *float64 // 0: no changes but those of events
+	ChangesPerMinute                       *float64 // 0: only the changes of events
 	Seconds                                *float64
 	CallsPerSecond                         *float64
 }
 
-// Override replaces what is not nil, and validates the result. After an error the scenario is as it was.
+// Override applies the overrides and validates the result. On error the scenario is unchanged.
 func (s *Scenario) Override(o Overrides) error {
 	next := *s
 	setIfGiven(&next.Fleet.Agents, o.Agents)
@@ -26,7 +26,7 @@
 		next.Relays.setCount(*o.Relays)
 	}
 	if o.ChangesPerMinute != nil && *o.ChangesPerMinute == 0 {
-		next.Control.ChangesDay = 0 // which would be played otherwise
+		next.Control.ChangesDay = 0 // otherwise ChangesPerMinute would return its mean rate
 	}
 	if err := next.Validate(); err != nil {
 		return err
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// setCount sets the number of relays, which hand out defaultFullListsPerSecond where the file has none.
+// setCount sets the number of relays. FullListsPerS is defaultFullListsPerSecond if the file does not set it.
 func (r *Relays) setCount(count int) {
 	r.Count = count
 	if count == 0 {
@@ -45,7 +45,7 @@
 	}
 }
 
-// defaultFullListsPerSecond lets five relays serve 830 agents, the target's, within a second.
+// defaultFullListsPerSecond lets five relays send full lists to the target's 830 agents within a second.
 const defaultFullListsPerSecond = 200
 
 func setIfGiven[T any](field, value *T) {
--- a/internal/scale/scenario/validate.go
+++ b/internal/scale/scenario/validate.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// The largest scenario that can be played.
+// These are the limits of a scenario.
 const (
 	maxServers  = 4096
 	maxServices = 1024
@@ -17,10 +17,10 @@
 	maxEvents   = 200
 	maxSeconds  = 24 * 3600
 	maxMS       = 600_000
-	maxCount    = 1 << 20 // of values without a bound of their own
+	maxCount    = 1 << 20 // limit of values without a more specific one
 )
 
-// validator keeps the first error, from which later ones may only follow.
+// validator keeps the first error, because later ones may be consequences of it.
 type validator struct{ err error }
 
 func (v *validator) fail(field, format string, args ...any) {
@@ -29,27 +29,27 @@
 	}
 }
 
-func (v *validator) intInRange(field string, value, least, most int) {
-	if value < least || value > most {
-		v.fail(field, "must be %d to %d, not %d", least, most, value)
+func (v *validator) intInRange(field string, value, lowest, highest int) {
+	if value < lowest || value > highest {
+		v.fail(field, "must be %d to %d, not %d", lowest, highest, value)
 	}
 }
 
-// floatInRange accepts values between the bounds, which NaN is not.
-func (v *validator) floatInRange(field string, value, least, most float64) {
-	if !(value >= least && value <= most) {
-		v.fail(field, "must be %v to %v, not %v", least, most, value)
+// floatInRange accepts values from lowest to highest. It rejects NaN.
+func (v *validator) floatInRange(field string, value, lowest, highest float64) {
+	if !(value >= lowest && value <= highest) {
+		v.fail(field, "must be %v to %v, not %v", lowest, highest, value)
 	}
 }
 
-// floatAbove is floatInRange without the lower bound itself.
-func (v *validator) floatAbove(field string, value, bound, most float64) {
-	if !(value > bound && value <= most) {
-		v.fail(field, "must be above %v and at most %v, not %v", bound, most, value)
+// floatAbove accepts values above bound, up to highest. It rejects NaN.
+func (v *validator) floatAbove(field string, value, bound, highest float64) {
+	if !(value > bound && value <= highest) {
+		v.fail(field, "must be above %v and at most %v, not %v", bound, highest, value)
 	}
 }
 
-// Validate names the first field that cannot be used, or two that do not go together.
+// Validate returns an error that names the first invalid field or the first two inconsistent fields.
 func (s *Scenario) Validate() error {
 	var v validator
 	if s.Name == "" || strings.ContainsAny(s.Name, "/\\ \t\r\n") {
@@ -73,19 +73,19 @@
 	v.intInRange("fleet.real", f.Real, 0, maxReal)
 	v.intInRange("fleet.depth", f.Depth, 1, maxDepth)
 	if f.Services > f.Servers {
-		v.fail("fleet.services", "%d services cannot have a server each of %d (fleet.servers)", f.Services, f.Servers)
+		v.fail("fleet.services", "%d services need at least as many servers, not %d (fleet.servers)", f.Services, f.Servers)
 	}
 	if f.Services < f.Depth+1 {
-		v.fail("fleet.services", "%d services cannot fill the front and %d layers behind it (fleet.depth)", f.Services, f.Depth)
+		v.fail("fleet.services", "%d services are too few for the front layer and %d layers below it (fleet.depth)", f.Services, f.Depth)
 	}
 	if f.Real > s.Agents() {
-		v.fail("fleet.real", "%d of %d agents (fleet.agents) cannot be real", f.Real, s.Agents())
+		v.fail("fleet.real", "%d real agents are more than all %d agents (fleet.agents)", f.Real, s.Agents())
 	}
 	v.floatAbove("fleet.calls_per_second", f.CallsPerSecond, 0, 1e7)
 	v.intInRange("fleet.regions", f.Regions, 1, 8)
 	v.intInRange("fleet.zones", f.Zones, 1, 64)
 	if f.Regions > 0 && f.Zones%f.Regions != 0 {
-		v.fail("fleet.zones", "%d zones cannot be shared out evenly among %d regions (fleet.regions)", f.Zones, f.Regions)
+		v.fail("fleet.zones", "%d zones cannot be divided evenly among %d regions (fleet.regions)", f.Zones, f.Regions)
 	}
 	v.intInRange("fleet.racks", f.Racks, 1, 256)
 	v.floatInRange("fleet.uneven", f.Uneven, 0, 3)
@@ -129,7 +129,7 @@
 	v.intInRange("relays.count", r.Count, 0, 16)
 	if r.Count == 0 {
 		if *r != (Relays{}) {
-			v.fail("relays.count", "is 0, so that the other keys of relays mean nothing")
+			v.fail("relays.count", "must be above 0 if other keys of relays are set")
 		}
 		return
 	}
@@ -143,29 +143,29 @@
 func (s *Scenario) checkClasses(v *validator) {
 	shares := 0.0
 	if len(s.Classes) == 0 {
-		v.fail("classes", "there is none")
+		v.fail("classes", "must not be empty")
 	}
 	for i, k := range s.Classes {
-		at := fmt.Sprintf("classes[%d].", i)
+		prefix := fmt.Sprintf("classes[%d].", i)
 		if k.Name == "" || slices.ContainsFunc(s.Classes[:i], func(o Class) bool { return o.Name == k.Name }) {
-			v.fail(at+"name", "%q is empty or taken", k.Name)
+			v.fail(prefix+"name", "%q is empty or a duplicate", k.Name)
 		}
 		if !slices.Contains(idempotencies, k.Idempotency) {
-			v.fail(at+"effect", "%q is none of %s", k.Idempotency, strings.Join(idempotencies, ", "))
+			v.fail(prefix+"effect", "%q is not one of %s", k.Idempotency, strings.Join(idempotencies, ", "))
 		}
-		v.floatInRange(at+"share", k.Share, 0, 1)
-		v.floatAbove(at+"aim_ms", k.LatencyObjectiveMS, 0, maxMS)
-		v.floatInRange(at+"deadline_ms", k.DeadlineMS, k.LatencyObjectiveMS, maxMS)
-		v.floatInRange(at+"worth", k.PriorityWeight, 0, 1e6)
+		v.floatInRange(prefix+"share", k.Share, 0, 1)
+		v.floatAbove(prefix+"aim_ms", k.LatencyObjectiveMS, 0, maxMS)
+		v.floatInRange(prefix+"deadline_ms", k.DeadlineMS, k.LatencyObjectiveMS, maxMS)
+		v.floatInRange(prefix+"worth", k.PriorityWeight, 0, 1e6)
 		if k.Idempotency == IdempotentWithKey {
-			v.floatAbove(at+"window_ms", k.DedupWindowMS, 0, 24*3600*1000)
+			v.floatAbove(prefix+"window_ms", k.DedupWindowMS, 0, 24*3600*1000)
 		} else if k.DedupWindowMS != 0 {
-			v.fail(at+"window_ms", "only the effect token has one")
+			v.fail(prefix+"window_ms", "is allowed only with the effect token")
 		}
 		shares += k.Share
 	}
 	if math.Abs(shares-1) > 1e-6 {
-		v.fail("classes", "the shares must make 1, not %v", shares)
+		v.fail("classes", "the shares must add up to 1, not %v", shares)
 	}
 }
 
@@ -181,7 +181,7 @@
 	v.intInRange("budgets.added_samples", b.AddedSamples, 0, maxCount)
 }
 
-// eventKeySet says which keys an event may have beside kind and at_s.
+// eventKeySet is the set of keys that an event may or must have in addition to kind and at_s.
 type eventKeySet int
 
 const (
@@ -192,7 +192,7 @@
 	allowsZone
 )
 
-// eventKeys are the keys of events by kind.
+// eventKeys maps each kind of event to its keys.
 var eventKeys = map[string]eventKeySet{
 	EventConfig:      0,
 	EventRestart:     allowsDuration | allowsCount,
@@ -210,27 +210,27 @@
 func (s *Scenario) checkEvents(v *validator) {
 	v.intInRange("events", len(s.Events), 0, maxEvents)
 	for i, e := range s.Events {
-		at := fmt.Sprintf("events[%d].", i)
+		prefix := fmt.Sprintf("events[%d].", i)
 		keys, known := eventKeys[e.Kind]
 		if !known {
-			v.fail(at+"kind", "%q is unknown", e.Kind)
+			v.fail(prefix+"kind", "%q is unknown", e.Kind)
 		}
-		v.floatInRange(at+"at_s", e.AtS, 0, s.Seconds)
-		v.floatInRange(at+"for_s", e.ForS, 0, maxSeconds)
-		v.floatInRange(at+"share", e.Share, 0, 1)
+		v.floatInRange(prefix+"at_s", e.AtS, 0, s.Seconds)
+		v.floatInRange(prefix+"for_s", e.ForS, 0, maxSeconds)
+		v.floatInRange(prefix+"share", e.Share, 0, 1)
 		if keys&requiresDuration != 0 && e.ForS == 0 {
-			v.fail(at+"for_s", "must be above 0 for %s", e.Kind)
+			v.fail(prefix+"for_s", "must be above 0 for %s", e.Kind)
 		}
-		checkEventKeys(v, at, e, keys)
-		s.checkTargets(v, at, e)
+		checkEventKeys(v, prefix, e, keys)
+		s.checkTargets(v, prefix, e)
 		if end := s.EventEnd(e); end > s.Seconds {
-			v.fail(at+"at_s", "the event lasts until %v s, the run only until %v (seconds)", end, s.Seconds)
+			v.fail(prefix+"at_s", "the event ends at %v s, after the run, which ends at %v s (seconds)", end, s.Seconds)
 		}
 	}
 }
 
-// checkEventKeys reports keys that mean nothing for the event's kind.
-func checkEventKeys(v *validator, at string, e Event, allowed eventKeySet) {
+// checkEventKeys rejects keys that have no meaning for the event's kind.
+func checkEventKeys(v *validator, prefix string, e Event, allowed eventKeySet) {
 	for _, key := range []struct {
 		name    string
 		flag    eventKeySet
@@ -242,35 +242,35 @@
 		{"zone", allowsZone, e.Zone != 0},
 	} {
 		if key.present && allowed&key.flag == 0 {
-			v.fail(at+key.name, "means nothing for %s", e.Kind)
+			v.fail(prefix+key.name, "is not allowed for %s", e.Kind)
 		}
 	}
 }
 
-// checkTargets checks what an event affects against the size of the fleet.
-func (s *Scenario) checkTargets(v *validator, at string, e Event) {
+// checkTargets checks the targets of an event against the size of the fleet.
+func (s *Scenario) checkTargets(v *validator, prefix string, e Event) {
 	f := &s.Fleet
 	switch e.Kind {
 	case EventRestart:
-		v.intInRange(at+"count", e.Count, 1, s.Agents())
+		v.intInRange(prefix+"count", e.Count, 1, s.Agents())
 	case EventReplace, EventMachine:
-		v.intInRange(at+"count", e.Count, 1, f.Servers)
+		v.intInRange(prefix+"count", e.Count, 1, f.Servers)
 	case EventRelease:
-		v.floatAbove(at+"share", e.Share, 0, 1)
+		v.floatAbove(prefix+"share", e.Share, 0, 1)
 	case EventRack:
-		v.intInRange(at+"count", e.Count, 0, f.Racks-1)
-		v.intInRange(at+"zone", e.Zone, 0, f.Zones-1)
+		v.intInRange(prefix+"count", e.Count, 0, f.Racks-1)
+		v.intInRange(prefix+"zone", e.Zone, 0, f.Zones-1)
 	case EventZone:
-		v.intInRange(at+"zone", e.Zone, 0, f.Zones-1)
+		v.intInRange(prefix+"zone", e.Zone, 0, f.Zones-1)
 	case EventRegions:
 		if f.Regions < 2 {
-			v.fail(at+"kind", "regions needs two of them, not %d (fleet.regions)", f.Regions)
+			v.fail(prefix+"kind", "regions needs at least 2 regions, not %d (fleet.regions)", f.Regions)
 		}
 	}
 }
 
-// EventEnd is when an event's last change is made, in seconds of the run: when the last servers that drained or vanished
-// are listed again.
+// EventEnd returns the time of an event's last change, in seconds since the start of the run. If servers drain or fail, it
+// is the time at which the last of them is listed again.
 func (s *Scenario) EventEnd(e Event) float64 {
 	end := e.AtS + e.ForS
 	switch e.Kind {
