--- a/internal/scale/meter/meter.go
+++ b/internal/scale/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts the bytes that agents' connections carry, by agent and second. A Meter is safe for use by several
-// goroutines; it changes nothing in what the connections carry.
+// Package meter counts the bytes on agents' connections per agent and second. It does not change the data. A Meter is safe
+// for concurrent use.
 package meter
 
 import (
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// maxBins is how many seconds have bins of their own; later bytes count in the last one.
+// maxBins is the number of one-second bins. Later bytes are counted in the last bin.
 const maxBins = 3600
 
-// Meter counts what the owners of sockets read and write: neither the headers of TCP and IP nor retransmissions.
+// Meter counts the bytes read from and written to sockets. TCP and IP headers and retransmissions are not included.
 type Meter struct {
-	mu        sync.RWMutex // held for writing to start anew or to read all bins
+	mu        sync.RWMutex // write-locked to reset or to read all bins
 	startedAt time.Time
 	agents    []agentBins
 }
 
-// agentBins are one agent's. Each has a mutex of its own, so that agents do not wait for each other.
+// agentBins are the bins of one agent. Its mutex keeps agents from waiting for each other; it guards the bins while the
+// meter's mutex is read-locked.
 type agentBins struct {
 	mu      sync.Mutex
-	in, out []int64 // by second, up to the last one that had bytes
+	in, out []int64 // by second, up to the last second with bytes
 }
 
-// New returns a meter whose first second starts at begin. Earlier bytes count in that second.
+// New returns a meter whose first second starts at begin. Earlier bytes are counted in that second.
 func New(agents int, begin time.Time) *Meter {
 	return &Meter{startedAt: begin, agents: make([]agentBins, agents)}
 }
 
-// Begin forgets what was counted and starts the first second now.
+// Begin resets all counts and starts the first second now.
 func (m *Meter) Begin() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -41,7 +42,7 @@
 	}
 }
 
-// Bins are the bytes that came in and went out, by agent and second, with a bin for each second that has begun.
+// Bins returns the received and sent bytes by agent and second, with a bin for each second that has begun.
 func (m *Meter) Bins() (in, out [][]int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,19 +51,19 @@
 		n = max(n, len(m.agents[i].in), len(m.agents[i].out))
 	}
 	for i := range m.agents {
-		in = append(in, padded(m.agents[i].in, n))
-		out = append(out, padded(m.agents[i].out, n))
+		in = append(in, padTo(m.agents[i].in, n))
+		out = append(out, padTo(m.agents[i].out, n))
 	}
 	return in, out
 }
 
-func padded(bins []int64, n int) []int64 {
+func padTo(bins []int64, n int) []int64 {
 	all := make([]int64, n)
 	copy(all, bins)
 	return all
 }
 
-// bin is the second that a time lies in.
+// bin returns the index of the bin for a time.
 func (m *Meter) bin(at time.Time) int {
 	return int(min(max(at.Sub(m.startedAt)/time.Second, 0), maxBins-1))
 }
@@ -91,7 +92,7 @@
 	return bins
 }
 
-// Listener returns a listener whose connections' bytes count as an agent's, by its index.
+// Listener wraps l so that the bytes on its connections are counted for the agent with the given index.
 func (m *Meter) Listener(l net.Listener, agent int) net.Listener { return &listener{l, m, agent} }
 
 type listener struct {
--- a/internal/scale/meter/meter_test.go
+++ b/internal/scale/meter/meter_test.go
@@ -11,18 +11,18 @@
 	"time"
 )
 
-// pipes hands out the connections that are sent to it. They keep the time of a bubble.
-type pipes struct {
+// pipeListener accepts the connections sent to conns. Unlike sockets, pipes work within a synctest bubble.
+type pipeListener struct {
 	net.Listener
 	conns chan net.Conn
 }
 
-func (p pipes) Accept() (net.Conn, error) { return <-p.conns, nil }
+func (p pipeListener) Accept() (net.Conn, error) { return <-p.conns, nil }
 
-// connect returns both ends of a connection that counts as an agent's.
+// connect returns both ends of a connection whose second end is counted for the agent.
 func connect(t *testing.T, m *Meter, agent int) (near, counted net.Conn) {
 	t.Helper()
-	p := pipes{conns: make(chan net.Conn, 1)}
+	p := pipeListener{conns: make(chan net.Conn, 1)}
 	near, far := net.Pipe()
 	p.conns <- far
 	counted, err := m.Listener(p, agent).Accept()
@@ -32,10 +32,10 @@
 	return near, counted
 }
 
-// send writes so many bytes to one end and reads them at the other.
+// send writes n bytes to one end and reads them at the other.
 func send(t *testing.T, from, to net.Conn, n int) {
 	t.Helper()
-	if n == 0 { // which a pipe would wait for
+	if n == 0 { // a write of 0 bytes blocks on a pipe
 		return
 	}
 	written := make(chan error, 1)
@@ -49,7 +49,7 @@
 	}
 }
 
-// Bytes count in their direction, agent and second.
+// TestBins checks that bytes are counted for their direction, agent and second.
 func TestBins(t *testing.T) {
 	type sent struct {
 		at      time.Duration // since the meter began
@@ -60,7 +60,7 @@
 		name    string
 		sent    []sent
 		until   time.Duration
-		in, out string // the bins
+		in, out string // expected bins
 	}{
 		{"nothing", nil, 1500 * time.Millisecond, "[[0 0] [0 0]]", "[[0 0] [0 0]]"},
 		{"both ways", []sent{{0, 0, 3, 5}, {999 * time.Millisecond, 0, 10, 20}}, 999 * time.Millisecond, "[[13] [0]]", "[[25] [0]]"},
@@ -73,7 +73,7 @@
 				begin := time.Now()
 				m := New(2, begin)
 				for _, s := range c.sent {
-					time.Sleep(time.Until(begin.Add(s.at))) // of the bubble's clock
+					time.Sleep(time.Until(begin.Add(s.at))) // on the bubble's clock
 					near, counted := connect(t, m, s.agent)
 					send(t, near, counted, s.in)
 					send(t, counted, near, s.out)
@@ -81,14 +81,14 @@
 				time.Sleep(time.Until(begin.Add(c.until)))
 				in, out := m.Bins()
 				if fmt.Sprint(in) != c.in || fmt.Sprint(out) != c.out {
-					t.Errorf("in %v, out %v, want %s and %s", in, out, c.in, c.out)
+					t.Errorf("got in %v, out %v, want in %s, out %s", in, out, c.in, c.out)
 				}
 			})
 		})
 	}
 }
 
-// The meter keeps an hour; the bytes that come later are not lost. Begin forgets all.
+// TestMaxBins checks that bytes after the last bin are counted in it, and that Begin resets all counts.
 func TestMaxBins(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New(1, time.Now())
@@ -99,29 +99,29 @@
 		}
 		in, out := m.Bins()
 		if len(in[0]) != maxBins || len(out[0]) != maxBins || in[0][maxBins-1] != 21 {
-			t.Errorf("%d and %d seconds, the last with %d bytes in", len(in[0]), len(out[0]), in[0][maxBins-1])
+			t.Errorf("got %d and %d bins, the last with %d bytes in, want %d bins, the last with 21", len(in[0]), len(out[0]), in[0][maxBins-1], maxBins)
 		}
 		m.Begin()
 		send(t, counted, near, 9)
 		if in, out := m.Bins(); fmt.Sprint(in, out) != "[[0]] [[9]]" {
-			t.Errorf("after Begin: in %v, out %v", in, out)
+			t.Errorf("after Begin: got in %v, out %v, want in [[0]], out [[9]]", in, out)
 		}
 	})
 }
 
-// Bytes before the meter begins count in its first second.
+// TestBytesBeforeBegin checks that bytes before the meter's begin are counted in its first second.
 func TestBytesBeforeBegin(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := New(1, time.Now().Add(time.Minute))
 		near, counted := connect(t, m, 0)
 		send(t, near, counted, 7)
 		if in, _ := m.Bins(); fmt.Sprint(in) != "[[7]]" {
-			t.Errorf("in %v", in)
+			t.Errorf("got in %v, want [[7]]", in)
 		}
 	})
 }
 
-// No byte is lost between many connections of many agents and those who look.
+// TestConcurrentConnections checks that no bytes are lost while several connections per agent count and others read the bins.
 func TestConcurrentConnections(t *testing.T) {
 	const agents, conns, writes, size = 8, 4, 50, 100
 	m := New(agents, time.Now())
@@ -140,10 +140,10 @@
 	in, out := m.Bins()
 	for agent := range agents {
 		if n := sum(in[agent]); n != conns*writes*size {
-			t.Errorf("agent %d: %d bytes in, want %d", agent, n, conns*writes*size)
+			t.Errorf("agent %d: got %d bytes in, want %d", agent, n, conns*writes*size)
 		}
 		if n := sum(out[agent]); n != 2*conns*writes*size {
-			t.Errorf("agent %d: %d bytes out, want %d", agent, n, 2*conns*writes*size)
+			t.Errorf("agent %d: got %d bytes out, want %d", agent, n, 2*conns*writes*size)
 		}
 	}
 }
--- a/internal/scale/parallel/parallel.go
+++ b/internal/scale/parallel/parallel.go
@@ -1,4 +1,4 @@
-// Package parallel runs a function for several items at a time. It keeps no state, and no goroutine outlives a call.
+// Package parallel calls a function for several items concurrently. It keeps no state, and no goroutine outlives a call.
 package parallel
 
 import (
@@ -6,8 +6,8 @@
 	"sync"
 )
 
-// ForEach calls do for all items in order, at most limit at a time, and returns when all calls have returned, with all their
-// errors in the items' order.
+// ForEach calls do for each item, starting the calls in order and running at most limit at a time. It returns after all
+// calls have returned, with their errors joined in the order of the items.
 func ForEach[T any](items []T, limit int, do func(T) error) error {
 	errs := make([]error, len(items))
 	slots := make(chan struct{}, limit)
--- a/internal/scale/parallel/parallel_test.go
+++ b/internal/scale/parallel/parallel_test.go
@@ -32,7 +32,7 @@
 				begun := time.Now()
 				err := ForEach(items, c.limit, func(i int) error {
 					if n := running.Add(1); n > int64(c.limit) {
-						t.Errorf("%d calls at a time, want at most %d", n, c.limit)
+						t.Errorf("got %d calls at a time, want at most %d", n, c.limit)
 					}
 					defer running.Add(-1)
 					calls.Add(1)
@@ -43,10 +43,10 @@
 					return nil
 				})
 				if calls.Load() != int64(c.items) || time.Since(begun) != c.took {
-					t.Errorf("%d calls in %v, want %d in %v", calls.Load(), time.Since(begun), c.items, c.took)
+					t.Errorf("got %d calls in %v, want %d in %v", calls.Load(), time.Since(begun), c.items, c.took)
 				}
 				if (c.want == "") != (err == nil) || err != nil && (err.Error() != c.want || !errors.Is(err, errOdd)) {
-					t.Errorf("error %v, want %q", err, c.want)
+					t.Errorf("got error %v, want %q", err, c.want)
 				}
 			})
 		})
--- a/internal/scale/procstat/procstat.go
+++ b/internal/scale/procstat/procstat.go
@@ -1,4 +1,4 @@
-// Package procstat reads what processes cost the machine, from Linux's getrusage and /proc. It keeps no state.
+// Package procstat reads the CPU time and memory of processes from getrusage and /proc on Linux. It keeps no state.
 package procstat
 
 import (
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// OwnCPU is the processor time, user and system, that this process has used so far.
+// OwnCPU returns the CPU time, user and system, that this process has used since it started.
 func OwnCPU() (time.Duration, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
-		return 0, fmt.Errorf("reading the own processor time: %w", err)
+		return 0, fmt.Errorf("reading the CPU time of this process: %w", err)
 	}
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano()), nil
 }
 
-// ResidentBytes is the memory that a process holds.
+// ResidentBytes returns the resident memory of a process.
 func ResidentBytes(pid int) (int64, error) {
 	path := fmt.Sprintf("/proc/%d/statm", pid)
 	text, err := os.ReadFile(path)
@@ -36,7 +36,8 @@
 	return residentPages * int64(os.Getpagesize()), nil
 }
 
-// TreeResidentBytes is the memory that a process and its children hold. A process that ends meanwhile counts as nothing.
+// TreeResidentBytes returns the resident memory of a process and its direct children. A process that has ended or ends during
+// the call counts as 0.
 func TreeResidentBytes(pid int) int64 {
 	sum := residentOrZero(pid)
 	for _, child := range children(pid) {
@@ -46,23 +47,23 @@
 }
 
 func residentOrZero(pid int) int64 {
-	held, err := ResidentBytes(pid)
+	resident, err := ResidentBytes(pid)
 	if err != nil {
 		return 0
 	}
-	return held
+	return resident
 }
 
-// children are the processes whose parent a process is.
+// children returns the processes whose parent is pid.
 func children(pid int) (pids []int) {
-	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // it fails only for a malformed pattern
+	stats, _ := filepath.Glob("/proc/[0-9]*/stat") // Glob fails only for a malformed pattern
 	parent := []byte(strconv.Itoa(pid))
 	for _, path := range stats {
 		text, err := os.ReadFile(path)
 		if err != nil {
 			continue // the process has ended
 		}
-		// The command's name, in parentheses, may hold anything; behind it come the state and the parent.
+		// The command name in parentheses may contain any character. After it come the state and the parent's PID.
 		fields := bytes.Fields(text[bytes.LastIndexByte(text, ')')+1:])
 		if len(fields) < 2 || !bytes.Equal(fields[1], parent) {
 			continue
@@ -75,17 +76,18 @@
 	return pids
 }
 
-// bytesPerKB is what the kernel calls a kB.
+// bytesPerKB is the number of bytes in what the kernel calls a kB.
 const bytesPerKB = 1 << 10
 
-// ThreadsCPU is the time that a process's threads have run on a core, to the nanosecond, where /proc/PID/stat would give
-// hundredths of a second. Go's threads stay; for a process that has ended it is 0.
+// ThreadsCPU returns the time that a process's threads have run on a core. It has a resolution of nanoseconds, that of
+// /proc/PID/stat is a hundredth of a second. Threads that have ended are not included, but Go keeps its threads. For a
+// process that has ended the result is 0.
 func ThreadsCPU(pid int) (sum time.Duration) {
-	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // it fails only for a malformed pattern
+	paths, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/schedstat", pid)) // Glob fails only for a malformed pattern
 	for _, path := range paths {
 		text, err := os.ReadFile(path)
 		if err != nil {
-			continue // a thread that has just ended
+			continue // the thread has ended
 		}
 		ran, _, _ := bytes.Cut(text, []byte(" "))
 		ns, _ := strconv.ParseInt(string(ran), 10, 64) // the kernel writes a number
@@ -94,8 +96,8 @@
 	return sum
 }
 
-// HeldAndPeakBytes are what a process holds in memory and the most that it has held, in bytes; 0 once it has ended.
-func HeldAndPeakBytes(pid int) (held, peak float64) {
+// HeldAndPeakBytes returns the resident memory of a process and its peak, in bytes, or zeros if the process has ended.
+func HeldAndPeakBytes(pid int) (resident, peak float64) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if errors.Is(err, fs.ErrNotExist) {
 		return 0, 0
@@ -106,13 +108,13 @@
 		if len(fields) == 0 {
 			continue
 		}
-		kb, _ := strconv.ParseFloat(string(fields[0]), 64) // of the lines below, the kernel writes a number of kB
+		kb, _ := strconv.ParseFloat(string(fields[0]), 64) // in the two lines below the kernel writes a number of kB
 		switch string(name) {
 		case "VmRSS":
-			held = kb * bytesPerKB
+			resident = kb * bytesPerKB
 		case "VmHWM":
 			peak = kb * bytesPerKB
 		}
 	}
-	return held, peak
+	return resident, peak
 }
--- a/internal/scale/procstat/procstat_test.go
+++ b/internal/scale/procstat/procstat_test.go
@@ -12,7 +12,7 @@
 func TestMemoryCountsChildren(t *testing.T) {
 	alone := TreeResidentBytes(os.Getpid())
 	if alone < 1<<20 {
-		t.Fatalf("this process holds %d bytes", alone)
+		t.Fatalf("this process: got %d resident bytes, want at least 1 MiB", alone)
 	}
 	cmd := exec.Command("sleep", "60")
 	if err := cmd.Start(); err != nil {
@@ -23,18 +23,18 @@
 		t.Error(err)
 	}
 	if with := TreeResidentBytes(os.Getpid()); child == 0 || with < child {
-		t.Errorf("a child holds %d bytes, all of them %d", child, with)
+		t.Errorf("got %d resident bytes of the child, %d with its parent, want above 0 and at least as many with its parent", child, with)
 	}
 	if own := TreeResidentBytes(cmd.Process.Pid); own > 64<<20 {
-		t.Errorf("a process without children counts %d bytes", own)
+		t.Errorf("process without children: got %d resident bytes, want at most 64 MiB", own)
 	}
 	cmd.Process.Kill()
 	cmd.Wait()
 	if got, err := ResidentBytes(cmd.Process.Pid); got != 0 || !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("a process that has ended holds %d bytes, error %v", got, err)
+		t.Errorf("ended process: got %d resident bytes, error %v, want 0 and fs.ErrNotExist", got, err)
 	}
 	if got := TreeResidentBytes(cmd.Process.Pid); got != 0 {
-		t.Errorf("a process that has ended holds %d bytes with its children", got)
+		t.Errorf("ended process with its children: got %d resident bytes, want 0", got)
 	}
 }
 
@@ -52,7 +52,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("%v of processor time at first, %v after ten busy seconds", before, now)
+			t.Fatalf("got %v of CPU time after ten busy seconds, want more than %v", now, before)
 		}
 	}
 }
--- a/internal/scale/result/distribution.go
+++ b/internal/scale/result/distribution.go
@@ -6,7 +6,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Distribution sums up measurements in the unit that the name of its field gives. N is 0 where nothing was measured.
+// Distribution summarizes measurements, in the unit stated in the name of the field that contains it. N is 0 if nothing was
+// measured.
 type Distribution struct {
 	N    int64   `json:"n"`
 	Mean float64 `json:"mean"`
@@ -15,13 +16,14 @@
 	Max  float64 `json:"max"`
 }
 
-// stepsPerUnit is a Histogram's resolution: values from a thousandth on have three significant digits.
+// stepsPerUnit is the resolution of a Histogram. Values are recorded in thousandths, with three significant digits.
 const stepsPerUnit = 1000
 
-// Histogram collects values not below 0, to three significant digits, in bounded memory. It belongs to one goroutine.
+// Histogram collects non-negative values with three significant digits, in bounded memory. It is not safe for concurrent
+// use.
 type Histogram struct{ h *hdrhistogram.Histogram }
 
-// NewHistogram returns an empty histogram for values up to the largest one; values above count as that.
+// NewHistogram returns an empty histogram for values up to largest. Larger values are counted as largest.
 func NewHistogram(largest float64) *Histogram {
 	return &Histogram{hdrhistogram.New(1, int64(largest*stepsPerUnit)+1, 3)}
 }
@@ -29,16 +31,16 @@
 // Add adds one value.
 func (h *Histogram) Add(v float64) {
 	n := min(max(int64(v*stepsPerUnit), 0), h.h.HighestTrackableValue())
-	_ = h.h.RecordValue(n) // it is within the bounds
+	_ = h.h.RecordValue(n) // n is within the bounds
 }
 
-// AddDuration adds a time, in milliseconds.
+// AddDuration adds a duration, in milliseconds.
 func (h *Histogram) AddDuration(d time.Duration) { h.Add(float64(d) / float64(time.Millisecond)) }
 
 // Merge adds all values of another histogram.
 func (h *Histogram) Merge(o *Histogram) { h.h.Merge(o.h) }
 
-// Distribution sums up the values.
+// Distribution returns a summary of the values.
 func (h *Histogram) Distribution() Distribution {
 	if h.h.TotalCount() == 0 {
 		return Distribution{}
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -1,42 +1,42 @@
-// Package result holds what a scale run measured, in the form in which its parts hand it on and in which it is written
-// as JSON. It computes nothing but summaries; its values have no owner but their holder.
+// Package result defines the measurements of a scale run, as its processes send them to each other and as they are written
+// as JSON. Apart from summaries it computes nothing. Its values belong to their caller.
 package result
 
-// Sizes are what a run was played with.
+// Sizes are the sizes and rates of a run.
 type Sizes struct {
 	Servers          int     `json:"servers"`
 	Services         int     `json:"services"`
-	Agents           int     `json:"agents"` // real ones among them
+	Agents           int     `json:"agents"` // including real ones
 	Real             int     `json:"real"`
 	Depth            int     `json:"depth"`
-	CallsPerSecond   float64 `json:"calls_per_second"`   // of the fleet, at all depths
+	CallsPerSecond   float64 `json:"calls_per_second"`   // of the whole fleet, at all depths
 	ChangesPerMinute float64 `json:"changes_per_minute"` // of the configuration
 	Seconds          float64 `json:"seconds"`
 	Seed             uint64  `json:"seed"`
 
-	// What was played, without which some budgets cannot be measured.
+	// The numbers of changes and failures in the run. Without them some budgets cannot be measured.
 	ListChanges int `json:"list_changes"`
 	Configs     int `json:"configs"`
 	Failures    int `json:"failures"` // of the deepest service
 }
 
-// AgentControl is what control cost the agents of one sort, simulated or real. Parts send it by its fields' names.
+// AgentControl is the cost of control traffic for the simulated or the real agents. Processes send it under its field names.
 type AgentControl struct {
 	Agents           int          `json:"agents"`
-	BytesIn          Distribution `json:"bytes_in_per_s"`   // mean of each agent over the run, bytes a second
-	BytesOut         Distribution `json:"bytes_out_per_s"`  //
-	Worst6s          Distribution `json:"worst_6s_per_s"`   // of each agent: in and out, bytes a second over its worst 6 s
-	CPUPercent       float64      `json:"cpu_percent"`      // of one core, an agent, for control alone
-	HeapBytes        float64      `json:"heap_bytes"`       // live, an agent; simulated ones
-	RSSBytes         Distribution `json:"rss_bytes"`        // real ones
-	ListInForce      Distribution `json:"list_in_force_ms"` // simulated ones by themselves, real ones as ListAcknowledged
-	ListAcknowledged Distribution `json:"list_heard_ms"`    // as control sees it acknowledged, by the agent's next call; both sorts
+	BytesIn          Distribution `json:"bytes_in_per_s"`   // mean of each agent over the run, in bytes per second
+	BytesOut         Distribution `json:"bytes_out_per_s"`  // the same for sent bytes
+	Worst6s          Distribution `json:"worst_6s_per_s"`   // of each agent: received and sent bytes per second in its worst 6 s
+	CPUPercent       float64      `json:"cpu_percent"`      // of one core, per agent, for control traffic only
+	HeapBytes        float64      `json:"heap_bytes"`       // live heap per simulated agent
+	RSSBytes         Distribution `json:"rss_bytes"`        // real agents only
+	ListInForce      Distribution `json:"list_in_force_ms"` // as simulated agents report it; for real agents as ListAcknowledged
+	ListAcknowledged Distribution `json:"list_heard_ms"`    // until control gets the agent's next call, which acknowledges the list; all agents
 	ConfigInForce    Distribution `json:"config_in_force_ms"`
-	Undelivered      int          `json:"unheard"` // undelivered: pairs of an agent and a change that was due and had not come when the run ended
+	Undelivered      int          `json:"unheard"` // pairs of an agent and a due change that had not reached it when the run ended
 }
 
-// ControlMachine is what one machine of the control side did: control itself, a relay, or the source of configuration.
-// Parts send it by its fields' names.
+// ControlMachine is the work of one machine of the control plane: control itself, a relay, or the configuration source.
+// Processes send it under its field names.
 type ControlMachine struct {
 	Role       string       `json:"role"`
 	Name       string       `json:"name"`
@@ -45,33 +45,33 @@
 	Rejected   int64        `json:"refused"`
 	BytesIn    int64        `json:"bytes_in"`
 	BytesOut   int64        `json:"bytes_out"`
-	CPUPercent float64      `json:"cpu_percent"` // of one core, real processor time
-	Busy       float64      `json:"busy"`        // share of the run that its stated costs took
+	CPUPercent float64      `json:"cpu_percent"` // of one core, measured CPU time
+	Busy       float64      `json:"busy"`        // share of the run taken by its configured costs
 	Worst6s    float64      `json:"worst_6s_busy"`
-	QueueMS    Distribution `json:"queue_ms"` // how long calls waited for their turn
+	QueueMS    Distribution `json:"queue_ms"` // time that calls waited in the queue
 	QueueMax   int          `json:"queue_max"`
 	RSSBytes   float64      `json:"rss_bytes"`
 }
 
-// Depth is what happened to calls at one depth below the root, 1 being the first. Parts send it by its fields' names.
+// Depth counts the calls at one depth below the root; root calls have depth 1. Processes send it under its field names.
 type Depth struct {
 	Depth             int     `json:"depth"`
-	Calls             int64   `json:"calls"` // that attempts at the layer above made
+	Calls             int64   `json:"calls"` // made by attempts at the layer above
 	Attempts          int64   `json:"attempts"`
 	OK                int64   `json:"ok"`
 	Failed            int64   `json:"failed"`
 	Rejected          int64   `json:"refused"`
-	FailCalls         int64   `json:"fail_calls"` // the same while a deep service failed
+	FailCalls         int64   `json:"fail_calls"` // this and the next two: while a deep service failed
 	FailAttempts      int64   `json:"fail_attempts"`
 	FailOK            int64   `json:"fail_ok"`
-	PerRoot           float64 `json:"attempts_per_root"`      // attempts at this depth for each root call while nothing failed
-	FailPerRoot       float64 `json:"fail_attempts_per_root"` // while a deep service failed
-	Amplification     float64 `json:"amplification"`          // the second over the first
+	PerRoot           float64 `json:"attempts_per_root"`      // attempts at this depth per root call while nothing failed
+	FailPerRoot       float64 `json:"fail_attempts_per_root"` // the same while a deep service failed
+	Amplification     float64 `json:"amplification"`          // FailPerRoot divided by PerRoot
 	ServedMeanPercent float64 `json:"served_percent"`
 }
 
-// Window is how many root calls began in one second of the run, and how many of them were served. Parts send it by its
-// fields' names.
+// Window counts the root calls that began in one second of the run and how many of them were served. Processes send it under
+// its field names.
 type Window struct {
 	Second  int     `json:"second"`
 	Roots   int64   `json:"roots"`
@@ -79,33 +79,34 @@
 	Percent float64 `json:"percent"`
 }
 
-// EventResult is one event of the scenario as it was played.
+// EventResult is the effect of one event of the scenario.
 type EventResult struct {
 	Kind                  string       `json:"kind"`
 	AtSeconds             float64      `json:"at_s"`
 	LengthSeconds         float64      `json:"length_s"`
-	Affects               int          `json:"affects"`     // agents, servers or machines, by its kind
-	Bytes                 int64        `json:"bytes"`       // of control in and out, all agents, in the event and 6 s after it
-	InForceMS             Distribution `json:"in_force_ms"` // of the changes that it made, at each agent
+	Affects               int          `json:"affects"`     // number of agents, servers or machines, depending on the kind
+	Bytes                 int64        `json:"bytes"`       // control traffic of all agents, both directions, during the event and 6 s after it
+	InForceMS             Distribution `json:"in_force_ms"` // of the event's changes, at each agent
 	Undelivered           int          `json:"unheard"`
-	ServedPercent         float64      `json:"served_percent"`  // of the root calls, meanwhile
-	ServedBeforePercent   float64      `json:"before_percent"`  // in the 5 s before
-	RecoveredAfterSeconds float64      `json:"back_after_s"`    // from its end until nine tenths of ServedBeforePercent are served; -1: not within the run
-	FullLists             int64        `json:"whole_lists"`     // written by control and relays meanwhile
-	Rejected              int64        `json:"control_refused"` // calls rejected by control and relays meanwhile
+	ServedPercent         float64      `json:"served_percent"`  // of the root calls during the event
+	ServedBeforePercent   float64      `json:"before_percent"`  // in the 5 s before the event
+	RecoveredAfterSeconds float64      `json:"back_after_s"`    // from its end until 90% of ServedBeforePercent are served; -1: not within the run
+	FullLists             int64        `json:"whole_lists"`     // sent by control and relays during the event
+	Rejected              int64        `json:"control_refused"` // calls rejected by control and relays during the event
 }
 
-// Added is the time that a real agent adds to a call, against the same call made directly, in turn in one run.
+// Added is the latency that real agents add to a call, compared with the same call made directly. The two alternate in one
+// run.
 type Added struct {
 	Through   Distribution `json:"through_ms"`
 	Direct    Distribution `json:"direct_ms"`
-	MedianMS  float64      `json:"added_median_ms"` // of the pairs' differences
-	P99MS     float64      `json:"added_p99_ms"`    // P99 of the one less P99 of the other
+	MedianMS  float64      `json:"added_median_ms"` // median of the pairs' differences
+	P99MS     float64      `json:"added_p99_ms"`    // P99 of Through minus P99 of Direct
 	Failed    int          `json:"failed"`
 	CallsEach int          `json:"calls_each"`
 }
 
-// Budget is one of the operators' limits and what a run measured of it.
+// Budget is one of the operators' limits and the measured value.
 type Budget struct {
 	Name     string  `json:"name"`
 	Measured float64 `json:"measured"`
@@ -114,17 +115,17 @@
 	OK       bool    `json:"ok"`
 }
 
-// Ratio compares a measurement of the simulated agents with that of the real ones of the same run.
+// Ratio compares a measurement of the simulated agents with that of the real agents in the same run.
 type Ratio struct {
 	Name      string  `json:"name"`
 	Simulated float64 `json:"hollow"`
 	Real      float64 `json:"real"`
 	Ratio     float64 `json:"ratio"`  // simulated over real
-	Factor    float64 `json:"factor"` // the ratio may lie between 1/Factor and Factor
+	Factor    float64 `json:"factor"` // the ratio must be between 1/Factor and Factor
 	OK        bool    `json:"ok"`
 }
 
-// Run is all that one run measured.
+// Run holds the measurements of one run.
 type Run struct {
 	Scenario          string           `json:"scenario"`
 	Sizes             Sizes            `json:"sizes"`
@@ -137,10 +138,10 @@
 	Added             Added            `json:"added"`
 	Ratios            []Ratio          `json:"ratios"`
 	Budgets           []Budget         `json:"budgets"`
-	ModelLagMS        Distribution     `json:"model_lag_ms"`    // how late modelled calls were handled
-	ModelKeptTime     bool             `json:"model_kept_time"` // the lag was small enough for the results of calls to hold
-	RestartsNotUp     int              `json:"not_up"`          // restarts of real agents after which one was not up in time
-	LateNotifications int              `json:"late_told"`       // changes that control notified later than its stated costs explain
+	ModelLagMS        Distribution     `json:"model_lag_ms"`    // how late modelled events were handled
+	ModelKeptTime     bool             `json:"model_kept_time"` // the lag was small enough for the results of calls to be valid
+	RestartsNotUp     int              `json:"not_up"`          // restarts after which a real agent was not up in time
+	LateNotifications int              `json:"late_told"`       // changes that control sent later than its configured costs explain
 	WallSeconds       float64          `json:"wall_s"`
 	Incomplete        string           `json:"incomplete,omitempty"` // why the run ended early
 }
--- a/internal/scale/result/window_test.go
+++ b/internal/scale/result/window_test.go
@@ -14,7 +14,7 @@
 		{"the end", []float64{0, 0, 0, 6, 6, 6, 6, 6, 6}, 6},
 	} {
 		if got := WorstWindow(c.bins); got != c.want {
-			t.Errorf("%s: %g, want %g", c.name, got, c.want)
+			t.Errorf("%s: got %g, want %g", c.name, got, c.want)
 		}
 	}
 }
--- a/internal/scale/textwriter/textwriter.go
+++ b/internal/scale/textwriter/textwriter.go
@@ -1,4 +1,4 @@
-// Package textwriter writes text with aligned tables. A Writer belongs to one goroutine.
+// Package textwriter writes text with aligned tables. A Writer is not safe for concurrent use.
 package textwriter
 
 import (
@@ -8,7 +8,7 @@
 	"text/tabwriter"
 )
 
-// Writer buffers text and keeps the first error, which Flush returns.
+// Writer buffers text and keeps the first error for Flush.
 type Writer struct {
 	out *bufio.Writer
 	err error
@@ -29,7 +29,7 @@
 	w.keep(err)
 }
 
-// Table writes what fill writes with its cells, which end with tabs, aligned.
+// Table calls fill with a writer for tab-separated cells and writes its output with aligned columns.
 func (w *Writer) Table(fill func(table *Writer)) {
 	aligned := tabwriter.NewWriter(w.out, 0, 8, 2, ' ', 0)
 	table := New(aligned)
@@ -38,7 +38,7 @@
 	w.keep(aligned.Flush())
 }
 
-// Flush writes what is buffered and returns the first error since New.
+// Flush writes the buffered text and returns the first error since New.
 func (w *Writer) Flush() error {
 	w.keep(w.out.Flush())
 	return w.err
--- a/internal/scale/textwriter/textwriter_test.go
+++ b/internal/scale/textwriter/textwriter_test.go
@@ -19,11 +19,11 @@
 		t.Fatal(err)
 	}
 	if want := "2 rows\nname         value\na long name  1\nend\n"; text.String() != want {
-		t.Errorf("%q, want %q", &text, want)
+		t.Errorf("got %q, want %q", &text, want)
 	}
 }
 
-// failingWriter fails from its second write on.
+// failingWriter returns errDiskFull for every write but the first.
 type failingWriter struct{ writes int }
 
 var errDiskFull = errors.New("disk full")
@@ -57,7 +57,7 @@
 			c.write(w)
 			w.Println("more")
 			if err := w.Flush(); !errors.Is(err, errDiskFull) {
-				t.Errorf("error %v after %d writes", err, out.writes)
+				t.Errorf("got error %v after %d writes, want %v", err, out.writes, errDiskFull)
 			}
 		})
 	}
