--- a/cmd/scale/checkcmd.go
+++ b/cmd/scale/checkcmd.go
@@ -1,6 +1,6 @@
 package main
 
-// checkCmd checks a scenario file without playing it.
+// checkCmd validates a scenario file without running it.
 type checkCmd struct {
 	File string `arg:"" help:"A scenario's TOML file."`
 }
--- a/cmd/scale/files.go
+++ b/cmd/scale/files.go
@@ -8,7 +8,8 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// checkWritable reports before a run a file that cannot be written, and leaves what is in it.
+// checkWritable returns an error if an output file cannot be written. It is called before a run and keeps existing
+// content.
 func checkWritable(field, path string) error {
 	if path == "" {
 		return nil
@@ -28,7 +29,7 @@
 	return os.WriteFile(path, append(text, '\n'), 0o644)
 }
 
-// readRuns reads the results of single runs by name, as the flag --add gives them.
+// readRuns reads the results of single runs from the files of the flag --add, by name.
 func readRuns(files map[string]string) (map[string]*result.Run, error) {
 	all := map[string]*result.Run{}
 	for name, file := range files {
--- a/cmd/scale/flags.go
+++ b/cmd/scale/flags.go
@@ -5,24 +5,24 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// scenarioFlags are a scenario and the flags that replace what its file says.
+// scenarioFlags are a scenario file and the flags that override its values.
 type scenarioFlags struct {
 	Scenario string `arg:"" help:"A scenario's TOML file."`
 
-	Agents           *int     `placeholder:"N" help:"Agents in all, real ones among them; 0: one beside each server."`
-	Real             *int     `placeholder:"N" help:"Agents that are real processes."`
-	Servers          *int     `placeholder:"N" help:"Counter servers."`
-	Services         *int     `placeholder:"N" help:"Services that the servers belong to."`
-	Relays           *int     `placeholder:"N" help:"Relays of the list between control and the agents; 0: none."`
-	Depth            *int     `placeholder:"N" help:"How deep calls go."`
-	Seed             *uint64  `placeholder:"N" help:"What the world is drawn from."`
-	Seconds          *float64 `placeholder:"S" help:"Length of the measured part."`
-	CallsPerSecond   *float64 `placeholder:"X" help:"Calls a second of the fleet, at all depths."`
-	ChangesPerMinute *float64 `placeholder:"X" help:"Changes of the configuration a minute."`
-	AgentBinary      string   `placeholder:"PATH" help:"The real agents' program; built from this repository if absent."`
+	Agents           *int     `placeholder:"N" help:"Total number of agents, including real ones; 0: one per server."`
+	Real             *int     `placeholder:"N" help:"Number of agents that are real processes."`
+	Servers          *int     `placeholder:"N" help:"Number of servers."`
+	Services         *int     `placeholder:"N" help:"Number of services that the servers belong to."`
+	Relays           *int     `placeholder:"N" help:"Number of relays between control and the agents; 0: none."`
+	Depth            *int     `placeholder:"N" help:"Depth of calls."`
+	Seed             *uint64  `placeholder:"N" help:"Seed from which the fleet is generated."`
+	Seconds          *float64 `placeholder:"S" help:"Length of the measurement period in seconds."`
+	CallsPerSecond   *float64 `placeholder:"X" help:"Calls per second of the fleet, at all depths."`
+	ChangesPerMinute *float64 `placeholder:"X" help:"Configuration changes per minute."`
+	AgentBinary      string   `placeholder:"PATH" help:"Binary of the real agents; built from this repository if absent."`
 }
 
-// load reads the scenario, replaces what the flags give and adjusts the rest to that.
+// load reads the scenario, applies the flags and adjusts the other values to them.
 func (f *scenarioFlags) load(c *console) (*scenario.Scenario, error) {
 	s, err := scenario.Load(f.Scenario)
 	if err != nil {
@@ -44,7 +44,7 @@
 	return s, nil
 }
 
-// validate reports what of a scenario cannot be played.
+// validate returns an error if the scenario cannot be run.
 func validate(s *scenario.Scenario) error {
 	if err := s.Validate(); err != nil {
 		return err
--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -1,5 +1,5 @@
-// Command scale plays a fleet of agents, simulated and real, on one machine and reports what each role costs and how that
-// grows. It is also each of the parts of a run, which it starts as processes of their own.
+// Command scale runs a fleet of simulated and real agents on one machine and reports the cost of each role and how it
+// grows. It starts the other processes of a run from the same program, with the role in the environment.
 package main
 
 import (
@@ -20,22 +20,22 @@
 	"example.org/ryeloft/internal/scale/simagent"
 )
 
-// Exit codes: 0 all budgets held, 1 one did not or the run failed, 2 a flag or a file cannot be used.
+// These are the exit codes. 0 means that all budgets are met.
 const (
-	exitFailed = 1
-	exitUsage  = 2
+	exitFailed = 1 // a budget is exceeded or the run failed
+	exitUsage  = 2 // a flag or file is invalid
 )
 
-// parts are the parts of a run that this program is when it finds role.Env set.
-var parts = map[string]func() error{
+// roleMains maps each role to the main function of its process. The role is set in role.Env.
+var roleMains = map[string]func() error{
 	role.Control:         control.Main,
 	role.Relay:           control.RelayMain,
 	role.SimulatedAgents: simagent.Main,
 }
 
 func main() {
-	if part := os.Getenv(role.Env); part != "" {
-		os.Exit(runPart(part))
+	if name := os.Getenv(role.Env); name != "" {
+		os.Exit(runRole(name))
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 	code := runCommand(ctx, os.Args[1:], os.Stdout, os.Stderr)
@@ -43,65 +43,65 @@
 	os.Exit(code)
 }
 
-// runPart is the whole program as a part. It ignores a terminal's interrupt, which comes to parts as well: they end with
-// their input, once their starter has collected the results.
-func runPart(part string) int {
+// runRole runs the process of a role and returns the exit code. It ignores the interrupt that a terminal sends to all
+// processes: the process ends when its standard input is closed, after its parent has collected the results.
+func runRole(name string) int {
 	signal.Ignore(syscall.SIGINT, syscall.SIGTERM)
-	partMain, known := parts[part]
+	roleMain, known := roleMains[name]
 	if !known {
-		fmt.Fprintf(os.Stderr, "scale: %s=%q is no part of a run\n", role.Env, part)
+		fmt.Fprintf(os.Stderr, "scale: %s=%q is not a role\n", role.Env, name)
 		return exitUsage
 	}
-	if err := partMain(); err != nil {
-		fmt.Fprintf(os.Stderr, "scale: %s: %v\n", part, err)
+	if err := roleMain(); err != nil {
+		fmt.Fprintf(os.Stderr, "scale: %s: %v\n", name, err)
 		return exitFailed
 	}
 	return 0
 }
 
-// usageError is an error of the caller's flags or files; its text names the field.
+// usageError is an error in the user's flags or files. Its text names the field.
 type usageError struct{ error }
 
 func (e usageError) Unwrap() error { return e.error }
 
-// errOverBudget is a run whose text already says what did not hold.
+// errOverBudget is returned by a run whose printed text already names the exceeded budgets.
 var errOverBudget = errors.New("over budget")
 
 // cli is the command line.
 type cli struct {
-	Run     runCmd     `cmd:"" help:"Play one scenario and hold it against its budgets."`
-	Sweep   sweepCmd   `cmd:"" help:"Play a scenario at several sizes and fit how each figure grows."`
-	Metrics metricsCmd `cmd:"" name:"figures" help:"Let the figures of single runs join the figures file of a sweep."`
-	Check   checkCmd   `cmd:"" help:"Say whether a scenario file can be played, without playing it."`
+	Run     runCmd     `cmd:"" help:"Run one scenario and check its budgets."`
+	Sweep   sweepCmd   `cmd:"" help:"Run a scenario at several sizes and fit the growth of each metric."`
+	Metrics metricsCmd `cmd:"" name:"figures" help:"Add the metrics of single runs to the metrics file of a sweep."`
+	Check   checkCmd   `cmd:"" help:"Check whether a scenario file is valid, without running it."`
 
-	Log   string `placeholder:"FILE" help:"Where the log goes, as JSON lines; standard error if absent."`
-	Level string `enum:"debug,info,warn,error" default:"warn" help:"Least level of the log: debug, info, warn or error."`
+	Log   string `placeholder:"FILE" help:"File for the log, as JSON lines; standard error if absent."`
+	Level string `enum:"debug,info,warn,error" default:"warn" help:"Minimum level of log lines: debug, info, warn or error."`
 }
 
-// console is where a command writes, and what ends it.
+// console holds a command's outputs and its context.
 type console struct {
-	ctx         context.Context
+	ctx         context.Context // is canceled on SIGINT and SIGTERM
 	out, errOut io.Writer
 	log         *slog.Logger
 }
 
-// progress tells a person what goes on.
+// progress prints a progress message with the time.
 func (c *console) progress(text string) {
-	_, _ = fmt.Fprintln(c.errOut, time.Now().Format("15:04:05"), text) // the run is worth more than its progress lines
+	_, _ = fmt.Fprintln(c.errOut, time.Now().Format("15:04:05"), text) // a failed write must not end the run
 }
 
-// printf writes a command's result.
+// printf prints a command's result.
 func (c *console) printf(format string, args ...any) error {
 	_, err := fmt.Fprintf(c.out, format, args...)
 	return err
 }
 
-// runCommand is the whole program but for the process around it. It returns the exit code.
+// runCommand parses the arguments, runs the command and returns the exit code.
 func runCommand(ctx context.Context, args []string, out, errOut io.Writer) int {
 	var c cli
 	helpExit := -1
 	parser, err := kong.New(&c, kong.Name("scale"), kong.Writers(out, errOut), kong.Exit(func(code int) { helpExit = code }),
-		kong.Description("Plays a fleet of agents on this machine's loopback and says what each role costs."))
+		kong.Description("Runs a fleet of agents on this machine's loopback interface and reports the cost of each role."))
 	if err != nil {
 		return report(errOut, usageError{err})
 	}
@@ -115,7 +115,7 @@
 	return report(errOut, err)
 }
 
-// report prints an error, unless the command's text already says it, and returns the exit code.
+// report prints an error, except errOverBudget, and returns the exit code.
 func report(errOut io.Writer, err error) int {
 	if err == nil {
 		return 0
@@ -123,7 +123,7 @@
 	if errors.Is(err, errOverBudget) {
 		return exitFailed
 	}
-	_, _ = fmt.Fprintln(errOut, "scale:", err) // the exit code says that it failed
+	_, _ = fmt.Fprintln(errOut, "scale:", err) // the exit code reports the failure
 	var usage usageError
 	var parse *kong.ParseError
 	if errors.As(err, &usage) || errors.As(err, &parse) {
@@ -132,7 +132,7 @@
 	return exitFailed
 }
 
-// dispatch opens the log and runs the command that was parsed.
+// dispatch opens the log and runs the parsed command.
 func dispatch(ctx context.Context, parsed *kong.Context, c *cli, out, errOut io.Writer) (err error) {
 	logTo := errOut
 	if c.Log != "" {
--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -25,107 +25,110 @@
 
 const tiny = "../../deploy/scale/tiny.toml"
 
-// programs are this program and the agent, built as they are deployed: with the race detector the simulated agents would
-// cost more than the real ones, which are built without.
-var programs = sync.OnceValues(func() (string, error) {
+// buildPrograms builds this program and the agent as they are deployed, and returns their directory. A test binary with
+// the race detector does not serve: its simulated agents would cost more than the real ones, which are built without
+// it.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "scale-test-")
 	if err != nil {
 		return "", err
 	}
-	built = dir
+	builtDir = dir
 	for _, name := range []string{"scale", "agent"} {
 		cmd := exec.Command("go", "build", "-buildvcs=false", "-o", filepath.Join(dir, name), "./cmd/"+name)
 		cmd.Dir = "../.."
-		if said, err := cmd.CombinedOutput(); err != nil {
-			return "", fmt.Errorf("building %s: %w\n%s", name, err, said)
+		if output, err := cmd.CombinedOutput(); err != nil {
+			return "", fmt.Errorf("building %s: %w\n%s", name, err, output)
 		}
 	}
 	return dir, nil
 })
 
-var built string // the folder of the programs, once there is one
+var builtDir string // directory of the built programs; empty if none were built
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if built != "" {
-		os.RemoveAll(built)
+	if builtDir != "" {
+		os.RemoveAll(builtDir)
 	}
 	os.Exit(code)
 }
 
-// program is the program, to be started with some arguments.
+// program returns a command that runs the built program with the arguments.
 func program(t *testing.T, args ...string) *exec.Cmd {
 	t.Helper()
-	dir, err := programs()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return exec.Command(filepath.Join(dir, "scale"), args...)
 }
 
-// skipInShort skips a test where others run beside it: ./test.sh runs it alone, as it depends on the clock.
+// skipInShort skips a test in short mode, where tests run concurrently. The test depends on the clock, so ./test.sh
+// runs it alone.
 func skipInShort(t *testing.T) {
 	if testing.Short() {
-		t.Skip("plays a fleet: ./test.sh runs it alone")
+		t.Skip("runs a fleet: ./test.sh runs it alone")
 	}
 }
 
-// runTiny are the arguments that play the tiny scenario.
-func runTiny(t *testing.T, args ...string) []string {
+// tinyArgs returns the arguments that run the tiny scenario.
+func tinyArgs(t *testing.T, args ...string) []string {
 	t.Helper()
-	dir, err := programs()
+	dir, err := buildPrograms()
 	if err != nil {
 		t.Fatal(err)
 	}
 	return append([]string{"run", tiny, "--agent-binary", filepath.Join(dir, "agent")}, args...)
 }
 
-// TestTiny plays the tiny scenario whole. It fails when a budget's line is missing or OVER, when a measurement of the
-// simulated agents is off the real ones' by more than the factor stated beside it, and when control notifies late by its
-// own clock.
+// TestTiny runs the tiny scenario. It guards against missing or exceeded budgets, against simulated agents whose
+// measurements differ from those of the real agents by more than the factor in the result, and against control that
+// notifies late by its own clock.
 func TestTiny(t *testing.T) {
 	skipInShort(t)
 	file := filepath.Join(t.TempDir(), "run.json")
-	cmd := program(t, runTiny(t, "--json", file)...)
-	var out, said bytes.Buffer
-	cmd.Stdout, cmd.Stderr = &out, &said
+	cmd := program(t, tinyArgs(t, "--json", file)...)
+	var out, errOut bytes.Buffer
+	cmd.Stdout, cmd.Stderr = &out, &errOut
 	err := cmd.Run()
 	text := out.String()
 	if err != nil {
-		t.Errorf("the run ended with %v", err)
+		t.Errorf("run: got error %v, want none", err)
 	}
 	for _, name := range []string{"added_p99", "agent_cpu", "agent_memory", "agent_bytes", "in_force_list", "in_force_config", "control_machines", "attempts_per_call"} {
 		if !regexp.MustCompile(`(?m)^` + name + ` +[0-9.e+-]+ +[0-9.e+-]+ +ok$`).MatchString(text) {
-			t.Errorf("no line says that %s is ok", name)
+			t.Errorf("got no line with %s and ok, want one", name)
 		}
 	}
-	r := read(t, file)
-	var held []string
+	r := readRun(t, file)
+	var compared []string
 	for _, x := range r.Ratios {
-		held = append(held, x.Name)
+		compared = append(compared, x.Name)
 		if !x.OK || x.Ratio > x.Factor || x.Ratio < 1/x.Factor {
-			t.Errorf("%s: simulated %.4g, real %.4g: off by %.2f, may be by %.2f", x.Name, x.Simulated, x.Real, x.Ratio, x.Factor)
+			t.Errorf("%s: got ratio %.2f (simulated %.4g, real %.4g), want at most %.2f and at least its inverse", x.Name, x.Ratio, x.Simulated, x.Real, x.Factor)
 		}
 	}
-	if want := []string{"bytes", "list_in_force", "config_in_force", "cpu"}; !slices.Equal(held, want) {
-		t.Errorf("held against real agents: %q, want %q", held, want)
+	if want := []string{"bytes", "list_in_force", "config_in_force", "cpu"}; !slices.Equal(compared, want) {
+		t.Errorf("compared with real agents: got %q, want %q", compared, want)
 	}
-	// Each agent asks for one whole list, when its configuration changes. One for each change of the list would be more.
+	// Each agent fetches one full list when its configuration changes. The limit is exceeded if agents fetch one for
+	// each change of the list.
 	if n := r.Control[0].FullLists; n > 2*int64(r.Sizes.Agents) {
-		t.Errorf("%d agents asked for %d whole lists", r.Sizes.Agents, n)
+		t.Errorf("got %d full lists for %d agents, want at most two each", n, r.Sizes.Agents)
 	}
 	if r.LateNotifications != 0 {
-		t.Errorf("control notified %d changes late by its own clock", r.LateNotifications)
+		t.Errorf("got %d changes that control notified late by its own clock, want 0", r.LateNotifications)
 	}
 	if !strings.HasSuffix(text, "\nscale: ok\n") {
-		t.Error("the last line is not scale: ok")
+		t.Error("got another last line, want scale: ok")
 	}
 	if t.Failed() {
-		t.Logf("%s\n%s", &said, text)
+		t.Logf("%s\n%s", &errOut, text)
 	}
 }
 
-func read(t *testing.T, file string) *result.Run {
+func readRun(t *testing.T, file string) *result.Run {
 	t.Helper()
 	text, err := os.ReadFile(file)
 	if err != nil {
@@ -138,70 +141,71 @@
 	return r
 }
 
-// TestEnds ends a run in its middle in each way, and looks for processes that are left and for what is written.
+// TestEnds interrupts or kills a run, or one of its processes. It guards against processes that are left running and
+// partial results that are not written.
 func TestEnds(t *testing.T) {
 	skipInShort(t)
 	for _, c := range []struct {
 		name string
 		end  func(t *testing.T, program int, children map[int]string)
-		want string // in what is written; empty: nothing is, the program was killed
+		want string // text in the result's reason for being incomplete; empty: no result is expected
 	}{
 		{"interrupt", func(t *testing.T, program int, _ map[int]string) { kill(t, program, syscall.SIGINT) }, "interrupt"},
 		{"terminate", func(t *testing.T, program int, _ map[int]string) { kill(t, program, syscall.SIGTERM) }, "terminated"},
-		{"interrupt of all, as from a terminal", func(t *testing.T, program int, children map[int]string) {
+		{"interrupt of all processes, as from a terminal", func(t *testing.T, program int, children map[int]string) {
 			for pid := range children {
 				kill(t, pid, syscall.SIGINT)
 			}
 			kill(t, program, syscall.SIGINT)
 		}, ""},
 		{"control dies", func(t *testing.T, _ int, children map[int]string) {
-			kill(t, pidOfPart(t, children, "control"), syscall.SIGKILL)
+			kill(t, pidOfRole(t, children, "control"), syscall.SIGKILL)
 		}, "control died"},
 		{"the simulated agents die", func(t *testing.T, _ int, children map[int]string) {
-			kill(t, pidOfPart(t, children, "hollow"), syscall.SIGKILL)
+			kill(t, pidOfRole(t, children, "hollow"), syscall.SIGKILL)
 		}, "hollow died"},
 		{"a real agent dies", func(t *testing.T, _ int, children map[int]string) {
-			kill(t, pidOfPart(t, children, ""), syscall.SIGKILL)
+			kill(t, pidOfRole(t, children, ""), syscall.SIGKILL)
 		}, "died in the run"},
 		{"killed", func(t *testing.T, program int, _ map[int]string) { kill(t, program, syscall.SIGKILL) }, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			t.Parallel()
 			file := filepath.Join(t.TempDir(), "run.json")
-			cmd := program(t, runTiny(t, "--seconds", "60", "--json", file)...)
+			cmd := program(t, tinyArgs(t, "--seconds", "60", "--json", file)...)
 			var out bytes.Buffer
 			cmd.Stdout = &out
-			said, err := cmd.StderrPipe()
+			stderr, err := cmd.StderrPipe()
 			if err != nil {
 				t.Fatal(err)
 			}
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
-			awaitLine(t, said, " plays ")
+			awaitLine(t, stderr, " plays ")
 			children := childrenOf(cmd.Process.Pid)
 			if len(children) < 4 {
-				t.Errorf("only %v run", children)
+				t.Errorf("got child processes %v, want at least 4", children)
 			}
 			c.end(t, cmd.Process.Pid, children)
-			io.Copy(io.Discard, said) // until nobody holds it any more
+			io.Copy(io.Discard, stderr) // returns when all processes have closed it
 			err = cmd.Wait()
 			var exit *exec.ExitError
 			if !errors.As(err, &exit) {
-				t.Fatalf("the run ended with %v", err)
+				t.Fatalf("run: got error %v, want an exit error", err)
 			}
 			awaitGone(t, children)
 			if c.want == "" {
 				return
 			}
 			if exit.ExitCode() != exitFailed {
-				t.Errorf("exit %d, want %d", exit.ExitCode(), exitFailed)
+				t.Errorf("got exit code %d, want %d", exit.ExitCode(), exitFailed)
 			}
-			if r := read(t, file); !strings.Contains(r.Incomplete, c.want) || r.Sizes.Servers == 0 {
-				t.Errorf("incomplete %q, want %q in it", r.Incomplete, c.want)
+			if r := readRun(t, file); !strings.Contains(r.Incomplete, c.want) || r.Sizes.Servers == 0 {
+				t.Errorf("got incomplete %q with %d servers, want %q in it and the sizes", r.Incomplete, r.Sizes.Servers, c.want)
 			}
 			if !strings.Contains(out.String(), "scale: OVER") || !strings.Contains(out.String(), "incomplete") {
-				t.Errorf("the text does not say that the run is incomplete:\n%s", &out)
+				t.Errorf("got text:\n%s\nwant it to report an incomplete run", &out)
 			}
 		})
 	}
@@ -214,21 +218,21 @@
 	}
 }
 
-// awaitLine reads until a line holds something.
-func awaitLine(t *testing.T, r io.Reader, what string) {
+// awaitLine reads lines until one contains text.
+func awaitLine(t *testing.T, r io.Reader, text string) {
 	t.Helper()
 	lines := bufio.NewScanner(r)
 	var all []string
 	for lines.Scan() {
 		all = append(all, lines.Text())
-		if strings.Contains(lines.Text(), what) {
+		if strings.Contains(lines.Text(), text) {
 			return
 		}
 	}
-	t.Fatalf("no line with %q:\n%s", what, strings.Join(all, "\n"))
+	t.Fatalf("got no line with %q:\n%s", text, strings.Join(all, "\n"))
 }
 
-// childrenOf are a process's children, with the part that each is; a real agent is none.
+// childrenOf returns the roles of a process's children by PID. The role of a real agent is empty.
 func childrenOf(parent int) map[int]string {
 	all := map[int]string{}
 	stats, _ := filepath.Glob("/proc/[0-9]*/stat")
@@ -245,7 +249,7 @@
 		all[pid] = ""
 		env, _ := os.ReadFile(fmt.Sprintf("/proc/%d/environ", pid))
 		for v := range strings.SplitSeq(string(env), "\x00") {
-			if name, is := strings.CutPrefix(v, "SCALE_ROLE="); is {
+			if name, found := strings.CutPrefix(v, "SCALE_ROLE="); found {
 				all[pid] = name
 			}
 		}
@@ -253,27 +257,27 @@
 	return all
 }
 
-// pidOfPart is the process of a part.
-func pidOfPart(t *testing.T, children map[int]string, name string) int {
+// pidOfRole returns the PID of a process with the role.
+func pidOfRole(t *testing.T, children map[int]string, name string) int {
 	t.Helper()
 	for pid, role := range children {
 		if role == name {
 			return pid
 		}
 	}
-	t.Fatalf("no process is the part %q of %v", name, children)
+	t.Fatalf("got processes %v, want one with the role %q", children, name)
 	return 0
 }
 
-// awaitGone waits until none of some processes runs. Where the program itself was killed, the kernel ends them with it,
-// which takes a moment; otherwise they have ended before it.
+// awaitGone waits until none of the processes runs. Usually they have ended before the program. If the program itself
+// was killed, the kernel kills them a moment later.
 func awaitGone(t *testing.T, children map[int]string) {
 	t.Helper()
 	deadline := time.Now().Add(5 * time.Second)
 	for pid, name := range children {
-		for runs(pid) {
+		for isRunning(pid) {
 			if time.Now().After(deadline) {
-				t.Errorf("process %d (%s) is left", pid, name)
+				t.Errorf("process %d (%s) still runs, want it to end", pid, name)
 				break
 			}
 			time.Sleep(time.Millisecond)
@@ -281,8 +285,8 @@
 	}
 }
 
-// runs says whether a process runs; one that has ended and that nobody has waited for does not.
-func runs(pid int) bool {
+// isRunning reports whether a process runs. A zombie does not.
+func isRunning(pid int) bool {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", pid))
 	if err != nil {
 		return false
@@ -302,39 +306,39 @@
 		code int
 		want string
 	}{
-		{"nothing", nil, exitUsage, "expected one of"},
+		{"no command", nil, exitUsage, "expected one of"},
 		{"unknown command", []string{"fly"}, exitUsage, "fly"},
 		{"unknown flag", []string{"run", tiny, "--colour", "red"}, exitUsage, "--colour"},
 		{"no scenario", []string{"run"}, exitUsage, "<scenario>"},
 		{"no file", []string{"run", "none.toml"}, exitUsage, "none.toml"},
 		{"unknown key", []string{"check", bad}, exitUsage, "colour"},
-		{"no number", []string{"run", tiny, "--agents", "many"}, exitUsage, "--agents"},
+		{"not a number", []string{"run", tiny, "--agents", "many"}, exitUsage, "--agents"},
 		{"too many servers", []string{"run", tiny, "--servers", "1000000"}, exitUsage, "fleet.servers"},
 		{"no seconds", []string{"run", tiny, "--seconds", "0"}, exitUsage, "seconds"},
 		{"more real agents than there are", []string{"run", tiny, "--agents", "3", "--real", "4"}, exitUsage, "fleet.real"},
-		{"no such agent", []string{"run", tiny, "--agent-binary", bad}, exitUsage, "agent-binary"},
-		{"no such folder", []string{"run", tiny, "--json", "none/run.json"}, exitUsage, "json"},
-		{"no such folder for the log", []string{"--log", "none/log", "check", tiny}, exitUsage, "log"},
+		{"agent binary not executable", []string{"run", tiny, "--agent-binary", bad}, exitUsage, "agent-binary"},
+		{"no such directory", []string{"run", tiny, "--json", "none/run.json"}, exitUsage, "json"},
+		{"no such directory for the log", []string{"--log", "none/log", "check", tiny}, exitUsage, "log"},
 		{"no such level", []string{"--level", "loud", "check", tiny}, exitUsage, "level"},
 		{"no such dimension", []string{"sweep", tiny, "--target", tiny, "--real", "0", "--only", "colour"}, exitUsage, "only"},
-		{"sizes that are no numbers", []string{"sweep", tiny, "--target", tiny, "--sizes", "agents=a,b"}, exitUsage, "sizes"},
+		{"sizes that are not numbers", []string{"sweep", tiny, "--target", tiny, "--sizes", "agents=a,b"}, exitUsage, "sizes"},
 		{"too few sizes", []string{"sweep", tiny, "--target", tiny, "--real", "0", "--sizes", "agents=1,2,3"}, exitUsage, "sizes"},
 		{"no target", []string{"sweep", tiny, "--target", "none.toml"}, exitUsage, "target"},
 		{"no result to add", []string{"sweep", tiny, "--target", tiny, "--add", "a=none.json"}, exitUsage, "add"},
 		{"help", []string{"--help"}, 0, ""},
-		{"a good file", []string{"check", tiny}, 0, ""},
-		{"flags that do not go together", []string{"run", tiny, "--servers", "3", "--services", "4"}, exitUsage, "fleet.services"},
+		{"valid file", []string{"check", tiny}, 0, ""},
+		{"inconsistent flags", []string{"run", tiny, "--servers", "3", "--services", "4"}, exitUsage, "fleet.services"},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var out, said bytes.Buffer
-			if code := runCommand(t.Context(), c.args, &out, &said); code != c.code || !strings.Contains(said.String(), c.want) {
-				t.Errorf("exit %d, want %d; said %q, want %q in it", code, c.code, &said, c.want)
+			var out, errOut bytes.Buffer
+			if code := runCommand(t.Context(), c.args, &out, &errOut); code != c.code || !strings.Contains(errOut.String(), c.want) {
+				t.Errorf("got exit code %d, output %q, want %d, %q in it", code, &errOut, c.code, c.want)
 			}
 		})
 	}
 }
 
-// TestAdjustToFlags plays nothing: it checks the sizes that follow from some flags.
+// TestAdjustToFlags checks the sizes that are adjusted to the flags, without a run.
 func TestAdjustToFlags(t *testing.T) {
 	n := func(v int) *int { return &v }
 	f := func(v float64) *float64 { return &v }
@@ -353,19 +357,20 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			c.flags.Scenario = tiny
-			var said bytes.Buffer
-			s, err := c.flags.load(&console{errOut: &said})
+			var errOut bytes.Buffer
+			s, err := c.flags.load(&console{errOut: &errOut})
 			if err != nil {
 				t.Fatal(err)
 			}
-			if s.Fleet.Services != c.services || s.Fleet.Depth != c.depth || len(s.Events) != c.events || strings.Count(said.String(), "\n") != c.notes {
-				t.Errorf("%d services, depth %d, %d events; said %q", s.Fleet.Services, s.Fleet.Depth, len(s.Events), &said)
+			if s.Fleet.Services != c.services || s.Fleet.Depth != c.depth || len(s.Events) != c.events || strings.Count(errOut.String(), "\n") != c.notes {
+				t.Errorf("got %d services, depth %d, %d events, messages %q, want %d, %d, %d and %d messages",
+					s.Fleet.Services, s.Fleet.Depth, len(s.Events), &errOut, c.services, c.depth, c.events, c.notes)
 			}
 		})
 	}
 }
 
-// A shorter run of the target leaves out what comes after its end, the loss of a relay among it.
+// TestAdjustRelaysToFlags checks that a shorter run of the target omits the relay failure after its end.
 func TestAdjustRelaysToFlags(t *testing.T) {
 	seconds := 10.0
 	for _, c := range []struct {
@@ -375,12 +380,13 @@
 		c.flags.Scenario = "../../deploy/scale/target.toml"
 		s, err := c.flags.load(&console{errOut: &bytes.Buffer{}})
 		if err != nil || s.Relays.Count != 5 || s.Relays.KillAt != c.killAt {
-			t.Errorf("%v, %+v", err, s)
+			t.Errorf("got error %v, scenario %+v, want 5 relays, one killed at %g", err, s, c.killAt)
 		}
 	}
 }
 
-// Metrics of single runs join a metrics file, in the place of those that it had under the same name.
+// TestMetricsCommand checks that the metrics of a single run are added to a metrics file and replace those under the
+// same name.
 func TestMetricsCommand(t *testing.T) {
 	dir := t.TempDir()
 	file, run := filepath.Join(dir, "figures.json"), filepath.Join(dir, "run.json")
@@ -391,30 +397,30 @@
 	}
 	old := `{"agents.x.slope":{"value":1.5,"unit":"B","run":"a sweep"},"run.a.gone":{"value":1},"run.ab.stays":{"value":2}}`
 	for _, c := range []struct {
-		name, figures, run string
+		name, metrics, run string
 		code               int
-		says               string
+		want               string // text in the output
 	}{
-		{"joined", old, `{"budgets":[{"name":"agent_cpu","measured":0.25,"unit":"%"}]}`, 0, "3 figures, 1 runs added"},
-		{"no figures file", "", `{}`, exitUsage, "file: "},
-		{"a spoilt figures file", "[", `{}`, exitUsage, "file: "},
-		{"a spoilt run", old, `{"budgets":`, exitUsage, "add: "},
+		{"added", old, `{"budgets":[{"name":"agent_cpu","measured":0.25,"unit":"%"}]}`, 0, "3 figures, 1 runs added"},
+		{"no metrics file", "", `{}`, exitUsage, "file: "},
+		{"invalid metrics file", "[", `{}`, exitUsage, "file: "},
+		{"invalid run", old, `{"budgets":`, exitUsage, "add: "},
 	} {
 		os.Remove(file)
-		if c.figures != "" {
-			write(file, c.figures)
+		if c.metrics != "" {
+			write(file, c.metrics)
 		}
 		write(run, c.run)
 		var out, errOut strings.Builder
-		if code := runCommand(t.Context(), []string{"figures", file, "--add", "a=" + run}, &out, &errOut); code != c.code || !strings.Contains(out.String()+errOut.String(), c.says) {
-			t.Errorf("%s: exit %d, %s%s", c.name, code, &out, &errOut)
+		if code := runCommand(t.Context(), []string{"figures", file, "--add", "a=" + run}, &out, &errOut); code != c.code || !strings.Contains(out.String()+errOut.String(), c.want) {
+			t.Errorf("%s: got exit code %d, output %s%s, want %d, %q in it", c.name, code, &out, &errOut, c.code, c.want)
 		}
 		if c.code != 0 {
 			continue
 		}
 		all, err := sweep.ReadMetrics(file)
 		if _, gone := all["run.a.gone"]; err != nil || gone || all["run.a.budget.agent_cpu"].Value != 0.25 || all["run.ab.stays"].Value != 2 || all["agents.x.slope"].Value != 1.5 {
-			t.Errorf("%s: %v, %v", c.name, all, err)
+			t.Errorf("%s: got %v, error %v, want run.a replaced and the other keys kept", c.name, all, err)
 		}
 	}
 }
--- a/cmd/scale/metricscmd.go
+++ b/cmd/scale/metricscmd.go
@@ -10,8 +10,8 @@
 
 // metricsCmd adds the metrics of single runs to the metrics file of a sweep, as the command "figures".
 type metricsCmd struct {
-	File string            `arg:"" help:"A figures file, as sweep --json writes it."`
-	Add  map[string]string `required:"" placeholder:"NAME=FILE;..." help:"Results of single runs (run --json) whose figures join the file as run.NAME.FIGURE; those that it has under a name go."`
+	File string            `arg:"" help:"A metrics file, as sweep --json writes it."`
+	Add  map[string]string `required:"" placeholder:"NAME=FILE;..." help:"Results of single runs (run --json) whose metrics are added to the file as run.NAME.METRIC; existing metrics under NAME are replaced."`
 }
 
 // Run implements the command.
--- a/cmd/scale/runcmd.go
+++ b/cmd/scale/runcmd.go
@@ -4,13 +4,13 @@
 	"example.org/ryeloft/internal/scale/run"
 )
 
-// runCmd plays one scenario.
+// runCmd runs one scenario.
 type runCmd struct {
 	scenarioFlags
-	JSON string `name:"json" placeholder:"FILE" help:"Where the whole result goes, as JSON."`
+	JSON string `name:"json" placeholder:"FILE" help:"File for the complete result, as JSON."`
 }
 
-// Run implements the command. A run that failed in its middle writes what there is.
+// Run implements the command. It writes the partial result of a run that failed after it started.
 func (cmd *runCmd) Run(c *console) error {
 	s, err := cmd.load(c)
 	if err != nil {
--- a/cmd/scale/sweepcmd.go
+++ b/cmd/scale/sweepcmd.go
@@ -16,17 +16,17 @@
 	"example.org/ryeloft/internal/scale/sweep"
 )
 
-// sweepCmd plays a scenario at several sizes.
+// sweepCmd runs a scenario at several sizes.
 type sweepCmd struct {
 	scenarioFlags
-	Only   []string          `placeholder:"NAME,..." help:"Dimensions: servers, agents, changes, services, depth; all if absent."`
-	Sizes  map[string]string `placeholder:"NAME=N,N,N,N;..." help:"Sizes of a dimension, four at least, such as agents=50,100,200,400."`
-	Target string            `default:"deploy/scale/target.toml" help:"The scenario that the fits are held against."`
-	Limit  time.Duration     `default:"15m" help:"Time for all plays together; sizes that are left then are named."`
-	Add    map[string]string `placeholder:"NAME=FILE;..." help:"Results of single runs (run --json) whose figures join the file as run.NAME.FIGURE."`
-	JSON   string            `name:"json" placeholder:"FILE" help:"Where the figures go, as JSON."`
-	Text   string            `placeholder:"FILE" help:"Where the text goes; standard output if absent."`
-	Runs   string            `placeholder:"FILE" help:"Where the whole results of all plays go, as JSON."`
+	Only   []string          `placeholder:"NAME,..." help:"Dimensions to sweep: servers, agents, changes, services, depth; all if absent."`
+	Sizes  map[string]string `placeholder:"NAME=N,N,N,N;..." help:"Sizes of a dimension, at least four, such as agents=50,100,200,400."`
+	Target string            `default:"deploy/scale/target.toml" help:"Scenario at which the fits are evaluated."`
+	Limit  time.Duration     `default:"15m" help:"Time limit of all runs together; the remaining sizes are skipped and listed."`
+	Add    map[string]string `placeholder:"NAME=FILE;..." help:"Results of single runs (run --json) whose metrics are added to the file as run.NAME.METRIC."`
+	JSON   string            `name:"json" placeholder:"FILE" help:"File for the metrics, as JSON."`
+	Text   string            `placeholder:"FILE" help:"File for the text; standard output if absent."`
+	Runs   string            `placeholder:"FILE" help:"File for the complete results of all runs, as JSON."`
 }
 
 // Run implements the command.
@@ -69,7 +69,8 @@
 	return cmd.write(c, swept, added)
 }
 
-// write writes all that a sweep gave. An interrupted sweep is an error, with what there is written.
+// write writes the outputs of a sweep. For an incomplete or interrupted sweep it writes what there is and returns an
+// error.
 func (cmd *sweepCmd) write(c *console, swept *sweep.Sweep, added map[string]*result.Run) error {
 	if cmd.JSON != "" {
 		metrics := swept.Metrics()
@@ -89,12 +90,12 @@
 		return err
 	}
 	if len(swept.Skipped) > 0 {
-		return fmt.Errorf("the sweep is not whole: %s", strings.Join(swept.Skipped, "; "))
+		return fmt.Errorf("the sweep is incomplete: %s", strings.Join(swept.Skipped, "; "))
 	}
 	return context.Cause(c.ctx)
 }
 
-// writeText writes the text to its file, or to out where there is none.
+// writeText writes the text to the file of --text, or to out if there is none.
 func (cmd *sweepCmd) writeText(out io.Writer, swept *sweep.Sweep) error {
 	if cmd.Text == "" {
 		return swept.WriteText(out)
@@ -112,7 +113,7 @@
 		for _, field := range strings.Split(text, ",") {
 			v, err := strconv.ParseFloat(field, 64)
 			if err != nil {
-				return nil, fmt.Errorf("sizes: %s: %q is no number", name, field)
+				return nil, fmt.Errorf("sizes: %s: %q is not a number", name, field)
 			}
 			all[name] = append(all[name], v)
 		}
--- a/internal/scale/doc.go
+++ b/internal/scale/doc.go
@@ -1,5 +1,5 @@
-// Package scale contains no code. Its subpackages implement the command scale, which runs a fleet of agents on the loopback
-// interface of one machine.
+// Package scale contains no code. Its subpackages implement the command scale, which runs a fleet of agents on the
+// loopback interface of one machine.
 //
 //	scenario    the input of a run: a TOML file of sizes, costs, budgets and events
 //	world       the fleet generated from the scenario's seed, and the steps of its events
@@ -11,6 +11,6 @@
 //	result      the measurements of a run
 //	sweep       runs at several sizes and the growth of each metric
 //
-// These packages share the helper packages meter, parallel, procstat and textwriter. Packages run, sweep and those of the
-// processes import world, scenario and result, not the other way round.
+// These packages share the helper packages meter, parallel, procstat and textwriter. Packages run, sweep and those of
+// the processes import world, scenario and result, not the other way round.
 package scale
--- a/internal/scale/meter/meter.go
+++ b/internal/scale/meter/meter.go
@@ -1,5 +1,5 @@
-// Package meter counts the bytes on agents' connections per agent and second. It does not change the data. A Meter is safe
-// for concurrent use.
+// Package meter counts the bytes on agents' connections per agent and second. It does not change the data. A Meter is
+// safe for concurrent use.
 package meter
 
 import (
--- a/internal/scale/meter/meter_test.go
+++ b/internal/scale/meter/meter_test.go
@@ -121,7 +121,8 @@
 	})
 }
 
-// TestConcurrentConnections checks that no bytes are lost while several connections per agent count and others read the bins.
+// TestConcurrentConnections checks that no bytes are lost while several connections per agent count and others read the
+// bins.
 func TestConcurrentConnections(t *testing.T) {
 	const agents, conns, writes, size = 8, 4, 50, 100
 	m := New(agents, time.Now())
--- a/internal/scale/parallel/parallel.go
+++ b/internal/scale/parallel/parallel.go
@@ -1,4 +1,5 @@
-// Package parallel calls a function for several items concurrently. It keeps no state, and no goroutine outlives a call.
+// Package parallel calls a function for several items concurrently. It keeps no state, and no goroutine outlives a
+// call.
 package parallel
 
 import (
--- a/internal/scale/procstat/procstat.go
+++ b/internal/scale/procstat/procstat.go
@@ -36,8 +36,8 @@
 	return residentPages * int64(os.Getpagesize()), nil
 }
 
-// TreeResidentBytes returns the resident memory of a process and its direct children. A process that has ended or ends during
-// the call counts as 0.
+// TreeResidentBytes returns the resident memory of a process and its direct children. A process that has ended or ends
+// during the call counts as 0.
 func TreeResidentBytes(pid int) int64 {
 	sum := residentOrZero(pid)
 	for _, child := range children(pid) {
--- a/internal/scale/result/distribution.go
+++ b/internal/scale/result/distribution.go
@@ -6,8 +6,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Distribution summarizes measurements, in the unit stated in the name of the field that contains it. N is 0 if nothing was
-// measured.
+// Distribution summarizes measurements, in the unit stated in the name of the field that contains it. N is 0 if nothing
+// was measured.
 type Distribution struct {
 	N    int64   `json:"n"`
 	Mean float64 `json:"mean"`
@@ -19,8 +19,8 @@
 // stepsPerUnit is the resolution of a Histogram. Values are recorded in thousandths, with three significant digits.
 const stepsPerUnit = 1000
 
-// Histogram collects non-negative values with three significant digits, in bounded memory. It is not safe for concurrent
-// use.
+// Histogram collects non-negative values with three significant digits, in bounded memory. It is not safe for
+// concurrent use.
 type Histogram struct{ h *hdrhistogram.Histogram }
 
 // NewHistogram returns an empty histogram for values up to largest. Larger values are counted as largest.
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -1,5 +1,5 @@
-// Package result defines the measurements of a scale run, as its processes send them to each other and as they are written
-// as JSON. Apart from summaries it computes nothing. Its values belong to their caller.
+// Package result defines the measurements of a scale run, as its processes send them to each other and as they are
+// written as JSON. Apart from summaries it computes nothing. Its values belong to their caller.
 package result
 
 // Sizes are the sizes and rates of a run.
@@ -20,19 +20,20 @@
 	Failures    int `json:"failures"` // of the deepest service
 }
 
-// AgentControl is the cost of control traffic for the simulated or the real agents. Processes send it under its field names.
+// AgentControl is the cost of control traffic for the simulated or the real agents. Processes send it under its field
+// names.
 type AgentControl struct {
 	Agents           int          `json:"agents"`
 	BytesIn          Distribution `json:"bytes_in_per_s"`   // mean of each agent over the run, in bytes per second
 	BytesOut         Distribution `json:"bytes_out_per_s"`  // the same for sent bytes
-	Worst6s          Distribution `json:"worst_6s_per_s"`   // of each agent: received and sent bytes per second in its worst 6 s
+	Worst6s          Distribution `json:"worst_6s_per_s"`   // of each agent: bytes per second, both ways, in its worst 6 s
 	CPUPercent       float64      `json:"cpu_percent"`      // of one core, per agent, for control traffic only
 	HeapBytes        float64      `json:"heap_bytes"`       // live heap per simulated agent
 	RSSBytes         Distribution `json:"rss_bytes"`        // real agents only
-	ListInForce      Distribution `json:"list_in_force_ms"` // as simulated agents report it; for real agents as ListAcknowledged
-	ListAcknowledged Distribution `json:"list_heard_ms"`    // until control gets the agent's next call, which acknowledges the list; all agents
+	ListInForce      Distribution `json:"list_in_force_ms"` // reported by simulated agents; real ones: ListAcknowledged
+	ListAcknowledged Distribution `json:"list_heard_ms"`    // seen by control: the next call acknowledges; all agents
 	ConfigInForce    Distribution `json:"config_in_force_ms"`
-	Undelivered      int          `json:"unheard"` // pairs of an agent and a due change that had not reached it when the run ended
+	Undelivered      int          `json:"unheard"` // pairs of an agent and a due change that did not reach it during the run
 }
 
 // ControlMachine is the work of one machine of the control plane: control itself, a relay, or the configuration source.
@@ -70,8 +71,8 @@
 	ServedMeanPercent float64 `json:"served_percent"`
 }
 
-// Window counts the root calls that began in one second of the run and how many of them were served. Processes send it under
-// its field names.
+// Window counts the root calls that began in one second of the run and how many of them were served. Processes send it
+// under its field names.
 type Window struct {
 	Second  int     `json:"second"`
 	Roots   int64   `json:"roots"`
@@ -85,18 +86,18 @@
 	AtSeconds             float64      `json:"at_s"`
 	LengthSeconds         float64      `json:"length_s"`
 	Affects               int          `json:"affects"`     // number of agents, servers or machines, depending on the kind
-	Bytes                 int64        `json:"bytes"`       // control traffic of all agents, both directions, during the event and 6 s after it
+	Bytes                 int64        `json:"bytes"`       // control traffic of all agents, both ways, until 6 s after the event
 	InForceMS             Distribution `json:"in_force_ms"` // of the event's changes, at each agent
 	Undelivered           int          `json:"unheard"`
 	ServedPercent         float64      `json:"served_percent"`  // of the root calls during the event
 	ServedBeforePercent   float64      `json:"before_percent"`  // in the 5 s before the event
-	RecoveredAfterSeconds float64      `json:"back_after_s"`    // from its end until 90% of ServedBeforePercent are served; -1: not within the run
+	RecoveredAfterSeconds float64      `json:"back_after_s"`    // until 90% of ServedBeforePercent are served; -1: not in the run
 	FullLists             int64        `json:"whole_lists"`     // sent by control and relays during the event
 	Rejected              int64        `json:"control_refused"` // calls rejected by control and relays during the event
 }
 
-// Added is the latency that real agents add to a call, compared with the same call made directly. The two alternate in one
-// run.
+// Added is the latency that real agents add to a call, compared with the same call made directly. The two alternate in
+// one run.
 type Added struct {
 	Through   Distribution `json:"through_ms"`
 	Direct    Distribution `json:"direct_ms"`
@@ -139,9 +140,9 @@
 	Ratios            []Ratio          `json:"ratios"`
 	Budgets           []Budget         `json:"budgets"`
 	ModelLagMS        Distribution     `json:"model_lag_ms"`    // how late modelled events were handled
-	ModelKeptTime     bool             `json:"model_kept_time"` // the lag was small enough for the results of calls to be valid
+	ModelKeptTime     bool             `json:"model_kept_time"` // the lag was small enough for valid results of calls
 	RestartsNotUp     int              `json:"not_up"`          // restarts after which a real agent was not up in time
-	LateNotifications int              `json:"late_told"`       // changes that control sent later than its configured costs explain
+	LateNotifications int              `json:"late_told"`       // changes sent later than control's configured costs explain
 	WallSeconds       float64          `json:"wall_s"`
 	Incomplete        string           `json:"incomplete,omitempty"` // why the run ended early
 }
--- a/internal/scale/scenario/adjust.go
+++ b/internal/scale/scenario/adjust.go
@@ -13,8 +13,8 @@
 }
 
 // AdjustTo makes the values of the file consistent with overrides that are applied afterwards: fewer servers mean fewer
-// services, fewer services mean less depth, and a shorter run keeps only the events that end before it does. It returns a
-// message for the user per change. It does not report conflicts among the overrides; Override does.
+// services, fewer services mean less depth, and a shorter run keeps only the events that end before it does. It returns
+// a message for the user per change. It does not report conflicts among the overrides; Override does.
 func (s *Scenario) AdjustTo(o Overrides) (notes []string) {
 	a := &adjustment{scenario: s, overrides: o}
 	servers := valueOr(o.Servers, s.Fleet.Servers)
@@ -43,8 +43,8 @@
 	}
 }
 
-// adjustServices raises the number of services for an overridden depth, and lowers services and depth to what the number of
-// servers allows.
+// adjustServices raises the number of services for an overridden depth, and lowers services and depth to what the
+// number of servers allows.
 func (a *adjustment) adjustServices(servers int) {
 	fleet := &a.scenario.Fleet
 	o := a.overrides
--- a/internal/scale/scenario/load.go
+++ b/internal/scale/scenario/load.go
@@ -51,8 +51,8 @@
 	return s, nil
 }
 
-// Parse parses and validates the text of a file. Unknown keys are errors, because a misspelt key would otherwise silently
-// leave the default in place.
+// Parse parses and validates the text of a file. Unknown keys are errors, because a misspelt key would otherwise
+// silently leave the default in place.
 func Parse(text []byte) (*Scenario, error) {
 	s := defaults()
 	if err := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields().Decode(&s); err != nil {
--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -1,9 +1,9 @@
-// Package scenario reads the input of a scale run, its sizes, costs, budgets and events, from a TOML file without unknown
-// keys. The package keeps no state and starts no goroutines; a Scenario belongs to its caller.
+// Package scenario reads the input of a scale run, its sizes, costs, budgets and events, from a TOML file without
+// unknown keys. The package keeps no state and starts no goroutines; a Scenario belongs to its caller.
 package scenario
 
-// Scenario is the content of one file. Its fields follow the file's keys and are sent to the processes of a run under their
-// Go names. The suffix of a field's name states the unit of a time.
+// Scenario is the content of one file. Its fields follow the file's keys and are sent to the processes of a run under
+// their Go names. The suffix of a field's name states the unit of a time.
 type Scenario struct {
 	Name    string  `toml:"name"`
 	Seed    uint64  `toml:"seed"`
@@ -29,7 +29,7 @@
 	Regions            int     `toml:"regions"`
 	Zones              int     `toml:"zones"`       // in all regions together
 	Racks              int     `toml:"racks"`       // in each zone
-	Uneven             float64 `toml:"uneven"`      // exponent of the distribution of the services' sizes by rank; 0: equal sizes
+	Uneven             float64 `toml:"uneven"`      // exponent of the services' sizes by rank; 0: equal sizes
 	ServiceMS          float64 `toml:"service_ms"`  // mean processing time of a call at speed 1
 	Slots              int     `toml:"slots"`       // requests that a server processes concurrently
 	QueueSlots         int     `toml:"queue_slots"` // maximum queue length of a server
@@ -38,8 +38,8 @@
 	RegionMS           float64 `toml:"region_ms"`   // one-way latency between regions
 	SlowStartMinWeight float64 `toml:"cold_from"`   // share of its full speed at which a server starts
 	SlowStartS         float64 `toml:"warm_s"`      // time from its start until a server has its full speed
-	DrainS             float64 `toml:"drain_s"`     // from the list entry that marks a server as draining until its process ends
-	BootS              float64 `toml:"boot_s"`      // from the end of the process until the start of the next one
+	DrainS             float64 `toml:"drain_s"`     // from the list that marks a server as draining to its end
+	BootS              float64 `toml:"boot_s"`      // from the end of a process to the start of the next one
 }
 
 // Agent holds the limits and settings in each agent's configuration.
@@ -60,7 +60,7 @@
 	EntryUS    float64 `toml:"line_us"`        // configured cost of each entry in a response
 	Parallel   int     `toml:"parallel"`       // calls that it processes concurrently
 	RejectMS   float64 `toml:"refuse_ms"`      // a call is rejected after this time in the queue
-	Log        int     `toml:"log"`            // number of revisions whose changes are kept; agents with an older revision get the full list
+	Log        int     `toml:"log"`            // revisions with kept changes; agents with older ones get the full list
 	NoticeMS   float64 `toml:"notice_ms"`      // from a change of the fleet to the revision that contains it
 	PushMS     float64 `toml:"push_ms"`        // configured cost of sending a configuration to one agent
 	ChangesDay float64 `toml:"changes_day"`    // configuration changes per day
@@ -113,7 +113,7 @@
 	EventRelease     = "release"      // Share of the servers drain and restart, spread over ForS
 	EventMachine     = "machine"      // Count servers and their agents fail at the same time, for ForS
 	EventRack        = "rack"         // the servers of rack Count of zone Zone and their agents fail for ForS
-	EventZone        = "zone"         // the servers of zone Zone and their agents fail for ForS; the servers return in slow start
+	EventZone        = "zone"         // the servers of zone Zone and their agents fail for ForS and return in slow start
 	EventRegions     = "regions"      // the regions are partitioned for ForS; control is in region 0
 	EventControlLoss = "control-loss" // control is unavailable for ForS, then all agents reconnect
 	EventAgentsBack  = "agents-back"  // all agents restart at the same time, without a list
--- a/internal/scale/scenario/scenario_test.go
+++ b/internal/scale/scenario/scenario_test.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestCommittedFiles guards against unintended changes of the sizes in the committed scenario files, and against events in
-// them that overlap.
+// TestCommittedFiles guards against unintended changes of the sizes in the committed scenario files, and against events
+// in them that overlap.
 func TestCommittedFiles(t *testing.T) {
 	for name, want := range map[string]struct{ servers, services, real, depth, events int }{
 		"target": {830, 130, 40, 14, 12},
--- a/internal/scale/scenario/validate.go
+++ b/internal/scale/scenario/validate.go
@@ -269,8 +269,8 @@
 	}
 }
 
-// EventEnd returns the time of an event's last change, in seconds since the start of the run. If servers drain or fail, it
-// is the time at which the last of them is listed again.
+// EventEnd returns the time of an event's last change, in seconds since the start of the run. If servers drain or fail,
+// it is the time at which the last of them is listed again.
 func (s *Scenario) EventEnd(e Event) float64 {
 	end := e.AtS + e.ForS
 	switch e.Kind {
--- a/internal/scale/sweep/capacity_test.go
+++ b/internal/scale/sweep/capacity_test.go
@@ -16,15 +16,15 @@
 	metricsFile  = "../../../deploy/scale/figures.json"
 )
 
-// markedNumber matches `12.5 <!-- key -->`, with at most one space between the number and the mark. anyMark matches every
-// mark.
+// markedNumber matches `12.5 <!-- key -->`, with at most one space between the number and the mark. anyMark matches
+// every mark.
 var (
 	markedNumber = regexp.MustCompile(`(-?[0-9][0-9,]*(?:\.[0-9]+)?) ?<!-- ([a-z][A-Za-z0-9_.-]*\.[A-Za-z0-9_.-]+) -->`)
 	anyMark      = regexp.MustCompile(`<!-- [a-z][A-Za-z0-9_.-]*\.[A-Za-z0-9_.-]+ -->`)
 )
 
-// TestCapacityPage guards against numbers on the page that differ from the metrics file: every markedNumber number must match its
-// metric to the printed precision.
+// TestCapacityPage guards against numbers on the page that differ from the metrics file: every markedNumber number must
+// match its metric to the printed precision.
 func TestCapacityPage(t *testing.T) {
 	text, pageErr := os.ReadFile(capacityPage)
 	all, metricsErr := ReadMetrics(metricsFile)
@@ -39,8 +39,8 @@
 	}
 }
 
-// checkPage returns a message for each markedNumber number that differs from its metric, for marks without a number, and for a
-// page without marks.
+// checkPage returns a message for each markedNumber number that differs from its metric, for marks without a number,
+// and for a page without marks.
 func checkPage(text string, all map[string]Metric) []string {
 	var wrong []string
 	found := markedNumber.FindAllStringSubmatch(text, -1)
@@ -60,8 +60,8 @@
 	return wrong
 }
 
-// matchesPrinted reports whether the printed number is the value rounded to the last printed digit. Trailing zeros of an
-// integer are significant.
+// matchesPrinted reports whether the printed number is the value rounded to the last printed digit. Trailing zeros of
+// an integer are significant.
 func matchesPrinted(printed string, v float64) bool {
 	digits := strings.ReplaceAll(printed, ",", "")
 	n, err := strconv.ParseFloat(digits, 64)
--- a/internal/scale/sweep/dimensions.go
+++ b/internal/scale/sweep/dimensions.go
@@ -16,8 +16,8 @@
 	doublesWithTarget bool // twice the target has twice this size
 }
 
-// Dimensions are all dimensions, in the order in which they are swept. Twice the target has twice as many servers, agents,
-// changes and services as the target, at the same depth.
+// Dimensions are all dimensions, in the order in which they are swept. Twice the target has twice as many servers,
+// agents, changes and services as the target, at the same depth.
 var Dimensions = []Dimension{
 	{
 		Name:              "servers",
@@ -81,8 +81,8 @@
 	return sortedUnique([]float64{float64(max(n/2, base.Fleet.Services)), float64(n), float64(2 * n), float64(4 * n)})
 }
 
-// doubledChangeRates returns 0, the base's changes per minute, and one, two and four times that rate or, if it is higher, the
-// rate of one change per run.
+// doubledChangeRates returns 0, the base's changes per minute, and one, two and four times that rate or, if it is
+// higher, the rate of one change per run.
 func doubledChangeRates(base *scenario.Scenario) []float64 {
 	rate := base.ChangesPerMinute()
 	n := max(rate, secondsPerMinute/base.Seconds)
--- a/internal/scale/sweep/fit.go
+++ b/internal/scale/sweep/fit.go
@@ -15,12 +15,12 @@
 	Quadratic        float64 `json:"quadratic"` // quadratic coefficient of the smallest-squares parabola
 	ChordDeviation   float64 `json:"bent"`      // maximum deviation of the parabola from its chord over the measured sizes
 	ParabolaResidual float64 `json:"bent_left"` // root mean square of the parabola's residuals
-	Exponent         float64 `json:"exponent"`  // of a power law fitted to the logarithms; 0 if a size or value is not positive
+	Exponent         float64 `json:"exponent"`  // of the power law; 0 if a size or value is not positive
 	AtOne            float64 `json:"at_one"`    // value of the power law at size 1; 0 if there is none
 }
 
-// fitGrowth fits the line, the parabola and the power law. xs and ys must have the same length of at smallest three, with at
-// smallest two different sizes.
+// fitGrowth fits the line, the parabola and the power law. xs and ys must have the same length of at smallest three,
+// with at smallest two different sizes.
 func fitGrowth(xs, ys []float64) Fit {
 	var f Fit
 	f.Intercept, f.Slope = stat.LinearRegression(xs, ys, nil, false)
@@ -35,8 +35,8 @@
 	return f
 }
 
-// predict returns the line's value at a size. Metrics are never negative: if a falling line is not positive at the size, as
-// for a fixed cost shared by a growing number of agents, predict returns the power law's value instead.
+// predict returns the line's value at a size. Metrics are never negative: if a falling line is not positive at the
+// size, as for a fixed cost shared by a growing number of agents, predict returns the power law's value instead.
 func (f Fit) predict(x float64) float64 {
 	y := f.Intercept + f.Slope*x
 	if y <= 0 && f.AtOne > 0 {
@@ -55,8 +55,8 @@
 	return math.Sqrt(sum / float64(len(xs)))
 }
 
-// fitParabola fits a + b x + c x² by smallest squares. ok is false if the sizes do not determine a parabola. The sizes are
-// scaled by the largest one, because their squares would otherwise make the system ill-conditioned.
+// fitParabola fits a + b x + c x² by smallest squares. ok is false if the sizes do not determine a parabola. The sizes
+// are scaled by the largest one, because their squares would otherwise make the system ill-conditioned.
 func fitParabola(xs, ys []float64) (a, b, c float64, ok bool) {
 	if len(xs) < 3 {
 		return 0, 0, 0, false
@@ -79,8 +79,8 @@
 	return solved.AtVec(0), solved.AtVec(1) / scale, solved.AtVec(2) / scale / scale, true
 }
 
-// fitPowerLaw fits a line to the logarithms. It returns the power law's value at size 1 and its exponent, or zeros if a size
-// or value is not positive.
+// fitPowerLaw fits a line to the logarithms. It returns the power law's value at size 1 and its exponent, or zeros if a
+// size or value is not positive.
 func fitPowerLaw(xs, ys []float64) (atOne, exponent float64) {
 	var logXs, logYs []float64
 	for i := range xs {
--- a/internal/scale/sweep/metrics.go
+++ b/internal/scale/sweep/metrics.go
@@ -39,8 +39,9 @@
 	return os.WriteFile(file, append(text, '\n'), 0o644)
 }
 
-// Metrics returns the sweep's metrics by their stable keys: DIMENSION.METRIC.{slope,intercept,residual,quadratic,exponent,
-// target,twice,at_SIZE} and joint.METRIC.{base,target,twice}.
+// Metrics returns the sweep's metrics by their stable keys:
+// DIMENSION.METRIC.{slope,intercept,residual,quadratic,exponent, target,twice,at_SIZE} and
+// joint.METRIC.{base,target,twice}.
 func (w *Sweep) Metrics() map[string]Metric {
 	all := map[string]Metric{}
 	for _, g := range w.Growth {
@@ -136,8 +137,8 @@
 	}
 }
 
-// addControlMetrics adds the metrics of the control plane, summed per role: control, relay, source. Of the queueing times
-// it adds the maximum instead.
+// addControlMetrics adds the metrics of the control plane, summed per role: control, relay, source. Of the queueing
+// times it adds the maximum instead.
 func addControlMetrics(all map[string]measurement, r *result.Run) {
 	seconds := r.Sizes.Seconds
 	if seconds <= 0 {
--- a/internal/scale/sweep/output_test.go
+++ b/internal/scale/sweep/output_test.go
@@ -11,8 +11,8 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// TestOutputIsStable guards against changed words and keys in the text, metrics and runs of a sweep: people and programs
-// compare them with the output of other versions.
+// TestOutputIsStable guards against changed words and keys in the text, metrics and runs of a sweep: people and
+// programs compare them with the output of other versions.
 func TestOutputIsStable(t *testing.T) {
 	w, err := Run(t.Context(), base(), Options{Only: []string{"agents", "depth"}, Target: target(), RunScenario: overloadedRun})
 	if err != nil {
--- a/internal/scale/sweep/plan.go
+++ b/internal/scale/sweep/plan.go
@@ -85,8 +85,8 @@
 	return nil
 }
 
-// withSize returns a copy of the base with one size changed; the zero Dimension changes none. When the number of servers
-// varies, the number of agents remains that of the base, so that only one size changes.
+// withSize returns a copy of the base with one size changed; the zero Dimension changes none. When the number of
+// servers varies, the number of agents remains that of the base, so that only one size changes.
 func withSize(base *scenario.Scenario, d Dimension, size float64) *scenario.Scenario {
 	s := *base
 	s.Events = slices.Clone(base.Events)
--- a/internal/scale/sweep/sweep.go
+++ b/internal/scale/sweep/sweep.go
@@ -15,9 +15,9 @@
 // Options configures Run.
 type Options struct {
 	Only        []string             // names of the dimensions to sweep; empty: all
-	Sizes       map[string][]float64 // sizes by dimension, at least minSizes each; a missing dimension has its default sizes
+	Sizes       map[string][]float64 // at least minSizes per dimension; missing: its default sizes
 	Target      *scenario.Scenario   // the scenario at which the fits are evaluated; nil: none
-	Limit       time.Duration        // time limit of all runs together; 0: none. The remaining sizes are reported as Skipped
+	Limit       time.Duration        // time limit of all runs; 0: none. The remaining sizes are Skipped
 	RunScenario func(context.Context, *scenario.Scenario) (*result.Run, error)
 	Check       func(*scenario.Scenario) error // checks the scenario of each size before the first run; nil: no check
 	Progress    func(string)                   // is called with progress messages for the user; nil: none
@@ -40,8 +40,8 @@
 	Run       *result.Run `json:"run"`
 }
 
-// Run runs the base and all sizes and fits the metrics. It returns an error, before the first run, for an unknown dimension
-// or a size that Options.Check rejects. Failed runs are listed in Sweep.Skipped.
+// Run runs the base and all sizes and fits the metrics. It returns an error, before the first run, for an unknown
+// dimension or a size that Options.Check rejects. Failed runs are listed in Sweep.Skipped.
 func Run(ctx context.Context, base *scenario.Scenario, o Options) (*Sweep, error) {
 	dimensions, err := selectDimensions(o.Only)
 	if err != nil {
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -84,8 +84,8 @@
 	return s
 }
 
-// fakeRun returns the result of a fleet whose control bytes grow with agents times changes and whose control rejects calls
-// above 100 agents.
+// fakeRun returns the result of a fleet whose control bytes grow with agents times changes and whose control rejects
+// calls above 100 agents.
 func fakeRun(_ context.Context, s *scenario.Scenario) (*result.Run, error) {
 	n, c := agentCount(s), s.ChangesPerMinute()
 	r := &result.Run{Scenario: s.Name, Sizes: result.Sizes{Agents: int(n), Seconds: s.Seconds}}
@@ -178,8 +178,8 @@
 	}
 }
 
-// TestNoise guards against taking noise for growth: a metric that varies between runs by more than it grows must be flat
-// and have no kink.
+// TestNoise guards against taking noise for growth: a metric that varies between runs by more than it grows must be
+// flat and have no kink.
 func TestNoise(t *testing.T) {
 	n := 0.0
 	noisy := func(_ context.Context, s *scenario.Scenario) (*result.Run, error) {
