--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -30,8 +30,8 @@
 	CPUPercent       float64      `json:"cpu_percent"`      // of one core, per agent, for control traffic only
 	HeapBytes        float64      `json:"heap_bytes"`       // live heap per simulated agent
 	RSSBytes         Distribution `json:"rss_bytes"`        // real agents only
-	ListInForce      Distribution `json:"list_in_force_ms"` // reported by simulated agents; real ones: ListAcknowledged
-	ListAcknowledged Distribution `json:"list_heard_ms"`    // seen by control: the next call acknowledges; all agents
+	ListInForce      Distribution `json:"list_in_force_ms"` // reported by simulated agents; ListAcknowledged for real ones
+	ListAcknowledged Distribution `json:"list_heard_ms"`    // until the agent's next call acknowledges it to control; all agents
 	ConfigInForce    Distribution `json:"config_in_force_ms"`
 	Undelivered      int          `json:"unheard"` // pairs of an agent and a due change that did not reach it during the run
 }
@@ -86,12 +86,12 @@
 	AtSeconds             float64      `json:"at_s"`
 	LengthSeconds         float64      `json:"length_s"`
 	Affects               int          `json:"affects"`     // number of agents, servers or machines, depending on the kind
-	Bytes                 int64        `json:"bytes"`       // control traffic of all agents, both ways, until 6 s after the event
+	Bytes                 int64        `json:"bytes"`       // control traffic of all agents until 6 s after the event
 	InForceMS             Distribution `json:"in_force_ms"` // of the event's changes, at each agent
 	Undelivered           int          `json:"unheard"`
 	ServedPercent         float64      `json:"served_percent"`  // of the root calls during the event
 	ServedBeforePercent   float64      `json:"before_percent"`  // in the 5 s before the event
-	RecoveredAfterSeconds float64      `json:"back_after_s"`    // until 90% of ServedBeforePercent are served; -1: not in the run
+	RecoveredAfterSeconds float64      `json:"back_after_s"`    // from its end until 90% of ServedBeforePercent; -1: never
 	FullLists             int64        `json:"whole_lists"`     // sent by control and relays during the event
 	Rejected              int64        `json:"control_refused"` // calls rejected by control and relays during the event
 }
--- a/internal/scale/sweep/fit.go
+++ b/internal/scale/sweep/fit.go
@@ -12,15 +12,15 @@
 	Intercept        float64 `json:"intercept"`
 	Slope            float64 `json:"slope"`     // per unit of the size, by linear regression
 	Residual         float64 `json:"residual"`  // root mean square of the line's residuals
-	Quadratic        float64 `json:"quadratic"` // quadratic coefficient of the smallest-squares parabola
+	Quadratic        float64 `json:"quadratic"` // quadratic coefficient of the least-squares parabola
 	ChordDeviation   float64 `json:"bent"`      // maximum deviation of the parabola from its chord over the measured sizes
 	ParabolaResidual float64 `json:"bent_left"` // root mean square of the parabola's residuals
 	Exponent         float64 `json:"exponent"`  // of the power law; 0 if a size or value is not positive
 	AtOne            float64 `json:"at_one"`    // value of the power law at size 1; 0 if there is none
 }
 
-// fitGrowth fits the line, the parabola and the power law. xs and ys must have the same length of at smallest three,
-// with at smallest two different sizes.
+// fitGrowth fits the line, the parabola and the power law. xs and ys must have the same length of at least three, and xs
+// must contain at least two different sizes.
 func fitGrowth(xs, ys []float64) Fit {
 	var f Fit
 	f.Intercept, f.Slope = stat.LinearRegression(xs, ys, nil, false)
@@ -55,7 +55,7 @@
 	return math.Sqrt(sum / float64(len(xs)))
 }
 
-// fitParabola fits a + b x + c x² by smallest squares. ok is false if the sizes do not determine a parabola. The sizes
+// fitParabola fits a + b x + c x² by least squares. ok is false if the sizes do not determine a parabola. The sizes
 // are scaled by the largest one, because their squares would otherwise make the system ill-conditioned.
 func fitParabola(xs, ys []float64) (a, b, c float64, ok bool) {
 	if len(xs) < 3 {
--- a/internal/scale/sweep/metrics.go
+++ b/internal/scale/sweep/metrics.go
@@ -40,7 +40,7 @@
 }
 
 // Metrics returns the sweep's metrics by their stable keys:
-// DIMENSION.METRIC.{slope,intercept,residual,quadratic,exponent, target,twice,at_SIZE} and
+// DIMENSION.METRIC.{slope,intercept,residual,quadratic,exponent,target,twice,at_SIZE} and
 // joint.METRIC.{base,target,twice}.
 func (w *Sweep) Metrics() map[string]Metric {
 	all := map[string]Metric{}
@@ -137,8 +137,8 @@
 	}
 }
 
-// addControlMetrics adds the metrics of the control plane, summed per role: control, relay, source. Of the queueing
-// times it adds the maximum instead.
+// addControlMetrics adds the metrics of the control plane, summed per role: control, relay, source. For the
+// queueing time it takes the maximum.
 func addControlMetrics(all map[string]measurement, r *result.Run) {
 	seconds := r.Sizes.Seconds
 	if seconds <= 0 {
