--- a/internal/scale/scenario/scenario_test.go
+++ b/internal/scale/scenario/scenario_test.go
@@ -54,7 +54,7 @@
 		"many servers":      {strings.Replace(minimalFile, "20", "4097", 1), "fleet.servers: must be 1 to 4096, not 4097"},
 		"more services":     {strings.Replace(minimalFile, "20", "5", 1), "fleet.services: 6 services need at least as many servers, not 5 (fleet.servers)"},
 		"fewer than layers": {strings.Replace(minimalFile, "depth = 3", "depth = 6", 1), "fleet.services: 6 services are too few for the front layer and 6 layers below it (fleet.depth)"},
-		"more real":         {minimalFile + "real = 21\n", "fleet.real: 21 real agents are more than all 20 agents (fleet.agents)"},
+		"more real":         {minimalFile + "real = 21\n", "fleet.real: 21 real agents, but the fleet has only 20 agents (fleet.agents)"},
 		"many real":         {minimalFile + "agents = 500\nreal = 201\n", "fleet.real: must be 0 to 200, not 201"},
 		"zones":             {minimalFile + "zones = 3\nregions = 2\n", "fleet.zones: 3 zones cannot be divided evenly among 2 regions (fleet.regions)"},
 		"cold":              {minimalFile + "cold_from = 0.0\n", "fleet.cold_from: must be above 0"},
--- a/internal/scale/scenario/validate.go
+++ b/internal/scale/scenario/validate.go
@@ -79,7 +79,7 @@
 		v.fail("fleet.services", "%d services are too few for the front layer and %d layers below it (fleet.depth)", f.Services, f.Depth)
 	}
 	if f.Real > s.Agents() {
-		v.fail("fleet.real", "%d real agents are more than all %d agents (fleet.agents)", f.Real, s.Agents())
+		v.fail("fleet.real", "%d real agents, but the fleet has only %d agents (fleet.agents)", f.Real, s.Agents())
 	}
 	v.floatAbove("fleet.calls_per_second", f.CallsPerSecond, 0, 1e7)
 	v.intInRange("fleet.regions", f.Regions, 1, 8)
--- a/internal/scale/sweep/capacity_test.go
+++ b/internal/scale/sweep/capacity_test.go
@@ -23,7 +23,7 @@
 	anyMark      = regexp.MustCompile(`<!-- [a-z][A-Za-z0-9_.-]*\.[A-Za-z0-9_.-]+ -->`)
 )
 
-// TestCapacityPage guards against numbers on the page that differ from the metrics file: every markedNumber number must
+// TestCapacityPage guards against numbers on the page that differ from the metrics file: every marked number must
 // match its metric to the printed precision.
 func TestCapacityPage(t *testing.T) {
 	text, pageErr := os.ReadFile(capacityPage)
@@ -39,7 +39,7 @@
 	}
 }
 
-// checkPage returns a message for each markedNumber number that differs from its metric, for marks without a number,
+// checkPage returns a message for each marked number that differs from its metric, for marks without a number,
 // and for a page without marks.
 func checkPage(text string, all map[string]Metric) []string {
 	var wrong []string
