--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -38,7 +38,7 @@
 	RegionMS           float64 `toml:"region_ms"`   // one-way latency between regions
 	SlowStartMinWeight float64 `toml:"cold_from"`   // share of its full speed at which a server starts
 	SlowStartS         float64 `toml:"warm_s"`      // time from its start until a server has its full speed
-	DrainS             float64 `toml:"drain_s"`     // from the list that marks a server as draining to its end
+	DrainS             float64 `toml:"drain_s"`     // from the list that marks a server as draining to the end of its process
 	BootS              float64 `toml:"boot_s"`      // from the end of a process to the start of the next one
 }
 
--- a/internal/scale/sweep/joint.go
+++ b/internal/scale/sweep/joint.go
@@ -25,7 +25,7 @@
 	noBaseValue  bool // along some dimension the fitted value at the base is not positive
 }
 
-// joinDimensions extrapolates the metrics along all dimensions at once. It multiplies the value at the base by the
+// joinDimensions extrapolates the metrics along all dimensions together. It multiplies the value at the base by the
 // ratio of the fits at target and base of each dimension. This assumes that the effects of the dimensions multiply, as
 // those of agents and changes on bytes do; it overestimates metrics where they add up. A metric that is not positive at
 // the base is omitted.
--- a/internal/scale/sweep/sweep_test.go
+++ b/internal/scale/sweep/sweep_test.go
@@ -105,13 +105,13 @@
 	}
 	f := w.Metrics()
 	for key, want := range map[string]float64{
-		"agents.control_bytes.slope":    1000, // at 10 changes a minute
+		"agents.control_bytes.slope":    1000, // at 10 changes per minute
 		"agents.control_bytes.exponent": 1,
 		"agents.control_bytes.at_20":    20_000,
 		"agents.control_bytes.target":   830_000,
 		"agents.control_bytes.twice":    1_660_000,
 		"changes.agent_bytes_in.slope":  100,
-		"changes.agent_bytes_in.target": 100, // 1440 a day are 1 a minute
+		"changes.agent_bytes_in.target": 100, // 1440 per day are 1 per minute
 		"joint.control_bytes.base":      40_000,
 		"joint.control_bytes.target":    83_000, // 100 * 830 * 1
 		"joint.control_bytes.twice":     332_000,
