--- a/internal/balancer/balancer_test.go
+++ b/internal/balancer/balancer_test.go
@@ -196,7 +196,7 @@
 	}
 }
 
-func sendAndAnswer(h *harness, id RequestID, out []Action) []Action {
+func completeRequest(h *harness, id RequestID, out []Action) []Action {
 	h.now += ms
 	out = h.b.Handle(h.now, Event{Kind: EventRequest, Request: id, Remaining: 1000 * ms}, out[:0])
 	return h.b.Handle(h.now, Event{Kind: EventOutcome, Request: id, Outcome: OutcomeOK, Answered: true}, out[:0])
@@ -206,7 +206,7 @@
 func TestHandleAllocations(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(50)...)
 	out, id := make([]Action, 0, 16), RequestID(0)
-	n := testing.AllocsPerRun(2000, func() { id++; out = sendAndAnswer(h, id, out) })
+	n := testing.AllocsPerRun(2000, func() { id++; out = completeRequest(h, id, out) })
 	if n > 2 {
 		t.Errorf("got %v allocations per request, want at most 2", n)
 	}
@@ -226,7 +226,7 @@
 			id := RequestID(0)
 			for b.Loop() {
 				id++
-				out = sendAndAnswer(h, id, out)
+				out = completeRequest(h, id, out)
 			}
 		})
 	}
--- a/internal/balancer/fuzz_test.go
+++ b/internal/balancer/fuzz_test.go
@@ -22,7 +22,7 @@
 }
 
 // ruleChecker checks the actions of a Balancer against the rules on final responses, idempotency, draining, placement
-// and the retry budget. It computes each rule itself.
+// and the retry budget. It evaluates the rules independently of the Balancer.
 type ruleChecker struct {
 	requestTimes []time.Duration // when requests arrived
 	retryTimes   []time.Duration // when attempts after the first of a request were sent
--- a/internal/balancer/outliers_test.go
+++ b/internal/balancer/outliers_test.go
@@ -226,7 +226,7 @@
 	}
 }
 
-// A server must not be ejected for one slow request on which it is silent up to the latency objective.
+// A single slow request must not eject its server, even if no response arrives within the latency objective.
 func TestSlowRequestDoesNotEject(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(8)...)
 	for i := range h.b.classes {
--- a/internal/balancer/pick_test.go
+++ b/internal/balancer/pick_test.go
@@ -90,8 +90,8 @@
 	onlyAction(t, h.request(3, idempotent), ActionSend)
 }
 
-// If reports contain only the queue length, it counts as requests in flight. A few requests of this agent are no
-// overload, and neither is a long queue on one server for the whole fleet.
+// If reports contain only the queue length, it counts as requests in flight. A few requests of this agent must not
+// make a server overloaded, and a long queue on one server must not raise the overload.
 func TestReportedQueueCountsAsInFlight(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(2)...)
 	s, r := h.b.servers[0], &request{class: h.b.classes[idempotent], objective: h.now + time.Second}
@@ -115,9 +115,9 @@
 	}
 }
 
-// A pair that is more loaded than usual must be rejected and picked again, except at the last pick, or the request
-// would fail for lack of picks.
-func TestLoadedPairIsPickedAgain(t *testing.T) {
+// A request must not be sent to a pair that is more loaded than usual, so that it picks again. At the last pick it must
+// be sent to the pair, or it would be rejected or failed for lack of picks.
+func TestPicksAgainIfPairIsLoaded(t *testing.T) {
 	h := newHarness(t, testSettings(), readyEndpoints(8)...)
 	candidates := func() []*server { h.pickPair(); return h.candidates().servers }()
 	h.b.typicalWait = movingAverage{1, true}
