--- a/internal/balancer/attempts.go
+++ b/internal/balancer/attempts.go
@@ -22,7 +22,7 @@
 	attempts       []attempt
 	unsentAttempts int  // attempts that ended with OutcomeServerDraining
 	inFlight       int  // attempts without an outcome
-	picks          int  // picks since the last outcome
+	picks          int  // picks since the last outcome or hedge
 	finished       bool // the client needs no further response
 	streaming      bool // the body or response is streaming, so the request cannot be retried
 }
@@ -109,8 +109,8 @@
 	}
 }
 
-// canSend reports whether a request may be sent to a server now. It is the only place that checks placement, draining,
-// idempotency, deduplication, MaxAttempts and the retry budget.
+// canSend reports whether a request may be sent to a server now. It alone enforces placement, draining, idempotency,
+// deduplication, MaxAttempts and the retry budget.
 func (b *Balancer) canSend(r *request, s *server) bool {
 	if r.finished || r.streaming || b.now >= r.deadline {
 		return false
--- a/internal/balancer/doc.go
+++ b/internal/balancer/doc.go
@@ -5,7 +5,7 @@
 //
 // A Balancer is a deterministic state machine. The caller passes it events with the time at which they happened and
 // carries out the actions that Handle returns, immediately and in order. Every EventRequest gets exactly one final
-// response, unless its client closes the connection first: a server's response, an ActionReject or an ActionFail. The
+// response (a server's response, an ActionReject or an ActionFail), unless its client closes the connection first. The
 // caller must report exactly one EventOutcome for every ActionSend, and one EventTimer for every ActionSetTimer after
 // its delay; the caller keeps the timers.
 //
@@ -19,10 +19,10 @@
 // # Request flow
 //
 // A request is shed, or it picks a pair of servers from the candidate set of its class and is sent to the less loaded
-// of the two. A pair that is overloaded, or more loaded than usual, is picked again, up to maxPicks picks in total. A
-// failed attempt is retried on another server while idempotency, the latency objective and the retry budget allow it,
-// and an attempt without a response is hedged under the same limits. A request that no server answers is rejected if a
-// retry by the client is harmless, and failed otherwise.
+// of the two. If the pair is overloaded, or more loaded than usual, the request picks again, up to maxPicks times in
+// total. A failed attempt is retried while idempotency, the latency objective and the retry budget allow it, and an
+// attempt without a response is hedged on another server under the same limits. A request without a server's response
+// is rejected if a retry by the client is harmless, and failed otherwise.
 //
 // Most of this follows the line variant of the policy for unequal speeds by He and Down; docs/design.md lists the
 // exceptions and when each applies.
--- a/internal/balancer/endpoints.go
+++ b/internal/balancer/endpoints.go
@@ -42,10 +42,10 @@
 // server is an endpoint with this agent's knowledge of it.
 type server struct {
 	Endpoint
-	hashKey        float64 // position in the order of this agent's servers
+	hashKey        float64 // sort key among this agent's servers
 	listedSpeed    float64 // relative speed, from the Weight with which the process was first listed
 	slowdown       float64 // learned factor by which it is slower than others of its kind
-	candidateSpeed float64 // speed when a candidate set was last built with it
+	candidateSpeed float64 // speed, including warmup, when a candidate set was last built with it
 
 	inFlight        int // attempts of this agent that are in flight
 	silentAttempts  int // those of them that have reached the class's silence timeout
@@ -54,7 +54,7 @@
 	reportedAt      time.Duration
 
 	healthCheckPending bool
-	lastResponse       time.Duration // 0 if there is none
+	lastResponse       time.Duration // time of the last OutcomeOK; 0 if there is none
 	skippedUntil       time.Duration // it recently had no capacity
 	resetsInRow        int           // connection resets since the last response
 	health             []classHealth // by class.index
--- a/internal/balancer/events.go
+++ b/internal/balancer/events.go
@@ -82,7 +82,7 @@
 // The values of EventKind. Brackets list the fields that are set.
 const (
 	// EventDiscovery reports an endpoint list change, a failed poll or a discovery migration [Update, Endpoints, and
-	// the fields listed at the DiscoveryUpdate].
+	// the fields listed for the DiscoveryUpdate].
 	EventDiscovery EventKind = iota
 	// EventRequest reports a new request, which gets exactly one final response
 	// [Request, Class, Tenant, Remaining, Retry].
--- a/internal/balancer/locality.go
+++ b/internal/balancer/locality.go
@@ -12,7 +12,7 @@
 	remoteQueueSlope = 2.0
 )
 
-// locality is whether a server is in this agent's zone.
+// locality specifies whether a server is in this agent's zone.
 type locality uint8
 
 const (
--- a/internal/balancer/outliers.go
+++ b/internal/balancer/outliers.go
@@ -52,7 +52,7 @@
 	failures     float64 // total weight of recent failures, halved by each success
 	ejectedUntil time.Duration
 	ejections    int           // consecutive ejections without a success
-	lastResponse time.Duration // 0 if there is none
+	lastResponse time.Duration // time of the last OutcomeOK; 0 if there is none
 }
 
 // recordOutcome updates the health of a server and the overload from the outcome of an attempt. objectiveUsage is the
@@ -64,7 +64,7 @@
 		b.recordSuccess(c, s, objectiveUsage)
 	case OutcomeTimeout:
 		b.recordSlowdown(s, maxSlowdown/2, sampleWeight)
-		if s.health[c.index].lastResponse <= a.sentAt { // it may have answered other classes
+		if s.health[c.index].lastResponse <= a.sentAt { // it may have responded to other classes
 			b.recordSilence(c, a, fullFailureWeight)
 		}
 	case OutcomeRejected:
--- a/internal/balancer/pick.go
+++ b/internal/balancer/pick.go
@@ -113,8 +113,8 @@
 }
 
 // isOverloaded reports whether a server has no capacity for a request: it is skipped, its queue is too long, or the
-// response would miss the request's objective. An idle server is overloaded only while it is skipped: otherwise it
-// would get no requests, and its last report would never be replaced.
+// response would miss the request's objective. An idle server that is not skipped is never overloaded: without requests
+// its last report would never be replaced.
 func (b *Balancer) isOverloaded(r *request, s *server) bool {
 	if b.now < s.skippedUntil {
 		return true
--- a/internal/balancer/polling.go
+++ b/internal/balancer/polling.go
@@ -39,8 +39,8 @@
 	b.emit(Action{Kind: ActionSetTimer, TimerID: newPollTimerID(b.pollTimers), Delay: delay})
 }
 
-// countPollFailure counts a failed poll. A migration resets the count to one failure, since the new discovery service
-// has not failed yet.
+// countPollFailure counts a failed poll. A migration discards earlier failures, since the new discovery service has not
+// failed yet, and counts as the first failure.
 func (b *Balancer) countPollFailure(ev *Event) {
 	switch ev.Update {
 	case PollFailed:
--- a/internal/balancer/settings.go
+++ b/internal/balancer/settings.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Idempotency is whether a request may run more than once.
+// Idempotency specifies whether a request may run more than once.
 type Idempotency uint8
 
 // The values of Idempotency.
@@ -45,7 +45,7 @@
 	PriorityWeight float64
 	// LateWeight is the share of PriorityWeight that a response has between LatencyObjective and Deadline.
 	LateWeight float64
-	// Idempotency is whether a request may run more than once.
+	// Idempotency specifies whether a request may run more than once.
 	Idempotency Idempotency
 	// DedupScope is the group of servers that drop repeats. It applies only to IdempotentWithKey.
 	DedupScope DedupScope
@@ -64,7 +64,7 @@
 	Quota float64
 }
 
-// ReportMode is how servers report their load.
+// ReportMode specifies how servers report their load.
 type ReportMode uint8
 
 // The values of ReportMode.
@@ -91,7 +91,7 @@
 	Tenants []Tenant
 	// Kinds are the names of the machine kinds; may be empty. Endpoint.Kind is an index into them.
 	Kinds []string
-	// Reports is how servers report their load.
+	// Reports specifies how servers report their load.
 	Reports ReportMode
 	// PollEndpoints means that the endpoint list arrives only in response to ActionPollEndpoints.
 	PollEndpoints bool
--- a/internal/balancer/speed.go
+++ b/internal/balancer/speed.go
@@ -42,7 +42,7 @@
 // request on the server. Reported service times are not used, since they cover only the last one or two requests.
 func (b *Balancer) recordLatency(c *class, a *attempt, latencySeconds float64) {
 	if latencySeconds <= 0 {
-		return // shorter than a tick
+		return // shorter than a tick, or the request was streaming
 	}
 	s := a.server
 	kind := b.kindOf(s)
