--- a/internal/simwire/events.go
+++ b/internal/simwire/events.go
@@ -8,7 +8,8 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// record reads one record. ok reports whether the record is for an instance; other records are handled by the decoder.
+// record reads one record. ok reports whether the caller must handle the record: endpoint lists are stored in the
+// decoder, and peer messages are skipped.
 func (d *Decoder) record() (record Record, ok bool) {
 	code := eventCode(d.u8())
 	if code == eventEndpointList {
