--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -31,11 +31,11 @@
 	OnPoll   func(PollResult) // called for each poll or watch, before Notify is called with its result
 	Log      *slog.Logger
 
-	Name      string                                 // of the agent; it determines the order of the relays
-	Relays    []string                               // IP addresses and ports; empty: discovery is called directly
-	WatchWait time.Duration                          // how long a watch waits in push mode; 0: defaultWatchWait
-	OnAnswer  func(began time.Time, revision uint64) // called after a successful call, once Notify has returned
-	Dial      Dial                                   // nil: a net.Dialer with dialTimeout
+	Name       string                                 // of the agent; it determines the order of the relays
+	Relays     []string                               // IP addresses and ports; empty: discovery is called directly
+	WatchWait  time.Duration                          // how long a watch waits in push mode; 0: defaultWatchWait
+	OnResponse func(began time.Time, revision uint64) // called after a successful call, once Notify has returned
+	Dial       Dial                                   // nil: a net.Dialer with dialTimeout
 }
 
 // Target is the address of the discovery service and of the relays, if any, through which to reach it.
@@ -55,7 +55,7 @@
 	settings      func() *settings.Settings
 	notify        func(WatchEvent)
 	onPoll        func(PollResult)
-	onAnswer      func(time.Time, uint64)
+	onResponse    func(time.Time, uint64)
 	log           *slog.Logger
 	name          string
 	pushWatchWait time.Duration
@@ -88,7 +88,7 @@
 		settings:      o.Settings,
 		notify:        o.Notify,
 		onPoll:        o.OnPoll,
-		onAnswer:      o.OnAnswer,
+		onResponse:    o.OnResponse,
 		log:           o.Log,
 		name:          o.Name,
 		pushWatchWait: cmp.Or(o.WatchWait, defaultWatchWait),
@@ -125,7 +125,7 @@
 }
 
 // Run follows the list until the context ends and switches to the target of each migration. It returns after the last
-// call of Notify, OnPoll and OnAnswer has returned, so none of these may wait for Run.
+// call of Notify, OnPoll and OnResponse has returned, so none of these may wait for Run.
 func (c *Client) Run(ctx context.Context, migrations <-chan Target) {
 	for {
 		targetCtx, cancelTarget := context.WithCancel(ctx)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -141,8 +141,8 @@
 		c.latency.recordResponse(time.Since(c.lastCall.began))
 	}
 	c.endFirstRound()
-	if c.onAnswer != nil {
-		c.onAnswer(c.lastCall.began, *list.Revision)
+	if c.onResponse != nil {
+		c.onResponse(c.lastCall.began, *list.Revision)
 	}
 }
 
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -118,14 +118,14 @@
 		Log:              o.Log,
 	}
 	r.client = discovery.New(discovery.Options{
-		Addr:      o.Discovery,
-		Settings:  func() *settings.Settings { return &r.settings },
-		Notify:    r.onWatchEvent,
-		OnPoll:    func(discovery.PollResult) {},
-		OnAnswer:  r.onResponse,
-		WatchWait: upstreamWatchWait,
-		Dial:      o.Dial,
-		Log:       o.Log,
+		Addr:       o.Discovery,
+		Settings:   func() *settings.Settings { return &r.settings },
+		Notify:     r.onWatchEvent,
+		OnPoll:     func(discovery.PollResult) {},
+		OnResponse: r.onResponse,
+		WatchWait:  upstreamWatchWait,
+		Dial:       o.Dial,
+		Log:        o.Log,
 	})
 	if stored := r.loadStored(); stored.Complete {
 		r.store.Reset(*stored.Revision, stored.Members)
