--- a/internal/lists/caller.go
+++ b/internal/lists/caller.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// errNoListYet is the response while the store has no list: an empty list would mean that all endpoints are removed.
+// errNoListYet is returned while the store has no list: an empty list would mean that all endpoints are removed.
 var errNoListYet = errors.New("no list yet")
 
 // caller holds the server's state for one agent.
--- a/internal/lists/server.go
+++ b/internal/lists/server.go
@@ -34,8 +34,8 @@
 	Admit(ctx context.Context, w Work) (time.Duration, error)
 }
 
-// Work is the work that a call causes between two waits: starting the call, unless it continues a watch, and sending a
-// response.
+// Work is work that a call causes: starting the call, unless it continues a watch, and sending the response. If the
+// call waits for a change, the two are admitted separately, before and after the wait.
 type Work struct {
 	Agent     int
 	Continues bool // the call has started already or continues a watch: only the members are work
--- a/internal/relay/handler.go
+++ b/internal/relay/handler.go
@@ -91,7 +91,7 @@
 	r.respond(w, req.WithContext(ctx), next)
 }
 
-// callContext derives the context of a call, which is canceled when this relay may no longer serve calls.
+// callContext derives the context of a call, which is cancelled when this relay may no longer serve calls.
 func (r *Relay) callContext(call context.Context) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(call)
 	r.mu.Lock()
--- a/internal/relay/limiter.go
+++ b/internal/relay/limiter.go
@@ -21,7 +21,8 @@
 
 // fullListLimiter limits the rate of full lists. Changes are admitted immediately, because they are small and urgent.
 //
-// A caller that cannot get a slot within maxQueueDelay is rejected with Retry-After, and its slot is reserved.
+// A caller that cannot get a slot within maxQueueDelay is rejected. If its slot is due within NotifyBoundAfterFailure
+// and fewer than maxReservations are reserved, the slot is reserved and the caller gets its time as Retry-After.
 // Reservations are anonymous: each caller takes the first reserved slot that is due within maxQueueDelay. So a slot is
 // not lost if its caller goes elsewhere, and a caller whose slot was taken still gets one ahead of later callers.
 //
--- a/internal/relay/relay.go
+++ b/internal/relay/relay.go
@@ -2,10 +2,10 @@
 // discovery would. It stores its last list on disk, so that a restart does not depend on other services. It makes no
 // decisions about endpoints.
 //
-// The list is in a lists.Store, which does its own locking, as the limiter and the counters do. Relay.mu guards the
-// state of the upstream connection: whether the relay has a list, when that was last synced, and whether calls may be
-// served. Run starts the goroutine of the discovery client, the only one that updates the store, and itself stores the
-// list on disk.
+// The list is in a lists.Store. The store, the limiter and the counters are safe for concurrent use. Relay.mu guards
+// the state of the upstream connection: whether the relay has a list, when that was last synced, and whether calls may
+// be served. Run starts the goroutine of the discovery client, the only one that updates the store, and itself stores
+// the list on disk.
 package relay
 
 import (
