--- a/internal/clock/source_test.go
+++ b/internal/clock/source_test.go
@@ -23,7 +23,7 @@
 
 // The agent and the relay must not read the wall clock outside this package. Intervals that were measured on it let
 // slow clients continue for an hour after a step, and failed good ones.
-func TestWallClockIsReadOnlyInThisPackage(t *testing.T) {
+func TestWallClockNotReadOutsideThisPackage(t *testing.T) {
 	files := 0
 	for _, folder := range agentSources(t) {
 		names, err := filepath.Glob(filepath.Join(folder, "*.go"))
