--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -97,10 +97,10 @@
 // OnPoll must be called once per call, with its wait, duration and error, before the owner is notified of the result.
 // The event must have the revision, and all connections must use the dial function of the options.
 func TestCallsAreReportedAndUseDial(t *testing.T) {
-	answers := make(chan string)
+	responses := make(chan string)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
-		case text := <-answers:
+		case text := <-responses:
 			fmt.Fprint(w, text)
 		case <-r.Context().Done():
 		}
@@ -141,7 +141,7 @@
 		{`{"revision":9,"complete":true,"members":[]}`, 0, false, balancer.EndpointsReplaced, 9},
 	} {
 		select {
-		case answers <- c.text:
+		case responses <- c.text:
 		case <-time.After(testTimeout):
 			t.Fatalf("no call %d", i)
 		}
--- a/internal/discovery/route_test.go
+++ b/internal/discovery/route_test.go
@@ -436,8 +436,8 @@
 		r := newRoute("agent", Target{Addr: "10.1.0.1:80", Relays: all[:n]})
 		want := append(rankRelays("agent", all[:n])[:min(n, maxRelays)], "10.1.0.1:80")
 		var got []string
-		for _, hop := range r.candidates {
-			got = append(got, hop.addr)
+		for _, c := range r.candidates {
+			got = append(got, c.addr)
 		}
 		if !slices.Equal(got, want) {
 			t.Errorf("of %d relays: %v, want %v", n, got, want)
--- a/internal/discovery/trace_amd64_test.go
+++ b/internal/discovery/trace_amd64_test.go
@@ -23,14 +23,14 @@
 // traceRecorder simulates a service and a balancer that behave at random, by a seed, and hashes all interactions of a
 // client with them.
 type traceRecorder struct {
-	mu      sync.Mutex
-	answers *rand.Rand // of the service
-	waits   *rand.Rand // of the owner between polls
-	began   time.Time
-	trace   hash.Hash
-	calls   int
-	events  int
-	poll    func()
+	mu        sync.Mutex
+	responses *rand.Rand // of the service
+	waits     *rand.Rand // of the owner between polls
+	began     time.Time
+	trace     hash.Hash
+	calls     int
+	events    int
+	poll      func()
 }
 
 func (r *traceRecorder) record(format string, args ...any) {
@@ -44,9 +44,9 @@
 	r.mu.Lock()
 	r.calls++
 	r.record("call %s until %d", req.URL, due.Sub(r.began).Nanoseconds())
-	outcome := r.answers.IntN(16)
-	delay := time.Duration(1 + r.answers.Int64N(int64(time.Second)>>r.answers.IntN(8)))
-	revisionStep := r.answers.IntN(3)
+	outcome := r.responses.IntN(16)
+	delay := time.Duration(1 + r.responses.Int64N(int64(time.Second)>>r.responses.IntN(8)))
+	revisionStep := r.responses.IntN(3)
 	r.mu.Unlock()
 	var after int
 	_, err := fmt.Sscanf(req.URL.Query().Get("after"), "%d", &after)
@@ -104,7 +104,7 @@
 func recordTrace(t *testing.T, seed uint64) (calls, events int, trace string) {
 	synctest.Test(t, func(t *testing.T) {
 		random := func(stream uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
-		r := &traceRecorder{answers: random(1), waits: random(2), began: time.Now(), trace: sha256.New()}
+		r := &traceRecorder{responses: random(1), waits: random(2), began: time.Now(), trace: sha256.New()}
 		plan := random(3)
 		agents := 1 + plan.IntN(60)
 		set := &settings.Settings{Balancer: balancer.Settings{Agents: agents, Rank: plan.IntN(agents), PollEndpoints: true}}
