--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -50,7 +50,7 @@
 
 // Client follows the endpoint list and notifies its owner of each change. Its settings select one of two modes. In push
 // mode it always watches, and retries on its own. In poll mode, for agents that share one service, it makes calls only
-// after Poll, watches until a call fails, and leaves it to its owner when to poll again.
+// after Poll and watches until a call fails; then the owner decides when to poll again.
 type Client struct {
 	settings      func() *settings.Settings
 	notify        func(WatchEvent)
@@ -161,7 +161,7 @@
 	}
 }
 
-// migrate switches to a target. In poll mode it leaves it to the owner when to poll there.
+// migrate switches to a target. In poll mode the owner decides when to poll there.
 func (c *Client) migrate(target Target) {
 	c.failures = 0
 	now := time.Now()
@@ -197,7 +197,7 @@
 func (c *Client) agents() int { return c.settings().Balancer.Agents }
 
 // followList follows the list at one target until targetCtx ends. On a migration targetCtx ends before ctx, the
-// client's own context; a poll in flight then continues for oldTargetGrace.
+// client's own context; a poll in flight may then continue for oldTargetGrace.
 func (c *Client) followList(ctx, targetCtx context.Context) {
 	for {
 		if c.pollMode() {
@@ -222,7 +222,7 @@
 }
 
 // handleFailure is called when every address that was to be tried has failed. In push mode it backs off; in poll mode
-// it leaves it to the owner when to poll again. It returns false if the context ends first.
+// it notifies the owner, which decides when to poll again. It returns false if the context ends first.
 func (c *Client) handleFailure(ctx context.Context, err error) bool {
 	remaining := c.deadline.remaining()
 	c.failures++
--- a/internal/discovery/crowded_test.go
+++ b/internal/discovery/crowded_test.go
@@ -55,7 +55,8 @@
 		{agents: 30, cost: 100 * ms, outage: 7 * time.Second, maxWait: maxServiceWait},
 		{agents: 60, cost: 50 * ms, outage: 7 * time.Second, maxWait: maxServiceWait},
 		{agents: 30, cost: 100 * ms, outage: 30 * time.Second, maxWait: maxServiceWait},
-		{agents: 32, cost: 200 * ms, outage: 7 * time.Second, changeDelay: 6400 * ms, maxWait: maxServiceWait}, // the time that the service needs for one call per agent
+		// The service needs changeDelay for one call per agent.
+		{agents: 32, cost: 200 * ms, outage: 7 * time.Second, changeDelay: 6400 * ms, maxWait: maxServiceWait},
 		{agents: 44, cost: 200 * ms, outage: 7 * time.Second, changeDelay: 8800 * ms, maxWait: maxServiceWait},
 		{agents: 6, cost: 300 * ms, outage: 7 * time.Second, maxWait: 2500 * ms},
 		{agents: 30, cost: 100 * ms, outage: 7 * time.Second, maxWait: 2500 * ms},
--- a/internal/discovery/events.go
+++ b/internal/discovery/events.go
@@ -6,16 +6,17 @@
 	"example.org/ryeloft/internal/balancer"
 )
 
-// WatchEvent is a notification to the owner of a client: the full list, changes to it, or a failed poll or watch with
-// the time that remains to recover from it.
+// WatchEvent is a notification to the owner of a client: the full list, changes to it, or that the list must be polled
+// again, after a failed poll or watch (PollFailed) or at another target (DiscoveryMigrated). Remaining and PollLatency
+// apply to both of these, RejectedImmediately and PollElapsed to PollFailed only.
 type WatchEvent struct {
 	Update              balancer.DiscoveryUpdate
 	Members             []Member
-	Remaining           time.Duration // of PollFailed: until what was missed counts as notified; 0 if unknown
-	RejectedImmediately bool          // of PollFailed: the poll failed immediately, without costing the service work
-	PollLatency         time.Duration // of PollFailed: estimated time that the service takes for one poll; 0 if unknown
-	PollElapsed         time.Duration // of PollFailed: duration of the failed poll if it counts towards the wait for the next one, else 0
-	Revision            uint64        // of the list, or of the last change; 0 for PollFailed
+	Remaining           time.Duration // until what was missed counts as notified; 0 if unknown
+	RejectedImmediately bool          // the poll failed immediately, without costing the service work
+	PollLatency         time.Duration // estimated time that the service takes for one poll; 0 if unknown
+	PollElapsed         time.Duration // duration of the failed poll if it counts towards the wait for the next, else 0
+	Revision            uint64        // of the list, or of the last change; 0 if the list must be polled again
 }
 
 // Event converts the watch event to an input of the balancer. The endpoints are the members with the IDs that the owner
--- a/internal/discovery/fleet_test.go
+++ b/internal/discovery/fleet_test.go
@@ -47,7 +47,7 @@
 	broken              chan struct{} // closed when the calls now in flight break
 	brokenCallsHang     bool          // broken calls hang; else they are reset
 	chargesWatches      bool          // a watch after a poll of the full list costs a call of its own
-	rejectsEarly        bool          // rejected calls cost nothing, and calls that would take too long are rejected on arrival
+	rejectsEarly        bool          // calls that would take too long are rejected on arrival; rejections cost nothing
 	keepsWatches        bool          // a watch that continues the previous call is not rejected
 	rejectionEndsOthers bool          // a rejection also rejects the agent's other calls
 	rejectionTime       time.Duration // from the start of a call to its rejection
@@ -288,12 +288,12 @@
 		changed := s.changed
 		s.mu.Unlock()
 		if revision > after || !watches {
-			return c.answer(revision), nil
+			return c.respond(revision), nil
 		}
 		select {
 		case <-changed:
 		case <-discoverytest.After(time.Until(end)):
-			return c.answer(revision), nil
+			return c.respond(revision), nil
 		case <-ctx.Done():
 			return nil, ctx.Err()
 		case <-broken:
@@ -309,8 +309,8 @@
 	}
 }
 
-// answer returns a list of one endpoint whose cell is the revision, by which the receiver can identify the list.
-func (c *agentTransport) answer(revision uint64) *http.Response {
+// respond returns a list of one endpoint whose cell is the revision, by which the receiver can identify the list.
+func (c *agentTransport) respond(revision uint64) *http.Response {
 	c.mu.Lock()
 	c.answered = time.Now()
 	c.mu.Unlock()
@@ -432,7 +432,7 @@
 
 const drainGrace = 300 * time.Millisecond // from when a change counts as notified to when sending must stop
 
-// However calls for the list fail, each agent of a fleet must receive a drain before the platform counts it as
+// However calls for the list fail, each agent of a fleet must receive a drain at most drainGrace after it counts as
 // notified, and the fleet's calls must not overload the service. The drain immediately follows another change, so all
 // watches begin together.
 func TestChangesArriveBeforeDeadline(t *testing.T) {
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// oldTargetGrace is how long a poll continues after a migration. The platform allows the old address to close open
-	// connections after this time.
+	// oldTargetGrace is how long a poll may continue after a migration. The platform allows the old address to close
+	// open connections after this time.
 	oldTargetGrace = 1500 * time.Millisecond
 	// maxParallelCalls is the number of calls of one poll that can be in flight: the first and a hedge.
 	maxParallelCalls = 2
@@ -29,8 +29,8 @@
 // queued one, and a cancelled call costs the service as much as an answered one.
 //
 // An unusable response ends the poll, since it counts as notified; any other error ends it once no call is in flight.
-// When discovery migrates, which ends targetCtx, calls in flight continue for oldTargetGrace. If they were cancelled, a
-// series of migrations would leave the agent without a list for as long as the series lasts.
+// When discovery migrates, which ends targetCtx, calls in flight may continue for oldTargetGrace. If they were
+// cancelled immediately, a series of migrations would leave the agent without a list for as long as the series lasts.
 func (c *Client) poll(ctx, targetCtx context.Context) (EndpointList, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/discovery/reloads_test.go
+++ b/internal/discovery/reloads_test.go
@@ -21,11 +21,11 @@
 )
 
 // A fleet whose agents are migrated several times in quick succession, each time to another address of one slow
-// service, must receive a change made during the migrations before it counts as notified. The service processes calls
-// one after the other and rejects those that would wait for more than a second: either on arrival and without work, as
-// measured at the operators' service (trials bd242cab and d7999206), or only after its work on them, which overloads it
-// sooner. A watch after a full list is part of the same call or costs one of its own; the protocol allows both
-// readings.
+// service, must receive a change made during the migrations at most drainGrace after it counts as notified. The service
+// processes calls one after the other and rejects those that would wait for more than a second: either on arrival and
+// without work, as measured at the operators' service (trials bd242cab and d7999206), or only after its work on them,
+// which overloads it sooner. A watch after a full list is part of the same call or costs one of its own; the protocol
+// allows both readings.
 //
 // If one call and its watch per agent take nearly all of the available time, or a quarter of the calls is also rejected
 // at random, some agents are late. maxLate is about twice the number measured over 200 seeds. A client that cancelled
--- a/internal/discovery/request.go
+++ b/internal/discovery/request.go
@@ -33,7 +33,8 @@
 	// watchGrace, and what it missed may be older by RelayMaxStaleness. The rest of NotifyBoundAfterFailure is for the
 	// calls that recover the missed changes: a dial to each relay that does not respond either, and one poll.
 	RelayTimeout = balancer.NotifyBoundAfterFailure / 6
-	// RelayFullListTimeout bounds a poll of the full list at a relay, which limits the rate of full lists.
+	// RelayFullListTimeout bounds a poll of the full list at a relay. It is longer than RelayTimeout, since relays
+	// limit the rate of full lists.
 	RelayFullListTimeout = balancer.NotifyBoundAfterFailure / 3
 	// RelayMaxStaleness is how far a relay may lag behind discovery and still answer calls.
 	RelayMaxStaleness = balancer.NotifyBoundAfterFailure / 3
--- a/internal/discovery/restart_test.go
+++ b/internal/discovery/restart_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// checkWork is called startupPollWindow and maxServiceWait after the start. If the service can answer all agents by
-// then, it checks that the service got no more work than it can do; else that it has answered as many agents as it
-// could.
+// checkWork is called startupPollWindow and maxServiceWait after the start. If checkLoadOnly is set, it checks that the
+// service got no more work than it can do within that time and another maxServiceWait; otherwise, that as many agents
+// as possible have received revision 2.
 func checkWork(t *testing.T, s *service, all []*fleetAgent, checkLoadOnly bool) {
 	t.Helper()
 	answered := 0
--- a/internal/discovery/route.go
+++ b/internal/discovery/route.go
@@ -150,7 +150,7 @@
 
 // anyTried reports whether an address has failed since the last response or the start of the round.
 func (r *route) anyTried() bool {
-	return slices.ContainsFunc(r.candidates, func(h candidate) bool { return h.tried })
+	return slices.ContainsFunc(r.candidates, func(c candidate) bool { return c.tried })
 }
 
 // advance moves from the current address, which failed, to the next one. It returns false, and moves to the first
@@ -171,9 +171,9 @@
 }
 
 // failOver chooses the address of the next call after a failed one and returns true if the call is to be made
-// immediately: at each relay until one responds, then at the discovery service if discoveryAllowed is set. Agents of
-// relays that were lost together would otherwise poll the discovery service together, which processes calls one after
-// the other. If the call is not allowed, the owner decides when to poll.
+// immediately: at each relay until one responds, then at the discovery service, in poll mode only if discoveryAllowed
+// is set. Agents of relays that were lost together would otherwise poll the discovery service together, which processes
+// calls one after the other. If the call is not allowed, the owner decides when to poll.
 func (c *Client) failOver(ctx context.Context, err error) bool {
 	if errors.Is(err, errReturnToPreferred) {
 		return true
