--- a/internal/lists/store.go
+++ b/internal/lists/store.go
@@ -1,7 +1,6 @@
 // Package lists serves the endpoint list as discovery does: the full list, or the changes since a revision, to watches
 // that wait for them. A Store holds one list and returns the same bytes for the same query; a Server serves calls from
-// it. The package does not decide what is in the list, and apart from watches waiting for a change, the Limiter decides
-// when a call gets its response.
+// it. The package does not decide what is in the list, and leaves it to the Limiter to delay or reject calls.
 package lists
 
 import (
