--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -31,11 +31,11 @@
 	OnPoll   func(PollResult) // called for each poll or watch, before Notify is called with its result
 	Log      *slog.Logger
 
-	Name      string                                 // of the agent; it determines the order of the relays
-	Relays    []string                               // IP addresses and ports; empty: discovery is called directly
-	WatchWait time.Duration                          // how long a watch waits in push mode; 0: defaultWatchWait
-	OnAnswer  func(began time.Time, revision uint64) // called after a successful call, once Notify has returned
-	Dial      Dial                                   // nil: a net.Dialer with dialTimeout
+	Name       string                                 // of the agent; it determines the order of the relays
+	Relays     []string                               // IP addresses and ports; empty: discovery is called directly
+	WatchWait  time.Duration                          // how long a watch waits in push mode; 0: defaultWatchWait
+	OnResponse func(began time.Time, revision uint64) // called after a successful call, once Notify has returned
+	Dial       Dial                                   // nil: a net.Dialer with dialTimeout
 }
 
 // Target is the address of the discovery service and of the relays, if any, through which to reach it.
@@ -50,12 +50,12 @@
 
 // Client follows the endpoint list and notifies its owner of each change. Its settings select one of two modes. In push
 // mode it always watches, and retries on its own. In poll mode, for agents that share one service, it makes calls only
-// after Poll, watches until a call fails, and leaves it to its owner when to poll again.
+// after Poll and watches until a call fails; then the owner decides when to poll again.
 type Client struct {
 	settings      func() *settings.Settings
 	notify        func(WatchEvent)
 	onPoll        func(PollResult)
-	onAnswer      func(time.Time, uint64)
+	onResponse    func(time.Time, uint64)
 	log           *slog.Logger
 	name          string
 	pushWatchWait time.Duration
@@ -88,7 +88,7 @@
 		settings:      o.Settings,
 		notify:        o.Notify,
 		onPoll:        o.OnPoll,
-		onAnswer:      o.OnAnswer,
+		onResponse:    o.OnResponse,
 		log:           o.Log,
 		name:          o.Name,
 		pushWatchWait: cmp.Or(o.WatchWait, defaultWatchWait),
@@ -125,7 +125,7 @@
 }
 
 // Run follows the list until the context ends and switches to the target of each migration. It returns after the last
-// call of Notify, OnPoll and OnAnswer has returned, so none of these may wait for Run.
+// call of Notify, OnPoll and OnResponse has returned, so none of these may wait for Run.
 func (c *Client) Run(ctx context.Context, migrations <-chan Target) {
 	for {
 		targetCtx, cancelTarget := context.WithCancel(ctx)
@@ -161,7 +161,7 @@
 	}
 }
 
-// migrate switches to a target. In poll mode it leaves it to the owner when to poll there.
+// migrate switches to a target. In poll mode the owner decides when to poll there.
 func (c *Client) migrate(target Target) {
 	c.failures = 0
 	now := time.Now()
@@ -197,7 +197,7 @@
 func (c *Client) agents() int { return c.settings().Balancer.Agents }
 
 // followList follows the list at one target until targetCtx ends. On a migration targetCtx ends before ctx, the
-// client's own context; a poll in flight then continues for oldTargetGrace.
+// client's own context; a poll in flight may then continue for oldTargetGrace.
 func (c *Client) followList(ctx, targetCtx context.Context) {
 	for {
 		if c.pollMode() {
@@ -222,7 +222,7 @@
 }
 
 // handleFailure is called when every address that was to be tried has failed. In push mode it backs off; in poll mode
-// it leaves it to the owner when to poll again. It returns false if the context ends first.
+// it notifies the owner, which decides when to poll again. It returns false if the context ends first.
 func (c *Client) handleFailure(ctx context.Context, err error) bool {
 	remaining := c.deadline.remaining()
 	c.failures++
