--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -149,7 +149,7 @@
 	proceed := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-proceed
-		return agenttest.OKAnswer, false
+		return agenttest.OKResponse, false
 	})
 	a := startWith(t, agenttest.Settings, b)
 	responses := make(chan *http.Response, 2)
--- a/internal/agent/clientclosed_test.go
+++ b/internal/agent/clientclosed_test.go
@@ -106,7 +106,7 @@
 						failed <- struct{}{}
 						return "HTTP/1.1 500 Oops\r\nContent-Length: 0\r\n\r\n", false
 					}
-					return agenttest.OKAnswer, false
+					return agenttest.OKResponse, false
 				}
 				x, y := agenttest.NewServer(t, fails), agenttest.NewServer(t, fails)
 				a := startWith(t, strings.Replace(agenttest.Settings, `"cancel":true`, fmt.Sprintf(`"cancel":%v`, cancel), 1), x, y)
--- a/internal/agent/connectionend_test.go
+++ b/internal/agent/connectionend_test.go
@@ -90,7 +90,7 @@
 			proceed := make(chan struct{})
 			b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 				<-proceed
-				return agenttest.OKAnswer, false
+				return agenttest.OKResponse, false
 			})
 			a := startWith(t, agenttest.Settings, b)
 			conn := a.dial(t)
--- a/internal/agent/connections_test.go
+++ b/internal/agent/connections_test.go
@@ -46,7 +46,7 @@
 	proceed := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-proceed
-		return agenttest.OKAnswer, false
+		return agenttest.OKResponse, false
 	})
 	a := startWith(t, agenttest.Settings, b)
 	first := make(chan int, 1)
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -98,7 +98,7 @@
 	proceed := make(chan struct{}, 2)
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-proceed
-		return agenttest.OKAnswer, false
+		return agenttest.OKResponse, false
 	})
 	a, console := startWithConsole(t, b)
 	up := func() int {
@@ -156,7 +156,7 @@
 	defer close(proceed)
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-proceed
-		return agenttest.OKAnswer, false
+		return agenttest.OKResponse, false
 	})
 	a, console := startWithConsole(t, b)
 	head := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 15000m\r\nContent-Length: 0\r\n\r\n"
--- a/internal/agent/dispatch_test.go
+++ b/internal/agent/dispatch_test.go
@@ -17,7 +17,7 @@
 	proceed := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-proceed
-		return agenttest.OKAnswer, false
+		return agenttest.OKResponse, false
 	})
 	a := startWith(t, agenttest.Settings, b)
 	first := make(chan int, 1)
@@ -85,7 +85,7 @@
 			return report, false
 		}
 		<-serve
-		return agenttest.OKAnswer, false
+		return agenttest.OKResponse, false
 	})
 	// With a tick of 5 s, one health check of each server is enough for the whole test.
 	a := startWith(t, strings.NewReplacer(`"off"`, `"on_probe"`, `"tick":5`, `"tick":5000`,
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -15,7 +15,7 @@
 		if n == 0 {
 			return "", true // the connection breaks: the request may have run
 		}
-		return agenttest.OKAnswer, false
+		return agenttest.OKResponse, false
 	})
 	a, console := startWithConsole(t, b)
 	expect := func(lines ...string) {
--- a/internal/agent/outcomes_test.go
+++ b/internal/agent/outcomes_test.go
@@ -34,7 +34,7 @@
 		{"oversized Content-Length", "HTTP/1.1 200 OK\r\nContent-Length: 3000000000\r\n\r\nhalf", false, true},
 		{"two lengths", "HTTP/1.1 200 OK\r\nContent-Length: 3\r\nContent-Length: 4\r\n\r\nhalf", false, true},
 		{"bad chunks", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nhalf", false, true},
-		{"another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n" + agenttest.OKAnswer, false, true},
+		{"another protocol", "HTTP/1.1 101 Switching\r\nUpgrade: x\r\n\r\n" + agenttest.OKResponse, false, true},
 		{"not HTTP", "SSH-2.0-x\r\n\r\n", true, true},
 		{"endless header", "HTTP/1.1 200 OK\r\nX: " + strings.Repeat("x", 200<<10), true, true},
 	} {
@@ -43,7 +43,7 @@
 				if n == 0 {
 					return row.text, row.closes
 				}
-				return agenttest.OKAnswer, false
+				return agenttest.OKResponse, false
 			}
 			for _, class := range []string{"keyed", "unsafe"} {
 				// The retry goes to the second server, which serves all requests.
@@ -73,10 +73,10 @@
 // would be read as the response to the next request.
 func TestBytesAroundResponse(t *testing.T) {
 	for what, text := range map[string]string{
-		"copy after it":   agenttest.OKAnswer + strings.Replace(agenttest.OKAnswer, "served", "again!", 1),
-		"noise after it":  agenttest.OKAnswer + "\x00\x01\r\n\r\n",
-		"hints before it": "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + agenttest.OKAnswer,
-		"bad load report": strings.Replace(agenttest.OKAnswer, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
+		"copy after it":   agenttest.OKResponse + strings.Replace(agenttest.OKResponse, "served", "again!", 1),
+		"noise after it":  agenttest.OKResponse + "\x00\x01\r\n\r\n",
+		"hints before it": "HTTP/1.1 103 Early Hints\r\nLink: </a>\r\n\r\nHTTP/1.1 102 Processing\r\n\r\n" + agenttest.OKResponse,
+		"bad load report": strings.Replace(agenttest.OKResponse, "Content-Type", "X-Load-Report: outstanding=-Inf,=,\r\nContent-Type", 1),
 	} {
 		a := startWith(t, agenttest.Settings, agenttest.NewServer(t, func(int, *http.Request) (string, bool) { return text, false }))
 		for range 3 {
--- a/internal/agent/reload_test.go
+++ b/internal/agent/reload_test.go
@@ -20,7 +20,7 @@
 		if r.Header.Get("X-Wait") != "" {
 			<-proceed
 		}
-		return agenttest.OKAnswer, false
+		return agenttest.OKResponse, false
 	})
 	a, console := startWithConsole(t, b)
 	expect := func(line string) {
--- a/internal/agent/replacement_test.go
+++ b/internal/agent/replacement_test.go
@@ -112,7 +112,7 @@
 	proceed := make(chan struct{})
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-proceed
-		return agenttest.OKAnswer, false
+		return agenttest.OKResponse, false
 	})
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", b.Addr, "Ready", 0)))
 	cfg := agenttest.Config(t, l.Listener.Addr().String(), agenttest.Settings)
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -152,7 +152,7 @@
 			if n == 0 {
 				return "HTTP/1.1 200 OK\r\n" + framing + "\r\n\r\n4\r\nha", true
 			}
-			return agenttest.OKAnswer, false
+			return agenttest.OKResponse, false
 		})
 		a := startWith(t, agenttest.Settings, b)
 		if status, body := a.do(t, a.request("keyed", "15000m")); status != 200 || body != "served" || len(b.Requests) != 2 {
--- a/internal/agenttest/server.go
+++ b/internal/agenttest/server.go
@@ -26,11 +26,11 @@
 // is set, the server then closes the connection. Without text and closes the request gets no response.
 type Script func(n int, req *http.Request) (text string, closes bool)
 
-// OKAnswer is the response of Serve.
-const OKAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Type: text/x-made\r\n\r\nserved"
+// OKResponse is the response of Serve.
+const OKResponse = "HTTP/1.1 200 OK\r\nContent-Length: 6\r\nContent-Type: text/x-made\r\n\r\nserved"
 
-// Serve is the Script of a server that answers every request with OKAnswer.
-func Serve(int, *http.Request) (string, bool) { return OKAnswer, false }
+// Serve is the Script of a server that answers every request with OKResponse.
+func Serve(int, *http.Request) (string, bool) { return OKResponse, false }
 
 // NewServer starts a server whose listener and connections are closed when the test ends.
 func NewServer(t *testing.T, script Script) *Server {
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -132,7 +132,7 @@
 		if got.Add(1) == 1 {
 			return "", false
 		}
-		return agenttest.OKAnswer, false
+		return agenttest.OKResponse, false
 	}
 	x, y := agenttest.NewServer(t, script), agenttest.NewServer(t, script)
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
@@ -222,7 +222,7 @@
 	release := make(chan struct{}, 1)
 	b := agenttest.NewServer(t, func(int, *http.Request) (string, bool) {
 		<-release
-		return agenttest.OKAnswer, false
+		return agenttest.OKResponse, false
 	})
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	l := newTestLoop(t, &cfg.Settings)
--- a/internal/upstream/exchange_test.go
+++ b/internal/upstream/exchange_test.go
@@ -185,7 +185,7 @@
 				}
 				onAccept(c)
 				if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-					io.WriteString(c, agenttest.OKAnswer)
+					io.WriteString(c, agenttest.OKResponse)
 				}
 			}
 		}()
