--- a/internal/agenttest/server.go
+++ b/internal/agenttest/server.go
@@ -23,7 +23,7 @@
 }
 
 // Script returns the response to the nth request of a server, counted from 0. The text is written verbatim; if closes
-// is set, the server then closes the connection. Without text and closes the request gets no response.
+// is set, the server then closes the connection. If text is empty and closes is not set, the request gets no response.
 type Script func(n int, req *http.Request) (text string, closes bool)
 
 // OKResponse is the response of Serve.
--- a/internal/dispatch/adopt_test.go
+++ b/internal/dispatch/adopt_test.go
@@ -8,8 +8,8 @@
 	"example.org/ryeloft/internal/agenttest"
 )
 
-// A request that was parsed by the old settings gets its class of the new ones by name, and none if the class no longer
-// exists or has another idempotency.
+// translate finds the class of a request by name in the new settings, and fails if the class no longer exists or has
+// another idempotency.
 func TestTranslateToNewSettings(t *testing.T) {
 	old := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings).Settings
 	next := agenttest.Config(t, "127.0.0.1:1", strings.NewReplacer(
--- a/internal/handover/quota_test.go
+++ b/internal/handover/quota_test.go
@@ -58,8 +58,9 @@
 
 // In any order of opened and closed connections and delayed releases, the limits of two processes never exceed the
 // total plus the newer process's initial slots. Once the older process has dropped its excess, they do not exceed the
-// shares of two processes.
-func TestQuotasNeverExceedTotal(t *testing.T) {
+// shares of two processes. When the older process has released all its slots, the newer one has the shares of both, up
+// to the total.
+func TestSumOfQuotasIsBounded(t *testing.T) {
 	for _, sockets := range []int{config.MinSockets, 128, 256, 384, 1024} {
 		cfg := &config.Config{MemoryMB: 64, Sockets: sockets}
 		one, two := LimitsFor(cfg, 1), LimitsFor(cfg, 2)
--- a/internal/inbound/request_test.go
+++ b/internal/inbound/request_test.go
@@ -6,7 +6,7 @@
 )
 
 // The margin must leave most of a short budget.
-func TestAnswerMargin(t *testing.T) {
+func TestResponseMargin(t *testing.T) {
 	for budget, want := range map[time.Duration]time.Duration{
 		2 * time.Second: MaxResponseMargin, 480 * time.Millisecond: MaxResponseMargin, 100 * time.Millisecond: 10 * time.Millisecond,
 	} {
--- a/internal/upstream/pool_test.go
+++ b/internal/upstream/pool_test.go
@@ -96,14 +96,14 @@
 		t.Fatalf("got outcome %d, want %d", r.Outcome, balancer.OutcomeOK)
 	}
 	cancelled := make(chan Result, 1)
-	heldCtx, cancelHeld := context.WithCancel(ctx)
-	go func() { cancelled <- exchangeBefore(p, heldCtx, toY, request, time.Time{}) }()
+	inUseCtx, cancelInUse := context.WithCancel(ctx)
+	go func() { cancelled <- exchangeBefore(p, inUseCtx, toY, request, time.Time{}) }()
 	agenttest.Receive(t, "close of the idle connection", x.Closed)
 	agenttest.Receive(t, "request", y.Requests)
 	if r := exchangeBefore(p, ctx, toX, request, time.Time{}); r.Outcome != balancer.OutcomeExpired {
 		t.Errorf("with the only socket in use: got outcome %d, want %d", r.Outcome, balancer.OutcomeExpired)
 	}
-	cancelHeld()
+	cancelInUse()
 	if r := agenttest.Receive(t, "cancelled attempt", cancelled); r.Outcome != balancer.OutcomeCancelled {
 		t.Errorf("cancelled: got outcome %d, want %d", r.Outcome, balancer.OutcomeCancelled)
 	}
