--- a/internal/dispatch/adopt.go
+++ b/internal/dispatch/adopt.go
@@ -21,7 +21,7 @@
 	if sameNames || l.members.Len() == 0 {
 		return nil
 	}
-	// Endpoints refer to zones and kinds by their positions in the settings' lists, which have changed.
+	// Endpoints refer to zones and kinds by their indexes in the settings' lists, which have changed.
 	l.handle(ctx, balancer.Event{
 		Kind: balancer.EventDiscovery, Update: balancer.EndpointsReplaced, Endpoints: l.updateEndpoints(l.members.Members()),
 	})
--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -24,8 +24,7 @@
 		r.respond(Response{Status: protocol.StatusFailed})
 		l.removeIfDone(r)
 	case balancer.ActionCancel:
-		// When another attempt ends the request, the balancer cancels this one as well, but a download that the client
-		// is receiving must continue.
+		// The end of another attempt must not interrupt the download that the client is receiving.
 		if a.Attempt < len(r.cancelAttempt) && r.streamingAttempt != a.Attempt {
 			r.cancelAttempt[a.Attempt]()
 		}
--- a/internal/dispatch/endpoints.go
+++ b/internal/dispatch/endpoints.go
@@ -5,7 +5,7 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// updateEndpoints updates the endpoints by the members of a list and returns the members as the balancer's endpoints.
+// updateEndpoints updates the endpoints from the members of a list and returns the members as balancer endpoints.
 func (l *Loop) updateEndpoints(members []discovery.Member) []balancer.Endpoint {
 	entries := l.members.Endpoints(l.settings.Load(), members)
 	for i, entry := range entries {
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -89,8 +89,7 @@
 		l.abandon(ctx, r)
 		return
 	}
-	// The request ended before this input was handled. The handler does not receive its response any more, if there is
-	// one.
+	// The request has already ended, and its handler no longer receives the response, if there is one.
 	select {
 	case a := <-in.request.response:
 		if a.Download != nil {
--- a/internal/dispatch/loop.go
+++ b/internal/dispatch/loop.go
@@ -56,7 +56,7 @@
 type Loop struct {
 	settings      atomic.Pointer[settings.Settings] // swapped by the loop's goroutine only
 	hasEndpoints  atomic.Bool                       // a list with endpoints has been received
-	hasSynced     atomic.Bool                       // and a list that is not the cached one
+	hasSynced     atomic.Bool                       // hasEndpoints, and a list other than the cached one
 	clock         clock.Anchored
 	balancer      *balancer.Balancer
 	pool          *upstream.Pool
@@ -124,8 +124,8 @@
 	}
 }
 
-// Submit passes a request to the loop, which sends the response on the request's Response channel. Submit itself
-// rejects a request whose id is in use in this process or another process of the agent.
+// Submit passes a request to the loop, which sends the response on the request's Response channel. If the request's id
+// is in use in this process or another process of the agent, Submit itself sends a response with status 409.
 func (l *Loop) Submit(r *Request) {
 	if !l.reserveID(r) {
 		r.response <- Response{Status: http.StatusConflict, ContentType: "text/plain", Body: []byte(protocol.HeaderRequestID + " is in use\n")}
@@ -156,7 +156,7 @@
 // NotifyEndpoints passes a watch event from discovery to the loop, such as a list of endpoints or a failed poll.
 func (l *Loop) NotifyEndpoints(e discovery.WatchEvent) { l.send(endpointsNotified{e}) }
 
-// Adopt puts new settings in force, or returns an error and keeps the present ones. It returns the context's error if
+// Adopt puts new settings in force, or returns an error and keeps the current ones. It returns the context's error if
 // the context ends first.
 func (l *Loop) Adopt(ctx context.Context, next *settings.Settings) error {
 	result := make(chan error, 1)
--- a/internal/dispatch/requestids.go
+++ b/internal/dispatch/requestids.go
@@ -60,7 +60,7 @@
 	r.addRecent(id)
 }
 
-// addRecent records the id of an ended request. The caller holds the mutex.
+// addRecent records the id of a request that is not open in this process. The caller holds the mutex.
 func (r *RequestIDs) addRecent(id uint64) {
 	r.recent[id] = struct{}{}
 	if len(r.recent) >= maxRecentIDs {
@@ -111,7 +111,7 @@
 	return slices.AppendSeq(ids, maps.Keys(r.older))
 }
 
-// Add records the id of a request of another process, which has ended.
+// Add records the id of a request that another process accepted before it ended.
 func (r *RequestIDs) Add(id uint64) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/handover/claims.go
+++ b/internal/handover/claims.go
@@ -10,7 +10,7 @@
 
 // While two processes run, a client may send two requests with the same id, one to each process. The older process owns
 // the ids: the newer one claims the id of each request from it before it accepts the request. The words below, other
-// than claimsWord, are sent only to a process that has sent claimsWord, which one of an earlier release does not.
+// than claimsWord, are sent only to a process that has sent claimsWord. A process of an earlier release never sends it.
 const (
 	// claimsWord asks an older process whether it answers claims. The older process answers with the same word.
 	claimsWord = "claims"
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -103,7 +103,7 @@
 }
 
 // Close closes all connections, which tells the other processes that this one has ended. It does not wait for the
-// goroutines that serve the connections: they end with them and change only this process's quotas.
+// goroutines that serve the connections: they end when the connections close and change only this process's quotas.
 func (h *Handover) Close() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -294,8 +294,8 @@
 	return int(clientSlots), int(serverSlots), true
 }
 
-// send writes to another process. Text that the other process does not read in time is lost, and the slots that it
-// releases stay unused until one of the two processes ends.
+// send writes to another process. Text that the other process does not read in time is lost; slots released by lost
+// text stay unused until one of the two processes ends.
 func send(conn net.Conn, text string) {
 	conn.SetWriteDeadline(time.Now().Add(socketTimeout))
 	_, _ = io.WriteString(conn, text)
--- a/internal/inbound/drain.go
+++ b/internal/inbound/drain.go
@@ -75,8 +75,8 @@
 	return nil
 }
 
-// shutDown starts the permanent drain of a shutdown. A request that begins after killExemption fails
-// if it is still open after failAfter.
+// shutDown starts the permanent drain of a shutdown. A request that begins after killExemption fails if it is still
+// open after failAfter.
 func (d *drainer) shutDown(failAfter time.Duration) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/inbound/request.go
+++ b/internal/inbound/request.go
@@ -30,7 +30,8 @@
 	// hopHeaders are the hop-by-hop headers, which are not forwarded.
 	hopHeaders = []string{"Connection", "Proxy-Connection", "Keep-Alive", "Te", "Trailer", "Transfer-Encoding",
 		"Upgrade", "Expect", "Content-Length"}
-	// singleHeaders may occur only once in a request, because of two values a server could use a different one.
+	// singleHeaders may occur only once in a request: if one occurred twice, a server could use a different value than
+	// the agent.
 	singleHeaders = []string{protocol.HeaderRequestID, protocol.HeaderClass, protocol.HeaderTenant,
 		protocol.HeaderBudget, protocol.HeaderRetry, protocol.HeaderIdempotencyKey}
 )
@@ -82,7 +83,8 @@
 	if upload != nil {
 		upload.Budget = budget
 	} else if err := control.SetReadDeadline(time.Time{}); err != nil {
-		// From here on net/http watches the connection for a close by the client, for as long as the response takes.
+		// The deadline is cleared because from here on net/http watches the connection for a close by the client, for
+		// as long as the response takes.
 		return nil, err
 	}
 	request.Upstream = upstream.NewRequest(r.Method, r.RequestURI, r.Host, r.Header, body, upload)
--- a/internal/stream/download.go
+++ b/internal/stream/download.go
@@ -38,8 +38,8 @@
 func (d *Download) Done() <-chan error { return d.done }
 
 // CopyTo copies the response to its client at the client's pace, and calls Finish. It returns the error that
-// interrupted the copy, which wraps ErrNotRead if the client caused it. The context ends when the client closes its
-// connection.
+// interrupted the copy, which wraps ErrNotRead if the response could not be written to the client. The context ends
+// when the client closes its connection; CopyTo then aborts the download.
 func (d *Download) CopyTo(ctx context.Context, w http.ResponseWriter, buffers *Buffers) (err error) {
 	defer func() { d.Finish(err) }()
 	defer context.AfterFunc(ctx, d.abort)()
--- a/internal/upstream/loadreport.go
+++ b/internal/upstream/loadreport.go
@@ -9,8 +9,8 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// parseLoadReport parses a report such as inflight=7,queue=2. Fields that are not in fields, and values that are not
-// numbers, are ignored, so an invalid report is the same as none.
+// parseLoadReport parses a report such as outstanding=7,backlog=2. Fields that are not in fields, and values that are
+// not numbers, are ignored, so an invalid report is the same as none.
 func parseLoadReport(text string, fields []string) balancer.LoadReport {
 	load := settings.UnknownLoad()
 	for pair := range strings.SplitSeq(strings.TrimSpace(text), ",") {
--- a/internal/upstream/pool.go
+++ b/internal/upstream/pool.go
@@ -41,7 +41,7 @@
 	mu             sync.Mutex
 	connectTimeout time.Duration
 	idleTimeout    time.Duration          // after which servers close idle connections; 0 means never
-	maxConns       int                    // limit of open
+	maxConns       int                    // limit for open
 	endpoints      map[*Endpoint]struct{} // without the retired ones
 	open           int                    // connections, idle and in use
 	idleAges       idleAgeStats
