--- a/internal/dispatch/attempt.go
+++ b/internal/dispatch/attempt.go
@@ -76,12 +76,12 @@
 // latter case the attempt waits until the client's handler has finished the download.
 func (l *Loop) reportStreaming(options *upstream.Attempt, started streaming) {
 	options.OnStreaming = func() { l.send(started) }
-	options.Forward = func(a upstream.Response) error {
+	options.Forward = func(response upstream.Response) error {
 		in := started
-		in.response = clientResponse(a)
+		in.response = clientResponse(response)
 		l.send(in)
 		select {
-		case err := <-a.Download.Done():
+		case err := <-response.Download.Done():
 			return err
 		case <-l.done:
 			return stream.ErrNotRead
@@ -90,8 +90,8 @@
 }
 
 // clientResponse returns a server's response as it is passed on to the client.
-func clientResponse(a upstream.Response) Response {
-	return Response{Status: http.StatusOK, ContentType: a.ContentType, Body: a.Body, Download: a.Download}
+func clientResponse(response upstream.Response) Response {
+	return Response{Status: http.StatusOK, ContentType: response.ContentType, Body: response.Body, Download: response.Download}
 }
 
 // startHealthCheck starts a health check of a server. If the server has no endpoint, the check expires without being
--- a/internal/dispatch/inputs.go
+++ b/internal/dispatch/inputs.go
@@ -91,9 +91,9 @@
 	}
 	// The request has already ended, and its handler no longer receives the response, if there is one.
 	select {
-	case a := <-in.request.response:
-		if a.Download != nil {
-			a.Download.Finish(stream.ErrNotRead)
+	case response := <-in.request.response:
+		if response.Download != nil {
+			response.Download.Finish(stream.ErrNotRead)
 		}
 	default:
 	}
--- a/internal/dispatch/loop_test.go
+++ b/internal/dispatch/loop_test.go
@@ -155,8 +155,8 @@
 	for range 2 { // the hedge's response, and the end of the first attempt
 		agenttest.Receive(t, "outcome", l.inputs).handle(ctx, l)
 	}
-	if a := agenttest.Receive(t, "response", c.response); a.Status != http.StatusOK {
-		t.Errorf("got status %d, want %d", a.Status, http.StatusOK)
+	if response := agenttest.Receive(t, "response", c.response); response.Status != http.StatusOK {
+		t.Errorf("got status %d, want %d", response.Status, http.StatusOK)
 	}
 	select { // on a busy machine the two servers' scripts may run in the other order
 	case <-x.Closed:
@@ -199,8 +199,8 @@
 					for _, i := range order {
 						ends[i].handle(ctx, l)
 						select {
-						case a := <-c.response:
-							if a.Status != 0 {
+						case response := <-c.response:
+							if response.Status != 0 {
 								responses++
 							}
 						default:
--- a/internal/dispatch/request.go
+++ b/internal/dispatch/request.go
@@ -68,11 +68,11 @@
 }
 
 // respond sends the response to the handler. It returns false if the request was already answered or abandoned.
-func (r *openRequest) respond(a Response) bool {
+func (r *openRequest) respond(response Response) bool {
 	if r.ended.Swap(true) {
 		return false
 	}
-	r.response <- a
+	r.response <- response
 	return true
 }
 
--- a/internal/inbound/handler.go
+++ b/internal/inbound/handler.go
@@ -142,8 +142,8 @@
 		limit = time.After(remaining)
 	}
 	select {
-	case a := <-x.request.Response():
-		h.deliver(x, a, limit != nil)
+	case response := <-x.request.Response():
+		h.deliver(x, response, limit != nil)
 	case <-limit:
 		h.failRequest(x)
 	case <-h.failOpen:
@@ -158,17 +158,17 @@
 
 // deliver writes the dispatcher's response to the client. If the request's time is limited, it does not start a
 // download, because that may take any time and its status cannot be changed once it has started.
-func (h *clientHandler) deliver(x *exchange, a dispatch.Response, limited bool) {
+func (h *clientHandler) deliver(x *exchange, response dispatch.Response, limited bool) {
 	switch {
-	case a.Status == 0:
+	case response.Status == 0:
 		panic(http.ErrAbortHandler)
-	case a.Download == nil:
-		h.respond(x, a)
+	case response.Download == nil:
+		h.respond(x, response)
 	case limited || x.upload() != nil && h.drain.limitsRequests():
-		a.Download.Finish(stream.ErrNotRead)
+		response.Download.Finish(stream.ErrNotRead)
 		h.respond(x, dispatch.Response{Status: protocol.StatusFailed})
 	default:
-		h.respondWithDownload(x, a)
+		h.respondWithDownload(x, response)
 	}
 }
 
--- a/internal/inbound/response.go
+++ b/internal/inbound/response.go
@@ -19,10 +19,10 @@
 }
 
 // respond writes a buffered response to a request and counts it.
-func (h *clientHandler) respond(x *exchange, a dispatch.Response) {
-	h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultOf(a.Status))
+func (h *clientHandler) respond(x *exchange, response dispatch.Response) {
+	h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultOf(response.Status))
 	h.closeAfterUpload(x)
-	h.writeResponse(x.w, a)
+	h.writeResponse(x.w, response)
 	upload := x.upload()
 	if upload != nil && !upload.Complete() && http.NewResponseController(x.w).Flush() == nil {
 		h.listener.requestAnswered(x.conn)
@@ -39,10 +39,10 @@
 }
 
 // respondWithDownload answers a request with a download, and counts the response by how the download ends.
-func (h *clientHandler) respondWithDownload(x *exchange, a dispatch.Response) {
+func (h *clientHandler) respondWithDownload(x *exchange, response dispatch.Response) {
 	h.closeAfterUpload(x)
-	h.writeHead(x.w, a, a.Download.Length())
-	err := a.Download.CopyTo(x.r.Context(), x.w, h.buffers)
+	h.writeHead(x.w, response, response.Download.Length())
+	err := response.Download.CopyTo(x.r.Context(), x.w, h.buffers)
 	if err == nil {
 		h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultOK)
 		return
@@ -56,31 +56,31 @@
 
 // writeResponse writes a buffered response. Whether the connection closes is decided only now, so that a request that
 // began before a drain does not leave a connection open on which the next request races with the close.
-func (h *clientHandler) writeResponse(w http.ResponseWriter, a dispatch.Response) {
+func (h *clientHandler) writeResponse(w http.ResponseWriter, response dispatch.Response) {
 	// Without the deadline a client that reads nothing would block the response forever. Setting it fails only on a
 	// closed connection.
 	_ = http.NewResponseController(w).SetWriteDeadline(time.Now().Add(responseWriteTimeout))
-	h.writeHead(w, a, int64(len(a.Body)))
+	h.writeHead(w, response, int64(len(response.Body)))
 	// The write fails only if the client has closed the connection or does not read the response.
-	_, _ = w.Write(a.Body)
+	_, _ = w.Write(response.Body)
 }
 
 // writeHead writes the head of a response whose body has the given length, negative if unknown.
-func (h *clientHandler) writeHead(w http.ResponseWriter, a dispatch.Response, length int64) {
+func (h *clientHandler) writeHead(w http.ResponseWriter, response dispatch.Response, length int64) {
 	header := w.Header()
 	// Whatever follows a bad request on its connection cannot be trusted either.
-	if h.drain.reason() != nil || a.Status/100 == 4 {
+	if h.drain.reason() != nil || response.Status/100 == 4 {
 		header.Set("Connection", "close")
 	}
-	if a.RetryAfter > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(a.RetryAfter.Seconds(), 'f', 3, 64))
+	if response.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(response.RetryAfter.Seconds(), 'f', 3, 64))
 	}
 	header["Content-Type"] = nil // keeps net/http from guessing one
-	if a.ContentType != "" {
-		header.Set("Content-Type", a.ContentType)
+	if response.ContentType != "" {
+		header.Set("Content-Type", response.ContentType)
 	}
 	if length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(length, 10))
 	}
-	w.WriteHeader(a.Status)
+	w.WriteHeader(response.Status)
 }
