--- a/internal/agent/agent_test.go
+++ b/internal/agent/agent_test.go
@@ -24,7 +24,7 @@
 	client *http.Client
 
 	reloads      chan config.ReloadResult
-	requestCount atomic.Int64 // requests made
+	requestCount atomic.Int64 // number of requests created, used in their ids
 }
 
 // start runs an agent and waits until it is ready, which requires an endpoint list with a server.
--- a/internal/agent/connections_test.go
+++ b/internal/agent/connections_test.go
@@ -80,8 +80,8 @@
 	}
 }
 
-// An application that uses each connection once and keeps it open, up to a third of the sockets, can always connect for
-// its next request, since the agent closes connections that have been idle for IdleTimeout.
+// An application that uses each connection once and keeps it open, but holds at most a third of the sockets, gets a
+// connection for its next request as soon as the agent closes one that has been idle for IdleTimeout.
 func TestKeptConnectionsDoNotExhaustSockets(t *testing.T) {
 	a := startWith(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	open := make(chan struct{}, 1024/3)
@@ -107,7 +107,7 @@
 func TestSlowClientsAreClosed(t *testing.T) {
 	a := startWith(t, agenttest.Settings, agenttest.NewServer(t, agenttest.Serve))
 	head := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: c\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 9000m\r\n"
-	for what, c := range map[string]struct{ text, answer string }{
+	for what, c := range map[string]struct{ text, response string }{
 		"silence":      {"", ""},
 		"partial head": {"POST /unsafe/1 HT", "HTTP/1.1 400 "},
 		"partial body": {head + "Content-Length: 10\r\n\r\nhalf", "HTTP/1.1 408 "},
@@ -115,15 +115,15 @@
 	} {
 		t.Run(what, func(t *testing.T) {
 			t.Parallel()
-			if got := a.exchangeText(t, c.text); !strings.HasPrefix(got, c.answer) || c.answer == "" && got != "" {
-				t.Errorf("got %q, want %q", got, c.answer)
+			if got := a.exchangeText(t, c.text); !strings.HasPrefix(got, c.response) || c.response == "" && got != "" {
+				t.Errorf("got %q, want %q", got, c.response)
 			}
 		})
 	}
 }
 
 // A request with two body framings can smuggle a second request, and a duplicate header is ambiguous. Neither may be
-// forwarded to a server.
+// forwarded to a server, nor may a request that is malformed or too large.
 func TestAmbiguousRequests(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	a := startWith(t, agenttest.Settings, b)
--- a/internal/agent/console_test.go
+++ b/internal/agent/console_test.go
@@ -54,8 +54,8 @@
 	if !strings.HasSuffix(text, "\n") {
 		c.(*net.TCPConn).CloseWrite()
 	}
-	answer, _ := io.ReadAll(c)
-	return string(answer)
+	reply, _ := io.ReadAll(c)
+	return string(reply)
 }
 
 func TestConsoleCalls(t *testing.T) {
@@ -149,8 +149,8 @@
 	}
 }
 
-// Slow clients are gone 4 s after a drain by the console started: a request that is complete by then gets a response,
-// and the connection of one that never completes is closed.
+// Slow clients have 4 s from the start of a console drain: a request that is complete by then gets a response, and the
+// connection of a request that never completes is closed.
 func TestDrainClosesSlowClients(t *testing.T) {
 	proceed := make(chan struct{})
 	defer close(proceed)
@@ -160,7 +160,7 @@
 	})
 	a, console := startWithConsole(t, b)
 	head := "POST /unsafe/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: unsafe\r\nX-Caller: acme\r\nX-Budget: 15000m\r\nContent-Length: 0\r\n\r\n"
-	slowly := func(id string, begins, ends time.Duration) (answer string, took time.Duration) {
+	slowly := func(id string, begins, ends time.Duration) (response string, took time.Duration) {
 		started := time.Now()
 		time.Sleep(begins)
 		c, err := net.Dial("tcp", strings.TrimPrefix(a.url, "http://"))
@@ -183,9 +183,9 @@
 	var all sync.WaitGroup
 	for id, ends := range map[string]time.Duration{"ends": 3 * time.Second, "endless": 10 * time.Second} {
 		all.Go(func() {
-			answer, took := slowly(id, time.Second, min(ends, 4*time.Second))
-			if want := id == "ends"; want != strings.HasPrefix(answer, "HTTP/1.1 502 ") || want && took > 4*time.Second {
-				t.Errorf("%s: got %.40q after %v, want a 502 within 4s: %v", id, answer, took, want)
+			response, took := slowly(id, time.Second, min(ends, 4*time.Second))
+			if want := id == "ends"; want != strings.HasPrefix(response, "HTTP/1.1 502 ") || want && took > 4*time.Second {
+				t.Errorf("%s: got %.40q after %v, want a 502 within 4s: %v", id, response, took, want)
 			}
 		})
 	}
--- a/internal/agent/discovery_test.go
+++ b/internal/agent/discovery_test.go
@@ -51,7 +51,7 @@
 
 // An agent that starts with an old list accepts no clients until the first round of discovery calls has ended, since
 // the list may contain servers whose removal counts as notified. If discovery does not respond, the agent still accepts
-// clients in time.
+// clients within 6 s.
 func TestNoClientBeforeFirstRound(t *testing.T) {
 	for name, c := range map[string]struct {
 		mode     string
@@ -65,11 +65,11 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			removed, x := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
-			calls, answer := make(chan string, 100), make(chan []byte, 1)
+			calls, response := make(chan string, 100), make(chan []byte, 1)
 			service := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				calls <- r.URL.RawQuery
 				select {
-				case list := <-answer:
+				case list := <-response:
 					_, _ = w.Write(list)
 				case <-r.Context().Done():
 				}
@@ -109,7 +109,7 @@
 				}
 				return
 			}
-			answer <- agenttest.List(8, true, agenttest.Member("x", x.Addr, "Ready", 0))
+			response <- agenttest.List(8, true, agenttest.Member("x", x.Addr, "Ready", 0))
 			agenttest.Receive(t, "listener", listening)
 			a := &testAgent{url: "http://" + listener.Addr().String(), client: &http.Client{Transport: &http.Transport{}}}
 			if status, _ := a.do(t, a.request("safe", "15000m")); status != http.StatusOK || len(removed.Requests) > 0 {
@@ -177,8 +177,8 @@
 	}
 }
 
-// If discovery is down or returns a list that cannot be read, the agent keeps its current list, and then requests the
-// complete one.
+// If discovery is down or returns a list that cannot be read, the agent keeps its current list, and its next call
+// requests the complete list.
 func TestDiscoveryFailures(t *testing.T) {
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
 	l := agenttest.NewDiscovery(t, agenttest.List(1, true, agenttest.Member("x", x.Addr, "Ready", 0)))
@@ -210,7 +210,7 @@
 }
 
 // After changes that do not continue the current list, as from a restarted discovery, the agent requests the complete
-// list. A watch that gets no response in time is followed by another one for the same revision.
+// list. A watch that gets no response in time is followed by another watch for the same revision.
 func TestDiscoveryGapAndTimeout(t *testing.T) {
 	b := agenttest.NewServer(t, agenttest.Serve)
 	l := agenttest.NewDiscovery(t, agenttest.List(8, true, agenttest.Member("x", b.Addr, "Ready", 0)))
--- a/internal/agent/largelist_test.go
+++ b/internal/agent/largelist_test.go
@@ -12,8 +12,8 @@
 	"example.org/ryeloft/internal/discovery"
 )
 
-// One of 1,024 agents, with the smallest limits, follows indented lists of 1,024 servers with the longest ids, both
-// complete lists and changes. It applies nothing of an invalid list and requests the complete list.
+// One of 1,024 agents, limited to 32 MB and 256 sockets, follows indented lists of 1,024 servers with the longest ids,
+// both complete lists and changes. It applies nothing of an invalid list and requests the complete list.
 func TestLargeEndpointList(t *testing.T) {
 	const size, longestID = 1024, 256 // members, bytes
 	x, y := agenttest.NewServer(t, agenttest.Serve), agenttest.NewServer(t, agenttest.Serve)
@@ -39,11 +39,11 @@
 	settings := strings.NewReplacer(`"replicasOfMe":1,"rank":0`, fmt.Sprintf(`"replicasOfMe":%d,"rank":%d`, size, size-1)).Replace(agenttest.Settings)
 	cfg := agenttest.Config(t, l.Listener.Addr().String(), settings)
 	cfg.MemoryMB, cfg.Sockets = 32, 256
-	known, err := discovery.Parse(list(1, true, "Ready", all))
+	cached, err := discovery.Parse(list(1, true, "Ready", all))
 	if err != nil {
 		t.Fatal(err)
 	}
-	cfg.CachedEndpoints = known
+	cfg.CachedEndpoints = cached
 	a := start(t, cfg)
 	// requestsPerServer sends 20 requests and returns how many each server got.
 	requestsPerServer := func() (got [2]int) {
--- a/internal/agent/metrics_test.go
+++ b/internal/agent/metrics_test.go
@@ -9,7 +9,8 @@
 	"example.org/ryeloft/internal/agenttest"
 )
 
-// The metrics count the results of requests per class, including classes without any, and the attempts and servers.
+// The metrics count the results of requests per class, including classes without requests, and the attempts and
+// servers.
 func TestMetricsCountResults(t *testing.T) {
 	b := agenttest.NewServer(t, func(n int, _ *http.Request) (string, bool) {
 		if n == 0 {
--- a/internal/agent/outcomes_test.go
+++ b/internal/agent/outcomes_test.go
@@ -13,8 +13,8 @@
 	"example.org/ryeloft/internal/stream"
 )
 
-// Each failed outcome in the protocol's table, on the first request of one server: a keyed request may be retried after
-// any of them, an unsafe one only if it cannot have run.
+// After each failed outcome in the protocol's table, a keyed request is retried, and an unsafe one only if it cannot
+// have run.
 func TestAttemptOutcomes(t *testing.T) {
 	rejected := "HTTP/1.1 %d No\r\nX-Rejected: 1\r\nContent-Length: 0\r\n\r\n"
 	for _, row := range []struct {
@@ -140,7 +140,7 @@
 	} {
 		for _, end := range []string{"reset", "end"} {
 			if end == "end" && strings.Contains(name, "no length") {
-				continue // such a response ends with the connection
+				continue // the end of the connection completes such a response
 			}
 			t.Run(name+", "+end, func(t *testing.T) {
 				a := startStreaming(t, func(w http.ResponseWriter, _ *http.Request) {
--- a/internal/agent/replacement_test.go
+++ b/internal/agent/replacement_test.go
@@ -99,7 +99,7 @@
 	stopClients()
 	wg.Wait()
 	// The kernel resets a connection that is being established while its listener closes. That is at most one per
-	// replacement, whereas a listener that closes without finishing its accept queue resets many.
+	// replacement, whereas a listener that closes without draining its accept queue resets many.
 	if failed.Load() > 2 {
 		t.Errorf("%d of %d requests failed", failed.Load(), requests.Load())
 	}
--- a/internal/agent/request_test.go
+++ b/internal/agent/request_test.go
@@ -92,7 +92,7 @@
 	defer cancel()
 	req := a.request("unsafe", "20000m").WithContext(ctx)
 	go func() {
-		if resp, err := a.client.Do(req); err == nil { // the server never answers
+		if resp, err := a.client.Do(req); err == nil { // the server never responds
 			resp.Body.Close()
 		}
 	}()
--- a/internal/agent/shutdown.go
+++ b/internal/agent/shutdown.go
@@ -10,8 +10,7 @@
 	// acceptDuringShutdown is how long a process without a replacement keeps accepting after the shutdown started,
 	// because its clients keep connecting.
 	acceptDuringShutdown = 550 * time.Millisecond
-	// The platform kills a process when the longest class deadline, at most maxKillDeadline, plus killMargin has passed
-	// since SIGTERM.
+	// The platform kills a process min(longest class deadline, maxKillDeadline) + killMargin after SIGTERM.
 	killMargin      = 700 * time.Millisecond
 	maxKillDeadline = 3 * time.Second
 	// finalResponseMargin is how long before the kill all open requests are answered as failed.
@@ -23,8 +22,8 @@
 )
 
 // shutDown drains the agent. Shortly before the platform kills the process, it answers the requests still open as
-// failed. It returns when all client connections have ended or maxShutdown has passed. served receives the error with
-// which the server for clients returns.
+// failed. It returns when all client connections have ended or maxShutdown has passed. served is the channel that
+// a.clients.Serve returned.
 func (a *agent) shutDown(workCtx context.Context, served <-chan error) error {
 	started := time.Now()
 	failOpenAfter := a.killDelay() - finalResponseMargin
--- a/internal/agent/stream_test.go
+++ b/internal/agent/stream_test.go
@@ -90,7 +90,7 @@
 			if length != "" {
 				w.Header().Set("Content-Length", length)
 			}
-			for _, n := range []int{1000, 2000} { // the agent stops waiting for a short response to complete
+			for _, n := range []int{1000, 2000} { // each pause is longer than the agent buffers a response
 				w.Write(body[n-1000 : n])
 				w.(http.Flusher).Flush()
 				time.Sleep(2 * upstream.MaxBufferTime)
@@ -218,9 +218,9 @@
 		started := time.Now()
 		conn := open(fmt.Sprint(i), c.framing)
 		io.WriteString(conn, c.sent)
-		answer, _ := io.ReadAll(conn)
-		if took := time.Since(started); took > 3*time.Second || len(answer) > 0 && answer[9] != '4' && answer[9] != '5' {
-			t.Errorf("%s: got %q after %v, want an error or a close within 3s", c.framing, answer, took)
+		response, _ := io.ReadAll(conn)
+		if took := time.Since(started); took > 3*time.Second || len(response) > 0 && response[9] != '4' && response[9] != '5' {
+			t.Errorf("%s: got %q after %v, want an error or a close within 3s", c.framing, response, took)
 		}
 	}
 	slow := open("slow", "Content-Length: 100000\r\n")
@@ -256,9 +256,9 @@
 		}
 		time.Sleep(20 * time.Millisecond)
 	}
-	answer, err := io.ReadAll(c)
-	if err != nil || !strings.HasPrefix(string(answer), "HTTP/1.1 503 ") {
-		t.Errorf("got %q, error %v, want a 503", answer, err)
+	response, err := io.ReadAll(c)
+	if err != nil || !strings.HasPrefix(string(response), "HTTP/1.1 503 ") {
+		t.Errorf("got %q, error %v, want a 503", response, err)
 	}
 }
 
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -136,7 +136,7 @@
 	}, nil
 }
 
-// checkAddresses checks all addresses. Only the address of the console is optional.
+// checkAddresses checks all addresses. Those of the console and the relays are optional.
 func (d *document) checkAddresses() error {
 	if err := checkAddress("listen", d.Listen); err != nil {
 		return err
--- a/internal/config/parse_test.go
+++ b/internal/config/parse_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// equalConfig reports whether two configurations are equal, disregarding the decoded text that got keeps.
+// equalConfig reports whether two configurations are equal, ignoring got.contents.
 func equalConfig(got, want *Config) bool {
 	if got == nil {
 		return false
--- a/internal/settings/document.go
+++ b/internal/settings/document.go
@@ -186,7 +186,7 @@
 	}, nil
 }
 
-// indexes converts a list of indexes into a list of n names to integers. A nil list stays nil.
+// indexes converts the indexes in list, which refer to a list of n names, to integers. It returns nil for a nil list.
 func indexes(list []float64, n int) ([]int, error) {
 	if list == nil {
 		return nil, nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -23,7 +23,7 @@
 	ReportFields   []string      // names of the values in a load report, in order
 	ConnectTimeout time.Duration // for establishing a connection to a server
 	IdleTimeout    time.Duration // after which an idle connection is closed; 0: never
-	DrainGrace     time.Duration // how long requests may still be sent to a server after the notification that it is draining
+	DrainGrace     time.Duration // how long a server may still be sent requests after the notification that it drains
 }
 
 // Parse parses a settings text. It ignores unknown keys and checks only what the conversion needs. balancer.New and the
