--- a/internal/scale/realagent/stats.go
+++ b/internal/scale/realagent/stats.go
@@ -122,7 +122,7 @@
 	s.CPUPercent = 100 * float64(a.cpuTime()-a.cpuAtStart) / float64(wall)
 	if a.process != nil {
 		s.PID = a.process.cmd.Process.Pid
-		s.RSSBytes, s.PeakBytes = procstat.HeldAndPeakBytes(s.PID)
+		s.RSSBytes, s.PeakBytes = procstat.ResidentAndPeakBytes(s.PID)
 	}
 	return s
 }
