--- a/internal/scale/sweep/text.go
+++ b/internal/scale/sweep/text.go
@@ -62,7 +62,7 @@
 		out.Println("no kinks")
 	}
 	for _, s := range w.Skipped {
-		out.Println("not played:", s)
+		out.Println("skipped:", s)
 	}
 }
 
