--- a/cmd/scale/main.go
+++ b/cmd/scale/main.go
@@ -80,7 +80,7 @@
 
 // console holds a command's outputs and its context.
 type console struct {
-	ctx         context.Context // is canceled on SIGINT and SIGTERM
+	ctx         context.Context // is cancelled on SIGINT and SIGTERM
 	out, errOut io.Writer
 	log         *slog.Logger
 }
--- a/internal/scale/control/machine.go
+++ b/internal/scale/control/machine.go
@@ -12,13 +12,13 @@
 	errAlreadyStarted = errors.New("the service has already been started")
 )
 
-// machine is the common part of Service and RelayService. One method runs at a time, under mu, which guards all fields of
-// the service. Agents can be partitioned from the machine.
+// machine is embedded in Service and RelayService and holds what they have in common. One method runs at a time, under mu,
+// which guards all fields of the service. Agents can be partitioned from the machine.
 type machine struct {
 	mu           sync.Mutex
 	started      bool
 	ports        *agentPorts
-	usageAtStart usage // at the beginning of the measurement
+	usageAtStart usage // at the start of the measurement period
 }
 
 // lockStarted locks mu, or returns errNotStarted with mu unlocked.
--- a/internal/scale/meter/meter.go
+++ b/internal/scale/meter/meter.go
@@ -18,8 +18,8 @@
 	agents    []agentBins
 }
 
-// agentBins are the bins of one agent. Its mutex keeps agents from waiting for each other; it guards the bins while the
-// meter's mutex is read-locked.
+// agentBins holds the bins of one agent. mu guards them while the meter's mutex is read-locked. Each agent has its own
+// mutex, so that agents do not wait for each other.
 type agentBins struct {
 	mu      sync.Mutex
 	in, out []int64 // by second, up to the last second with bytes
--- a/internal/scale/realagent/realagent.go
+++ b/internal/scale/realagent/realagent.go
@@ -1,5 +1,5 @@
-// Package realagent runs real agents as processes beside the simulated agents of a scale run, for comparison with them:
-// some dozens, each with its own files and loopback address. It measures the cost of control for these agents and the
+// Package realagent runs real agents as processes alongside the simulated agents of a scale run, for comparison with
+// them: some dozens, each with its own files and loopback address. It measures the cost of control for these agents and the
 // latency that they add to a call.
 //
 // A Fleet owns the agents. Its mutex guards the measurements, and each agent's mutexes guard its process and
@@ -36,8 +36,8 @@
 	// Config renders the configuration of an agent of the world, such as (*world.World).Config.
 	Config func(agent int, o world.ConfigOptions) []byte
 	Agents []int // positions in the world
-	// Busy is how many agents, from the first one on, receive the calls of MeasureAdded; 0: half of them, rounded up.
-	// The others are idle, so that their cost is that of control alone.
+	// Busy is the number of agents that receive the calls of MeasureAdded, counted from the first; 0: half of them,
+	// rounded up. The others are idle, so that their cost is that of control alone.
 	Busy            int
 	Echo            []string   // addresses of the echo servers, for direct calls
 	Program         string     // path of the agent binary
@@ -82,7 +82,7 @@
 	closing       bool
 	err           error
 	failed        chan struct{}
-	startedAt     time.Time // when the measurement began, from which the fields below count
+	startedAt     time.Time // start of the measurement period, from which the fields below count
 	configInForce *result.Histogram
 	changes       []ConfigChange
 	startupTimes  *result.Histogram
--- a/internal/scale/realagent/stats.go
+++ b/internal/scale/realagent/stats.go
@@ -42,7 +42,7 @@
 	Restarts   int64
 }
 
-// Begin resets all measurements and starts the measurement.
+// Begin resets all measurements and starts the measurement period.
 func (f *Fleet) Begin() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/scale/result/result.go
+++ b/internal/scale/result/result.go
@@ -62,11 +62,11 @@
 	OK                int64   `json:"ok"`
 	Failed            int64   `json:"failed"`
 	Rejected          int64   `json:"refused"`
-	FailCalls         int64   `json:"fail_calls"` // this and the next two: while a deep service failed
+	FailCalls         int64   `json:"fail_calls"` // this and the next two: while the deepest service failed
 	FailAttempts      int64   `json:"fail_attempts"`
 	FailOK            int64   `json:"fail_ok"`
 	PerRoot           float64 `json:"attempts_per_root"`      // attempts at this depth per root call while nothing failed
-	FailPerRoot       float64 `json:"fail_attempts_per_root"` // the same while a deep service failed
+	FailPerRoot       float64 `json:"fail_attempts_per_root"` // the same while the deepest service failed
 	Amplification     float64 `json:"amplification"`          // FailPerRoot divided by PerRoot
 	ServedMeanPercent float64 `json:"served_percent"`
 }
@@ -92,8 +92,8 @@
 	ServedPercent         float64      `json:"served_percent"`  // of the root calls during the event
 	ServedBeforePercent   float64      `json:"before_percent"`  // in the 5 s before the event
 	RecoveredAfterSeconds float64      `json:"back_after_s"`    // from its end until 90% of ServedBeforePercent; -1: never
-	FullLists             int64        `json:"whole_lists"`     // sent by control and relays during the event
-	Rejected              int64        `json:"control_refused"` // calls rejected by control and relays during the event
+	FullLists             int64        `json:"whole_lists"`     // sent by control and relays until 6 s after the event
+	Rejected              int64        `json:"control_refused"` // calls rejected by control and relays until 6 s after the event
 }
 
 // Added is the latency that real agents add to a call, compared with the same call made directly. The two alternate in
--- a/internal/scale/role/role.go
+++ b/internal/scale/role/role.go
@@ -1,6 +1,6 @@
-// Package role starts the components of a scale run as child processes, so that the cost of each can be measured, and calls
-// them by net/rpc over their standard input and output. All child processes end with the process that started them. The
-// package does not depend on what a component does.
+// Package role starts the child processes of a scale run, one per role, so that the cost of each can be measured, and
+// calls them by net/rpc over their standard input and output. All child processes end with the process that started
+// them. The package does not depend on what a role does.
 package role
 
 import (
--- a/internal/scale/run/collect.go
+++ b/internal/scale/run/collect.go
@@ -27,7 +27,7 @@
 	machines      []result.ControlMachine
 	simulated     simagent.StatsReply
 	realAgents    realagent.Stats
-	lengthSeconds float64 // of the measurement
+	lengthSeconds float64 // of the measurement period
 	sourceCPU     time.Duration
 }
 
--- a/internal/scale/run/reachability.go
+++ b/internal/scale/run/reachability.go
@@ -73,8 +73,8 @@
 const maxMillis = 1e6
 
 // summarizeDeliveries returns the distribution of delivery times of the changes to the agents, in ms, counted from when
-// each agent was reachable. undelivered counts the pairs of agent and change for which the timeout passed before the
-// end of the run without a delivery.
+// each agent was reachable. undelivered counts the pairs of agent and change without a delivery for which the timeout,
+// counted from the same time, passed before the end of the run.
 func summarizeDeliveries(changes []delivery, agents []int, r *reachability, end int64, timeout time.Duration) (d result.Distribution, undelivered int) {
 	took := result.NewHistogram(maxMillis)
 	for _, c := range changes {
--- a/internal/scale/run/relays.go
+++ b/internal/scale/run/relays.go
@@ -118,7 +118,7 @@
 	return all
 }
 
-// beginRelayMeasurement starts the measurement in the relays.
+// beginRelayMeasurement starts the measurement period in the relays.
 func (r *runner) beginRelayMeasurement(ctx context.Context) error {
 	for _, relay := range r.relays {
 		if err := relay.process.Call(ctx, control.RelayMethodBegin, struct{}{}, &struct{}{}); err != nil {
--- a/internal/scale/run/runner.go
+++ b/internal/scale/run/runner.go
@@ -46,7 +46,7 @@
 	simulatedPositions []int
 	relayDir           string // stores the relays' lists; empty: there are no relays
 
-	startedAt       time.Time // of the measurement
+	startedAt       time.Time // of the measurement period
 	endedAt         time.Time
 	cpuAtStart      time.Duration // CPU time of this process at startedAt
 	affectedByEvent map[int]int
@@ -147,7 +147,7 @@
 	return agents
 }
 
-// simulatedAgentsOf returns the simulated agents on the same machines as the given servers.
+// simulatedAgentsOf returns the simulated agents colocated with the given servers.
 func (r *runner) simulatedAgentsOf(servers []int) (agents []int) {
 	for _, a := range r.simulatedPositions {
 		if slices.Contains(servers, r.world.Agents[a].Server) {
--- a/internal/scale/run/schedule.go
+++ b/internal/scale/run/schedule.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// runSteps applies the world's steps at their times and waits until the measurement ends.
+// runSteps applies the world's steps at their times and waits until the measurement period ends.
 func (r *runner) runSteps(ctx context.Context) error {
 	steps := r.world.Steps(r.startedAt)
 	length := seconds(r.scenario.Seconds)
@@ -74,7 +74,7 @@
 	}
 }
 
-// timedAction is an action and its time since the start of the measurement.
+// timedAction is an action and its time since the start of the measurement period.
 type timedAction struct {
 	at time.Duration
 	do func(due time.Time)
--- a/internal/scale/run/start.go
+++ b/internal/scale/run/start.go
@@ -50,7 +50,7 @@
 	return role.Start(context.WithoutCancel(ctx), name, r.options.Stderr)
 }
 
-// startControl starts the stand-in for control, with a separate address for each agent and relay.
+// startControl starts control, with a separate address for each agent and relay.
 func (r *runner) startControl(ctx context.Context) (err error) {
 	r.controlProcess, err = r.startProcess(ctx, role.Control)
 	if err != nil {
@@ -203,7 +203,7 @@
 	return strings.Join(names, ", ")
 }
 
-// beginMeasurement starts the measurement in all processes.
+// beginMeasurement starts the measurement period in all processes.
 func (r *runner) beginMeasurement(ctx context.Context) error {
 	if err := r.controlProcess.Call(ctx, control.MethodBegin, struct{}{}, &struct{}{}); err != nil {
 		return err
--- a/internal/scale/run/steps_test.go
+++ b/internal/scale/run/steps_test.go
@@ -47,11 +47,11 @@
 	}
 	want := []time.Duration{1, 3, 9, 12, 13, 15}
 	if len(at) != len(want) {
-		t.Fatalf("at %d s, want %d", at, want)
+		t.Fatalf("got actions at %d s, want %d", at, want)
 	}
 	for i := range want {
 		if at[i] != want[i] {
-			t.Fatalf("at %d s, want %d", at, want)
+			t.Fatalf("got actions at %d s, want %d", at, want)
 		}
 	}
 }
--- a/internal/scale/run/taskqueue.go
+++ b/internal/scale/run/taskqueue.go
@@ -14,8 +14,8 @@
 // restartTimeout bounds a restart of real agents, which ends the old processes and starts the new ones.
 const restartTimeout = 60 * time.Second
 
-// taskQueue runs the steps' tasks for one of taskQueues on a separate goroutine: in order, each task within a time
-// limit, and without delaying the other queues. mu guards the errors and timings.
+// taskQueue runs tasks on a separate goroutine, in order and each within a time limit, so that the queues do not delay
+// each other. mu guards the errors and timings.
 type taskQueue struct {
 	name  string
 	limit time.Duration
--- a/internal/scale/scenario/scenario.go
+++ b/internal/scale/scenario/scenario.go
@@ -1,4 +1,4 @@
-// Package scenario reads the input of a scale run, its sizes, costs, budgets and events, from a TOML file without
+// Package scenario reads the input of a scale run, its sizes, costs, budgets and events, from a TOML file and rejects
 // unknown keys. The package keeps no state and starts no goroutines; a Scenario belongs to its caller.
 package scenario
 
--- a/internal/scale/simagent/counts.go
+++ b/internal/scale/simagent/counts.go
@@ -114,7 +114,7 @@
 	c.logLines += o.logLines
 }
 
-// depthResults returns the results for each layer from the first on that was called.
+// depthResults returns the results of each layer that was called, in order, starting at layer 1.
 func (c *shardCounts) depthResults() (all []result.Depth) {
 	for layer := 1; layer <= maxDepth; layer++ {
 		healthy := c.depths[layer][phaseHealthy]
--- a/internal/scale/simagent/service.go
+++ b/internal/scale/simagent/service.go
@@ -92,8 +92,8 @@
 	return s.fleet, nil
 }
 
-// Start starts the agents and returns when all have the endpoint list, or after a minute. It fails
-// if the agents are already started.
+// Start starts the agents and returns when all have the endpoint list, or after a minute. It fails if the agents
+// are already started.
 func (s *Service) Start(args StartArgs, reply *StartReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/scale/sweep/sweep.go
+++ b/internal/scale/sweep/sweep.go
@@ -17,7 +17,7 @@
 	Only        []string             // names of the dimensions to sweep; empty: all
 	Sizes       map[string][]float64 // at least minSizes per dimension; missing: its default sizes
 	Target      *scenario.Scenario   // the scenario at which the fits are evaluated; nil: none
-	Limit       time.Duration        // time limit of all runs; 0: none. The remaining sizes are Skipped
+	Limit       time.Duration        // time limit of all runs; 0: none. Later sizes are listed in Sweep.Skipped
 	RunScenario func(context.Context, *scenario.Scenario) (*result.Run, error)
 	Check       func(*scenario.Scenario) error // checks the scenario of each size before the first run; nil: no check
 	Progress    func(string)                   // is called with progress messages for the user; nil: none
--- a/internal/scale/world/agents.go
+++ b/internal/scale/world/agents.go
@@ -64,8 +64,8 @@
 	}
 }
 
-// CallingAgent returns the agent through which a server's requests make their calls: the first simulated agent beside it,
-// or otherwise one of the same service. A negative result means that there is none and the requests make no calls.
+// CallingAgent returns the agent through which a server's requests make their calls: the first simulated agent colocated
+// with it, or otherwise one of the same service. A negative result means that there is none and the requests make no calls.
 func (w *World) CallingAgent(server int) int {
 	if server < len(w.callingAgent) {
 		return w.callingAgent[server]
--- a/internal/scale/world/generate.go
+++ b/internal/scale/world/generate.go
@@ -22,7 +22,7 @@
 
 // Generate generates the fleet of a scenario from its seed. It returns the scenario's validation error if there is one.
 //
-// Agent i runs beside server i modulo the number of servers. If there are fewer agents than servers, requests of a server
+// Agent i is colocated with server i modulo the number of servers. If there are fewer agents than servers, requests of a server
 // without an agent make their calls through an agent of the same service. A service without simulated agents makes no
 // calls; the rate of root calls is raised to compensate.
 func Generate(s *scenario.Scenario) (*World, error) {
--- a/internal/scale/world/steps.go
+++ b/internal/scale/world/steps.go
@@ -17,7 +17,7 @@
 // A change of servers (Down, Up) and the resulting change of the list (Changes) are separate steps, because the discovery
 // service notices changes after a delay. A planned shutdown changes the list first.
 type Step struct {
-	At      time.Duration      // since the beginning of the measured part of the run
+	At      time.Duration      // since the start of the measurement period
 	Event   int                // position in Scenario.Events; -1: none, a regular step of the run
 	Changes []discovery.Member // entries that change in one revision of the list
 	Down    []int              // servers whose processes end
@@ -31,7 +31,7 @@
 	Fail             *bool // whether the deepest service responds with errors
 	ControlDown      *bool
 
-	Config                int // revision of the configuration to apply; 0: no new one
+	Config                int // revision of the configuration to distribute; 0: none
 	KillRelay, StartRelay bool
 	Begins, Ends          bool // whether this is the first or last step of the event
 }
@@ -51,7 +51,7 @@
 }
 
 // Steps expands the scenario's events, its regular configuration changes and the relay failure into steps in order of time.
-// now is the beginning of the measured part. The result depends only on the scenario and now.
+// now is the start of the measurement period. The result depends only on the scenario and now.
 func (w *World) Steps(now time.Time) []Step {
 	n := w.Scenario.Fleet.Servers // echo servers are real sockets, which events do not affect
 	s := &stepBuilder{
@@ -157,7 +157,7 @@
 	}
 }
 
-// failMachines makes servers and the agents beside them stop responding. They restart together.
+// failMachines makes servers and the agents colocated with them stop responding. They restart together.
 func (s *stepBuilder) failMachines(at, length time.Duration, servers []int) {
 	if len(servers) == 0 {
 		return
@@ -167,7 +167,7 @@
 	for _, i := range servers {
 		s.downUntil[i] = at + length
 	}
-	s.restoreServers(at+length, servers, false, s.agentsBeside(servers))
+	s.restoreServers(at+length, servers, false, s.colocatedAgents(servers))
 }
 
 // restoreServers starts servers cold, restarts the given agents with them, and adds the servers to the list.
@@ -220,8 +220,8 @@
 	return all[:min(n, len(all))]
 }
 
-// agentsBeside returns the agents beside the servers, in ascending order.
-func (s *stepBuilder) agentsBeside(servers []int) (out []int) {
+// colocatedAgents returns the agents colocated with the given servers, in ascending order.
+func (s *stepBuilder) colocatedAgents(servers []int) (out []int) {
 	selected := make(map[int]bool, len(servers))
 	for _, i := range servers {
 		selected[i] = true
--- a/internal/scale/world/steps_test.go
+++ b/internal/scale/world/steps_test.go
@@ -254,7 +254,7 @@
 }
 
 // TestMachineFailureTakesServersAndAgents checks that a rack or zone failure affects exactly the servers in it, and that
-// the agents beside them restart with them.
+// the agents colocated with them restart with them.
 func TestMachineFailureTakesServersAndAgents(t *testing.T) {
 	for name, e := range map[string]scenario.Event{
 		"rack": {Kind: "rack", AtS: 1, ForS: 2, Zone: 3, Count: 2},
--- a/internal/scale/world/world.go
+++ b/internal/scale/world/world.go
@@ -13,8 +13,8 @@
 // Service is one service of the fleet. Its name is the kind of its servers in lists and settings.
 //
 // The services of layer 0 are the front services: calls begin there, and no service calls them. A root call is made by an
-// agent beside a front server, to one of the front service's Calls, whose chances add up to 1. Services of layer d call
-// only services of layer d+1, so a call to layer d has depth d.
+// agent colocated with a front server, to one of the front service's Calls, whose chances add up to 1. Services of layer d
+// call only services of layer d+1, so a call to layer d has depth d.
 type Service struct {
 	Name    string
 	Class   int           // position in Scenario.Classes
@@ -38,12 +38,12 @@
 	Region  int
 	Zone    int           // position in World.Zones
 	Rack    int           // number within its zone
-	Speed   float64       // also its size in lists
+	Speed   float64       // also its weight in lists
 	Slots   int           // requests that it processes concurrently
 	Start   time.Duration // Unix time of the first process start; 0: long before the run; see Steps for later starts
 }
 
-// Agent is one agent. It runs beside a server.
+// Agent is one agent. It is colocated with a server.
 type Agent struct {
 	Name               string
 	Server             int     // position in World.Servers
--- a/internal/scale/world/world_test.go
+++ b/internal/scale/world/world_test.go
@@ -14,7 +14,7 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// measurementStart is the beginning of the measured part of the runs in these tests.
+// measurementStart is the start of the measurement period of the runs in these tests.
 var measurementStart = time.UnixMilli(1_750_000_000_000)
 
 // fleet returns a scenario of the size of the target, modified by change.
