--- a/internal/scale/control/agentports.go
+++ b/internal/scale/control/agentports.go
@@ -10,8 +10,8 @@
 	"example.org/ryeloft/internal/scale/result"
 )
 
-// agentPorts holds the ports of a control plane machine, one per agent, and the meter that counts their bytes. The mutex of
-// the service that owns it guards it.
+// agentPorts holds the ports of a control plane machine, one per agent, and the meter that counts their bytes. The
+// mutex of the service that owns an agentPorts guards all of its fields.
 type agentPorts struct {
 	ports []*port // by agent
 	meter *meter.Meter
@@ -25,8 +25,8 @@
 	return p
 }
 
-// serve opens and serves all ports. identify wraps a listener so that its calls are attributed to an agent. After an error
-// some ports may be open.
+// serve opens and serves all ports. identify wraps a listener so that its calls are attributed to an agent. After an
+// error some ports may be open.
 func (p *agentPorts) serve(server *http.Server, identify func(l net.Listener, agent int) net.Listener) error {
 	for _, port := range p.ports {
 		l, err := port.listen()
--- a/internal/scale/control/control.go
+++ b/internal/scale/control/control.go
@@ -1,7 +1,7 @@
-// Package control stands in for the platform's control plane in a scale run. Service is the discovery service: it serves
-// the endpoint list to each agent at a separate address and simulates the configured costs of its work as delays.
-// RelayService runs a relay between the discovery service and the agents. Both can be partitioned from agents and measure
-// their own resource usage.
+// Package control stands in for the platform's control plane in a scale run. Service is the discovery service: it
+// serves the endpoint list to each agent at a separate address and simulates the configured costs of its work as
+// delays. RelayService runs a relay between the discovery service and the agents. Both can be partitioned from agents
+// and measure their own resource usage.
 //
 // Each service runs in a separate process, which package role starts and calls. One method runs at a time under the
 // service's mutex; state that agents' calls change (notifications, the work queue, the ports) has its own mutexes. The
@@ -77,8 +77,8 @@
 	return nil
 }
 
-// Change publishes the next revision and notifies the watches. It also works while the service is down; agents then receive
-// the revision when they can call again.
+// Change publishes the next revision and notifies the watches. It also works while the service is down; agents then
+// receive the revision when they can call again.
 func (s *Service) Change(args ChangeArgs, reply *ChangeReply) error {
 	if err := s.lockStarted(); err != nil {
 		return err
@@ -96,8 +96,8 @@
 	return nil
 }
 
-// Down takes the service down or brings it back up at the same addresses. Taking it down resets the connections of agents
-// that are not partitioned and drops the planned work.
+// Down takes the service down or brings it back up at the same addresses. Taking it down resets the connections of
+// agents that are not partitioned and drops the planned work.
 func (s *Service) Down(args DownArgs, _ *struct{}) error {
 	if err := s.lockStarted(); err != nil {
 		return err
--- a/internal/scale/control/control_test.go
+++ b/internal/scale/control/control_test.go
@@ -280,8 +280,8 @@
 
 func isReset(err error) bool { return errors.Is(err, syscall.ECONNRESET) }
 
-// TestDown checks that connections are reset and new ones refused while the service is down, and that it comes back at the
-// same addresses with the changes made in between.
+// TestDown checks that connections are reset and new ones refused while the service is down, and that it comes back at
+// the same addresses with the changes made in between.
 func TestDown(t *testing.T) {
 	s, addrs := startControl(t, 3, scenario.Control{Parallel: 1, Log: 16})
 	for range 2 {
--- a/internal/scale/control/cpuload.go
+++ b/internal/scale/control/cpuload.go
@@ -48,8 +48,8 @@
 	l.last = now
 }
 
-// worst6s returns the mean number of cores used in the busiest window of result.WorstWindowSeconds, or 0 if there are too
-// few samples for a window.
+// worst6s returns the mean number of cores used in the busiest window of result.WorstWindowSeconds, or 0 if there are
+// too few samples for a window.
 func (l *cpuLoad) worst6s() float64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/scale/control/machine.go
+++ b/internal/scale/control/machine.go
@@ -12,8 +12,8 @@
 	errAlreadyStarted = errors.New("the service has already been started")
 )
 
-// machine is embedded in Service and RelayService and holds what they have in common. One method runs at a time, under mu,
-// which guards all fields of the service. Agents can be partitioned from the machine.
+// machine is embedded in Service and RelayService and holds what they have in common. One method runs at a time, under
+// mu, which guards all fields of the service. Agents can be partitioned from the machine.
 type machine struct {
 	mu           sync.Mutex
 	started      bool
@@ -31,8 +31,8 @@
 	return nil
 }
 
-// Partition starts or ends a partition between agents and the machine. During a partition the agents' connections, new ones
-// included, carry no data. When the partition ends, they are reset.
+// Partition starts or ends a partition between agents and the machine. During a partition the agents' connections, new
+// ones included, carry no data. When the partition ends, they are reset.
 func (m *machine) Partition(args PartitionArgs, _ *struct{}) error {
 	if err := m.lockStarted(); err != nil {
 		return err
@@ -52,8 +52,8 @@
 	return now, nil
 }
 
-// measure sets role, name, bytes and usage in r, and returns the bytes received and sent by agent and second. The caller
-// holds mu.
+// measure sets role, name, bytes and usage in r, and returns the bytes received and sent by agent and second. The
+// caller holds mu.
 func (m *machine) measure(role, name string, r *result.ControlMachine) (in, out [][]int64, err error) {
 	now, err := currentUsage()
 	if err != nil {
--- a/internal/scale/control/notifications.go
+++ b/internal/scale/control/notifications.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	// writeSlack is how much later a change may be written than the queue and the configured costs explain. The protocol
-	// grants the same slack to every time limit on sockets.
+	// writeSlack is how much later a change may be written than the queue and the configured costs explain. The
+	// protocol grants the same slack to every time limit on sockets.
 	writeSlack = 50 * time.Millisecond
 	// maxChanges bounds the memory for recorded changes to 54 MB at 830 agents.
 	maxChanges = 4096
--- a/internal/scale/control/notifications_test.go
+++ b/internal/scale/control/notifications_test.go
@@ -7,8 +7,8 @@
 	"example.org/ryeloft/internal/lists"
 )
 
-// TestLateNotifications checks that a change counts as late only if it was written to a watch that waited for it, and later
-// than its planned queue delay and writeSlack allow.
+// TestLateNotifications checks that a change counts as late only if it was written to a watch that waited for it, and
+// later than its planned queue delay and writeSlack allow.
 func TestLateNotifications(t *testing.T) {
 	for _, c := range []struct {
 		name    string
@@ -51,8 +51,8 @@
 	}
 }
 
-// TestFirstAcknowledgement checks that the first acknowledgement and write of a revision or a newer one is recorded, and
-// that the number of recorded changes is bounded.
+// TestFirstAcknowledgement checks that the first acknowledgement and write of a revision or a newer one is recorded,
+// and that the number of recorded changes is bounded.
 func TestFirstAcknowledgement(t *testing.T) {
 	log := newNotificationLog(1)
 	begin := time.Now()
--- a/internal/scale/control/port.go
+++ b/internal/scale/control/port.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 )
 
-// port is the address at which one agent calls a machine, with the connections accepted there. It can be closed, and it can
-// be partitioned from the agent. Partitioned connections stay open whatever happens to the machine; they are reset when
-// the partition ends. mu guards its state.
+// port is the address at which one agent calls a machine, with the connections accepted there. It can be closed, and it
+// can be partitioned from the agent. Partitioned connections stay open whatever happens to the machine; they are reset
+// when the partition ends. mu guards its state.
 type port struct {
 	agent int
 	addr  string
@@ -119,8 +119,8 @@
 	}
 }
 
-// conn is a connection that can be partitioned. A partitioned connection delivers no received data and writes nothing. It
-// stays open after its server closes it, until the port resets it or its agent closes it.
+// conn is a connection that can be partitioned. A partitioned connection delivers no received data and writes nothing.
+// It stays open after its server closes it, until the port resets it or its agent closes it.
 type conn struct {
 	*net.TCPConn
 	port        *port
--- a/internal/scale/control/relay.go
+++ b/internal/scale/control/relay.go
@@ -44,8 +44,8 @@
 // relayCallsPerAgent, times the number of agents that can call a relay, bounds its concurrent calls.
 const relayCallsPerAgent = 4
 
-// Start creates the relay, which loads the list that it stored before a restart, and opens a listener for each agent. The
-// relay's goroutines run until the process ends.
+// Start creates the relay, which loads the list that it stored before a restart, and opens a listener for each agent.
+// The relay's goroutines run until the process ends.
 func (s *RelayService) Start(args RelayArgs, reply *StartReply) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -107,8 +107,8 @@
 	return nil
 }
 
-// Stats returns what was measured since Begin, or since Start before it. A relay has no configured costs: its busy share is
-// its real CPU usage.
+// Stats returns what was measured since Begin, or since Start before it. A relay has no configured costs: its busy
+// share is its real CPU usage.
 func (s *RelayService) Stats(_ struct{}, reply *RelayStats) error {
 	if err := s.lockStarted(); err != nil {
 		return err
--- a/internal/scale/control/relay_test.go
+++ b/internal/scale/control/relay_test.go
@@ -10,7 +10,8 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// startRelay runs a relay in this process for the given number of agents. upstream is an address of the discovery service.
+// startRelay runs a relay in this process for the given number of agents. upstream is an address of the discovery
+// service.
 func startRelay(t *testing.T, upstream, state string, agents int) (*RelayService, []string) {
 	t.Helper()
 	s, addrs := new(RelayService), addresses(t, agents)
@@ -21,8 +22,8 @@
 	return s, addrs
 }
 
-// TestRelayService checks that a change reaches agents through a relay, that the relay reports their acknowledgements and
-// its own usage, and that a partitioned agent gets no response, only an error after the partition has ended.
+// TestRelayService checks that a change reaches agents through a relay, that the relay reports their acknowledgements
+// and its own usage, and that a partitioned agent gets no response, only an error after the partition has ended.
 func TestRelayService(t *testing.T) {
 	const agents = 3
 	c, upstream := startControl(t, agents+1, scenario.Control{Log: 16})
--- a/internal/scale/control/workqueue.go
+++ b/internal/scale/control/workqueue.go
@@ -15,12 +15,12 @@
 	maxTrackedSeconds = 3600           // seconds that are recorded separately
 )
 
-// workQueue simulates the configured costs of calls: a fixed number of workers process them in order of arrival, each for
-// the duration of its cost. Work is planned when a call arrives, from the times at which the workers become free, so that
-// late wake-ups of this machine do not accumulate. mu guards its state.
+// workQueue simulates the configured costs of calls: a fixed number of workers process them in order of arrival, each
+// for the duration of its cost. Work is planned when a call arrives, from the times at which the workers become free,
+// so that late wake-ups of this machine do not accumulate. mu guards its state.
 //
-// A call that has waited too long is rejected only after its work is done, as the platform's service does. Rejected calls
-// and callers that disconnect do not shorten the queue.
+// A call that has waited too long is rejected only after its work is done, as the platform's service does. Rejected
+// calls and callers that disconnect do not shorten the queue.
 type workQueue struct {
 	costs scenario.Control
 
@@ -75,8 +75,8 @@
 	return time.Duration(us * float64(time.Microsecond))
 }
 
-// Admit implements lists.Limiter. It waits until a worker has done the work, and returns the planned delay, including the
-// cost of the work.
+// Admit implements lists.Limiter. It waits until a worker has done the work, and returns the planned delay, including
+// the cost of the work.
 func (q *workQueue) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
 	now := time.Now()
 	start, end := q.plan(now, q.cost(w))
--- a/internal/scale/control/workqueue_test.go
+++ b/internal/scale/control/workqueue_test.go
@@ -111,8 +111,8 @@
 	})
 }
 
-// TestWorkQueueDropAndWorstWindow checks that planned work is dropped when the service goes down, and that the worst window
-// is the busiest one of whole seconds. It also covers reset and seconds beyond maxTrackedSeconds.
+// TestWorkQueueDropAndWorstWindow checks that planned work is dropped when the service goes down, and that the worst
+// window is the busiest one of whole seconds. It also covers reset and seconds beyond maxTrackedSeconds.
 func TestWorkQueueDropAndWorstWindow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		q := newWorkQueue(scenario.Control{CallMS: 1000, Parallel: 1}, time.Now())
--- a/internal/scale/procstat/procstat.go
+++ b/internal/scale/procstat/procstat.go
@@ -96,7 +96,8 @@
 	return sum
 }
 
-// ResidentAndPeakBytes returns the resident memory of a process and its peak, in bytes, or zeros if the process has ended.
+// ResidentAndPeakBytes returns the resident memory of a process and its peak, in bytes, or zeros if the process has
+// ended.
 func ResidentAndPeakBytes(pid int) (resident, peak float64) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if errors.Is(err, fs.ErrNotExist) {
--- a/internal/scale/realagent/realagent.go
+++ b/internal/scale/realagent/realagent.go
@@ -1,6 +1,6 @@
 // Package realagent runs real agents as processes alongside the simulated agents of a scale run, for comparison with
-// them: some dozens, each with its own files and loopback address. It measures the cost of control for these agents and the
-// latency that they add to a call.
+// them: some dozens, each with its own files and loopback address. It measures the cost of control for these agents and
+// the latency that they add to a call.
 //
 // A Fleet owns the agents. Its mutex guards the measurements, and each agent's mutexes guard its process and
 // configuration. A goroutine waits for each process. The package controls an agent only by its configuration file and
--- a/internal/scale/role/role.go
+++ b/internal/scale/role/role.go
@@ -16,8 +16,8 @@
 	"time"
 )
 
-// Env is the environment variable with the role of a child process. A program that finds it set must call Serve before it
-// does anything else.
+// Env is the environment variable with the role of a child process. A program that finds it set must call Serve before
+// it does anything else.
 const Env = "SCALE_ROLE"
 
 // These are the roles, as they appear in Env, printed results and errors.
@@ -41,8 +41,8 @@
 	err   error // from exec.Cmd.Wait; set before done is closed
 }
 
-// Start runs this program again as a child process with the given role. The child is killed when ctx is done or when the
-// process that started it dies for any reason.
+// Start runs this program again as a child process with the given role. The child is killed when ctx is done or when
+// the process that started it dies for any reason.
 func Start(ctx context.Context, role string, stderr io.Writer) (*Child, error) {
 	exe, err := os.Executable()
 	if err != nil {
@@ -101,8 +101,9 @@
 	<-c.done
 }
 
-// Close closes the standard input of the process, which makes it end, and waits for that. If the process is still running
-// after stopTimeout, Close kills it and returns an error. Close also returns an error if the process exited unsuccessfully.
+// Close closes the standard input of the process, which makes it end, and waits for that. If the process is still
+// running after stopTimeout, Close kills it and returns an error. Close also returns an error if the process exited
+// unsuccessfully.
 func (c *Child) Close() error {
 	_ = c.stdin.Close() // fails only if it is already closed because the process has ended
 	select {
@@ -120,8 +121,8 @@
 	return nil
 }
 
-// Serve runs in the child process. It serves the methods of receiver under a net/rpc name until standard input ends. The
-// child must print its own output to standard error, because standard output carries the replies.
+// Serve runs in the child process. It serves the methods of receiver under a net/rpc name until standard input ends.
+// The child must print its own output to standard error, because standard output carries the replies.
 func Serve(name string, receiver any) error {
 	s := rpc.NewServer()
 	if err := s.RegisterName(name, receiver); err != nil {
--- a/internal/scale/sweep/fit.go
+++ b/internal/scale/sweep/fit.go
@@ -19,8 +19,8 @@
 	AtOne            float64 `json:"at_one"`    // value of the power law at size 1; 0 if there is none
 }
 
-// fitGrowth fits the line, the parabola and the power law. xs and ys must have the same length of at least three, and xs
-// must contain at least two different sizes.
+// fitGrowth fits the line, the parabola and the power law. xs and ys must have the same length of at least three, and
+// xs must contain at least two different sizes.
 func fitGrowth(xs, ys []float64) Fit {
 	var f Fit
 	f.Intercept, f.Slope = stat.LinearRegression(xs, ys, nil, false)
--- a/internal/scale/world/agentconfig.go
+++ b/internal/scale/world/agentconfig.go
@@ -18,8 +18,8 @@
 	echoDeadlineMS         = 2000
 )
 
-// AddEcho adds an idempotent service of layer 0 whose servers are real sockets: one at each address, assigned to the zones
-// in rotation. Every process of a run must add the same addresses; otherwise their worlds differ.
+// AddEcho adds an idempotent service of layer 0 whose servers are real sockets: one at each address, assigned to the
+// zones in rotation. Every process of a run must add the same addresses; otherwise their worlds differ.
 func (w *World) AddEcho(addrs []string) {
 	class := max(0, slices.IndexFunc(w.Scenario.Classes, func(c scenario.Class) bool { return c.Idempotency == scenario.Idempotent }))
 	w.Services = append(w.Services, Service{Name: EchoService, Class: class})
@@ -37,8 +37,8 @@
 	return -1
 }
 
-// settingsJSON contains only those settings that the agents use, because every agent receives them at each change. A test
-// limits the encoded size to 3,000 bytes.
+// settingsJSON contains only those settings that the agents use, because every agent receives them at each change. A
+// test limits the encoded size to 3,000 bytes.
 type settingsJSON struct {
 	Classes    []classJSON `json:"categories"`
 	Localities []string    `json:"localities"`
@@ -120,9 +120,9 @@
 	return t
 }
 
-// Classes returns the services that an agent's classes represent, in the order of its settings: those that its own service
-// calls, then the echo service if echo is true and the service exists. Settings need at least one class, so an agent that
-// calls no service has the class of its own service.
+// Classes returns the services that an agent's classes represent, in the order of its settings: those that its own
+// service calls, then the echo service if echo is true and the service exists. Settings need at least one class, so an
+// agent that calls no service has the class of its own service.
 func (w *World) Classes(agent int, echo bool) (out []int) {
 	own := w.Servers[w.Agents[agent].Server].Service
 	for _, c := range w.Services[own].Calls {
@@ -137,8 +137,8 @@
 	return out
 }
 
-// classSettings returns the class of a service. Each revision lengthens the deadline by a microsecond, which changes the
-// text but no decision of an agent.
+// classSettings returns the class of a service. Each revision lengthens the deadline by a microsecond, which changes
+// the text but no decision of an agent.
 func (w *World) classSettings(service, revision int) classJSON {
 	s := &w.Services[service]
 	class := &w.Scenario.Classes[s.Class]
--- a/internal/scale/world/agents.go
+++ b/internal/scale/world/agents.go
@@ -26,8 +26,8 @@
 	w.assignCallingAgents()
 }
 
-// nextSimulated returns the first simulated agent whose service is accepted, or -1. It searches cyclically, starting at the
-// position from.
+// nextSimulated returns the first simulated agent whose service is accepted, or -1. It searches cyclically, starting at
+// the position from.
 func (w *World) nextSimulated(from int, accept func(service int) bool) int {
 	for k := range w.Agents {
 		i := (from + k) % len(w.Agents)
@@ -64,8 +64,9 @@
 	}
 }
 
-// CallingAgent returns the agent through which a server's requests make their calls: the first simulated agent colocated
-// with it, or otherwise one of the same service. A negative result means that there is none and the requests make no calls.
+// CallingAgent returns the agent through which a server's requests make their calls: the first simulated agent
+// colocated with it, or otherwise one of the same service. A negative result means that there is none and the requests
+// make no calls.
 func (w *World) CallingAgent(server int) int {
 	if server < len(w.callingAgent) {
 		return w.callingAgent[server]
--- a/internal/scale/world/callgraph.go
+++ b/internal/scale/world/callgraph.go
@@ -7,10 +7,10 @@
 // edge is an edge of the call graph, between two services.
 type edge struct{ caller, called int }
 
-// generateCalls connects each layer to the next so that each service receives calls in proportion to its number of servers.
-// It places both layers on a line of the same length, where each service covers an interval proportional to its number of
-// servers. Services with overlapping intervals get an edge weighted by the overlap. Averaging over two random orders
-// gives more edges than the minimum.
+// generateCalls connects each layer to the next so that each service receives calls in proportion to its number of
+// servers. It places both layers on a line of the same length, where each service covers an interval proportional to
+// its number of servers. Services with overlapping intervals get an edge weighted by the overlap. Averaging over two
+// random orders gives more edges than the minimum.
 func (w *World) generateCalls() {
 	rng := w.rng(streamCalls)
 	for layer := range w.Scenario.Fleet.Depth {
@@ -56,8 +56,8 @@
 	}
 }
 
-// setCalls converts the caller's share of flow, which adds up to 1 over all callers, into the chances of its calls, in the
-// order of the services. total is the number of servers in the callers' layer.
+// setCalls converts the caller's share of flow, which adds up to 1 over all callers, into the chances of its calls, in
+// the order of the services. total is the number of servers in the callers' layer.
 func (w *World) setCalls(caller int, called []int, flow map[edge]float64, total float64, layer int) {
 	s := &w.Services[caller]
 	callsPerRequest := 1.0
--- a/internal/scale/world/drawn_test.go
+++ b/internal/scale/world/drawn_test.go
@@ -10,8 +10,8 @@
 	"example.org/ryeloft/internal/scale/world"
 )
 
-// TestGeneratedWorldIsStable guards against changes to what a seed generates, which would make measurements of different
-// days incomparable because their fleets, events and configurations differ.
+// TestGeneratedWorldIsStable guards against changes to what a seed generates, which would make measurements of
+// different days incomparable because their fleets, events and configurations differ.
 func TestGeneratedWorldIsStable(t *testing.T) {
 	for _, c := range []struct{ file, want string }{
 		{"small", "e0abf3c3a457f4edac02318089332f3ddc0a3d2d394c09865b971ca8b6f7dbb4"},
@@ -31,8 +31,8 @@
 	}
 }
 
-// worldHash returns a hash of all values of a world and of all values derived from it, in order. The names of fields do not
-// affect it.
+// worldHash returns a hash of all values of a world and of all values derived from it, in order. The names of fields do
+// not affect it.
 func worldHash(w *world.World) string {
 	h := sha256.New()
 	fmt.Fprintln(h, w.Zones, w.Deepest)
--- a/internal/scale/world/generate.go
+++ b/internal/scale/world/generate.go
@@ -10,8 +10,8 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// These are independent streams of random numbers, so that a change to the number of real agents changes nothing else in
-// the fleet.
+// These are independent streams of random numbers, so that a change to the number of real agents changes nothing else
+// in the fleet.
 const (
 	streamClasses = iota + 1
 	streamCalls
@@ -22,9 +22,9 @@
 
 // Generate generates the fleet of a scenario from its seed. It returns the scenario's validation error if there is one.
 //
-// Agent i is colocated with server i modulo the number of servers. If there are fewer agents than servers, requests of a server
-// without an agent make their calls through an agent of the same service. A service without simulated agents makes no
-// calls; the rate of root calls is raised to compensate.
+// Agent i is colocated with server i modulo the number of servers. If there are fewer agents than servers, requests of
+// a server without an agent make their calls through an agent of the same service. A service without simulated agents
+// makes no calls; the rate of root calls is raised to compensate.
 func Generate(s *scenario.Scenario) (*World, error) {
 	if err := s.Validate(); err != nil {
 		return nil, err
--- a/internal/scale/world/load.go
+++ b/internal/scale/world/load.go
@@ -4,8 +4,8 @@
 	"time"
 )
 
-// generateLoad sets the rates of root calls so that the fleet makes the scenario's total calls per second, and the work of
-// the services so that its mean over all calls is the scenario's.
+// generateLoad sets the rates of root calls so that the fleet makes the scenario's total calls per second, and the work
+// of the services so that its mean over all calls is the scenario's.
 func (w *World) generateLoad() {
 	w.setRootRates(1)
 	f := &w.Scenario.Fleet
@@ -31,8 +31,8 @@
 	}
 }
 
-// setRootRates gives each front service perServer root calls per second for each of its servers, distributed evenly over
-// its simulated agents.
+// setRootRates gives each front service perServer root calls per second for each of its servers, distributed evenly
+// over its simulated agents.
 func (w *World) setRootRates(perServer float64) {
 	simulated := make([]int, len(w.Services))
 	for _, a := range w.Agents {
--- a/internal/scale/world/servers.go
+++ b/internal/scale/world/servers.go
@@ -7,8 +7,8 @@
 // machineSpeeds are the speeds of the machine types. Each server runs on a machine of a random type.
 var machineSpeeds = []float64{0.6, 0.8, 1, 1.2, 1.5}
 
-// generateServers assigns the servers of each service to the zones in rotation, starting at a random zone, and to random
-// racks and machine types.
+// generateServers assigns the servers of each service to the zones in rotation, starting at a random zone, and to
+// random racks and machine types.
 func (w *World) generateServers() {
 	f := &w.Scenario.Fleet
 	rng := w.rng(streamServers)
@@ -52,15 +52,15 @@
 // feistelRounds is the number of rounds that mix the halves of an ID.
 const feistelRounds uint64 = 4
 
-// serverAddr returns the address of a generation of a server. It is unique, and within the networks 127.16 to 127.63; the
-// discovery service and relays use the networks above.
+// serverAddr returns the address of a generation of a server. It is unique, and within the networks 127.16 to 127.63;
+// the discovery service and relays use the networks above.
 func serverAddr(position, generation int) string {
 	n := generation<<positionBits | position
 	return fmt.Sprintf("127.%d.%d.%d:%d", 16+n/(addrsPerOctet*addrsPerOctet)%48, n/addrsPerOctet%addrsPerOctet, n%addrsPerOctet+1, serverPort)
 }
 
-// serverID returns the ID of a generation of a server. It is unique and looks random: a Feistel permutation of the position
-// and the generation.
+// serverID returns the ID of a generation of a server. It is unique and looks random: a Feistel permutation of the
+// position and the generation.
 func (w *World) serverID(position, generation int) string {
 	n := uint32(generation<<positionBits | position)
 	left, right := uint16(n>>16), uint16(n)
--- a/internal/scale/world/services.go
+++ b/internal/scale/world/services.go
@@ -18,9 +18,9 @@
 	return out
 }
 
-// generateServices creates the services with their layers and classes. In descending order of size, each service goes to
-// the layer that is missing the most servers for its calls. Once there are only as many services left as empty layers,
-// each goes to an empty layer.
+// generateServices creates the services with their layers and classes. In descending order of size, each service goes
+// to the layer that is missing the most servers for its calls. Once there are only as many services left as empty
+// layers, each goes to an empty layer.
 func (w *World) generateServices(sizes []int) {
 	f := &w.Scenario.Fleet
 	calls := callsPerLayer(f.Depth)
--- a/internal/scale/world/steps.go
+++ b/internal/scale/world/steps.go
@@ -11,11 +11,12 @@
 	"example.org/ryeloft/internal/scale/scenario"
 )
 
-// Step is a set of actions that the run applies at one time to servers, agents, relays and the discovery service. A field
-// with its zero value changes nothing. Steps are sent to child processes as JSON, by the names or tags of the fields.
+// Step is a set of actions that the run applies at one time to servers, agents, relays and the discovery service. A
+// field with its zero value changes nothing. Steps are sent to child processes as JSON, by the names or tags of the
+// fields.
 //
-// A change of servers (Down, Up) and the resulting change of the list (Changes) are separate steps, because the discovery
-// service notices changes after a delay. A planned shutdown changes the list first.
+// A change of servers (Down, Up) and the resulting change of the list (Changes) are separate steps, because the
+// discovery service notices changes after a delay. A planned shutdown changes the list first.
 type Step struct {
 	At      time.Duration      // since the start of the measurement period
 	Event   int                // position in Scenario.Events; -1: none, a regular step of the run
@@ -50,8 +51,8 @@
 	downUntil  []time.Duration // by server: when it is back after a machine failure
 }
 
-// Steps expands the scenario's events, its regular configuration changes and the relay failure into steps in order of time.
-// now is the start of the measurement period. The result depends only on the scenario and now.
+// Steps expands the scenario's events, its regular configuration changes and the relay failure into steps in order of
+// time. now is the start of the measurement period. The result depends only on the scenario and now.
 func (w *World) Steps(now time.Time) []Step {
 	n := w.Scenario.Fleet.Servers // echo servers are real sockets, which events do not affect
 	s := &stepBuilder{
@@ -143,8 +144,8 @@
 	}
 }
 
-// drain drains servers in waves. The list shows the drain immediately. At its end the process ends, and another one starts
-// in its place: the same server or, for a replacement, a server with another ID and address.
+// drain drains servers in waves. The list shows the drain immediately. At its end the process ends, and another one
+// starts in its place: the same server or, for a replacement, a server with another ID and address.
 func (s *stepBuilder) drain(at, length time.Duration, servers []int, replace bool) {
 	drain, boot, notice := seconds(s.Scenario.Fleet.DrainS), seconds(s.Scenario.Fleet.BootS), s.noticeDelay()
 	for _, w := range waves(servers, length) {
--- a/internal/scale/world/steps_test.go
+++ b/internal/scale/world/steps_test.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// checkLists applies the changes to the list and checks their states: a server drains or fails before it is gone, IDs and
-// addresses are never reused by another server, and a server that comes back has a new start time.
+// checkLists applies the changes to the list and checks their states: a server drains or fails before it is gone, IDs
+// and addresses are never reused by another server, and a server that comes back has a new start time.
 func checkLists(t *testing.T, w *world.World, steps []world.Step) {
 	t.Helper()
 	list := map[string]discovery.Member{}
@@ -148,8 +148,8 @@
 	}
 }
 
-// checkProcesses checks that each server goes down and up alternately, is up at the end of the run, and is never listed as
-// ready while it is down.
+// checkProcesses checks that each server goes down and up alternately, is up at the end of the run, and is never listed
+// as ready while it is down.
 func checkProcesses(t *testing.T, w *world.World, steps []world.Step) {
 	t.Helper()
 	down := make([]bool, len(w.Servers))
@@ -253,8 +253,8 @@
 		s.PartitionRegions != nil, s.Fail != nil, s.ControlDown != nil}
 }
 
-// TestMachineFailureTakesServersAndAgents checks that a rack or zone failure affects exactly the servers in it, and that
-// the agents colocated with them restart with them.
+// TestMachineFailureTakesServersAndAgents checks that a rack or zone failure affects exactly the servers in it, and
+// that the agents colocated with them restart with them.
 func TestMachineFailureTakesServersAndAgents(t *testing.T) {
 	for name, e := range map[string]scenario.Event{
 		"rack": {Kind: "rack", AtS: 1, ForS: 2, Zone: 3, Count: 2},
--- a/internal/scale/world/world.go
+++ b/internal/scale/world/world.go
@@ -1,5 +1,5 @@
-// Package world generates the fleet of a scenario from its seed: services, servers, zones, the call graph,
-// the configurations of the agents and the steps of the events. The same scenario gives the same world in every process. A
+// Package world generates the fleet of a scenario from its seed: services, servers, zones, the call graph, the
+// configurations of the agents and the steps of the events. The same scenario gives the same world in every process. A
 // World is immutable after Generate and AddEcho and may then be read by several goroutines. The package starts no
 // goroutines or processes.
 package world
@@ -12,9 +12,9 @@
 
 // Service is one service of the fleet. Its name is the kind of its servers in lists and settings.
 //
-// The services of layer 0 are the front services: calls begin there, and no service calls them. A root call is made by an
-// agent colocated with a front server, to one of the front service's Calls, whose chances add up to 1. Services of layer d
-// call only services of layer d+1, so a call to layer d has depth d.
+// The services of layer 0 are the front services: calls begin there, and no service calls them. A root call is made by
+// an agent colocated with a front server, to one of the front service's Calls, whose chances add up to 1. Services of
+// layer d call only services of layer d+1, so a call to layer d has depth d.
 type Service struct {
 	Name    string
 	Class   int           // position in Scenario.Classes
--- a/internal/scale/world/world_test.go
+++ b/internal/scale/world/world_test.go
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestFleetHasCapacityForItsCalls checks that no service of the committed scenarios is utilized by more than half, and that
-// the mean work per call is the scenario's.
+// TestFleetHasCapacityForItsCalls checks that no service of the committed scenarios is utilized by more than half, and
+// that the mean work per call is the scenario's.
 func TestFleetHasCapacityForItsCalls(t *testing.T) {
 	for _, name := range []string{"target", "small", "tiny"} {
 		s, err := scenario.Load("../../../deploy/scale/" + name + ".toml")
