--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -25,9 +25,9 @@
 
 const tiny = "../../deploy/scale/tiny.toml"
 
-// buildPrograms builds this program and the agent as they are deployed, and returns their directory. A test binary with
-// the race detector does not serve: its simulated agents would cost more than the real ones, which are built without
-// it.
+// buildPrograms builds this program and the agent as they are deployed, and returns their directory. The test binary is
+// not used, because with the race detector its simulated agents would cost more than the real ones, which are built
+// without it.
 var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "scale-test-")
 	if err != nil {
@@ -148,7 +148,7 @@
 	for _, c := range []struct {
 		name string
 		end  func(t *testing.T, program int, children map[int]string)
-		want string // text in the result's reason for being incomplete; empty: no result is expected
+		want string // text in the result's reason for being incomplete; empty: the result is not checked
 	}{
 		{"interrupt", func(t *testing.T, program int, _ map[int]string) { kill(t, program, syscall.SIGINT) }, "interrupt"},
 		{"terminate", func(t *testing.T, program int, _ map[int]string) { kill(t, program, syscall.SIGTERM) }, "terminated"},
--- a/internal/scale/procstat/procstat.go
+++ b/internal/scale/procstat/procstat.go
@@ -79,7 +79,7 @@
 // bytesPerKB is the number of bytes in what the kernel calls a kB.
 const bytesPerKB = 1 << 10
 
-// ThreadsCPU returns the time that a process's threads have run on a core. It has a resolution of nanoseconds, that of
+// ThreadsCPU returns the time that a process's threads have run on a core. The resolution is a nanosecond; that of
 // /proc/PID/stat is a hundredth of a second. Threads that have ended are not included, but Go keeps its threads. For a
 // process that has ended the result is 0.
 func ThreadsCPU(pid int) (sum time.Duration) {
--- a/internal/scale/realagent/realagent.go
+++ b/internal/scale/realagent/realagent.go
@@ -1,6 +1,6 @@
 // Package realagent runs real agents as processes alongside the simulated agents of a scale run, for comparison with
-// them: some dozens, each with its own files and loopback address. It measures the cost of control for these agents and
-// the latency that they add to a call.
+// them: some dozens, each with its own files and loopback address. It measures the cost of control traffic for these
+// agents and the latency that they add to a call.
 //
 // A Fleet owns the agents. Its mutex guards the measurements, and each agent's mutexes guard its process and
 // configuration. A goroutine waits for each process. The package controls an agent only by its configuration file and
@@ -37,7 +37,7 @@
 	Config func(agent int, o world.ConfigOptions) []byte
 	Agents []int // positions in the world
 	// Busy is the number of agents that receive the calls of MeasureAdded, counted from the first; 0: half of them,
-	// rounded up. The others are idle, so that their cost is that of control alone.
+	// rounded up. The others are idle, so that their cost is that of control traffic alone.
 	Busy            int
 	Echo            []string   // addresses of the echo servers, for direct calls
 	Program         string     // path of the agent binary
--- a/internal/scale/realagent/stats.go
+++ b/internal/scale/realagent/stats.go
@@ -19,7 +19,8 @@
 	IdleAgents int     // agents without calls
 	CPUPercent float64 // of one core, mean over the idle agents
 	// CallCPUMS is the CPU time per call of a busy agent, in ms: the CPU time of the busy agents beyond that of idle
-	// ones, divided by their calls. It is 0 without calls. If no agent is idle, it also includes the cost of control.
+	// ones, divided by their calls. It is 0 without calls. If no agent is idle, it also includes the cost of control
+	// traffic.
 	CallCPUMS     float64
 	RSSBytes      result.Distribution // current
 	PeakBytes     result.Distribution // peak of each current process
--- a/internal/scale/run/collect.go
+++ b/internal/scale/run/collect.go
@@ -69,7 +69,7 @@
 	return defaultDeliveryTimeout
 }
 
-// summarizeAgents summarizes the cost of control for the agents of both types.
+// summarizeAgents summarizes the cost of control traffic for the agents of both types.
 func (r *runner) summarizeAgents(m *measurements) {
 	acknowledged, inForce := r.listDeliveries(m, anyEvent)
 	r.summarizeAgentType(&r.result.Simulated, r.simulatedPositions, m, acknowledged, inForce)
@@ -171,8 +171,8 @@
 	r.result.Control = append(r.result.Control, r.sourceMachine(m))
 }
 
-// sourceMachine returns the cost of distributing configurations, by its stated cost per agent. CPU time and memory are
-// those of this process, which also applies the steps and calls the other processes, so they overstate the source's
+// sourceMachine returns the cost of distributing configurations, by the configured cost per agent. CPU time and memory
+// are those of this process, which also applies the steps and calls the other processes, so they overstate the source's
 // cost.
 func (r *runner) sourceMachine(m *measurements) result.ControlMachine {
 	machine := result.ControlMachine{Role: "source", Name: "source"}
--- a/internal/scale/simagent/discovery_test.go
+++ b/internal/scale/simagent/discovery_test.go
@@ -121,8 +121,8 @@
 	return n
 }
 
-// awaitWatches calls do and waits until each of the agents has started the given number of further watches. By then its
-// earlier requests have arrived.
+// awaitWatches calls do and waits until each of the agents has started the given number of further watches. By then all
+// earlier requests of these agents have arrived.
 func (c *fakeDiscovery) awaitWatches(t *testing.T, agents []int, more int, do func()) {
 	t.Helper()
 	c.mu.Lock()
--- a/internal/scale/simagent/fleet_test.go
+++ b/internal/scale/simagent/fleet_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// A list change comes into force at every agent within the platform's bound and is recorded per revision.
-// No agent fetches the full list for it.
+// A list change comes into force at every agent within the platform's bound and is recorded per revision. No agent
+// fetches the full list for it.
 func TestListInForce(t *testing.T) {
 	w := tinyWorld(t, nil)
 	f, c := startFleet(t, w, nil)
--- a/internal/scale/simagent/model_test.go
+++ b/internal/scale/simagent/model_test.go
@@ -14,7 +14,7 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// manualClock is a Clock that advances only in Wait, and then without waiting.
+// manualClock is a Clock that advances only in Wait, which returns immediately.
 type manualClock struct{ now time.Duration }
 
 func (c *manualClock) Now() time.Duration                          { return c.now }
