--- a/internal/scale/realagent/stats.go
+++ b/internal/scale/realagent/stats.go
@@ -19,7 +19,8 @@
 	IdleAgents int     // agents without calls
 	CPUPercent float64 // of one core, mean over the idle agents
 	// CallCPUMS is the CPU time per call of a busy agent, in ms: the CPU time of the busy agents beyond that of idle
-	// ones, divided by their calls. It is 0 without calls. If no agent is idle, it also includes the cost of control.
+	// ones, divided by their calls. It is 0 without calls. If no agent is idle, it also includes the cost of control
+	// traffic.
 	CallCPUMS     float64
 	RSSBytes      result.Distribution // current
 	PeakBytes     result.Distribution // peak of each current process
@@ -42,7 +43,7 @@
 	Restarts   int64
 }
 
-// Begin resets all measurements and starts the measurement.
+// Begin resets all measurements and starts the measurement period.
 func (f *Fleet) Begin() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -122,7 +123,7 @@
 	s.CPUPercent = 100 * float64(a.cpuTime()-a.cpuAtStart) / float64(wall)
 	if a.process != nil {
 		s.PID = a.process.cmd.Process.Pid
-		s.RSSBytes, s.PeakBytes = procstat.HeldAndPeakBytes(s.PID)
+		s.RSSBytes, s.PeakBytes = procstat.ResidentAndPeakBytes(s.PID)
 	}
 	return s
 }
--- a/internal/scale/world/world_test.go
+++ b/internal/scale/world/world_test.go
@@ -14,7 +14,7 @@
 	"example.org/ryeloft/internal/settings"
 )
 
-// measurementStart is the beginning of the measured part of the runs in these tests.
+// measurementStart is the start of the measurement period of the runs in these tests.
 var measurementStart = time.UnixMilli(1_750_000_000_000)
 
 // fleet returns a scenario of the size of the target, modified by change.
@@ -196,8 +196,8 @@
 	}
 }
 
-// TestFleetHasCapacityForItsCalls checks that no service of the committed scenarios is utilized by more than half, and that
-// the mean work per call is the scenario's.
+// TestFleetHasCapacityForItsCalls checks that no service of the committed scenarios is utilized by more than half, and
+// that the mean work per call is the scenario's.
 func TestFleetHasCapacityForItsCalls(t *testing.T) {
 	for _, name := range []string{"target", "small", "tiny"} {
 		s, err := scenario.Load("../../../deploy/scale/" + name + ".toml")
