--- a/internal/inbound/response.go
+++ b/internal/inbound/response.go
@@ -48,7 +48,7 @@
 		return
 	}
 	h.metrics.RequestAnswered(x.request.ClassName, metrics.ResultErrors)
-	h.metrics.AnswerBroken(false, err)
+	h.metrics.ResponseBroken(false, err)
 	// The client must detect that the response is incomplete, even if only the end of the connection delimits it.
 	x.conn.reset()
 	panic(http.ErrAbortHandler)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -200,8 +200,8 @@
 	m.count(func(i *intervalCounters) { i.reused++ })
 }
 
-// AnswerBroken counts an answer that did not come completely, and keeps the reason of the last one.
-func (m *Metrics) AnswerBroken(reusedConn bool, reason error) {
+// ResponseBroken counts an incomplete response, and keeps the reason of the last one.
+func (m *Metrics) ResponseBroken(reusedConn bool, reason error) {
 	m.count(func(i *intervalCounters) {
 		if reusedConn {
 			i.reusedBroken++
--- a/internal/upstream/exchange.go
+++ b/internal/upstream/exchange.go
@@ -149,7 +149,7 @@
 	response, err := c.receive(a)
 	if err != nil {
 		if ctx.Err() == nil && !errors.Is(err, stream.ErrNotRead) {
-			p.metrics.AnswerBroken(c.used, err)
+			p.metrics.ResponseBroken(c.used, err)
 			p.recordLoss(c, c.nothingRead())
 		}
 		return nil, writtenAll, err
