--- a/internal/admin/console_test.go
+++ b/internal/admin/console_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// ask sends a line to a console and returns all of the answer.
-func ask(t *testing.T, addr, line string) string {
+// consoleCall sends a line to a console and returns the complete reply.
+func consoleCall(t *testing.T, addr, line string) string {
 	t.Helper()
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -17,17 +17,17 @@
 	defer conn.Close()
 	conn.SetDeadline(time.Now().Add(10 * commandTimeout))
 	io.WriteString(conn, line)
-	answer, err := io.ReadAll(conn)
+	reply, err := io.ReadAll(conn)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return string(answer)
+	return string(reply)
 }
 
-// Callers that say nothing, and a loop and an admission that are at their limits, keep no other caller waiting.
-func TestConsoleAnswersAtOnce(t *testing.T) {
-	calls := map[string]Command{"check": func(io.Writer) error { return nil }}
-	c, err := Listen(t.Context(), "127.0.0.1:0", calls)
+// Connections that send nothing fill the console's connection limit. They must not delay the reply to another caller.
+func TestIdleConnectionsDoNotDelayReplies(t *testing.T) {
+	commands := map[string]Command{"check": func(io.Writer) error { return nil }}
+	c, err := Listen(t.Context(), "127.0.0.1:0", commands)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -35,19 +35,19 @@
 	go c.Serve()
 	addr := c.listener.Addr().String()
 	for range 3 * maxConns {
-		silent, err := net.Dial("tcp", addr)
+		idle, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer silent.Close()
+		defer idle.Close()
 	}
-	begun := time.Now()
-	if got := ask(t, addr, "check\n"); got != "ok\n" || time.Since(begun) > commandTimeout/2 {
-		t.Errorf("answered %q after %v", got, time.Since(begun))
+	started := time.Now()
+	if got := consoleCall(t, addr, "check\n"); got != "ok\n" || time.Since(started) > commandTimeout/2 {
+		t.Errorf("got %q after %v, want ok within %v", got, time.Since(started), commandTimeout/2)
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.conns) > maxConns {
-		t.Errorf("%d callers are held", len(c.conns))
+		t.Errorf("got %d open connections, want at most %d", len(c.conns), maxConns)
 	}
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// A budget that was written is read again, in either unit; what is no budget is a typed error.
+// Budgets in either unit are parsed, those that FormatBudget wrote included. Any other text returns ErrBadBudget.
 func TestBudget(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"480m": 480 * time.Millisecond, "350000u": 350 * time.Millisecond, "0.5m": 500 * time.Microsecond, "3600000m": time.Hour,
 		FormatBudget(1500 * time.Millisecond): 1500 * time.Millisecond, FormatBudget(-time.Second): time.Microsecond,
 	} {
 		if got, err := ParseBudget(text); got != want || err != nil {
-			t.Errorf("%s: %v, error %v, want %v", text, got, err, want)
+			t.Errorf("%s: got %v, error %v, want %v", text, got, err, want)
 		}
 	}
 	for _, text := range []string{"", "480", "m", "u", "NaNm", "Infm", "-3m", "0m", "3600001m", "1mu"} {
 		if got, err := ParseBudget(text); !errors.Is(err, ErrBadBudget) {
-			t.Errorf("%q: %v, error %v", text, got, err)
+			t.Errorf("%q: got %v, error %v, want ErrBadBudget", text, got, err)
 		}
 	}
 }
--- a/internal/repository/architecture_test.go
+++ b/internal/repository/architecture_test.go
@@ -10,8 +10,9 @@
 
 const root = "../.."
 
-// The page on the architecture names each package, by its path or by that of a folder whose packages it lists.
-func TestArchitectureNamesEachPackage(t *testing.T) {
+// A package can be added without documentation. The architecture page must name each package by its path; those under
+// internal/scale may be named by the path below it.
+func TestArchitecturePageNamesEachPackage(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
 	if err != nil {
 		t.Fatal(err)
@@ -26,7 +27,7 @@
 		path = strings.TrimPrefix(strings.TrimSpace(path), "example.org/ryeloft/")
 		path = strings.TrimPrefix(path, "internal/scale/")
 		if !strings.Contains(string(page), "`"+path+"`") {
-			t.Errorf("docs/architecture.md does not name %s", path)
+			t.Errorf("docs/architecture.md does not name package %s", path)
 		}
 	}
 }
--- a/internal/repository/knownred_test.go
+++ b/internal/repository/knownred_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-// redModule has two packages with a test of the same name, of which that of package a fails in one case.
+// redModule has two packages with a test of the same name. One case of it fails in package a.
 var redModule = map[string]string{
 	"go.mod": "module example.org/red\n\ngo 1.25\n",
 	"a/a_test.go": `package a
@@ -30,7 +30,8 @@
 `,
 }
 
-// An entry of KNOWN-RED.txt has its own test passed over, that of its package, and no other; an entry that names no test fails.
+// An entry of KNOWN-RED.txt must skip exactly the test that it names, in the package that it names. Otherwise it could
+// hide failures of other tests. An entry that matches no test is an error.
 func TestKnownRedEntries(t *testing.T) {
 	script, err := filepath.Abs(filepath.Join(root, "tools", "known-red.sh"))
 	if err != nil {
@@ -49,12 +50,12 @@
 	for name, c := range map[string]struct {
 		entries string
 		passes  bool
-		says    []string
+		output  []string // texts that the output contains
 	}{
 		"the test":             {"./a:TestWatch/two_at_once_(1+1) seed 1: red\n", true, []string{"one of a runs", "two of b runs"}},
-		"with a day":           {"bench:zone a day: red\n\n./a:TestWatch/two_at_once_(1+1) red\n", true, []string{"one of a runs", "two of b runs"}},
-		"none":                 {"", false, []string{"--- FAIL: TestWatch/two_at_once_(1+1)"}},
-		"of another package":   {"./b:TestWatch red\n", false, []string{"--- FAIL: TestWatch/two_at_once_(1+1)", "one of a runs"}},
+		"with a bench entry":   {"bench:zone a day: red\n\n./a:TestWatch/two_at_once_(1+1) red\n", true, []string{"one of a runs", "two of b runs"}},
+		"no entry":             {"", false, []string{"--- FAIL: TestWatch/two_at_once_(1+1)"}},
+		"another package":      {"./b:TestWatch red\n", false, []string{"--- FAIL: TestWatch/two_at_once_(1+1)", "one of a runs"}},
 		"no such test":         {"./a:TestOther red\n", false, []string{"./a:TestOther matches no test"}},
 		"no such case":         {"./a:TestWatch/two red\n", false, []string{"./a:TestWatch/two matches no test"}},
 		"a regular expression": {"./a:Test.* red\n", false, []string{"./a:Test.* matches no test"}},
@@ -71,11 +72,11 @@
 			cmd.Dir = dir
 			out, err := cmd.CombinedOutput()
 			if (err == nil) != c.passes {
-				t.Errorf("error %v\n%s", err, out)
+				t.Errorf("got error %v, want success: %v\n%s", err, c.passes, out)
 			}
-			for _, text := range c.says {
+			for _, text := range c.output {
 				if !strings.Contains(string(out), text) {
-					t.Errorf("%q is missing in\n%s", text, out)
+					t.Errorf("got\n%s\nwant it to contain %q", out, text)
 				}
 			}
 		})
