--- a/cmd/agent/crowded_test.go
+++ b/cmd/agent/crowded_test.go
@@ -11,38 +11,38 @@
 	"example.org/ryeloft/internal/lists"
 )
 
-// rejectionTime is how long after a call the operators' service rejects it.
+// rejectionTime is how long the operators' service takes to reject a call.
 const rejectionTime = 30 * time.Millisecond
 
-// crowdedCalls is a discovery service that can be down, and work slowly once it is back. It works through calls one after the other and
-// rejects those that would take longer than maxServiceWait. A rejection ends the agent's other calls that wait for their turn, as the
-// operators' service does (trial f50a0546: seven of seven).
-type crowdedCalls struct {
+// recoveringService makes a discovery service fail for a while and respond slowly after it recovers. It processes
+// calls one at a time and rejects those that would take longer than maxServiceWait. A rejection also ends the same
+// agent's queued calls, as the operators' service does (trial f50a0546: seven of seven).
+type recoveringService struct {
 	queue discoverytest.Queue
 
-	mu       sync.Mutex
-	cost     time.Duration         // of a call that does not continue a watch
-	rejected map[int]chan struct{} // of an agent whose calls wait; closed when one is rejected
-	up       context.Context       // ends as the service goes down, and the calls that are open with it
-	goDown   context.CancelFunc
+	mu          sync.Mutex
+	cost        time.Duration         // per call that does not continue a watch
+	rejected    map[int]chan struct{} // by rank of an agent with queued calls; closed when one is rejected
+	up          context.Context       // done while the service is down
+	startOutage context.CancelFunc
 }
 
-func newCrowdedCalls(cost time.Duration) *crowdedCalls {
-	c := &crowdedCalls{rejected: make(map[int]chan struct{})}
-	c.comeBack(cost)
+func newRecoveringService(cost time.Duration) *recoveringService {
+	c := &recoveringService{rejected: make(map[int]chan struct{})}
+	c.endOutage(cost)
 	return c
 }
 
-// comeBack ends an outage; a call takes so long from now on.
-func (c *crowdedCalls) comeBack(cost time.Duration) {
+// endOutage ends an outage. From now on, each call that does not continue a watch takes cost.
+func (c *recoveringService) endOutage(cost time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.cost = cost
-	c.up, c.goDown = context.WithCancel(context.Background())
+	c.up, c.startOutage = context.WithCancel(context.Background())
 }
 
-// front rejects calls while the service is down, and ends those that are open as it goes down.
-func (c *crowdedCalls) front(next http.Handler) http.Handler {
+// middleware rejects calls during an outage, and cancels those in flight when it starts.
+func (c *recoveringService) middleware(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c.mu.Lock()
 		up := c.up
@@ -59,7 +59,8 @@
 	})
 }
 
-func (c *crowdedCalls) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
+// Admit implements lists.Limiter.
+func (c *recoveringService) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
 	if w.Continues {
 		return 0, nil
 	}
@@ -69,13 +70,14 @@
 	ends, ok := c.queue.ReserveWithin(cost, maxServiceWait)
 	if !ok {
 		time.Sleep(rejectionTime)
-		c.endOthers(w.Agent)
-		return 0, errTooManyCallers
+		c.rejectQueued(w.Agent)
+		return 0, errOverloaded
 	}
-	return awaitTurn(ctx, ends, c.awaitRejected(w.Agent))
+	return awaitTurn(ctx, ends, c.rejection(w.Agent))
 }
 
-func (c *crowdedCalls) awaitRejected(agent int) <-chan struct{} {
+// rejection returns a channel that is closed when a call of the agent is rejected.
+func (c *recoveringService) rejection(agent int) <-chan struct{} {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.rejected[agent] == nil {
@@ -84,38 +86,40 @@
 	return c.rejected[agent]
 }
 
-func (c *crowdedCalls) endOthers(agent int) {
+// rejectQueued ends the queued calls of an agent.
+func (c *recoveringService) rejectQueued(agent int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if waiting := c.rejected[agent]; waiting != nil {
-		close(waiting)
+	if rejected := c.rejected[agent]; rejected != nil {
+		close(rejected)
 		delete(c.rejected, agent)
 	}
 }
 
-// Nothing is sent to servers that drain once that counts as notified, although discovery was down for longer than the bound and is
-// slow when it is back. In incident-6221 agents ended the polls that it had taken by hedges that it rejected.
-func TestNothingSentToDrainedByAgentsOverTheirBound(t *testing.T) {
+// No request may be sent to draining servers once the drain counts as notified, although discovery was down for
+// longer than notifyBound and is slow after it recovers. In incident-6221 agents lost polls that the service had
+// accepted, because it rejected their hedges.
+func TestNothingSentToDrainedAfterLongOutage(t *testing.T) {
 	t.Parallel()
 	const (
-		idleCost    = time.Millisecond
-		crowdedCost = 500 * time.Millisecond
-		outage      = 7 * time.Second // over mayNotify
+		fastCost = time.Millisecond
+		slowCost = 500 * time.Millisecond
+		outage   = 7 * time.Second // longer than notifyBound
 	)
-	service := newCrowdedCalls(idleCost)
-	f := startFollowing(t, fleetOptions{limiter: service, front: service.front, addresses: 1})
+	service := newRecoveringService(fastCost)
+	f := startFleet(t, fleetOptions{limiter: service, middleware: service.middleware, addresses: 1})
 	f.sendRequests(t)
 	time.Sleep(time.Second)
-	service.goDown()
+	service.startOutage()
 	time.Sleep(outage)
-	service.comeBack(crowdedCost)
+	service.endOutage(slowCost)
 	notified := f.drain(t)
 	time.Sleep(time.Until(notified) + 4*time.Second)
-	f.expectNoneAfter(t, notified)
+	f.expectNoRequestsAfterDrain(t, notified)
 	for _, a := range f.agents {
-		a.end(t)
+		a.terminate(t)
 		if t.Failed() {
-			t.Logf("agent %d:\n%s", a.rank, a.log.about(`msg="endpoint list updated"`, "discovery poll failed", "agent failed"))
+			t.Logf("agent %d:\n%s", a.rank, a.log.linesWith(`msg="endpoint list updated"`, "discovery poll failed", "agent failed"))
 		}
 	}
 }
--- a/cmd/agent/fleet_test.go
+++ b/cmd/agent/fleet_test.go
@@ -22,44 +22,47 @@
 )
 
 const (
-	fleetSize   = 6
-	mayNotify   = 6 * time.Second        // a change counts as notified so long after it was made, whether or not it arrived
-	drainGrace  = 300 * time.Millisecond // of fleetConfig: from then until nothing more may be sent
-	machineLate = 100 * time.Millisecond // that this machine may delay a request by, over the terms' 50 ms
+	fleetSize    = 6
+	notifyBound  = 6 * time.Second        // after this time a change counts as notified, received or not
+	drainGrace   = 300 * time.Millisecond // from then until nothing more may be sent; set in fleetConfig
+	machineDelay = 100 * time.Millisecond // tolerated delay by this machine, in addition to the permitted 50 ms
 )
 
-// fleetConfig is the configuration of one of fleetSize agents that ask for the list: name, listen, discovery, known list, rank.
+// fleetConfig is the configuration of one of fleetSize agents that watch the list. Its arguments are: name, listen
+// address, discovery address, known list, rank.
 const fleetConfig = `{"name":%q,"listen":%q,"discovery":%q,"seed":"1f","limits":{"cores":1,"memory_mb":192,"sockets":1024},
  "known":%s,
  "settings":{"categories":[{"name":"c","aim":500,"deadline":1000,"credit":1,"effect":"pure"}],"localities":["a"],"skus":["m1"],
   "replicasOfMe":6,"rank":%d,"discovery":"subscribe","limits":{"maxAttempts":3,"connectTimeout":100},
   "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"mustAskIn":10000,"drainGrace":300}}}`
 
-// queuedCalls is a discovery service that works through calls one after the other, those included whose caller has given up, and
-// rejects at once what would take longer than maxServiceWait, as the operators' was measured to do (trials bd242cab and d7999206).
-type queuedCalls struct {
+// serialLimiter makes a discovery service process calls one at a time, including those whose caller has given up. It
+// immediately rejects calls that would take longer than maxServiceWait. The operators' service was measured to
+// behave like this (trials bd242cab and d7999206).
+type serialLimiter struct {
 	queue discoverytest.Queue
-	cost  time.Duration // of a call that does not continue a watch
+	cost  time.Duration // per call that does not continue a watch
 }
 
-// maxServiceWait is how long a call may take at the service, its wait and its work.
+// maxServiceWait is the longest time that a call may take at the service, queueing included.
 const maxServiceWait = time.Second
 
-func (q *queuedCalls) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
+func (q *serialLimiter) Admit(ctx context.Context, w lists.Work) (time.Duration, error) {
 	if w.Continues {
 		return 0, nil
 	}
 	ends, ok := q.queue.ReserveWithin(q.cost, maxServiceWait)
 	if !ok {
-		return 0, errTooManyCallers
+		return 0, errOverloaded
 	}
 	return awaitTurn(ctx, ends, nil)
 }
 
-// errTooManyCallers is for calls that would take longer than maxServiceWait.
-var errTooManyCallers = lists.RejectedError{Cause: "too many callers"}
+// errOverloaded rejects calls that would take longer than maxServiceWait.
+var errOverloaded = lists.RejectedError{Cause: "too many callers"}
 
-// awaitTurn waits until the work on a call ends, unless another call of its agent is rejected, and returns how long that was planned to take.
+// awaitTurn waits until a call has been processed at ends, and returns the planned delay. It returns early with an
+// error if otherRejected is closed, which means that another call of the agent was rejected, or if ctx ends.
 func awaitTurn(ctx context.Context, ends time.Time, otherRejected <-chan struct{}) (time.Duration, error) {
 	delay := time.Until(ends)
 	done := time.NewTimer(delay)
@@ -74,19 +77,19 @@
 	}
 }
 
-// counterServer notes when it last got a request.
-type counterServer struct {
+// recordingServer records the time and the path of its last request, under mu.
+type recordingServer struct {
 	*httptest.Server
-	mu   sync.Mutex
-	last time.Time
-	from string
+	mu       sync.Mutex
+	last     time.Time
+	lastPath string
 }
 
-func newCounterServer(t *testing.T) *counterServer {
-	s := &counterServer{}
+func newRecordingServer(t *testing.T) *recordingServer {
+	s := &recordingServer{}
 	s.Server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		s.mu.Lock()
-		s.last, s.from = time.Now(), r.URL.Path
+		s.last, s.lastPath = time.Now(), r.URL.Path
 		s.mu.Unlock()
 		io.WriteString(w, "served")
 	}))
@@ -94,29 +97,30 @@
 	return s
 }
 
-func (s *counterServer) member(id, phase string) discovery.Member {
+func (s *recordingServer) member(id, phase string) discovery.Member {
 	return discovery.Member{ID: id, Address: s.Listener.Addr().String(), Zone: "a", Kind: "m1", State: phase, Weight: 1}
 }
 
-// fleetAgent is one real process of a fleet.
+// fleetAgent is one agent of a fleet, which runs as a process.
 type fleetAgent struct {
 	cmd          *exec.Cmd
 	clock        steppedClock
 	path, listen string
 	known        string
 	rank         int
-	addresses    []net.Listener // of discovery, one for each configuration
-	log          *logTail
-	ended        chan struct{} // closed when the process has closed its log
+	addresses    []net.Listener // of discovery, one per configuration
+	log          *processLog
+	ended        chan struct{} // closed when the process has closed its standard error
 }
 
-// logTail keeps what a process logs.
-type logTail struct {
+// processLog records the log lines of a process.
+type processLog struct {
 	mu    sync.Mutex
 	lines []string
 }
 
-func (l *logTail) follow(r io.Reader) {
+// record reads log lines until r ends.
+func (l *processLog) record(r io.Reader) {
 	for s := bufio.NewScanner(r); s.Scan(); {
 		l.mu.Lock()
 		l.lines = append(l.lines, s.Text())
@@ -124,14 +128,14 @@
 	}
 }
 
-// about returns the lines that hold one of some words.
-func (l *logTail) about(words ...string) string {
+// linesWith returns the recorded lines that contain any of the texts.
+func (l *processLog) linesWith(texts ...string) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var found []string
 	for _, line := range l.lines {
-		for _, word := range words {
-			if strings.Contains(line, word) {
+		for _, text := range texts {
+			if strings.Contains(line, text) {
 				found = append(found, line)
 				break
 			}
@@ -140,12 +144,12 @@
 	return strings.Join(found, "\n")
 }
 
-// config writes a configuration that names the n-th address of discovery.
+// config returns the agent's configuration with the n-th address of discovery.
 func (a *fleetAgent) config(n int) string {
 	return fmt.Sprintf(fleetConfig, fmt.Sprint("n", a.rank), a.listen, a.addresses[n].Addr(), a.known, a.rank)
 }
 
-// reload moves the agent to the n-th address of discovery. The one before takes no new connections from then on.
+// reload moves the agent to the n-th address of discovery, and closes the previous address to new connections.
 func (a *fleetAgent) reload(t *testing.T, n int) {
 	if err := replaceFile(a.path, a.config(n)); err != nil {
 		t.Error(err)
@@ -157,7 +161,7 @@
 	a.addresses[n-1].Close()
 }
 
-// sendRequests sends the agent a request each 10 ms until the context ends, as an application does.
+// sendRequests is the agent's client: it sends one request after the other, 10 ms apart, until the context ends.
 func (a *fleetAgent) sendRequests(ctx context.Context) {
 	client := &http.Client{Transport: &http.Transport{}, Timeout: 2 * time.Second}
 	for n := 0; ctx.Err() == nil; n++ {
@@ -173,31 +177,31 @@
 	}
 }
 
-// end has the process end as the platform does.
-func (a *fleetAgent) end(t *testing.T) {
+// terminate ends the process with SIGTERM, as the platform does, and checks that it exits with status 0.
+func (a *fleetAgent) terminate(t *testing.T) {
 	if err := a.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		t.Errorf("agent %d has ended: %v", a.rank, err)
+		t.Errorf("agent %d: exited before SIGTERM: %v", a.rank, err)
 	}
 	select {
 	case <-a.ended:
 	case <-time.After(testTimeout):
-		t.Errorf("agent %d goes on after SIGTERM", a.rank)
+		t.Errorf("agent %d: still running %v after SIGTERM", a.rank, testTimeout)
 		a.cmd.Process.Kill()
 		<-a.ended
 	}
 	if err := a.cmd.Wait(); err != nil {
-		t.Errorf("agent %d ended with %v", a.rank, err)
+		t.Errorf("agent %d: got %v, want exit status 0", a.rank, err)
 	}
 }
 
-// ownAddrs counts the addresses that ownAddr has given out.
-var ownAddrs atomic.Int32
+// uniqueAddrs is the number of addresses that uniqueAddr has returned.
+var uniqueAddrs atomic.Int32
 
-// ownAddr is an address that nobody else takes: its loopback host is given out once, while a port that was free on 127.0.0.1 may
-// be some other test's by the time at which a program listens there.
-func ownAddr(t *testing.T) string {
+// uniqueAddr returns an address on a loopback host that it returns only once. A port that was free on 127.0.0.1 may
+// be in use by another test by the time the agent listens there.
+func uniqueAddr(t *testing.T) string {
 	t.Helper()
-	n := ownAddrs.Add(1)
+	n := uniqueAddrs.Add(1)
 	free, err := net.Listen("tcp", fmt.Sprintf("127.77.%d.%d:0", n/250, n%250+1))
 	if err != nil {
 		t.Fatal(err)
@@ -206,27 +210,28 @@
 	return free.Addr().String()
 }
 
-// startAgent starts one process of a fleet and returns when it is up.
+// startAgent starts one agent of a fleet and returns when it is up. If library is not empty, the agent gets its own
+// wall clock.
 func startAgent(t *testing.T, rank int, known, library string, addresses []net.Listener) *fleetAgent {
-	a := &fleetAgent{rank: rank, known: known, listen: ownAddr(t), addresses: addresses, log: &logTail{}}
-	cmd, stderr, path := program(t, a.config(0))
+	a := &fleetAgent{rank: rank, known: known, listen: uniqueAddr(t), addresses: addresses, log: &processLog{}}
+	cmd, stderr, path := newAgentCommand(t, a.config(0))
 	a.cmd, a.path = cmd, path
 	if library != "" {
-		a.clock = withClock(t, cmd, library)
+		a.clock = attachClock(t, cmd, library)
 	}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	a.ended = make(chan struct{})
-	go func() { a.log.follow(stderr); close(a.ended) }()
+	go func() { a.log.record(stderr); close(a.ended) }()
 	awaitUp(t, a.listen)
 	return a
 }
 
-// awaitUp waits until an agent takes clients. It follows the list before it listens.
+// awaitUp waits until an agent accepts clients. The agent watches the list before it listens.
 func awaitUp(t *testing.T, listen string) {
 	t.Helper()
-	for begun := time.Now(); ; time.Sleep(10 * time.Millisecond) {
+	for started := time.Now(); ; time.Sleep(10 * time.Millisecond) {
 		resp, err := http.Get("http://" + listen + "/up")
 		if err == nil {
 			resp.Body.Close()
@@ -234,48 +239,48 @@
 				return
 			}
 		}
-		if time.Since(begun) > testTimeout {
-			t.Fatalf("the agent at %s is not up: %v", listen, err)
+		if time.Since(started) > testTimeout {
+			t.Fatalf("the agent at %s is not up after %v: %v", listen, testTimeout, err)
 		}
 	}
 }
 
-// fleet is real agents that follow the list of one service, and the servers that they send to.
+// fleet is a set of agents that watch the list of one discovery service, and the servers that they send to.
 type fleet struct {
 	agents  []*fleetAgent
 	service *lists.Server
-	servers []*counterServer
+	servers []*recordingServer
 }
 
-// drainedServers are the first so many servers of a fleet, which drain leaves out.
+// drainedServers is the number of servers, counted from the first, that drain marks as terminating.
 const drainedServers = 2
 
-// fleetOptions are what a fleet is made of.
+// fleetOptions configures a fleet.
 type fleetOptions struct {
-	limiter   lists.Limiter                   // of the calls to discovery
-	front     func(http.Handler) http.Handler // if not nil: what calls go through before that
-	addresses int                             // of discovery, for each agent
-	library   string                          // by which processes get wall clocks of their own; empty: they have the machine's
+	limiter    lists.Limiter                   // of discovery calls
+	middleware func(http.Handler) http.Handler // in front of the discovery service; may be nil
+	addresses  int                             // of discovery, per agent
+	library    string                          // gives each agent its own wall clock; empty: the machine's
 }
 
-// startFollowing starts fleetSize agents that follow the list of one discovery service.
-func startFollowing(t *testing.T, o fleetOptions) *fleet {
+// startFleet starts fleetSize servers, a discovery service that lists them, and fleetSize agents that watch the list.
+func startFleet(t *testing.T, o fleetOptions) *fleet {
 	t.Helper()
 	f := &fleet{}
 	var members []discovery.Member
 	for i := range fleetSize {
-		s := newCounterServer(t)
+		s := newRecordingServer(t)
 		f.servers = append(f.servers, s)
 		members = append(members, s.member(fmt.Sprint("s", i), "Ready"))
 	}
 	f.service = &lists.Server{Store: lists.NewStore(100), Limiter: o.limiter}
 	f.service.Store.Reset(1, members)
 	known := string(lists.Encode(1, true, members))
-	web := f.service.HTTP()
-	if o.front != nil {
-		web.Handler = o.front(web.Handler)
+	httpServer := f.service.HTTP()
+	if o.middleware != nil {
+		httpServer.Handler = o.middleware(httpServer.Handler)
 	}
-	t.Cleanup(func() { web.Close() })
+	t.Cleanup(func() { httpServer.Close() })
 	for rank := range fleetSize {
 		var addresses []net.Listener
 		for range o.addresses {
@@ -284,14 +289,14 @@
 				t.Fatal(err)
 			}
 			addresses = append(addresses, l)
-			go web.Serve(f.service.Listener(l, rank))
+			go httpServer.Serve(f.service.Listener(l, rank))
 		}
 		f.agents = append(f.agents, startAgent(t, rank, known, o.library, addresses))
 	}
 	return f
 }
 
-// sendRequests has each agent's application send requests until the test ends.
+// sendRequests starts a client per agent that sends requests until the test ends.
 func (f *fleet) sendRequests(t *testing.T) {
 	ctx, stop := context.WithCancel(context.Background())
 	var clients sync.WaitGroup
@@ -301,28 +306,29 @@
 	}
 }
 
-// drain has the first servers drain and returns when that counts as notified.
+// drain marks the first drainedServers as terminating, and returns the time at which the change counts as notified.
 func (f *fleet) drain(t *testing.T) (notified time.Time) {
 	t.Helper()
-	var leaving []discovery.Member
+	var terminating []discovery.Member
 	for i, s := range f.servers[:drainedServers] {
-		leaving = append(leaving, s.member(fmt.Sprint("s", i), "Terminating"))
+		terminating = append(terminating, s.member(fmt.Sprint("s", i), "Terminating"))
 	}
-	if err := f.service.Store.Apply(2, leaving); err != nil {
+	if err := f.service.Store.Apply(2, terminating); err != nil {
 		t.Fatal(err)
 	}
-	return time.Now().Add(mayNotify)
+	return time.Now().Add(notifyBound)
 }
 
-// expectNoneAfter checks that the servers that drain got nothing once that had counted as notified for their grace.
-func (f *fleet) expectNoneAfter(t *testing.T, notified time.Time) {
+// expectNoRequestsAfterDrain checks that no draining server received a request later than drainGrace after the drain
+// counted as notified.
+func (f *fleet) expectNoRequestsAfterDrain(t *testing.T, notified time.Time) {
 	t.Helper()
 	for i, s := range f.servers[:drainedServers] {
 		s.mu.Lock()
-		last, from := s.last, s.from
+		last, path := s.last, s.lastPath
 		s.mu.Unlock()
-		if by := last.Sub(notified); by > drainGrace+machineLate {
-			t.Errorf("server %d gets %s %v after its drain counts as notified", i, from, by)
+		if by := last.Sub(notified); by > drainGrace+machineDelay {
+			t.Errorf("server %d: got %s %v after its drain counted as notified, want nothing after %v", i, path, by, drainGrace+machineDelay)
 		}
 	}
 }
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -18,7 +18,7 @@
 	"time"
 )
 
-// asProgram makes the test binary run the program instead of the tests.
+// asProgram is the environment variable that makes the test binary run the agent instead of the tests.
 const asProgram = "AGENT_TEST_AS_PROGRAM"
 
 func TestMain(m *testing.M) {
@@ -34,7 +34,7 @@
  "settings":{"categories":[{"name":"c","aim":100,"deadline":200,"credit":1,"effect":"pure"}],"replicasOfMe":1,
   "limits":{"maxAttempts":%d,"connectTimeout":100},"rules":{"coldFrom":0.5,"overloadFactor":2}}}`
 
-// The agent is made of the standard library and this module.
+// The agent must depend only on the standard library and this module.
 func TestDependencies(t *testing.T) {
 	const module = "example.org/ryeloft"
 	cmd := exec.CommandContext(t.Context(), "go", "list", "-deps", "-f", `{{.ImportPath}} {{.Standard}}{{range .Imports}} {{.}}{{end}}`, module+"/cmd/agent")
@@ -44,7 +44,7 @@
 	if err != nil {
 		t.Fatalf("%v: %s", err, &stderr)
 	}
-	foreign, importers, own := []string{}, map[string][]string{}, 0
+	external, importers, own := []string{}, map[string][]string{}, 0
 	for line := range strings.Lines(string(out)) {
 		fields := strings.Fields(line)
 		path, standard := fields[0], fields[1] == "true"
@@ -55,19 +55,20 @@
 		case path == module || strings.HasPrefix(path, module+"/"):
 			own++
 		case !standard:
-			foreign = append(foreign, path)
+			external = append(external, path)
 		}
 	}
 	if own < 2 {
-		t.Fatalf("%d packages of this module in\n%s", own, out)
+		t.Fatalf("got %d packages of this module, want at least 2, in\n%s", own, out)
 	}
-	for _, path := range foreign {
-		t.Errorf("%s is imported by %s", path, strings.Join(importers[path], ", "))
+	for _, path := range external {
+		t.Errorf("got dependency %s, imported by %s, want only the standard library and this module", path, strings.Join(importers[path], ", "))
 	}
 }
 
-// program prepares the program and returns the path of its configuration file too.
-func program(t *testing.T, configuration string) (cmd *exec.Cmd, stderr io.ReadCloser, path string) {
+// newAgentCommand writes a configuration file and returns a command that runs the agent with it, the agent's standard
+// error, and the file's path. The command is not started.
+func newAgentCommand(t *testing.T, configuration string) (cmd *exec.Cmd, stderr io.ReadCloser, path string) {
 	t.Helper()
 	path = filepath.Join(t.TempDir(), "config.json")
 	if err := os.WriteFile(path, []byte(configuration), 0o600); err != nil {
@@ -82,16 +83,16 @@
 	return cmd, stderr, path
 }
 
-// replaceFile puts a file in the place of another at once, as operators do with configurations: no reader finds half of it.
+// replaceFile replaces a file atomically, as operators do with configurations, so that no reader sees a partial file.
 func replaceFile(path, text string) error {
-	next := path + ".new"
-	if err := os.WriteFile(next, []byte(text), 0o600); err != nil {
+	temporary := path + ".new"
+	if err := os.WriteFile(temporary, []byte(text), 0o600); err != nil {
 		return err
 	}
-	return os.Rename(next, path)
+	return os.Rename(temporary, path)
 }
 
-// newDiscovery starts a service with one list; each call's query goes into the channel.
+// newDiscovery starts a discovery service whose list never changes. It sends the raw query of each call to polls.
 func newDiscovery(t *testing.T) (addr string, polls chan string) {
 	polls = make(chan string, 100)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -106,7 +107,7 @@
 	return s.Listener.Addr().String(), polls
 }
 
-// freeAddr is an address that was free just now: the program must be given one.
+// freeAddr returns an address that was free when it was checked. The agent's configuration needs a fixed port.
 func freeAddr(t *testing.T) string {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -118,7 +119,7 @@
 
 const testTimeout = 20 * time.Second
 
-// awaitWatch waits until the list has been asked for and is watched.
+// awaitWatch waits for the first watch of the list, which is a call with a query.
 func awaitWatch(t *testing.T, polls chan string) {
 	t.Helper()
 	for {
@@ -128,19 +129,19 @@
 				return
 			}
 		case <-time.After(testTimeout):
-			t.Fatal("the program does not follow the list")
+			t.Fatalf("got no watch of the list within %v", testTimeout)
 		}
 	}
 }
 
-func notify(t *testing.T, cmd *exec.Cmd, s syscall.Signal) {
+func sendSignal(t *testing.T, cmd *exec.Cmd, s syscall.Signal) {
 	t.Helper()
 	if err := cmd.Process.Signal(s); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// awaitExit waits until the program has ended, and well.
+// awaitExit waits until the agent has exited and checks that its status is 0.
 func awaitExit(t *testing.T, cmd *exec.Cmd, stderr io.Reader) {
 	t.Helper()
 	ended := make(chan error, 1)
@@ -151,55 +152,56 @@
 	select {
 	case err := <-ended:
 		if err != nil {
-			t.Errorf("ended with %v", err)
+			t.Errorf("got %v, want exit status 0", err)
 		}
 	case <-time.After(testTimeout):
-		t.Fatal("the program goes on")
+		t.Fatalf("the agent is still running after %v", testTimeout)
 	}
 }
 
-func TestBadConfigurationEndsTheStart(t *testing.T) {
-	cmd, stderr, _ := program(t, fmt.Sprintf(configText, "127.0.0.1:0", "127.0.0.1:1", 0))
+// An invalid configuration ends the start with an error status and one log line that names the invalid setting.
+func TestInvalidConfigurationPreventsStart(t *testing.T) {
+	cmd, stderr, _ := newAgentCommand(t, fmt.Sprintf(configText, "127.0.0.1:0", "127.0.0.1:1", 0))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	text, _ := io.ReadAll(stderr)
 	err := cmd.Wait()
 	if err == nil || bytes.Count(text, []byte("\n")) != 1 || !bytes.Contains(text, []byte("MaxAttempts")) {
-		t.Errorf("error %v, output %q", err, text)
+		t.Errorf("got error %v, output %q, want an error and one line that names MaxAttempts", err, text)
 	}
 }
 
-// SIGTERM ends the program with 0, also while a client holds a connection that it has never used.
+// The agent exits with status 0 after SIGTERM, even while a client has a connection open on which it sent nothing.
 func TestTermination(t *testing.T) {
 	addr, polls := newDiscovery(t)
 	listen := freeAddr(t)
-	cmd, stderr, _ := program(t, fmt.Sprintf(configText, listen, addr, 1))
+	cmd, stderr, _ := newAgentCommand(t, fmt.Sprintf(configText, listen, addr, 1))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	awaitWatch(t, polls)
-	awaitUp(t, listen) // it listens once its first call is answered
+	awaitUp(t, listen) // the agent listens after the response to its first discovery call
 	unused, err := net.Dial("tcp", listen)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer unused.Close()
-	notify(t, cmd, syscall.SIGTERM)
+	sendSignal(t, cmd, syscall.SIGTERM)
 	awaitExit(t, cmd, stderr)
 }
 
-// SIGHUP brings a new configuration; one that cannot be used leaves the old one and says so in one line.
+// SIGHUP applies a new configuration. An invalid one leaves the old one in force and is logged in one line.
 func TestHangupReloads(t *testing.T) {
 	first, polls := newDiscovery(t)
 	second, pollsOfSecond := newDiscovery(t)
 	listen := freeAddr(t)
-	cmd, stderr, path := program(t, fmt.Sprintf(configText, listen, first, 1))
+	cmd, stderr, path := newAgentCommand(t, fmt.Sprintf(configText, listen, first, 1))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
 	lines := bufio.NewScanner(stderr)
-	scan := func() bool { // the next line that is not about a list
+	scan := func() bool { // advances to the next line that is not about an endpoint list
 		for lines.Scan() {
 			if !strings.Contains(lines.Text(), `msg="endpoint list updated" `) {
 				return true
@@ -211,28 +213,28 @@
 	if err := os.WriteFile(path, []byte("{"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	notify(t, cmd, syscall.SIGHUP)
+	sendSignal(t, cmd, syscall.SIGHUP)
 	if !scan() || !strings.Contains(lines.Text(), `msg="configuration reload rejected"`) {
-		t.Fatalf("a bad file is logged as %q", lines.Text())
+		t.Fatalf("invalid file: got log line %q, want a rejected reload", lines.Text())
 	}
 	if err := replaceFile(path, fmt.Sprintf(configText, listen, second, 1)); err != nil {
 		t.Fatal(err)
 	}
-	notify(t, cmd, syscall.SIGHUP)
+	sendSignal(t, cmd, syscall.SIGHUP)
 	awaitWatch(t, pollsOfSecond)
 	if !scan() || !strings.Contains(lines.Text(), `msg="configuration reloaded"`) || !strings.Contains(lines.Text(), second) {
-		t.Errorf("a good file is logged as %q", lines.Text())
+		t.Errorf("valid file: got log line %q, want a reload with discovery at %s", lines.Text(), second)
 	}
-	notify(t, cmd, syscall.SIGTERM)
+	sendSignal(t, cmd, syscall.SIGTERM)
 	awaitExit(t, cmd, stderr)
 }
 
-// Several signals in a row, with broken files among them, end with the last good file in use.
+// After several SIGHUPs in a row, some of them with invalid files, the last valid file is in force.
 func TestManyHangups(t *testing.T) {
 	addr, polls := newDiscovery(t)
 	last, pollsOfLast := newDiscovery(t)
 	listen := freeAddr(t)
-	cmd, stderr, path := program(t, fmt.Sprintf(configText, listen, addr, 1))
+	cmd, stderr, path := newAgentCommand(t, fmt.Sprintf(configText, listen, addr, 1))
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
@@ -241,44 +243,45 @@
 		if err := replaceFile(path, text); err != nil {
 			t.Fatal(err)
 		}
-		notify(t, cmd, syscall.SIGHUP)
-		notify(t, cmd, syscall.SIGHUP)
+		sendSignal(t, cmd, syscall.SIGHUP)
+		sendSignal(t, cmd, syscall.SIGHUP)
 	}
 	awaitWatch(t, pollsOfLast)
-	notify(t, cmd, syscall.SIGTERM)
+	sendSignal(t, cmd, syscall.SIGTERM)
 	awaitExit(t, cmd, stderr)
 }
 
-// A process that was killed leaves nothing behind that keeps the next one from its console, its address and its end.
-func TestStartAfterAKill(t *testing.T) {
+// A killed process must leave nothing behind, such as a handover socket, that prevents the next one from opening its
+// console, listening or exiting.
+func TestStartAfterKill(t *testing.T) {
 	addr, _ := newDiscovery(t)
 	t.Setenv("TMPDIR", t.TempDir())
 	text := strings.Replace(fmt.Sprintf(configText, freeAddr(t), addr, 1), `"seed"`, fmt.Sprintf(`"console":%q,"seed"`, freeAddr(t)), 1)
 	console := text[strings.Index(text, `"console":"`)+len(`"console":"`):]
 	console = console[:strings.Index(console, `"`)]
 	for i := range 2 {
-		cmd, stderr, _ := program(t, text)
+		cmd, stderr, _ := newAgentCommand(t, text)
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		for begun := time.Now(); call(console, "check") != "ok\n"; time.Sleep(10 * time.Millisecond) {
-			if time.Since(begun) > testTimeout {
-				t.Fatalf("start %d: check is answered %q", i, call(console, "check"))
+		for started := time.Now(); consoleCall(console, "check") != "ok\n"; time.Sleep(10 * time.Millisecond) {
+			if time.Since(started) > testTimeout {
+				t.Fatalf("start %d: check: got %q after %v, want ok", i, consoleCall(console, "check"), testTimeout)
 			}
 		}
 		if i == 0 {
-			notify(t, cmd, syscall.SIGKILL)
+			sendSignal(t, cmd, syscall.SIGKILL)
 			io.Copy(io.Discard, stderr)
 			cmd.Wait()
 			continue
 		}
-		notify(t, cmd, syscall.SIGTERM)
+		sendSignal(t, cmd, syscall.SIGTERM)
 		awaitExit(t, cmd, stderr)
 	}
 }
 
-// call sends one command to a console and returns its answer.
-func call(console, name string) string {
+// consoleCall sends one command to a console and returns its reply, or the text of the error if it cannot connect.
+func consoleCall(console, name string) string {
 	c, err := net.Dial("tcp", console)
 	if err != nil {
 		return err.Error()
@@ -286,13 +289,13 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(testTimeout))
 	fmt.Fprintln(c, name)
-	answer, _ := io.ReadAll(c)
-	return string(answer)
+	reply, _ := io.ReadAll(c)
+	return string(reply)
 }
 
-// Idle clients that take every connection they can get, while discovery is down, leave discovery, servers and the console
-// theirs: when discovery is back, the list comes and clients are served as if nobody idled.
-func TestIdleClientsLeaveDescriptors(t *testing.T) {
+// Idle clients that open as many connections as they can must not exhaust the file descriptors that discovery, servers
+// and the console need. Once discovery recovers from an outage, the agent gets the list and serves other clients.
+func TestIdleClientsDoNotExhaustDescriptors(t *testing.T) {
 	const sockets = 128
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { io.WriteString(w, "served") }))
 	defer server.Close()
@@ -301,21 +304,21 @@
 	known := `"known":{"revision":1,"complete":true,"members":[{"id":"x","host_port":"127.0.0.1:1","phase":"Ready"}]},`
 	text := strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets), `"deadline":200`, `"deadline":20000`,
 		`"seed"`, fmt.Sprintf(`"console":%q,%s"seed"`, console, known)).Replace(fmt.Sprintf(configText, listen, discoveryAddr, 1))
-	cmd, stderr, _ := program(t, text)
+	cmd, stderr, _ := newAgentCommand(t, text)
 	cmd.Path, cmd.Args = "/bin/sh", []string{"sh", "-c", fmt.Sprintf(`ulimit -n %d; exec "$0"`, sockets), os.Args[0]}
 	if err := cmd.Start(); err != nil {
 		t.Fatal(err)
 	}
-	for begun := time.Now(); call(console, "check") != "ok\n"; time.Sleep(10 * time.Millisecond) {
-		if time.Since(begun) > testTimeout {
-			t.Fatalf("check is answered %q", call(console, "check"))
+	for started := time.Now(); consoleCall(console, "check") != "ok\n"; time.Sleep(10 * time.Millisecond) {
+		if time.Since(started) > testTimeout {
+			t.Fatalf("check: got %q after %v, want ok", consoleCall(console, "check"), testTimeout)
 		}
 	}
-	var idle sync.WaitGroup
+	var clients sync.WaitGroup
 	stop := make(chan struct{})
-	full := make(chan struct{}, 10*sockets)
+	closed := make(chan struct{}, 10*sockets) // one value per connection that the agent closed
 	for i := range 2 * sockets {
-		idle.Go(func() {
+		clients.Go(func() {
 			for {
 				c, err := net.Dial("tcp", listen)
 				if err == nil {
@@ -330,7 +333,7 @@
 					select {
 					case <-end:
 						select {
-						case full <- struct{}{}:
+						case closed <- struct{}{}:
 						default:
 						}
 					case <-stop:
@@ -345,19 +348,19 @@
 			}
 		})
 	}
-	for range 4 * sockets { // connections have had to make way all the while
+	for range 4 * sockets { // by then the agent has kept closing connections to make room
 		select {
-		case <-full:
+		case <-closed:
 		case <-time.After(testTimeout):
-			t.Fatal("idle clients are never closed")
+			t.Fatalf("got no idle connection closed within %v", testTimeout)
 		}
 	}
 	descriptors, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid))
 	if err != nil || len(descriptors) > sockets*9/10 {
-		t.Errorf("%d descriptors are held: %v", len(descriptors), err)
+		t.Errorf("got %d open descriptors, error %v, want at most %d", len(descriptors), err, sockets*9/10)
 	}
-	if got := call(console, "vars"); !strings.HasPrefix(got, "ok") || !strings.HasSuffix(got, "eof\n") {
-		t.Errorf("vars is answered %.80q", got)
+	if got := consoleCall(console, "vars"); !strings.HasPrefix(got, "ok") || !strings.HasSuffix(got, "eof\n") {
+		t.Errorf("vars: got %.80q, want a complete reply", got)
 	}
 	l, err := net.Listen("tcp", discoveryAddr)
 	if err != nil {
@@ -373,27 +376,27 @@
 	defer list.Close()
 	go list.Serve(l)
 	served := 0
-	for begun := time.Now(); served < 20 && time.Since(begun) < testTimeout; {
+	for started := time.Now(); served < 20 && time.Since(started) < testTimeout; {
 		req, _ := http.NewRequest(http.MethodGet, "http://"+listen+"/c/1", nil)
 		req.Header.Set("X-Call-Id", fmt.Sprint(time.Now().UnixNano()))
 		req.Header.Set("X-Call-Class", "c")
 		req.Header.Set("X-Budget", "5000m")
 		resp, err := (&http.Client{Transport: &http.Transport{DisableKeepAlives: true}, Timeout: testTimeout}).Do(req)
 		switch {
-		case err != nil: // it made way before its request was read, and is sent once more
+		case err != nil: // the connection was evicted before its request was read; the request is sent again
 			continue
 		case resp.StatusCode == http.StatusOK:
 			served++
 		case served > 0:
-			t.Errorf("answered %s after %d were served", resp.Status, served)
+			t.Errorf("got status %s after %d served requests, want 200", resp.Status, served)
 		}
 		resp.Body.Close()
 	}
 	if served < 20 {
-		t.Errorf("%d requests are served with discovery back", served)
+		t.Errorf("got %d requests served after discovery recovered, want 20", served)
 	}
 	close(stop)
-	idle.Wait()
-	notify(t, cmd, syscall.SIGTERM)
+	clients.Wait()
+	sendSignal(t, cmd, syscall.SIGTERM)
 	awaitExit(t, cmd, stderr)
 }
--- a/cmd/agent/reloads_test.go
+++ b/cmd/agent/reloads_test.go
@@ -12,25 +12,25 @@
 	"time"
 )
 
-// steppedClock is the wall clock of one process.
+// steppedClock controls the wall clock of one process through the file that clockstep.c maps into it.
 type steppedClock struct{ file *os.File }
 
-// clockStepper builds the library by which processes get wall clocks of their own.
-func clockStepper(t *testing.T) (library string) {
+// buildClockLibrary builds testdata/clockstep.c, the library that gives a process its own wall clock.
+func buildClockLibrary(t *testing.T) (library string) {
 	t.Helper()
 	if runtime.GOOS != "linux" || runtime.GOARCH != "amd64" {
-		t.Skip("the wall clock is stepped on Linux on amd64 only")
+		t.Skip("stepping the wall clock needs Linux on amd64")
 	}
 	library = filepath.Join(t.TempDir(), "clockstep.so")
 	out, err := exec.CommandContext(t.Context(), "gcc", "-O2", "-fno-stack-protector", "-shared", "-fPIC", "-o", library, "testdata/clockstep.c").CombinedOutput()
 	if err != nil {
-		t.Fatalf("building the clock's library: %v: %s", err, out)
+		t.Fatalf("building the clock library: %v: %s", err, out)
 	}
 	return library
 }
 
-// withClock gives a program that is not yet started a wall clock of its own.
-func withClock(t *testing.T, cmd *exec.Cmd, library string) steppedClock {
+// attachClock gives a command its own wall clock. The command must not have been started.
+func attachClock(t *testing.T, cmd *exec.Cmd, library string) steppedClock {
 	t.Helper()
 	file, err := os.Create(filepath.Join(t.TempDir(), "step"))
 	if err != nil {
@@ -38,23 +38,23 @@
 	}
 	t.Cleanup(func() { file.Close() })
 	c := steppedClock{file}
-	c.set(t, 0)
+	c.setOffset(t, 0)
 	cmd.Env = append(cmd.Env, "LD_PRELOAD="+library, "CLOCKSTEP_FILE="+file.Name())
 	return c
 }
 
-// set has the wall clock differ from the machine's by so much from now on.
-func (c steppedClock) set(t *testing.T, by time.Duration) {
-	var text [8]byte
-	binary.NativeEndian.PutUint64(text[:], uint64(by))
-	if _, err := c.file.WriteAt(text[:], 0); err != nil {
+// setOffset sets the offset of the process's wall clock from the machine's.
+func (c steppedClock) setOffset(t *testing.T, offset time.Duration) {
+	var encoded [8]byte
+	binary.NativeEndian.PutUint64(encoded[:], uint64(offset))
+	if _, err := c.file.WriteAt(encoded[:], 0); err != nil {
 		t.Error(err)
 	}
 }
 
-// Nothing is sent to a server later than its grace after its drain counts as notified, whatever happens to the wall clocks of
-// the agents and to their calls for the list: several new configurations in quick succession, each of which moves a slow
-// discovery, as in incident-8131.
+// No request may be sent to a server later than drainGrace after its drain counts as notified, whatever steps the
+// agents' wall clocks make, and even if several reloads in quick succession each move a slow discovery service to
+// another address, as in incident-8131.
 func TestNothingSentToDrained(t *testing.T) {
 	for name, c := range map[string]struct {
 		reloads, steps bool
@@ -68,9 +68,9 @@
 			t.Parallel()
 			library := ""
 			if c.steps {
-				library = clockStepper(t)
+				library = buildClockLibrary(t)
 			}
-			f := startFollowing(t, fleetOptions{limiter: &queuedCalls{cost: c.cost}, addresses: 5, library: library})
+			f := startFleet(t, fleetOptions{limiter: &serialLimiter{cost: c.cost}, addresses: 5, library: library})
 			f.sendRequests(t)
 			time.Sleep(3 * time.Second)
 			var changes sync.WaitGroup
@@ -78,7 +78,7 @@
 				if c.steps {
 					changes.Go(func() {
 						for _, step := range []time.Duration{20 * time.Second, -time.Hour, time.Hour, -400 * time.Second} {
-							a.clock.set(t, step+time.Duration(i)*time.Second)
+							a.clock.setOffset(t, step+time.Duration(i)*time.Second)
 							time.Sleep(900 * time.Millisecond)
 						}
 					})
@@ -97,15 +97,15 @@
 			notified := f.drain(t)
 			changes.Wait()
 			time.Sleep(time.Until(notified) + 4*time.Second)
-			f.expectNoneAfter(t, notified)
+			f.expectNoRequestsAfterDrain(t, notified)
 			for _, a := range f.agents {
-				a.end(t)
-				log := a.log.about(`msg="configuration reloaded"`, `msg="endpoint list updated"`, "discovery poll failed", "wall clock", "agent failed")
+				a.terminate(t)
+				log := a.log.linesWith(`msg="configuration reloaded"`, `msg="endpoint list updated"`, "discovery poll failed", "wall clock", "agent failed")
 				if t.Failed() {
 					t.Logf("agent %d:\n%s", a.rank, log)
 				}
 				if c.steps && !strings.Contains(log, `msg="wall clock stepped"`) {
-					t.Errorf("the wall clock of agent %d was not stepped", a.rank)
+					t.Errorf("agent %d: got no log line about a stepped wall clock", a.rank)
 				}
 			}
 		})
--- a/cmd/agent/replace_test.go
+++ b/cmd/agent/replace_test.go
@@ -18,12 +18,13 @@
 	"time"
 )
 
-// In an overload that lasts, in which no server answers and clients take every connection they get at both processes, the two
-// keep to the descriptors that they have together, the newer serves a client at once, and all that the older took is answered.
+// One process replaces another during an overload: no server responds, and clients open every connection that either
+// process accepts. Together the two must not exceed their shared descriptor limit, the new process must serve a client
+// while the old one is still full, and every request that the old one accepted must be answered.
 func TestReplacementInOverload(t *testing.T) {
 	const (
 		sockets        = 256
-		maxDescriptors = sockets * 9 / 10 // that may be held, by both together
+		maxDescriptors = sockets * 9 / 10 // of both processes together
 	)
 	for _, end := range []syscall.Signal{syscall.SIGTERM, syscall.SIGKILL} {
 		t.Run(end.String(), func(t *testing.T) {
@@ -56,25 +57,25 @@
 			listen := freeAddr(t)
 			startProcess := func() (cmd *exec.Cmd, stderr io.Reader, console string) {
 				console = freeAddr(t)
-				cmd, stderr, _ = program(t, strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets), `"aim":100,"deadline":200`,
+				cmd, stderr, _ = newAgentCommand(t, strings.NewReplacer(`"sockets":1024`, fmt.Sprintf(`"sockets":%d`, sockets), `"aim":100,"deadline":200`,
 					`"aim":30000,"deadline":30000`, `"seed"`, fmt.Sprintf(`"console":%q,"seed"`, console)).Replace(
 					fmt.Sprintf(configText, listen, list.Listener.Addr(), 1)))
 				if err := cmd.Start(); err != nil {
 					t.Fatal(err)
 				}
-				for begun := time.Now(); call(console, "check") != "ok\n"; time.Sleep(time.Millisecond) {
-					if time.Since(begun) > testTimeout {
-						t.Fatalf("check is answered %q", call(console, "check"))
+				for started := time.Now(); consoleCall(console, "check") != "ok\n"; time.Sleep(time.Millisecond) {
+					if time.Since(started) > testTimeout {
+						t.Fatalf("check: got %q after %v, want ok", consoleCall(console, "check"), testTimeout)
 					}
 				}
 				return cmd, stderr, console
 			}
 			descriptors := func(cmd *exec.Cmd) int {
-				fds, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid)) // none once it has ended
+				fds, _ := os.ReadDir(fmt.Sprintf("/proc/%d/fd", cmd.Process.Pid)) // none once the process has ended
 				return len(fds)
 			}
 
-			// sendRequest sends a request on a connection of its own. It is not admitted, or waits for its answer.
+			// sendRequest sends a request on a new connection and returns the response's status, or 0 if there is no response.
 			var id, open, notAdmitted, truncated, answered atomic.Int64
 			sendRequest := func(path string) (status int) {
 				c, err := net.Dial("tcp", listen)
@@ -98,7 +99,7 @@
 			}
 			ctx, stop := context.WithCancel(t.Context())
 			var clients sync.WaitGroup
-			var pause sync.RWMutex // while it is locked, clients that were not admitted do not come again
+			var pause sync.RWMutex // while it is locked, clients send no new requests
 			waitWhilePaused := func() {
 				pause.RLock()
 				defer pause.RUnlock()
@@ -122,24 +123,23 @@
 					})
 				}
 			}
-			// await waits for what the clients see.
 			await := func(what string, done func() bool) {
 				t.Helper()
-				for begun := time.Now(); !done(); time.Sleep(time.Millisecond) {
-					if time.Since(begun) > testTimeout {
-						t.Fatalf("never %s", what)
+				for started := time.Now(); !done(); time.Sleep(time.Millisecond) {
+					if time.Since(started) > testTimeout {
+						t.Fatalf("got no %s within %v", what, testTimeout)
 					}
 				}
 			}
 			awaitOverload := func() {
 				t.Helper()
 				from := notAdmitted.Load()
-				await("full", func() bool { return notAdmitted.Load() > from+sockets })
+				await("overload", func() bool { return notAdmitted.Load() > from+sockets })
 			}
 
 			old, oldErr, _ := startProcess()
 			flood(sockets)
-			await("full of requests", func() bool { return inFlight.Load() >= sockets/4 })
+			await("requests in flight at the server", func() bool { return inFlight.Load() >= sockets/4 })
 			awaitOverload()
 			pause.Lock()
 			alone := descriptors(old)
@@ -161,16 +161,16 @@
 					}
 				}
 			}()
-			// The newer is found and serves, though the older is full.
+			// Clients reach the new process, and it serves them although the old one is full.
 			served := func() bool {
-				return sendRequest("/c/quick") == http.StatusOK && strings.Contains(call(console, "vars"), `gw_responses_total{kind="c",result="ok"}`)
+				return sendRequest("/c/quick") == http.StatusOK && strings.Contains(consoleCall(console, "vars"), `gw_responses_total{kind="c",result="ok"}`)
 			}
-			await("served by the new process", served)
+			await("request served by the new process", served)
 			pause.Unlock()
 			awaitOverload()
-			notify(t, old, end)
+			sendSignal(t, old, end)
 			if end == syscall.SIGKILL {
-				await("more at the survivor than the two had room for each", func() bool { return descriptors(next) > alone*9/10 })
+				await("use of the full descriptor limit by the survivor", func() bool { return descriptors(next) > alone*9/10 })
 				old.Wait()
 			} else {
 				awaitOverload()
@@ -183,14 +183,15 @@
 			close(stopSampling)
 			<-sampled
 			if peak.Load() > maxDescriptors {
-				t.Errorf("the two held %d descriptors of %d, %d may be held", peak.Load(), sockets, maxDescriptors)
+				t.Errorf("got up to %d open descriptors of both processes, want at most %d", peak.Load(), maxDescriptors)
 			}
 			if truncated.Load() > 0 || answered.Load() == 0 || end == syscall.SIGTERM && answered.Load() != received.Load() {
-				t.Errorf("of %d requests that came to the server %d were answered, %d answers were cut", received.Load(), answered.Load(), truncated.Load())
+				t.Errorf("got %d responses, %d of them truncated, to %d requests received by the server; want none truncated, "+
+					"at least one, and after SIGTERM one per request", answered.Load(), truncated.Load(), received.Load())
 			}
-			t.Logf("%d descriptors of %d at most in %d looks, %d by the first alone; %d answered, %d not let in",
+			t.Logf("at most %d descriptors of %d in %d samples, %d by the old process alone; %d requests answered, %d not admitted",
 				peak.Load(), sockets, samples.Load(), alone, answered.Load(), notAdmitted.Load())
-			notify(t, next, syscall.SIGTERM)
+			sendSignal(t, next, syscall.SIGTERM)
 			awaitExit(t, next, nextErr)
 		})
 	}
--- a/cmd/agent/soak_test.go
+++ b/cmd/agent/soak_test.go
@@ -24,7 +24,7 @@
 )
 
 const (
-	// soakSeeds is the variable that names the seeds to play, as in "1-50".
+	// soakSeeds is the environment variable for the range of seeds to run, such as "1-50".
 	soakSeeds        = "AGENT_SOAK_SEEDS"
 	defaultSoakSeeds = "1-3"
 	soakServers      = 6
@@ -32,14 +32,16 @@
 	soakActions      = 4
 	soakBudget       = 1500 * time.Millisecond
 	soakActionStep   = 3500 * time.Millisecond
-	soakCrowd        = 80                      // idle connections
-	lateAnswer       = 500 * time.Millisecond  // an answer that comes later than so long after its time is lost
-	killAfter        = 3700 * time.Millisecond // of SIGTERM, at the earliest
-	lateRequest      = 700 * time.Millisecond  // after SIGTERM, from when on what SIGKILL finds unanswered is not lost
-	maxSoakReady     = 6 * time.Second
+	soakIdleConns    = 80
+	responseMargin   = 500 * time.Millisecond  // a response that arrives later than this after the budget is lost
+	killAfter        = 3700 * time.Millisecond // from SIGTERM to SIGKILL, at least
+	// SIGKILL may interrupt a request that was sent later than lossToleratedAfter after SIGTERM.
+	lossToleratedAfter = 700 * time.Millisecond
+	maxSoakStart       = 6 * time.Second
 )
 
-// soakConfig is the configuration of the agent under soak: listen, discovery, console, sockets, known list, agents, rank.
+// soakConfig is the configuration of the agent under test. Its arguments are: listen address, discovery address,
+// console address, sockets, known list, agents, rank.
 const soakConfig = `{"name":"n1","listen":%q,"discovery":%q,"console":%q,"seed":"1f","limits":{"cores":1,"memory_mb":64,"sockets":%d},
  "known":%s,
  "settings":{"categories":[{"name":"safe","aim":500,"deadline":3000,"credit":1,"effect":"pure"},
@@ -47,27 +49,28 @@
   "replicasOfMe":%d,"rank":%d,"discovery":"subscribe","limits":{"maxAttempts":3,"connectTimeout":100,"cancel":true,"secondCopies":true},
   "rules":{"coldFrom":0.5,"warmAfter":1000,"overloadFactor":2,"mustAskIn":10000,"drainGrace":300,"extraFloor":100,"extraWindow":1000}}}`
 
-// soakEvent is something that was done to the agent or its list.
+// soakEvent is an action on the agent or a change of its list.
 type soakEvent struct {
 	at   time.Time
 	what string
 }
 
-// soakRequest is a request as its client saw it.
+// soakRequest is a request and its result for the client.
 type soakRequest struct {
 	id       string
 	unsafe   bool
 	sent     time.Time
 	ended    time.Time
-	status   int // 0: none
+	status   int // 0 without a response
 	timedOut bool
 	err      error
 }
 
-// soakRun is one soak of a seed: an agent whose processes come and go, its clients, servers and discovery.
+// soakRun is the soak test of one seed: an agent whose processes are replaced and restarted, with its clients,
+// servers and discovery service. mu guards the records.
 type soakRun struct {
 	t        *testing.T
-	rng      *rand.Rand // of the schedule; one goroutine uses it
+	rng      *rand.Rand // of the schedule; used by one goroutine only
 	listen   string
 	tmp      string
 	agents   int
@@ -75,18 +78,18 @@
 	sockets  int
 	known    string
 	store    *lists.Store
-	lists    []net.Listener // addresses of discovery
+	lists    []net.Listener // addresses of the discovery service
 	members  []discovery.Member
 	revision uint64
 
-	mu       sync.Mutex
-	events   []soakEvent
-	requests []soakRequest
-	ran      map[string]int         // at servers, by id
-	leftAt   map[string]time.Time   // when the members left that have, by id
-	stale    map[string]string      // requests that came to members that had left, by id
-	crashes  []time.Time            // SIGKILL without SIGTERM
-	kills    map[time.Time]struct{} // SIGKILL after SIGTERM, by the time of that
+	mu        sync.Mutex
+	events    []soakEvent
+	requests  []soakRequest
+	runs      map[string]int         // at servers, by request id
+	drainedAt map[string]time.Time   // when a member began to drain, by member id
+	stale     map[string]string      // requests received by servers whose drain counts as notified, by request id
+	crashes   []time.Time            // times of SIGKILL without SIGTERM
+	kills     map[time.Time]struct{} // processes that got SIGKILL after SIGTERM, by the time of SIGTERM
 }
 
 // soakProcess is one process of the agent.
@@ -94,26 +97,27 @@
 	cmd     *exec.Cmd
 	console string
 	path    string
-	log     *logTail
+	log     *processLog
 	ended   chan struct{} // closed when the process has ended
 }
 
-// TestSoak plays replacements, restarts and reloads in series under clients that use their connections as long as these are open, and
-// lists that change meanwhile. Seen from outside, a request has one final answer, none that must not be repeated runs twice, none is
-// sent to a server whose drain counts as notified, and none that came to a server is lost.
+// TestSoak runs random series of replacements, restarts, crashes and reloads, while clients send requests over
+// persistent connections and the list changes. It checks that no unsafe request runs twice, that no request is sent
+// to a server whose drain counts as notified, and that no request times out or is lost once a server received it.
 func TestSoak(t *testing.T) {
-	first, last := soakRange(t)
+	first, last := seedRange(t)
 	for seed := first; seed <= last; seed++ {
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			r := newSoakRun(t, seed)
-			r.play()
-			r.judge()
+			r.run()
+			r.check()
 		})
 	}
 }
 
-func soakRange(t *testing.T) (first, last uint64) {
+// seedRange returns the first and the last seed to run.
+func seedRange(t *testing.T) (first, last uint64) {
 	t.Helper()
 	text := os.Getenv(soakSeeds)
 	if text == "" {
@@ -132,8 +136,8 @@
 
 func newSoakRun(t *testing.T, seed uint64) *soakRun {
 	r := &soakRun{
-		t: t, rng: rand.New(rand.NewPCG(seed, 0)), listen: ownAddr(t), tmp: t.TempDir(), store: lists.NewStore(100), revision: 1,
-		ran: map[string]int{}, leftAt: map[string]time.Time{}, stale: map[string]string{}, kills: map[time.Time]struct{}{},
+		t: t, rng: rand.New(rand.NewPCG(seed, 0)), listen: uniqueAddr(t), tmp: t.TempDir(), store: lists.NewStore(100), revision: 1,
+		runs: map[string]int{}, drainedAt: map[string]time.Time{}, stale: map[string]string{}, kills: map[time.Time]struct{}{},
 	}
 	r.agents = []int{1, 6, 60, 300}[r.rng.IntN(4)]
 	r.rank = r.rng.IntN(r.agents)
@@ -144,43 +148,44 @@
 	r.store.Reset(r.revision, r.members)
 	r.known = string(lists.Encode(r.revision, true, r.members))
 	service := &lists.Server{
-		Store: r.store, Limiter: &queuedCalls{cost: time.Duration(1+r.rng.IntN(25)) * time.Millisecond}, MaxCallsPerAgent: 16, MaxConns: 64,
+		Store: r.store, Limiter: &serialLimiter{cost: time.Duration(1+r.rng.IntN(25)) * time.Millisecond}, MaxCallsPerAgent: 16, MaxConns: 64,
 	}
-	web := service.HTTP()
-	t.Cleanup(func() { web.Close() })
+	httpServer := service.HTTP()
+	t.Cleanup(func() { httpServer.Close() })
 	for range 2 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		r.lists = append(r.lists, l)
-		go web.Serve(service.Listener(l, 0))
+		go httpServer.Serve(service.Listener(l, 0))
 	}
 	return r
 }
 
-// startServer starts a server that takes so long for a request, and returns it as a member.
-func (r *soakRun) startServer(id string, takes time.Duration) discovery.Member {
+// startServer starts a server with the given service time, and returns it as a member.
+func (r *soakRun) startServer(id string, serviceTime time.Duration) discovery.Member {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
 		r.recordRun(id, req.Header.Get("X-Call-Id"))
-		time.Sleep(takes)
+		time.Sleep(serviceTime)
 		io.WriteString(w, "served")
 	}))
 	r.t.Cleanup(s.Close)
 	return discovery.Member{ID: id, Address: s.Listener.Addr().String(), Zone: "a", Kind: "m1", State: "Ready", Weight: 1}
 }
 
-// recordRun notes that a request runs at a server.
+// recordRun records that a server runs a request, and whether the request came too late after the server's drain.
 func (r *soakRun) recordRun(server, id string) {
 	now := time.Now()
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.ran[id]++
-	if left, ok := r.leftAt[server]; ok && now.Sub(left) > mayNotify+drainGrace+machineLate {
-		r.stale[id] = fmt.Sprintf("%s, which left %v before", server, now.Sub(left))
+	r.runs[id]++
+	if drained, ok := r.drainedAt[server]; ok && now.Sub(drained) > notifyBound+drainGrace+machineDelay {
+		r.stale[id] = fmt.Sprintf("%s, which began to drain %v before", server, now.Sub(drained))
 	}
 }
 
+// record adds an event and returns its time.
 func (r *soakRun) record(what string) time.Time {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -189,30 +194,30 @@
 	return now
 }
 
-// config writes a configuration that names the n-th address of discovery.
+// config returns a configuration with the n-th address of the discovery service.
 func (r *soakRun) config(console string, n int) string {
 	return fmt.Sprintf(soakConfig, r.listen, r.lists[n].Addr(), console, r.sockets, r.known, r.agents, r.rank)
 }
 
-// start starts a process and waits until it takes clients.
+// start starts a process and waits until it accepts clients.
 func (r *soakRun) start() *soakProcess {
 	r.t.Helper()
-	begun := r.record("start")
-	p := &soakProcess{console: ownAddr(r.t), log: &logTail{}, ended: make(chan struct{})}
-	cmd, stderr, path := program(r.t, r.config(p.console, 0))
+	started := r.record("start")
+	p := &soakProcess{console: uniqueAddr(r.t), log: &processLog{}, ended: make(chan struct{})}
+	cmd, stderr, path := newAgentCommand(r.t, r.config(p.console, 0))
 	cmd.Env = append(cmd.Env, "TMPDIR="+r.tmp)
 	p.cmd, p.path = cmd, path
 	if err := cmd.Start(); err != nil {
 		r.t.Fatal(err)
 	}
 	go func() {
-		p.log.follow(stderr)
-		_ = cmd.Wait() // how it ended is its state's
+		p.log.record(stderr)
+		_ = cmd.Wait() // terminate checks ProcessState
 		close(p.ended)
 	}()
-	for call(p.console, "check") != "ok\n" {
-		if time.Since(begun) > maxSoakReady {
-			r.t.Errorf("a process is not ready after %v: %s\n%s", maxSoakReady, call(p.console, "check"), p.log.about("msg="))
+	for consoleCall(p.console, "check") != "ok\n" {
+		if time.Since(started) > maxSoakStart {
+			r.t.Errorf("a process is not ready after %v: check: got %s\n%s", maxSoakStart, consoleCall(p.console, "check"), p.log.linesWith("msg="))
 			break
 		}
 		time.Sleep(5 * time.Millisecond)
@@ -221,39 +226,39 @@
 	return p
 }
 
-// terminate ends a process as the platform does, and waits for its end.
+// terminate ends a process as the platform does: with SIGTERM, and after killAfter with SIGKILL. It waits for the exit.
 func (r *soakRun) terminate(p *soakProcess) {
-	begun := r.record("SIGTERM")
+	terminated := r.record("SIGTERM")
 	if err := p.cmd.Process.Signal(syscall.SIGTERM); err != nil {
-		r.t.Errorf("a process has ended before its SIGTERM: %v\n%s", err, p.log.about("msg="))
+		r.t.Errorf("a process exited before SIGTERM: %v\n%s", err, p.log.linesWith("msg="))
 		return
 	}
 	select {
 	case <-p.ended:
 		if !p.cmd.ProcessState.Success() {
-			r.t.Errorf("a process ends with %v\n%s", p.cmd.ProcessState, p.log.about("msg="))
+			r.t.Errorf("got %v after SIGTERM, want exit status 0\n%s", p.cmd.ProcessState, p.log.linesWith("msg="))
 		}
-	case <-time.After(time.Until(begun.Add(killAfter))):
+	case <-time.After(time.Until(terminated.Add(killAfter))):
 		r.mu.Lock()
-		r.kills[begun] = struct{}{}
+		r.kills[terminated] = struct{}{}
 		r.mu.Unlock()
 		r.record("SIGKILL after SIGTERM")
-		_ = p.cmd.Process.Kill() // it may have ended
+		_ = p.cmd.Process.Kill() // it may have exited
 		<-p.ended
 	}
 }
 
-// crash kills a process without a warning.
+// crash kills a process without SIGTERM.
 func (r *soakRun) crash(p *soakProcess) {
 	now := r.record("SIGKILL")
 	r.mu.Lock()
 	r.crashes = append(r.crashes, now)
 	r.mu.Unlock()
-	_ = p.cmd.Process.Kill() // it may have ended
+	_ = p.cmd.Process.Kill() // it may have exited
 	<-p.ended
 }
 
-// reload sends a series of configurations, some of them broken, that move discovery to and fro.
+// reload applies a series of configurations that alternate between the two addresses of discovery. Some are truncated.
 func (r *soakRun) reload(p *soakProcess) {
 	for n := range 1 + r.rng.IntN(4) {
 		text := r.config(p.console, 1-n%2)
@@ -265,18 +270,18 @@
 		}
 		r.record("SIGHUP")
 		if err := p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
-			r.t.Errorf("a process has ended before its SIGHUP: %v", err)
+			r.t.Errorf("a process exited before SIGHUP: %v", err)
 		}
 		time.Sleep(time.Duration(r.rng.IntN(300)) * time.Millisecond)
 	}
 }
 
-// leave has a member leave the list: it drains, and is removed later. It goes on serving.
-func (r *soakRun) leave(i int, removedAfter time.Duration) {
+// drainMember marks a member as terminating and removes it from the list after a delay. Its server keeps serving.
+func (r *soakRun) drainMember(i int, removedAfter time.Duration) {
 	m := &r.members[i]
 	m.State = "Terminating"
 	r.mu.Lock()
-	r.leftAt[m.ID] = time.Now()
+	r.drainedAt[m.ID] = time.Now()
 	r.mu.Unlock()
 	r.change(*m)
 	time.Sleep(removedAfter)
@@ -284,6 +289,7 @@
 	r.change(*m)
 }
 
+// change publishes a changed member in a new revision of the list.
 func (r *soakRun) change(m discovery.Member) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -294,42 +300,43 @@
 	}
 }
 
-// play has the agent's processes come and go by a schedule that is drawn from the seed.
-func (r *soakRun) play() {
+// run starts, replaces and ends the agent's processes by a schedule that the seed determines, while clients send
+// requests and the list changes.
+func (r *soakRun) run() {
 	const processActions = 3
 	ctx, stop := context.WithCancel(r.t.Context())
-	var others sync.WaitGroup
-	defer others.Wait()
+	var background sync.WaitGroup
+	defer background.Wait()
 	defer stop()
 	p := r.start()
 	for i := range soakClients {
-		others.Go(func() { r.runClient(ctx, i) })
+		background.Go(func() { r.runClient(ctx, i) })
 	}
 	if r.rng.IntN(3) == 0 {
-		r.record("crowd")
-		for range soakCrowd {
-			others.Go(func() { r.idle(ctx) })
+		r.record("idle connections")
+		for range soakIdleConns {
+			background.Go(func() { r.keepIdleConn(ctx) })
 		}
 	}
-	begun := time.Now()
-	for i := range soakServers / 2 { // the others stay; a change may come just before, in or after a start
+	started := time.Now()
+	for i := range soakServers / 2 { // the other members stay; a change may occur just before, during or after a start
 		at := time.Duration(i)*soakActionStep + time.Duration(r.rng.IntN(int(soakActionStep/time.Millisecond)))*time.Millisecond
 		removedAfter := time.Duration(r.rng.IntN(8000)) * time.Millisecond
-		others.Go(func() {
-			time.Sleep(time.Until(begun.Add(at)))
-			r.leave(i, removedAfter)
+		background.Go(func() {
+			time.Sleep(time.Until(started.Add(at)))
+			r.drainMember(i, removedAfter)
 		})
 	}
 	for n := range soakActions {
 		at := time.Duration(n+1)*soakActionStep + time.Duration(r.rng.IntN(1000))*time.Millisecond
-		time.Sleep(time.Until(begun.Add(at)))
+		time.Sleep(time.Until(started.Add(at)))
 		action := r.rng.IntN(processActions + 1)
 		reloads := r.rng.IntN(2) == 0
 		if reloads {
 			r.reload(p)
 		}
 		switch action {
-		case 0: // replaced by a process beside it
+		case 0: // replaced by a process that runs in parallel
 			next := r.start()
 			r.terminate(p)
 			p = next
@@ -343,14 +350,14 @@
 			r.reload(p)
 		}
 	}
-	time.Sleep(mayNotify)
+	time.Sleep(notifyBound)
 	stop()
-	others.Wait()
+	background.Wait()
 	r.terminate(p)
 }
 
-// idle keeps a connection that brings nothing, and another when it is closed.
-func (r *soakRun) idle(ctx context.Context) {
+// keepIdleConn keeps an idle connection open, and opens another when the agent closes it.
+func (r *soakRun) keepIdleConn(ctx context.Context) {
 	for ctx.Err() == nil {
 		c, err := net.Dial("tcp", r.listen)
 		if err == nil {
@@ -359,32 +366,33 @@
 			release()
 			c.Close()
 		}
-		sleepUntil(ctx, 300*time.Millisecond)
+		sleep(ctx, 300*time.Millisecond)
 	}
 }
 
-func sleepUntil(ctx context.Context, wait time.Duration) {
+// sleep waits for a duration or until ctx ends.
+func sleep(ctx context.Context, wait time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(wait):
 	}
 }
 
-// runClient sends requests one after the other on one connection for as long as that is open.
+// runClient sends requests one after the other. It keeps using a connection until the agent closes it.
 func (r *soakRun) runClient(ctx context.Context, client int) {
 	var c net.Conn
-	var answers *bufio.Reader
+	var reader *bufio.Reader
 	for n := 0; ctx.Err() == nil; n++ {
 		if c == nil {
 			var err error
 			if c, err = net.DialTimeout("tcp", r.listen, time.Second); err != nil {
 				c = nil
-				sleepUntil(ctx, 10*time.Millisecond)
+				sleep(ctx, 10*time.Millisecond)
 				continue
 			}
-			answers = bufio.NewReader(c)
+			reader = bufio.NewReader(c)
 		}
-		request, keep := exchangeOnce(c, answers, fmt.Sprintf("%d-%d", client, n), n%2 == 0)
+		request, keep := exchange(c, reader, fmt.Sprintf("%d-%d", client, n), n%2 == 0)
 		r.mu.Lock()
 		r.requests = append(r.requests, request)
 		r.mu.Unlock()
@@ -392,26 +400,26 @@
 			c.Close()
 			c = nil
 		}
-		sleepUntil(ctx, 5*time.Millisecond)
+		sleep(ctx, 5*time.Millisecond)
 	}
 	if c != nil {
 		c.Close()
 	}
 }
 
-// exchangeOnce sends one request on a connection and reads its answer. It returns whether the connection goes on.
-func exchangeOnce(c net.Conn, answers *bufio.Reader, id string, unsafe bool) (request soakRequest, keep bool) {
+// exchange sends one request on a connection and reads the response. keep reports whether the connection can be reused.
+func exchange(c net.Conn, reader *bufio.Reader, id string, unsafe bool) (request soakRequest, keep bool) {
 	request = soakRequest{id: id, unsafe: unsafe, sent: time.Now()}
 	method, class := http.MethodGet, "safe"
 	if unsafe {
 		method, class = http.MethodPost, "unsafe"
 	}
-	c.SetDeadline(request.sent.Add(soakBudget + lateAnswer))
+	c.SetDeadline(request.sent.Add(soakBudget + responseMargin))
 	_, err := fmt.Fprintf(c, "%s /%s/1 HTTP/1.1\r\nHost: x\r\nX-Call-Id: %s\r\nX-Call-Class: %s\r\nX-Budget: %dm\r\nContent-Length: 0\r\n\r\n",
 		method, class, id, class, soakBudget.Milliseconds())
 	var resp *http.Response
 	if err == nil {
-		resp, err = http.ReadResponse(answers, nil)
+		resp, err = http.ReadResponse(reader, nil)
 	}
 	if err == nil {
 		defer resp.Body.Close()
@@ -427,28 +435,28 @@
 	return request, keep
 }
 
-// judge checks the records of a run.
-func (r *soakRun) judge() {
+// check checks the recorded requests, and logs the events if the test failed.
+func (r *soakRun) check() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	answered := 0
 	for _, request := range r.requests {
-		runs := r.ran[request.id]
+		runs := r.runs[request.id]
 		if request.status != 0 {
 			answered++
 		}
 		if request.unsafe && runs > 1 {
-			r.breach(request, fmt.Sprintf("runs %d times", runs))
+			r.reportViolation(request, fmt.Sprintf("got %d runs, want at most one", runs))
 		}
-		if request.status == 0 && (runs > 0 || request.timedOut) && !r.excused(request) {
-			r.breach(request, fmt.Sprintf("has no answer: %v; it ran %d times", request.err, runs))
+		if request.status == 0 && (runs > 0 || request.timedOut) && !r.mayBeLost(request) {
+			r.reportViolation(request, fmt.Sprintf("got no response (%v) after %d runs, want one", request.err, runs))
 		}
 		if where, ok := r.stale[request.id]; ok {
-			r.breach(request, "is sent to "+where)
+			r.reportViolation(request, "got a run at "+where+", want none there")
 		}
 	}
 	if answered == 0 {
-		r.t.Error("no request is answered")
+		r.t.Errorf("got no response to any of %d requests", len(r.requests))
 	}
 	r.t.Logf("%d requests, %d answered; agents %d, rank %d, %d sockets", len(r.requests), answered, r.agents, r.rank, r.sockets)
 	if r.t.Failed() {
@@ -458,30 +466,31 @@
 	}
 }
 
-// excused says whether a request without an answer was out when a process crashed, or was killed though it came late.
-func (r *soakRun) excused(request soakRequest) bool {
+// mayBeLost reports whether a request without a response was in flight when a process crashed, or was sent later than
+// lossToleratedAfter after SIGTERM and was in flight at the SIGKILL.
+func (r *soakRun) mayBeLost(request soakRequest) bool {
 	for _, at := range r.crashes {
-		if !at.Before(request.sent) && !at.After(request.ended.Add(machineLate)) {
+		if !at.Before(request.sent) && !at.After(request.ended.Add(machineDelay)) {
 			return true
 		}
 	}
 	for terminated := range r.kills {
 		killed := terminated.Add(killAfter)
-		if request.sent.After(terminated.Add(lateRequest)) && !killed.Before(request.sent) && !killed.After(request.ended.Add(machineLate)) {
+		if request.sent.After(terminated.Add(lossToleratedAfter)) && !killed.Before(request.sent) && !killed.After(request.ended.Add(machineDelay)) {
 			return true
 		}
 	}
 	return false
 }
 
-// breach reports a request that broke a rule, with the event nearest to it.
-func (r *soakRun) breach(request soakRequest, what string) {
+// reportViolation fails the test for a request, and names the event nearest to the time at which the request was sent.
+func (r *soakRun) reportViolation(request soakRequest, what string) {
 	nearest := soakEvent{what: "nothing"}
 	for _, e := range r.events {
 		if nearest.at.IsZero() || e.at.Sub(request.sent).Abs() < nearest.at.Sub(request.sent).Abs() {
 			nearest = e
 		}
 	}
-	r.t.Errorf("request %s, unsafe %v, sent at %s, %s (%v after %s)", request.id, request.unsafe, request.sent.Format("05.000"), what,
+	r.t.Errorf("request %s, unsafe %v, sent at %s: %s (%v after %s)", request.id, request.unsafe, request.sent.Format("05.000"), what,
 		request.sent.Sub(nearest.at), nearest.what)
 }
--- a/cmd/agent/testdata/clockstep.c
+++ b/cmd/agent/testdata/clockstep.c
@@ -1,7 +1,7 @@
-// clockstep steps the wall clock of the one process that it is loaded into (LD_PRELOAD), while it runs: the file named by
-// CLOCKSTEP_FILE holds a 64-bit count of nanoseconds, in the machine's byte order, that is added to CLOCK_REALTIME. The
-// monotonic clock is left alone. Go reads clocks through the vDSO and not through the C library, so the vDSO's entry,
-// a private copy of which the process may write, is made to jump here. Linux on amd64 only.
+// clockstep steps the wall clock of the process that it is loaded into with LD_PRELOAD, while the process runs. The file
+// named by CLOCKSTEP_FILE contains a 64-bit number of nanoseconds in native byte order, which is added to CLOCK_REALTIME.
+// The monotonic clock is unchanged. Go reads clocks through the vDSO and not through the C library, so the vDSO's function
+// is patched to jump here: a process may write to its private copy of the vDSO. Linux on amd64 only.
 #include <elf.h>
 #include <fcntl.h>
 #include <stdlib.h>
@@ -14,7 +14,7 @@
 
 static const volatile long long *step;
 
-// Called on stacks of a few hundred bytes that the Go runtime lends to the vDSO: no library calls.
+// The Go runtime calls the vDSO on a stack of a few hundred bytes, so this function must not call library functions.
 static int stepped_clock_gettime(clockid_t id, struct timespec *ts) {
 	long result;
 	__asm__ volatile("syscall" : "=a"(result) : "a"(SYS_clock_gettime), "D"(id), "S"(ts) : "rcx", "r11", "memory");
