--- a/internal/admin/console.go
+++ b/internal/admin/console.go
@@ -99,7 +99,7 @@
 // handle reads one command and writes its reply.
 func (c *Console) handle(conn net.Conn) {
 	line, err := bufio.NewReaderSize(conn, MaxLineBytes).ReadSlice('\n')
-	// A write error is ignored: the caller sees the connection close.
+	// A write error needs no handling: a caller that does not read its reply sees the connection close.
 	_, _ = io.WriteString(conn, c.reply(line, err))
 }
 
