--- a/cmd/agent/fleet_test.go
+++ b/cmd/agent/fleet_test.go
@@ -24,8 +24,8 @@
 const (
 	fleetSize    = 6
 	notifyBound  = 6 * time.Second        // after this time a change counts as notified, received or not
-	drainGrace   = 300 * time.Millisecond // from then until nothing more may be sent; set in fleetConfig
-	machineDelay = 100 * time.Millisecond // tolerated delay by this machine, in addition to the permitted 50 ms
+	drainGrace   = 300 * time.Millisecond // after notifyBound: nothing may be sent later; set in fleetConfig and soakConfig
+	machineDelay = 100 * time.Millisecond // tolerated delay of a request by this machine, beyond the permitted 50 ms
 )
 
 // fleetConfig is the configuration of one of fleetSize agents that watch the list. Its arguments are: name, listen
@@ -61,8 +61,8 @@
 // errOverloaded rejects calls that would take longer than maxServiceWait.
 var errOverloaded = lists.RejectedError{Cause: "too many callers"}
 
-// awaitTurn waits until a call has been processed at ends, and returns the planned delay. It returns early with an
-// error if otherRejected is closed, which means that another call of the agent was rejected, or if ctx ends.
+// awaitTurn waits until ends, when the service has processed a call, and returns the planned delay. It returns early
+// with an error if otherRejected is closed, which means that another call of the agent was rejected, or if ctx ends.
 func awaitTurn(ctx context.Context, ends time.Time, otherRejected <-chan struct{}) (time.Duration, error) {
 	delay := time.Until(ends)
 	done := time.NewTimer(delay)
--- a/cmd/agent/main.go
+++ b/cmd/agent/main.go
@@ -22,7 +22,7 @@
 func run(ctx context.Context, hangups <-chan os.Signal, log *slog.Logger) error {
 	path := os.Getenv("GW_CONFIG")
 	if path == "" {
-		return errors.New("GW_CONFIG is not set: it names the configuration file")
+		return errors.New("GW_CONFIG is not set; it must name the configuration file")
 	}
 	cfg, err := config.Load(path)
 	if err != nil {
@@ -31,7 +31,7 @@
 	log = log.With("agent", cfg.Name)
 	runtime.GOMAXPROCS(int(math.Ceil(cfg.Cores)))
 
-	// The file is also watched during the shutdown, because requests that are still accepted then follow new settings. run
+	// The file is also watched during the shutdown, so that requests that are accepted during it use new settings. run
 	// does not wait for the watcher: a file whose read never ends must not keep the process from exiting.
 	watching, stopWatching := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopWatching()
--- a/cmd/agent/main_test.go
+++ b/cmd/agent/main_test.go
@@ -348,7 +348,7 @@
 			}
 		})
 	}
-	for range 4 * sockets { // by then the agent has kept closing connections to make room
+	for range 4 * sockets { // the agent must keep closing idle connections to make room
 		select {
 		case <-closed:
 		case <-time.After(testTimeout):
--- a/cmd/agent/replace_test.go
+++ b/cmd/agent/replace_test.go
@@ -19,8 +19,9 @@
 )
 
 // One process replaces another during an overload: no server responds, and clients open every connection that either
-// process accepts. Together the two must not exceed their shared descriptor limit, the new process must serve a client
-// while the old one is still full, and every request that the old one accepted must be answered.
+// process accepts. Together the two must not exceed their shared descriptor limit, and the new process must serve a
+// client while the old one is still full. After SIGTERM, the old process must answer every request that it accepted.
+// After SIGKILL, the new process must open nearly as many descriptors as the old one had open alone.
 func TestReplacementInOverload(t *testing.T) {
 	const (
 		sockets        = 256
@@ -75,7 +76,7 @@
 				return len(fds)
 			}
 
-			// sendRequest sends a request on a new connection and returns the response's status, or 0 if there is no response.
+			// sendRequest sends a request on a new connection and returns the response's status, or 0 without a response.
 			var id, open, notAdmitted, truncated, answered atomic.Int64
 			sendRequest := func(path string) (status int) {
 				c, err := net.Dial("tcp", listen)
--- a/cmd/agent/soak_test.go
+++ b/cmd/agent/soak_test.go
@@ -33,7 +33,7 @@
 	soakBudget       = 1500 * time.Millisecond
 	soakActionStep   = 3500 * time.Millisecond
 	soakIdleConns    = 80
-	responseMargin   = 500 * time.Millisecond  // a response that arrives later than this after the budget is lost
+	responseMargin   = 500 * time.Millisecond  // a response counts as lost if it arrives later than this after its budget
 	killAfter        = 3700 * time.Millisecond // from SIGTERM to SIGKILL, at least
 	// SIGKILL may interrupt a request that was sent later than lossToleratedAfter after SIGTERM.
 	lossToleratedAfter = 700 * time.Millisecond
@@ -102,8 +102,9 @@
 }
 
 // TestSoak runs random series of replacements, restarts, crashes and reloads, while clients send requests over
-// persistent connections and the list changes. It checks that no unsafe request runs twice, that no request is sent
-// to a server whose drain counts as notified, and that no request times out or is lost once a server received it.
+// persistent connections and the list changes. It checks that no unsafe request runs twice and that no request is
+// sent to a server whose drain counts as notified. Unless SIGKILL may have interrupted it, a request must not time out,
+// and a request that a server received must get a response.
 func TestSoak(t *testing.T) {
 	first, last := seedRange(t)
 	for seed := first; seed <= last; seed++ {
@@ -258,7 +259,8 @@
 	<-p.ended
 }
 
-// reload applies a series of configurations that alternate between the two addresses of discovery. Some are truncated.
+// reload makes a process reload a series of configurations that alternate between the two addresses of discovery. Some
+// of them are truncated.
 func (r *soakRun) reload(p *soakProcess) {
 	for n := range 1 + r.rng.IntN(4) {
 		text := r.config(p.console, 1-n%2)
