--- a/cmd/relay/main.go
+++ b/cmd/relay/main.go
@@ -18,12 +18,13 @@
 	"example.org/ryeloft/internal/relay"
 )
 
-// metricsTimeout limits each read, write and idle period of a connection to the metrics server.
+// metricsTimeout limits how long a client of the metrics server may take to send a request and to receive the response,
+// and how long its connection may be idle.
 const metricsTimeout = 2 * time.Second
 
 func main() { daemon.Main("relay failed", run) }
 
-// run serves until the context ends. An invalid configuration at a reload is rejected as a whole.
+// run serves until the context ends. A reload with an invalid configuration changes nothing.
 func run(ctx context.Context, hangups <-chan os.Signal, log *slog.Logger) error {
 	path := os.Getenv("RELAY_CONFIG")
 	if path == "" {
@@ -113,7 +114,7 @@
 	}
 	l, err := net.Listen("tcp", addr)
 	if err != nil {
-		return nil, fmt.Errorf("figures: %w", err)
+		return nil, fmt.Errorf("figures: %w", err) // the address's key in the configuration
 	}
 	server := &http.Server{
 		Handler:      http.HandlerFunc(r.ServeMetrics),
--- a/cmd/relay/main_test.go
+++ b/cmd/relay/main_test.go
@@ -37,7 +37,7 @@
 	os.Exit(m.Run())
 }
 
-// service is discovery. It keeps its address while it is down.
+// service is a discovery service. It keeps its address while it is down.
 type service struct {
 	*lists.Store
 	addr string
@@ -296,8 +296,8 @@
 	t.Fatalf("revision %d is not served after %v", revision, testTimeout)
 }
 
-// SIGHUP must load a new address and rate, but nothing from an invalid file. SIGTERM must reject waiting calls
-// immediately.
+// SIGHUP must load a new address and rate, but nothing from an invalid file. SIGTERM must end a waiting call
+// before its wait of 60 s is over.
 func TestSignals(t *testing.T) {
 	s, other := newService(t, 7, member("x", "Ready")), newService(t, 9, member("y", "Ready"))
 	p := startProgram(t, s.addr)
--- a/internal/metrics/metrics.go
+++ b/internal/metrics/metrics.go
@@ -54,7 +54,7 @@
 // counters are totals since the process started. They never decrease.
 type counters struct {
 	responses       [resultCount]int
-	attempts        int // whose request was written completely
+	attempts        int // attempts whose request was written completely
 	configsApplied  int
 	configsRejected int
 }
--- a/internal/protocol/protocol_test.go
+++ b/internal/protocol/protocol_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// Budgets in either unit are parsed, those that FormatBudget wrote included. Any other text returns ErrBadBudget.
+// ParseBudget must accept budgets in either unit, including those from FormatBudget. For any other text it must return
+// ErrBadBudget.
 func TestBudget(t *testing.T) {
 	for text, want := range map[string]time.Duration{
 		"480m": 480 * time.Millisecond, "350000u": 350 * time.Millisecond, "0.5m": 500 * time.Microsecond, "3600000m": time.Hour,
--- a/internal/repository/architecture_test.go
+++ b/internal/repository/architecture_test.go
@@ -11,7 +11,7 @@
 const root = "../.."
 
 // A package can be added without documentation. The architecture page must name each package by its path; those under
-// internal/scale may be named by the path below it.
+// internal/scale are named by the path below it.
 func TestArchitecturePageNamesEachPackage(t *testing.T) {
 	page, err := os.ReadFile(filepath.Join(root, "docs", "architecture.md"))
 	if err != nil {
