--- a/cmd/scale/main_test.go
+++ b/cmd/scale/main_test.go
@@ -166,7 +166,7 @@
 		}, "hollow died"},
 		{"a real agent dies", func(t *testing.T, _ int, children map[int]string) {
 			kill(t, pidOfRole(t, children, ""), syscall.SIGKILL)
-		}, "died in the run"},
+		}, "died during the run"},
 		{"killed", func(t *testing.T, program int, _ map[int]string) { kill(t, program, syscall.SIGKILL) }, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -182,7 +182,7 @@
 			if err := cmd.Start(); err != nil {
 				t.Fatal(err)
 			}
-			awaitLine(t, stderr, " plays ")
+			awaitLine(t, stderr, " runs ")
 			children := childrenOf(cmd.Process.Pid)
 			if len(children) < 4 {
 				t.Errorf("got child processes %v, want at least 4", children)
--- a/internal/scale/realagent/realagent.go
+++ b/internal/scale/realagent/realagent.go
@@ -182,7 +182,7 @@
 	if p.stopRequested.Load() || f.ctx.Err() != nil {
 		return
 	}
-	err := a.errorf("died in the run: %w", exitError(p.err))
+	err := a.errorf("died during the run: %w", exitError(p.err))
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.err != nil || f.closing {
--- a/internal/scale/run/check_test.go
+++ b/internal/scale/run/check_test.go
@@ -29,8 +29,8 @@
 // TestErrorTexts checks the texts of the causes of a failed run, which are printed.
 func TestErrorTexts(t *testing.T) {
 	for want, err := range map[string]error{
-		"the part control died": ProcessDiedError{"control"},
-		"all processes together hold 11264 MB, they may hold 10240": MemoryError{ResidentBytes: 11 << 30, LimitBytes: maxMemoryBytes},
+		"process control died": ProcessDiedError{"control"},
+		"all processes together use 11264 MB of memory, the limit is 10240 MB": MemoryError{ResidentBytes: 11 << 30, LimitBytes: maxMemoryBytes},
 	} {
 		if err.Error() != want {
 			t.Errorf("got %q, want %q", err, want)
--- a/internal/scale/run/schedule.go
+++ b/internal/scale/run/schedule.go
@@ -39,7 +39,7 @@
 	end := r.startedAt.Add(length)
 	r.affectedByEvent = r.countAffected(steps)
 	r.countSteps(steps)
-	r.options.Progress(fmt.Sprintf("plays %d steps in %g s", len(steps), r.scenario.Seconds))
+	r.options.Progress(fmt.Sprintf("runs %d steps in %g s", len(steps), r.scenario.Seconds))
 	queueCtx, stop := context.WithCancel(ctx)
 	defer stop()
 	queues := newTaskQueues(queueCtx, len(steps), length)
--- a/internal/scale/run/watchdog.go
+++ b/internal/scale/run/watchdog.go
@@ -16,14 +16,14 @@
 type ProcessDiedError struct{ Role string }
 
 // Error implements error.
-func (e ProcessDiedError) Error() string { return fmt.Sprintf("the part %s died", e.Role) }
+func (e ProcessDiedError) Error() string { return fmt.Sprintf("process %s died", e.Role) }
 
 // MemoryError is the cause of a run whose processes together exceed the memory limit.
 type MemoryError struct{ ResidentBytes, LimitBytes int64 }
 
 // Error implements error.
 func (e MemoryError) Error() string {
-	return fmt.Sprintf("all processes together hold %d MB, they may hold %d", e.ResidentBytes>>20, e.LimitBytes>>20)
+	return fmt.Sprintf("all processes together use %d MB of memory, the limit is %d MB", e.ResidentBytes>>20, e.LimitBytes>>20)
 }
 
 // watchProcesses fails the run if control, the simulated agents or a real agent die, or if all processes together
