--- a/internal/scale/simagent/agent.go
+++ b/internal/scale/simagent/agent.go
@@ -216,7 +216,7 @@
 	case balancer.ActionPollEndpoints:
 		a.pollEndpoints()
 	case balancer.ActionLog:
-		a.shard.counts.logLines++ // the logs of so many agents are only counted
+		a.shard.counts.logLines++ // counted but not written, because there are too many agents
 	}
 }
 
