--- a/internal/inbound/handler_test.go
+++ b/internal/inbound/handler_test.go
@@ -82,8 +82,9 @@
 	}
 }
 
-// A request that is rejected at the agent's own limit is answered even if the metrics do not know its class: counting
-// the response must not make the request fail.
+// A request that is rejected at the agent's own limit is answered even if the metrics do not know its class. If a
+// reload publishes settings to handlers before the metrics have their classes, counting the response must not panic:
+// a panic closes the connection without a response.
 func TestRequestOfAnUnknownClassIsAnswered(t *testing.T) {
 	cfg := agenttest.Config(t, "127.0.0.1:1", agenttest.Settings)
 	dispatcher := &countingDispatcher{settings: &cfg.Settings}
